--- /dev/null
+++ b/tests/compatibility/peer_messages_test.cpp
@@ -0,0 +1,191 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// The bytes that sidecars send each other, as 7c357c1 encoded them. A rename of a field touches the builders
+// and printers here alone; the golden files hold the bytes.
+#include <gtest/gtest.h>
+
+#include <sstream>
+
+#include "compatibility/support.h"
+#include "peers/entries.h"
+#include "peers/message.h"
+#include "peers/seal.h"
+#include "shared/judgements.h"
+
+namespace compatibility {
+namespace {
+
+namespace peers = ivypost::peers;
+namespace shared = ivypost::shared;
+
+std::string hexOf(std::span<const std::uint8_t> bytes) {
+  return toHex(std::string(bytes.begin(), bytes.end()));
+}
+
+std::vector<std::uint8_t> bytesOf(const std::string& digits) {
+  const std::string bytes = fromHex(digits);
+  return {bytes.begin(), bytes.end()};
+}
+
+peers::Update update(std::uint64_t number, peers::State state) {
+  peers::Update one;
+  one.id = 0x1100000000000000 + number;
+  one.incarnation = 1'790'000'000'000 + 3 * number;
+  one.address = {static_cast<std::uint32_t>(0x0a000001 + number), static_cast<std::uint16_t>(7946 + number)};
+  one.state = state;
+  if (state != peers::State::Alive) one.witness = 0x2200000000000000 + number;
+  return one;
+}
+
+peers::Message message(peers::Kind kind) {
+  peers::Message one;
+  one.kind = kind;
+  one.sender = peers::idOf("s1");
+  one.incarnation = 1'790'000'000'123;
+  one.address = {0x7f000001, 7946};
+  one.sequence = 0x0102030405060708;
+  one.nonce = 0xfffefdfc;
+  return one;
+}
+
+// Every kind, and every section where it stands.
+std::vector<std::pair<std::string, peers::Message>> messages() {
+  using peers::Kind;
+  using peers::State;
+  std::vector<std::pair<std::string, peers::Message>> all;
+  for (const auto& [name, kind] : std::vector<std::pair<std::string, Kind>>{
+           {"ping", Kind::Ping}, {"ack", Kind::Ack}, {"nack", Kind::Nack}, {"news", Kind::News}})
+    all.emplace_back(name, message(kind));
+  auto one = message(Kind::Ping);
+  one.updates = {update(1, State::Alive), update(2, State::Suspect), update(3, State::Dead)};
+  all.emplace_back("ping with updates", one);
+  one = message(Kind::Relay);
+  one.target = update(4, State::Alive);
+  all.emplace_back("relay", one);
+  one = message(Kind::Ack);
+  one.table = peers::Table{{0x01020304, 0x05060708, 0x090a0b0c, 0x0d0e0f10}, 330, 5};
+  one.facts = {0xfa, 0xc7, 0x05};
+  all.emplace_back("ack with table and facts", one);
+  one = message(Kind::Pull);
+  one.table = peers::Table{{1, 2, 3, 4}, 9, 0};
+  one.range = {3, 2};
+  one.filter = {0xf1, 0x17, 0xe4};
+  all.emplace_back("pull", one);
+  one = message(Kind::Rumours);
+  auto left = update(7, State::Dead);
+  left.witness = left.id;
+  auto comparing = update(5, State::Alive);
+  comparing.region = 9;
+  comparing.compares = true;
+  one.entries = {comparing, update(6, State::Suspect), left, update(8, State::Dead)};
+  all.emplace_back("rumours", one);
+  one = message(Kind::Page);
+  one.entries = {update(9, State::Alive), update(10, State::Alive)};
+  one.pageFlags = 3;
+  all.emplace_back("page", one);
+  return all;
+}
+
+void print(std::ostream& to, const char* name, const peers::Update& one) {
+  to << "  " << name << " id=" << std::hex << one.id << " witness=" << one.witness << std::dec
+     << " incarnation=" << one.incarnation << " address=" << peers::format(one.address)
+     << " state=" << static_cast<int>(one.state) << " region=" << static_cast<int>(one.region)
+     << " compares=" << one.compares << "\n";
+}
+
+std::string meaningOf(const peers::Message& one) {
+  std::ostringstream out;
+  out << "kind=" << static_cast<int>(one.kind) << " sender=" << std::hex << one.sender << std::dec
+      << " incarnation=" << one.incarnation << " address=" << peers::format(one.address) << std::hex
+      << " sequence=" << one.sequence << " nonce=" << one.nonce << std::dec << "\n";
+  if (one.target) print(out, "target", *one.target);
+  for (const auto& each : one.updates) print(out, "update", each);
+  if (one.table) {
+    out << "  table" << std::hex;
+    for (const auto digest : one.table->digests) out << " " << digest;
+    out << std::dec << " heard=" << one.table->heard << " region=" << static_cast<int>(one.table->region)
+        << "\n";
+  }
+  for (const auto& each : one.entries) print(out, "entry", each);
+  if (!one.filter.empty())
+    out << "  filter " << static_cast<int>(one.range.index) << "/" << static_cast<int>(one.range.bits) << " "
+        << hexOf(one.filter) << "\n";
+  if (!one.facts.empty()) out << "  facts " << hexOf(one.facts) << "\n";
+  if (one.kind == peers::Kind::Page) out << "  flags " << static_cast<int>(one.pageFlags) << "\n";
+  return out.str();
+}
+
+TEST(PeerMessages, EncodeToTheSameBytes) {
+  std::string text;
+  for (const auto& [name, one] : messages()) text += name + " " + hexOf(peers::encode(one)) + "\n";
+  expectGolden(text, "peer-messages.hex");
+}
+
+TEST(PeerMessages, RecordedBytesDecodeToTheSameMeaning) {
+  std::istringstream lines(golden("peer-messages.hex"));
+  std::string text;
+  for (std::string line; std::getline(lines, line);) {
+    const auto decoded = peers::decode(bytesOf(line.substr(line.rfind(' ') + 1)));
+    text += line.substr(0, line.rfind(' ')) + "\n" + (decoded ? meaningOf(*decoded) : "no message\n");
+  }
+  expectGolden(text, "peer-messages.txt");
+}
+
+TEST(PeerMessages, IdsOfNamesAreTheSame) {
+  std::ostringstream text;
+  for (const char* name : {"s1", "sidecar-0042", "", "caf\xc3\xa9"})
+    text << name << " " << std::hex << peers::idOf(name) << "\n";
+  expectGolden(text.str(), "peer-ids.txt");
+}
+
+// The seal needs no random number, so a sealed datagram is the same each time.
+TEST(PeerMessages, SealToTheSameBytes) {
+  const Folder folder;
+  const auto seal = peers::Seal::read(folder.write("key", golden("peers.key")));
+  auto bytes = peers::encode(message(peers::Kind::Ping));
+  seal.close(bytes);
+  expectGolden(hexOf(bytes) + "\n", "peer-sealed.hex");
+}
+
+TEST(PeerMessages, RecordedSealOpens) {
+  const Folder folder;
+  const auto seal = peers::Seal::read(folder.write("key", golden("peers.key")));
+  std::string digits = golden("peer-sealed.hex");
+  digits.pop_back();
+  const auto bytes = bytesOf(digits);
+  EXPECT_EQ(hexOf(seal.open(bytes)), digits.substr(0, digits.size() - 32));
+}
+
+// ---- Judgements
+
+constexpr shared::PeerId kSelf = 0x5e1f000000000001;
+constexpr shared::Micros kNow = 50'000'000;
+
+TEST(PeerJudgements, AreToldInTheSameBytes) {
+  shared::Judgements judgements(kSelf, 1'790'000'000'000'000);
+  const shared::Life failing{0xaaaaaaaaaaaaaaaa, 0}, silent{0xbbbbbbbbbbbbbbbb, 1'790'000'000'456};
+  using Outcome = shared::Evidence::Outcome;
+  judgements.attempted(failing, Outcome::Failed, 1000, kNow);
+  judgements.attempted(failing, Outcome::Failed, 1000, kNow + 10'000);
+  judgements.attempted(silent, Outcome::Silent, 100'000, kNow + 20'000);
+  const shared::Judgement told{{0xcccccccccccccccc, 7}, 0x0123, 99, shared::Finding::Well, 5, 2, 1'500'000};
+  judgements.take(told, 0, kNow + 30'000);
+  expectGolden(hexOf(judgements.tell(200, kNow + 50'000)) + "\n", "peer-judgements.hex");
+}
+
+TEST(PeerJudgements, RecordedBytesAreTakenWithTheSameMeaning) {
+  shared::Judgements judgements(0x7777, 1);
+  std::string digits = golden("peer-judgements.hex");
+  digits.pop_back();
+  ASSERT_TRUE(judgements.take(bytesOf(digits), 2000, kNow));
+  std::ostringstream text;
+  for (const auto& one : judgements.all(kNow))
+    text << "upstream=" << std::hex << one.life.upstream << " witness=" << one.witness << std::dec
+         << " started=" << one.life.startedAtMs << " version=" << one.version
+         << " finding=" << shared::nameOf(one.finding) << " attempts=" << one.attempts
+         << " failures=" << one.failures << " age=" << one.age << "\n";
+  expectGolden(text.str(), "peer-judgements.txt");
+}
+
+}  // namespace
+}  // namespace compatibility
