--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -22,13 +22,14 @@
 
 class Fleet {
  public:
-  enum class Mode { Sound, Hangs, Errors };
+  enum class Mode { Sound, Hangs, Errors, Quick };  // quick: answers at once, however much it has got
   struct Node {
     double size = 1;  // as the list tells, and the true speed of each of its cores
     Micros launchedAt = 0;
     Mode mode = Mode::Sound;
     UpstreamState state = UpstreamState::Serving;
     std::vector<Micros> sentAt;  // each attempt that went there
+    std::vector<double> work;    // of each of these, against the mean
     double worst = 0;            // the most attempts of one window, against what it could do at its end
   };
   struct Count {
@@ -55,13 +56,32 @@
     }
     for (std::uint32_t n = 0; n < settings_.sidecars; ++n) {
       sidecars_[n]->every = 1e6 * sum / (perSecond * sidecars_[n]->weight);
-      settings_.sidecar = n;
-      sidecars_[n]->balancer = std::make_unique<Balancer>(settings_, random_(), now);
-      tell(n, MembershipUpdate::Kind::Saved);
+      startProcess(n);
       arrive(n);
     }
   }
 
+  // Every process is killed with all that it has in hand, and begins anew with the list as it is.
+  void restartAll() {
+    for (std::uint32_t n = 0; n < sidecars_.size(); ++n) {
+      sidecars_[n]->requests.clear();
+      sidecars_[n]->out.clear();
+      startProcess(n);
+    }
+  }
+
+  // A second process beside each, as while one replaces the other; each of the two gets this part of what the
+  // one got.
+  void doubleAll(double part) {
+    const auto before = static_cast<std::uint32_t>(sidecars_.size());
+    for (std::uint32_t n = 0; n < before; ++n) {
+      sidecars_.push_back(std::make_unique<Sidecar>());
+      sidecars_.back()->every = sidecars_[n]->every /= part;
+      startProcess(before + n);
+      arrive(before + n);
+    }
+  }
+
   // What happens `after` so long, once.
   void at(Micros after, std::function<void()> what) { push(now + after, std::move(what)); }
 
@@ -127,7 +147,8 @@
   Micros now;
   Micros work = 50 * kMs;  // mean, on a core of size one
   std::uint32_t requestClass = kKeyed;
-  double burst = 1;  // so many times the rate, for arrivals drawn from now on
+  double burst = 1;    // so many times the rate, for arrivals drawn from now on
+  bool hints = false;  // requests bring their work as a hint
 
  private:
   static constexpr std::size_t kCores = 2;
@@ -143,6 +164,7 @@
     struct Open {
       Micros came;
       std::uint32_t attempts = 0;
+      double work = 0;  // as hinted, 0: not
       bool over = false;
     };
     std::unordered_map<RequestId, Open> requests;
@@ -162,6 +184,12 @@
     }
   };
 
+  void startProcess(std::uint32_t n) {
+    settings_.sidecar = n % settings_.sidecars;
+    sidecars_[n]->balancer = std::make_unique<Balancer>(settings_, random_(), now);
+    tell(n, MembershipUpdate::Kind::Saved);
+  }
+
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   double exponential() { return -std::log1p(-uniform()); }
   void push(Micros at, std::function<void()> what) { events_.push({at, order_++, std::move(what)}); }
@@ -189,7 +217,12 @@
       request.request = ++lastRequest_;
       request.requestClass = requestClass;
       request.expiresIn = settings_.classes[requestClass].deadline;
-      sidecars_[n]->requests[request.request].came = now;
+      auto& open = sidecars_[n]->requests[request.request];
+      open.came = now;
+      if (hints) {
+        open.work = std::max(1e-6, exponential() * static_cast<double>(work) / 1e6);
+        request.work = static_cast<Micros>(1e6 * open.work);
+      }
       ++count_.asked;
       feed(n, request);
       arrive(n);
@@ -212,19 +245,23 @@
 
   void sendTo(std::uint32_t n, const Send& send) {
     auto& open = sidecars_[n]->requests.at(send.request);
-    const Attempt attempt{n, send.request, open.attempts++, exponential() * static_cast<double>(work) / 1e6};
+    const double takes = open.work > 0 ? open.work : exponential() * static_cast<double>(work) / 1e6;
+    const Attempt attempt{n, send.request, open.attempts++, takes};
     sidecars_[n]->out[{send.request, attempt.number}] = send.upstream;
     Node& node = nodes_[send.upstream];
     node.sentAt.push_back(now);
+    node.work.push_back(open.work > 0 ? 1e6 * takes / static_cast<double>(work) : 1);
     Queue& queue = state_[send.upstream];
     queue.lately.push_back(now);
     while (queue.lately.front() <= now - settings_.fallWindow) queue.lately.pop_front();
     const double sent =
         static_cast<double>(queue.lately.size() * work) / static_cast<double>(settings_.fallWindow);
     node.worst = std::max(node.worst, sent / capacity(node));
-    if (node.mode == Mode::Errors)
+    if (node.mode == Mode::Errors || node.mode == Mode::Quick) {
+      const Outcome outcome = node.mode == Mode::Quick ? Outcome::Ok : Outcome::Error;
       return at(2 * kMs,
-                [this, attempt] { end(attempt.sidecar, attempt.request, attempt.number, Outcome::Error); });
+                [this, attempt, outcome] { end(attempt.sidecar, attempt.request, attempt.number, outcome); });
+    }
     if (node.mode == Mode::Hangs) return;
     queue.waiting.push_back(attempt);
     begin(send.upstream);
@@ -253,7 +290,7 @@
     if (found == sidecar.out.end()) return;
     const UpstreamId upstream = found->second;
     sidecar.out.erase(found);
-    auto& open = sidecar.requests.at(request);
+    const auto& open = sidecar.requests.at(request);
     AttemptOutcome event{request, number, upstream, outcome, 0, open.over, std::nullopt};
     if (outcome == Outcome::Ok && !open.over) {
       event.last = true;
