--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -1,6 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "lifecycle/lifecycle.h"
 
+#include <algorithm>
+
 namespace ivypost::lifecycle {
 
 const char* nameOf(State state) {
@@ -50,6 +52,12 @@
   since_ = now;
 }
 
+Micros Lifecycle::stopWithin() const {
+  const Micros longest = settings_.longestDeadline.value_or(0);
+  const Micros counted = longest > 0 ? std::min(longest, kLongestDeadline) : kLongestDeadline;
+  return counted + kKillDelay - kHoldUp - kEndMargin;
+}
+
 void Lifecycle::update(Micros now) {
   nextChange_.reset();
   // Whether `span` has passed since `from`; if not, it is looked at again then.
@@ -76,11 +84,16 @@
       next.takes = !passed(since_, kDrainTakes);
       break;
     case State::Stopping: {
-      const Micros accepting = settings_.inherited ? 0 : kAcceptAfterStop;
+      const Micros accepting = settings_.inherited ? 0 : std::min(kAcceptAfterStop, answersAfter());
       next.accepts = !passed(since_, accepting);
       next.closesIdle = true;
-      next.mayEnd = passed(since_, accepting + kLinger);
-      next.mustEnd = passed(since_, kStopWithin);
+      next.mayEnd = passed(since_, std::min(accepting + kLinger, stopWithin()));
+      next.answersAll = passed(since_, answersAfter());
+      if (!next.answersAll) break;
+      next.takes = false;
+      if (!answered_) answered_ = now;
+      const bool due = passed(since_, stopWithin());
+      next.mustEnd = passed(*answered_, kAnswersAtLeast) && due;
       break;
     }
   }
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -44,6 +44,8 @@
 // reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
 constexpr milliseconds kLinger{200};
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
+// And of each connection so much while the whole server ends: what the kernel can hold unread of one.
+constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
 // A buffer that was read empty is kept up to this size for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
 // A larger body is held whole up to this, as far as the budget goes: so it can be sent again, and a client
@@ -152,6 +154,58 @@
     return quiet();
   }
 
+  // The server stops: what is owed an answer gets its final one. Nothing of what is still being read has run.
+  void answerFinally() {
+    const auto self = shared_from_this();
+    switch (state_) {
+      case State::Idle:
+        return resume();
+      case State::Reading: {
+        keepAlive_ = false;
+        if (!busy_) return write(server_.refusal("refused: the sidecar stops"));
+        error_code ignored;
+        socket_.cancel(ignored);  // onRead() answers
+        return;
+      }
+      case State::Waiting:
+        if (!server_.endRequest(*this)) return;
+        write(server_.plain(504, "stopping"));
+        return server_.over(request_);
+      case State::Writing:
+      case State::HangingUp:
+      case State::Closed:
+        return;
+    }
+  }
+
+  // The process ends. Guards against a close over unread bytes, which would reset the connection and could
+  // cost the client its answer; and against an answer cut short that looks whole.
+  void closeFinally() {
+    const bool owes = state_ == State::Reading || (state_ == State::Idle && !quiet());
+    error_code ignored;
+    if (owes) {
+      const Answer answer = server_.refusal("refused: the sidecar stops");
+      const std::string text =
+          "HTTP/1.1 503 Service Unavailable\r\nContent-Type: " + answer.contentType +
+          "\r\nRetry-After: " + seconds(answer.retryAfter) +
+          "\r\nConnection: close\r\nContent-Length: " + std::to_string(answer.body.size()) + "\r\n\r\n" +
+          answer.body;
+      socket_.write_some(asio::buffer(text), ignored);
+    }
+    if (stream_) {
+      socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+      return close();
+    }
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    std::array<char, 16UL * 1024> dropped;
+    error_code error;
+    for (std::size_t left = kMaxFinalDiscard; left > 0 && !error;) {
+      const std::size_t size = socket_.receive(asio::buffer(dropped), 0, error);
+      left -= std::min(left, size);
+    }
+    close();
+  }
+
   RequestId request() const { return request_; }
   Clock::time_point arrivedAt() const { return arrivedAt_; }
   std::uint64_t trace() const { return trace_; }
@@ -362,8 +416,10 @@
     if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
     if (error != http::error::need_more && (error || parser_->is_header_done()))
       return onHead(error, mayBeEmptyLine);
+    busy_ = true;
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
+                              self->busy_ = false;
                               if (self->state_ == State::Reading) self->onHead(failed, mayBeEmptyLine);
                             });
   }
@@ -396,10 +452,12 @@
   // The client waits for this before it sends the body.
   void goOn() {
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+    busy_ = true;
     asio::async_write(socket_, asio::buffer(kContinue.data(), kContinue.size()),
                       [self = shared_from_this()](error_code error, std::size_t) {
+                        self->busy_ = false;
                         if (self->state_ != State::Reading) return;
-                        if (error) return self->close();
+                        if (error) return self->onRead(error);
                         self->readBody();
                       });
   }
@@ -546,6 +604,8 @@
     deadline_.cancel();
     if (error) {
       keepAlive_ = false;
+      if (error == asio::error::operation_aborted && server_.effects_.answersAll)
+        return write(server_.refusal("refused: the sidecar stops"));
       if (error == http::error::body_limit) return write(server_.flawOfBody(error));
       if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
       if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
@@ -611,7 +671,8 @@
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     limit(Clock::now() + kLinger);
-    discard(kMaxDiscard);
+    // Once the whole server ends there is nobody to take the core from.
+    discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
   }
 
   void discard(std::size_t atMost) {
@@ -650,6 +711,7 @@
   State state_ = State::Idle;
   bool keepAlive_ = true;
   bool watching_ = false;
+  bool busy_ = false;  // a head is read, or a 100 written, by an operation that has the buffer
 };
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -903,15 +965,19 @@
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->settled(time) && session->quiet()) session->close();
+    if (session->settled(time) && session->quiet()) {
+      session->close();
+    } else if (effects_.answersAll) {
+      session->answerFinally();
+    }
   }
   if (effects_.mayEnd) {
     // One on which something has come by now is about to be read.
     const bool allIdle =
         std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
     if (allIdle || effects_.mustEnd) {
-      const auto left = std::exchange(open_, {});
-      for (const auto& [id, session] : left) session->write(plain(504, "stopping"));
+      const auto left = sessions_;
+      for (const auto& [id, session] : left) session->closeFinally();
       return callbacks_.ended();
     }
   }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -38,6 +38,13 @@
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
 
+// None: the settings name no class.
+std::optional<Micros> longestDeadline(const orchiddrum::Settings& settings) {
+  std::optional<Micros> longest;
+  for (const auto& cls : settings.classes) longest = std::max(longest.value_or(0), cls.deadline);
+  return longest;
+}
+
 }  // namespace
 
 Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
@@ -72,7 +79,9 @@
                }}),
       level_(io, config_.cores,
              {[this] { return gauges(); }, [this](levels::Level level) { onLevel(level); }}),
-      lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty()}, now()),
+      lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty(),
+                  longestDeadline(config_.site.settings)},
+                 now()),
       lifecycleTimer_(io),
       rotationFile_(config_.tempFolder, log),
       rotationTimer_(io),
--- a/tests/lifecycle/lifecycle_test.cpp
+++ b/tests/lifecycle/lifecycle_test.cpp
@@ -3,6 +3,9 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <optional>
+
 namespace ivypost::lifecycle {
 namespace {
 
@@ -115,7 +118,7 @@
     lifecycle.handle(Event::Terminate, kSecond);
     EXPECT_EQ(lifecycle.state(), State::Stopping);
     EXPECT_FALSE(lifecycle.effects().ready);
-    play(lifecycle, 10 + Lifecycle::kStopWithin);
+    play(lifecycle, 10 + lifecycle.stopWithin());
     EXPECT_TRUE(lifecycle.effects().mustEnd) << "a second SIGTERM must not put the end off";
   }
 }
@@ -144,5 +147,77 @@
   EXPECT_FALSE(lifecycle.effects().mustEnd);
 }
 
+// SIGKILL comes as early as the longest deadline, 3 s at the most, and 0.7 s after SIGTERM.
+struct StopCase {
+  std::optional<Micros> deadline;
+  Micros kill;
+};
+class StopBoundTest : public testing::TestWithParam<StopCase> {};
+
+TEST_P(StopBoundTest, EndsAheadOfTheKillWhereverTheProcessIsHeldUp) {
+  constexpr Micros kHeldUp = 150'000;
+  const Micros kill = 10 + GetParam().kill;
+  for (const bool inherited : {false, true}) {
+    // Steady, and held up at any moment of the stop.
+    for (Micros from = 0; from <= GetParam().kill; from += 10'000) {
+      Settings settings;
+      settings.inherited = inherited;
+      settings.longestDeadline = GetParam().deadline;
+      Lifecycle lifecycle(settings, 0);
+      lifecycle.handle(Event::Terminate, 10);
+      std::optional<Micros> answered, ended;
+      while (lifecycle.nextChange()) {
+        Micros at = *lifecycle.nextChange();
+        if (from > 0 && at >= 10 + from && at < 10 + from + kHeldUp) at = 10 + from + kHeldUp;
+        lifecycle.handle(Event::Tick, at);
+        if (lifecycle.effects().answersAll && !answered) answered = at;
+        if (lifecycle.effects().mustEnd && !ended) ended = at;
+      }
+      ASSERT_TRUE(answered && ended);
+      EXPECT_LT(*ended, kill) << "held up from " << from;
+      EXPECT_GE(*ended - *answered, Lifecycle::kAnswersAtLeast);
+      EXPECT_FALSE(lifecycle.effects().takes);
+      EXPECT_FALSE(lifecycle.effects().accepts);
+      EXPECT_TRUE(lifecycle.effects().mayEnd);
+      if (from > 0) continue;
+      EXPECT_LE(*ended, kill - kHeldUp) << "the margin for a process that is held up behind its last tick";
+      EXPECT_GE(*ended, kill - 200'000) << "no answer is given up earlier than it must be";
+      EXPECT_GE(*answered, 10 + std::min<Micros>(GetParam().deadline.value_or(kSecond), 3 * kSecond));
+    }
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(Deadlines, StopBoundTest,
+                         testing::Values(StopCase{std::nullopt, 3'700'000}, StopCase{0, 3'700'000},
+                                         StopCase{1, 700'001}, StopCase{50'000, 750'000},
+                                         StopCase{200'000, 900'000}, StopCase{kSecond, 1'700'000},
+                                         StopCase{2'500'000, 3'200'000}, StopCase{3 * kSecond, 3'700'000},
+                                         StopCase{3 * kSecond + 1, 3'700'000},
+                                         StopCase{600 * kSecond, 3'700'000}));
+
+// Before the bound nothing that was taken is given up, and after SIGTERM new requests still are taken.
+TEST(Lifecycle, TakesRequestsUntilAllGetTheirFinalAnswer) {
+  Settings settings;
+  settings.longestDeadline = kSecond;
+  Lifecycle lifecycle(settings, 0);
+  lifecycle.handle(Event::Terminate, 0);
+  play(lifecycle, lifecycle.answersAfter() - 1);
+  EXPECT_TRUE(lifecycle.effects().takes);
+  EXPECT_FALSE(lifecycle.effects().answersAll);
+  play(lifecycle, lifecycle.answersAfter());
+  EXPECT_FALSE(lifecycle.effects().takes);
+  EXPECT_TRUE(lifecycle.effects().answersAll);
+  EXPECT_FALSE(lifecycle.effects().mustEnd);
+}
+
+// What comes at 2 s or later is refused, also by a process that was held up as that began.
+TEST(Lifecycle, ADrainRefusesInTimeWhereTheProcessIsHeldUp) {
+  Lifecycle lifecycle({false, false}, 0);
+  lifecycle.handle(Event::Evacuate, 0);
+  play(lifecycle, Lifecycle::kDrainIdle);
+  ASSERT_TRUE(lifecycle.nextChange());
+  EXPECT_LT(*lifecycle.nextChange() + 150'000, 2 * kSecond);
+}
+
 }  // namespace
 }  // namespace ivypost::lifecycle
