--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -1,6 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // The server as it ends, and the time of a request that runs out as it comes.
+#include <algorithm>
+#include <boost/asio/steady_timer.hpp>
+
 #include "moments.h"
 
 namespace ivypost {
@@ -104,5 +107,176 @@
   EXPECT_TRUE(taken.empty());
 }
 
+// The whole sidecar, told to end while all of its upstreams hang. SIGKILL comes 0.7 s after the longest
+// deadline; 0.15 s of that the process may be held up.
+class StopTest : public SidecarTest {
+ protected:
+  static constexpr milliseconds kBound{1700 - 150};
+
+  StopTest() : late(io) {}
+
+  void startHung(int count) {
+    for (int n = 0; n < count; ++n) upstreams.push_back(std::make_unique<Peer>(io));
+    states.assign(upstreams.size(), "up");
+    json classes = configureClasses();
+    json known = list(generation, true);
+    if (withLate) {
+      known["instances"].push_back({{"instanceId", "s-late"},
+                                    {"hostPort", late.address()},
+                                    {"zone", "oviedo"},
+                                    {"cell", 0},
+                                    {"lifecycle", "up"},
+                                    {"weight", 1.0},
+                                    {"startedAtMs", 0}});
+    }
+    discovery.onRequest = [known](Peer::Exchange& call) {
+      if (call.message.target() == "/v1/endpoints") call.reply(200, known.dump());
+    };
+    sidecar = std::make_unique<Sidecar>(
+        io, configure({{"known", known}, {"settings", {{"classes", std::move(classes)}}}}));
+    ASSERT_TRUE(wait([this] { return watches() > 0; }));
+  }
+  static json configureClasses() {
+    return {{{"name", "cambio"}, {"aim", 500000}, {"deadline", 1000000}, {"semantics", "single_shot"}},
+            {{"name", "consulta"}, {"aim", 500000}, {"deadline", 400000}, {"semantics", "free"}}};
+  }
+
+  Client& add() {
+    clients.push_back(std::make_unique<Client>(io, sidecar->port()));
+    return *clients.back();
+  }
+  static Request request(int n, int expiresInMs) {
+    Request request;
+    request.trace = traceOf(n);
+    request.expiresInMs = expiresInMs;
+    return request;
+  }
+  // Clients go on sending whether the connection stands or not.
+  static void sendOrNot(const Client& client, const std::string& bytes) {
+    try {
+      client.send(bytes);
+    } catch (const boost::system::system_error&) {
+    }
+  }
+
+  // From SIGTERM to the end of the process, with each of these done at its time.
+  void stop() {
+    begun = Clock::now();
+    sidecar->stop([this] {
+      endedAfter = Clock::now() - begun;
+      ended = true;
+    });
+    ASSERT_TRUE(wait([this] { return ended; }));
+    sidecar.reset();  // as the process does
+    EXPECT_TRUE(wait([this] {
+      return std::all_of(clients.begin(), clients.end(), [](const auto& one) { return one->closed(); });
+    }));
+  }
+  void at(milliseconds after, std::function<void()> act) {
+    timers.push_back(std::make_unique<asio::steady_timer>(io));
+    timers.back()->expires_after(after);
+    timers.back()->async_wait([act = std::move(act)](error_code) { act(); });
+  }
+
+  FullListener late;
+  bool withLate = false;
+  std::vector<std::unique_ptr<Client>> clients;
+  std::vector<std::unique_ptr<asio::steady_timer>> timers;
+  Clock::time_point begun;
+  Clock::duration endedAfter{};
+  bool ended = false;
+};
+
+// Requests from before SIGTERM and all through the stop, on new connections as long as these are accepted.
+TEST_F(StopTest, AnswersEveryRequestInTimeWhileAllUpstreamsHang) {
+  startHung(3);
+  int n = 0;
+  for (; n < 20; ++n) add().send(request(n + 1, n % 2 == 0 ? 1000 : 20000).text());
+  ASSERT_TRUE(wait([this] { return arrived() >= 3; }));
+  std::size_t refusedConnections = 0;
+  for (int tick = 1; tick <= 23; ++tick) {
+    at(milliseconds(20 * tick), [&, tick] {
+      const int trace = 100 + tick;
+      try {
+        add().send(request(trace, tick % 2 == 0 ? 1000 : 20000).text());
+      } catch (const boost::system::system_error&) {
+        ++refusedConnections;
+      }
+    });
+  }
+  stop();
+  EXPECT_LE(endedAfter, kBound);
+  EXPECT_EQ(refusedConnections, 0u);
+  ASSERT_EQ(clients.size(), 43u);
+  for (std::size_t client = 0; client < clients.size(); ++client)
+    EXPECT_EQ(clients[client]->answers(), 1u) << "client " << client;
+}
+
+// Kept connections on which clients go on sending: behind a request that is out, and behind its answer.
+TEST_F(StopTest, BytesBehindARequestCostItsClientNoAnswer) {
+  startHung(2);
+  for (int n = 0; n < 8; ++n) add().send(request(n + 1, 20000).text());
+  ASSERT_TRUE(wait([this] { return arrived() >= 2; }));
+  for (int tick = 0; tick < 75; ++tick) {
+    at(milliseconds(20 * tick + 5), [&, tick] {
+      for (std::size_t n = 0; n < clients.size(); ++n)
+        sendOrNot(*clients[n], request(1000 + tick * 10 + static_cast<int>(n), 1000).text());
+    });
+  }
+  stop();
+  EXPECT_LE(endedAfter, kBound);
+  for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
+}
+
+// A head, a short body and a long body that have come in part, and never come whole.
+TEST_F(StopTest, AnswersRequestsThatAreStillBeingRead) {
+  startHung(2);
+  const std::string head = request(1, 20000).text();
+  Request longer = request(2, 20000);
+  longer.body.assign(30'000, 'b');
+  Request large = request(3, 20000);
+  large.body.assign(6'000'000, 'b');
+  // Beyond what is held whole, so that half of it is at an upstream already.
+  at(milliseconds(250), [&] {
+    add().send(head.substr(0, 30));
+    add().send(longer.text().substr(0, 15'000));
+    add().send(large.text().substr(0, 1'000'000));
+    Request expecting = request(4, 20000);
+    expecting.headers = "Expect: 100-continue\r\n";
+    add().send(expecting.text().substr(0, expecting.text().size() - 1));
+  });
+  stop();
+  EXPECT_LE(endedAfter, kBound);
+  ASSERT_EQ(clients.size(), 4u);
+  for (std::size_t n = 0; n < clients.size(); ++n) EXPECT_GE(clients[n]->answers(), 1u) << "client " << n;
+}
+
+// A connection to the only upstream comes up when the end is near.
+TEST_F(StopTest, AnswersWhatWaitsForAConnectionThatComesUpLate) {
+  withLate = true;
+  startHung(0);
+  for (int n = 0; n < 4; ++n) add().send(request(n + 1, 20000).text());
+  ASSERT_TRUE(wait([this] { return sidecar->comingUp() > 0; }));
+  at(milliseconds(1200), [&] { late.letGo(); });
+  stop();
+  EXPECT_LE(endedAfter, kBound);
+  for (const auto& client : clients) EXPECT_EQ(client->answers(), 1u);
+}
+
+// The loop stands still as the final answers are due, and clients send meanwhile.
+TEST_F(StopTest, AHoldUpAsTheFinalAnswersAreDueLosesNothing) {
+  startHung(2);
+  for (int n = 0; n < 6; ++n) add().send(request(n + 1, 20000).text());
+  ASSERT_TRUE(wait([this] { return arrived() >= 2; }));
+  at(milliseconds(1390), [&] {
+    for (std::size_t n = 0; n < clients.size(); ++n)
+      sendOrNot(*clients[n], request(1000 + static_cast<int>(n), 1000).text());
+    standStill(milliseconds(150));
+  });
+  stop();
+  EXPECT_LE(endedAfter, milliseconds(1700));
+  for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
+}
+
 }  // namespace
 }  // namespace ivypost
