--- a/src/etcd/source.cpp
+++ b/src/etcd/source.cpp
@@ -46,6 +46,7 @@
     const Follower::Input next = std::move(inputs_.front());
     inputs_.pop_front();
     Follower::Actions actions;
+    currentUntil_ = now() - follower_.freshness(now()).age;
     follower_.handle(next, now(), actions);
     for (const auto& action : actions) std::visit([this](const auto& one) { carryOut(one); }, action);
   }
@@ -54,7 +55,9 @@
 }
 
 void Source::carryOut(const Follower::Publish& publish) {
-  callbacks_.told({publish.revision, publish.whole, publish.instances});
+  InstanceList list{publish.revision, publish.whole, publish.instances};
+  if (std::exchange(published_, true)) list.previousUntil = currentUntil_;
+  callbacks_.told(std::move(list));
 }
 
 void Source::arm() {
--- a/src/etcd/source.h
+++ b/src/etcd/source.h
@@ -47,6 +47,8 @@
   // What came while an action was carried out: it is the follower's turn when all of them are.
   std::deque<Follower::Input> inputs_;
   bool running_ = false;
+  bool published_ = false;
+  Micros currentUntil_ = 0;  // the list that was published last
   // A timer's handler may be on its way already when this ends.
   std::shared_ptr<int> alive_ = std::make_shared<int>();
   Client client_;  // the last: its end waits for its calls
--- a/src/membership/instance.h
+++ b/src/membership/instance.h
@@ -33,6 +33,9 @@
   std::int64_t generation = 0;
   bool whole = false;  // not only what changed
   std::vector<Instance> instances;
+  // Until when the source's list before this one is known to have been current, by the monotonic clock in
+  // microseconds; none: there was none.
+  std::optional<std::int64_t> previousUntil = std::nullopt;
 };
 
 // All of these throw orchiddrum::FormatError with a message for one line of the log; those that take JSON may
--- a/src/membership/platform.cpp
+++ b/src/membership/platform.cpp
@@ -214,7 +214,13 @@
     return callAfter(kAgain);
   }
   doubted_ = false;
-  answeredAt_ = std::chrono::steady_clock::now();
+  const auto previously = std::exchange(answeredAt_, std::chrono::steady_clock::now());
+  // A watch that is out tells at once what changes. Of a call after one that failed or fell silent, only the
+  // answer before them is known to have told all there was.
+  const auto until = waits_ && !lost_ ? answeredAt_ : previously;
+  if (previously)
+    list.previousUntil =
+        std::chrono::duration_cast<std::chrono::microseconds>(until->time_since_epoch()).count();
   if (std::exchange(lost_, false)) std::fprintf(stderr, "discovery is back\n");
   const bool news = fetching_ || list.whole || !list.instances.empty();
   fetching_ = false;
--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -23,10 +23,10 @@
   return text.data();
 }
 
-std::uint64_t unixMicros() {
-  return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
-                                        std::chrono::system_clock::now().time_since_epoch())
-                                        .count());
+// What counts up over all lives of this sidecar while its wall clock is right. After a step back others hold
+// higher ones of earlier lives; both are outbid once they are heard.
+std::uint64_t lifeNumber() {
+  return static_cast<std::uint64_t>(std::max<Micros>(1000, unixNow()));
 }
 
 const char* nameOf(peers::State state) {
@@ -56,7 +56,7 @@
   if (platform && settings.seeds.empty()) settings.seeds = config.peers;
   if (settings.seeds.empty()) bad("peers.seeds is missing, and the platform gives none:", options.address);
   settings.self = peers::idOf(config.name);
-  settings.incarnation = unixMicros() / 1000;
+  settings.incarnation = lifeNumber() / 1000;
   settings.period = options.period;
   settings.timeout = options.timeout;
   settings.deafAfter = options.deafAfter;
@@ -75,7 +75,7 @@
 
 FleetView::FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      judgements_(place.settings.self, unixMicros()),
+      judgements_(place.settings.self, lifeNumber()),
       timer_(io),
       io_(io, place.settings, place.listen, place.seal, seed,
           {[this](std::size_t room) { return judgements_.tell(room, now()); },
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -30,10 +30,6 @@
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
-Micros unixNow() {
-  return duration_cast<microseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
-}
-
 bool provesNeverRan(Outcome outcome) {
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
@@ -50,7 +46,7 @@
 Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
     : io_(io),
       config_(std::move(config)),
-      unixToSteady_(now() - unixNow()),
+      starts_(unixNow(), now()),
       balancer_(config_.site.settings, config_.seed, now()),
       timer_(io),
       budget_(config_.relayBytes()),
@@ -86,6 +82,8 @@
       rotationFile_(config_.tempFolder, log),
       rotationTimer_(io),
       consoleTimer_(io) {
+  if (unixNow() < 0)
+    log("the wall clock is before 1970: starts that lists tell count as of when they are told");
   level_.adopt(file.levels);
   peersAs_ = file.peers;
   fleet_ = viewOf(peersAs_);
@@ -268,6 +266,7 @@
   MembershipUpdate update;
   update.kind = kind;
   const auto& site = config_.site;
+  starts_.listCame(list.previousUntil, now());
   if (list.whole) {
     for (Known& known : known_) known.listed = false;  // whoever is missing has gone
   }
@@ -284,9 +283,11 @@
     entry.cell = instance.cell;
     entry.state = instance.state;
     entry.size = instance.weight;
-    entry.launchedAt = launchedAt(instance.startedAtMs);
     entry.identity = orchiddrum::identity(instance.id);
     Known& known = known_[entry.upstream];
+    if (known.startedAtMs != instance.startedAtMs)
+      known.launchedAt = starts_.startOf(entry.identity, instance.startedAtMs);
+    entry.launchedAt = known.launchedAt;
     if (known.address != instance.address) leaveAddress(entry.upstream);
     known.address = instance.address;
     known.startedAtMs = instance.startedAtMs;
@@ -360,6 +361,7 @@
     if (found != ids_.end() && known_[found->second].listed)
       changed.instances.push_back(known_[found->second].told);
   }
+  changed.previousUntil = now();  // the operators' call has come since
   if (!changed.instances.empty()) onList(changed, MembershipUpdate::Kind::Changes);
 }
 
@@ -410,6 +412,9 @@
   const bool exclude = call.what == console::Call::What::Exclude;
   const auto named = ids_.find(call.upstream);
   const bool listed = named != ids_.end() && known_[named->second].listed;
+  // Later than the start that is known, also where the wall clock is behind: what comes back is cold.
+  const std::int64_t knownMs = listed ? known_[named->second].startedAtMs : 0;
+  const std::int64_t backAtMs = std::max(unixNow() / 1000, knownMs + 1);
   rotation::Rotation next = rotation_;
   Change change = Change::None;
   bool unknown = false;
@@ -417,7 +422,7 @@
   const auto apply = [&](rotation::Rotation& current) {
     unknown = !listed && !current.isOut(call.upstream);
     if (unknown) return;
-    change = exclude ? current.exclude(call.upstream) : current.include(call.upstream, unixNow() / 1000);
+    change = exclude ? current.exclude(call.upstream) : current.include(call.upstream, backAtMs);
   };
   if (!rotationFile_.change(next, apply, why)) return {503, why};
   onRotation(std::move(next));
@@ -447,7 +452,7 @@
   std::vector<FleetView::Listed> all;
   for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
     const Known& known = known_[upstream];
-    if (known.listed) all.push_back({lifeOf(known), upstream, launchedAt(known.startedAtMs), known.id});
+    if (known.listed) all.push_back({lifeOf(known), upstream, known.launchedAt, known.id});
   }
   return all;
 }
@@ -625,7 +630,7 @@
   orchiddrum::UpstreamEntry gone;
   gone.upstream = id;
   gone.state = orchiddrum::UpstreamState::Gone;
-  gone.launchedAt = launchedAt(other.startedAtMs);
+  gone.launchedAt = other.launchedAt;
   gone.identity = orchiddrum::identity(other.id);
   update.entries.push_back(gone);
   return true;
@@ -650,8 +655,4 @@
   spare_.push_back(upstream);
 }
 
-Micros Sidecar::launchedAt(std::int64_t startedAtMs) const {
-  return startedAtMs == 0 ? 0 : std::max<Micros>(1, startedAtMs * 1000 + unixToSteady_);
-}
-
 }  // namespace ivypost
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -26,6 +26,7 @@
 #include "server.h"
 #include "service_level.h"
 #include "shedding_note.h"
+#include "start_time_estimator.h"
 #include "upstreams.h"
 
 namespace ivypost {
@@ -81,7 +82,8 @@
     std::string id;  // empty: the number is free
     Endpoint address;
     std::int64_t startedAtMs = 0;
-    Instance told;  // as the list has it, without what operators have laid over it
+    Micros launchedAt = 0;  // by the monotonic clock, as the module was told; 0: long ago
+    Instance told;          // as the list has it, without what operators have laid over it
     bool listed = false;
     std::uint32_t uses = 0;  // attempts of requests not forgotten yet, and probes out
   };
@@ -129,14 +131,12 @@
   void leaveAddress(UpstreamId upstream);
   void dropUse(UpstreamId upstream);
   void freeUnused(UpstreamId upstream);
-  Micros launchedAt(std::int64_t startedAtMs) const;
   shared::Life lifeOf(const Known& known) const;
   Instance laidOver(const Instance& told) const;
 
   boost::asio::io_context& io_;
   const Config config_;
-  const std::int64_t
-      unixToSteady_;  // added to Unix time in microseconds, fixed: a start must not seem to move
+  StartTimeEstimator starts_;
   orchiddrum::Balancer balancer_;
   boost::asio::steady_timer timer_;
   Clock::time_point armedFor_ = Clock::time_point::max();
--- /dev/null
+++ b/src/sidecar/start_time_estimator.cpp
@@ -0,0 +1,31 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "start_time_estimator.h"
+
+#include <algorithm>
+
+namespace ivypost {
+
+void StartTimeEstimator::listCame(std::optional<Micros> previousUntil, Micros now) {
+  now_ = now;
+  earliestSeen_.reset();
+  if (previousUntil) earliestSeen_ = std::min(*previousUntil, now) - kNoticeDelay;
+}
+
+StartTimeEstimator::Micros StartTimeEstimator::startOf(std::uint64_t upstream, std::int64_t startedAtMs) {
+  if (startedAtMs == 0) return 0;
+  const Start start{upstream, startedAtMs};
+  if (const auto found = starts_.find(start); found != starts_.end()) return found->second;
+  Micros at = startedAtMs * 1000 + unixToSteady_;
+  const bool contradicted = earliestSeen_ && at < *earliestSeen_;
+  if (contradicted || at > now_) at = now_;
+  at = std::max<Micros>(1, at);
+  if (order_.size() >= kMost) {
+    starts_.erase(order_.front());
+    order_.pop_front();
+  }
+  starts_.emplace(start, at);
+  order_.push_back(start);
+  return at;
+}
+
+}  // namespace ivypost
--- a/tests/membership/platform_test.cpp
+++ b/tests/membership/platform_test.cpp
@@ -168,5 +168,101 @@
   EXPECT_EQ(target(1), "/v1/endpoints?index=42&wait=20000");
 }
 
+// Until when the list before is known to have been current, which bounds the starts that a list tells.
+TEST_F(PlatformTest, TellsUntilWhenTheListBeforeWasCurrent) {
+  follow(false, {milliseconds(300), milliseconds(100), milliseconds(60'000)});
+  ASSERT_TRUE(calls(1));
+  discovery.requests[0].reply(200, listOf(42, "up"));
+  ASSERT_TRUE(calls(2));
+  ASSERT_EQ(lists.size(), 1u);
+  EXPECT_FALSE(lists[0].previousUntil) << "of the first list nothing is known";
+  // A watch that is out tells at once what changes, however long it has told nothing.
+  ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
+  const std::int64_t replied = now();
+  discovery.requests[1].reply(200, listOf(43, "up"));
+  ASSERT_TRUE(calls(3));
+  ASSERT_EQ(lists.size(), 2u);
+  ASSERT_TRUE(lists[1].previousUntil);
+  EXPECT_GE(*lists[1].previousUntil, replied);
+  EXPECT_LE(*lists[1].previousUntil, now());
+  // One that fell silent may have missed anything since the last answer; that it was opened anew tells
+  // nothing.
+  const std::int64_t answered = now();
+  ASSERT_TRUE(calls(4));
+  discovery.requests[3].reply(200, listOf(44, "up"));
+  ASSERT_TRUE(calls(5));
+  ASSERT_EQ(lists.size(), 3u);
+  ASSERT_TRUE(lists[2].previousUntil);
+  EXPECT_GE(*lists[2].previousUntil, replied);
+  EXPECT_LE(*lists[2].previousUntil, answered);
+  // An answer without news renews it.
+  discovery.requests[4].reply(200, R"({"generation":44,"reset":false,"instances":[]})");
+  ASSERT_TRUE(calls(6));
+  ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(20)] { return Clock::now() >= end; }));
+  const std::int64_t renewed = now();
+  platform->fetch();
+  ASSERT_TRUE(calls(7));
+  json whole = json::parse(listOf(45, "up"));
+  whole["reset"] = true;
+  discovery.requests[6].reply(200, whole.dump());
+  ASSERT_TRUE(calls(8));
+  ASSERT_EQ(lists.size(), 4u);
+  EXPECT_GE(*lists[3].previousUntil, answered);
+  EXPECT_LE(*lists[3].previousUntil, renewed) << "a plain call may find what has long been there";
+}
+
+// Discovery that has too much to do, is slow, or breaks off: the last list stays, calls keep their distance,
+// and the next good answer counts.
+struct Trouble {
+  const char* name;
+  const char* bytes;  // of its answer
+  bool closes;        // behind them
+};
+std::ostream& operator<<(std::ostream& out, const Trouble& one) {
+  return out << one.name;
+}
+class TroubledDiscoveryTest : public PlatformTest, public testing::WithParamInterface<Trouble> {};
+
+TEST_P(TroubledDiscoveryTest, CostsNoListAndIsNotAskedWithoutPause) {
+  for (const bool pushed : {true, false}) {
+    SCOPED_TRACE(pushed ? "pushed" : "asked");
+    discovery.requests.clear();
+    lists.clear();
+    failures = 0;
+    std::size_t calls = 0;
+    discovery.onRequest = [&](Peer::Exchange& call) {
+      ++calls;
+      if (calls > 3) return call.reply(200, listOf(42, "draining"));
+      call.raw(GetParam().bytes);
+      if (GetParam().closes) call.drop();
+    };
+    const auto from = Clock::now();
+    follow(pushed, {milliseconds(150), milliseconds(50), milliseconds(200)});
+    ASSERT_TRUE(until(io, [&] {
+      // Whoever asks for the list asks again, with a pause of its own; here at once.
+      if (!pushed && failures > 0) platform->watch();
+      return !lists.empty();
+    }));
+    EXPECT_GE(calls, 4u);
+    EXPECT_EQ(lists[0].instances.at(0).state, orchiddrum::UpstreamState::Draining);
+    EXPECT_TRUE(platform->freshness().sure);
+    if (pushed) {
+      EXPECT_GE(Clock::now() - from, milliseconds(3 * 100 - 5)) << "an agent is called without pause";
+    }
+    platform.reset();
+  }
+}
+INSTANTIATE_TEST_SUITE_P(
+    Of, TroubledDiscoveryTest,
+    testing::Values(Trouble{"crowded", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false},
+                    Trouble{"crowded, with a time",
+                            "HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", false},
+                    Trouble{"silent", "", false}, Trouble{"closed", "", true},
+                    Trouble{"slow head", "HTTP/1.1 200", false},
+                    Trouble{"slow body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", false},
+                    Trouble{"cut body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", true},
+                    Trouble{"no list", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n{}", false},
+                    Trouble{"no JSON", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n]]", false}));
+
 }  // namespace
 }  // namespace ivypost::membership
--- /dev/null
+++ b/tests/reload_test.cpp
@@ -0,0 +1,107 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// New configurations in quick succession, and SIGTERM amid them.
+#include <algorithm>
+#include <array>
+#include <ostream>
+
+#include "moments.h"
+
+namespace ivypost {
+namespace {
+
+struct Reloads {
+  const char* name;
+  // By letter: a, b, c: SIGHUP with discovery at that address (a: where it is at the start); x: with a file
+  // that can't be used; |: the loop takes a turn; T: SIGTERM.
+  const char* steps;
+};
+std::ostream& operator<<(std::ostream& out, const Reloads& one) {
+  return out << one.name;
+}
+
+class ReloadTest : public SidecarTest, public testing::WithParamInterface<Reloads> {
+ protected:
+  ReloadTest() : others{Peer(io), Peer(io)} {}
+
+  Peer& discoveryOf(char letter) {
+    if (letter == 'a') return discovery;
+    return others.at(static_cast<std::size_t>(letter - 'b'));
+  }
+  void take(char step) {
+    switch (step) {
+      case '|':
+        io.restart();
+        io.poll();
+        return;
+      case 'T':
+        sidecar->stop([this] { ++ends; });
+        return;
+      case 'x':
+        // As main() does: what can't be read changes nothing.
+        EXPECT_ANY_THROW(sidecar->reload(configure({{"discovery", "nowhere"}}), {}));
+        return;
+      default:
+        last = step;
+        sidecar->reload(configure({{"discovery", discoveryOf(step).address()}}), {});
+    }
+  }
+
+  std::array<Peer, 2> others;
+  char last = 'a';
+  int ends = 0;
+};
+
+TEST_P(ReloadTest, TheLastOneCountsAndNothingTakenIsLost) {
+  start(2);
+  const Client client = this->client();
+  client.send(Request().text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  for (Peer* other : {&others[0], &others[1]})
+    other->onRequest = [this](Peer::Exchange& call) {
+      // Asked for the whole list, each says that the second upstream drains.
+      if (call.message.target() != "/v1/endpoints") return;
+      json told = list(generation, true);
+      told["instances"][1]["lifecycle"] = "draining";
+      call.reply(200, told.dump());
+    };
+  const std::string steps = GetParam().steps;
+  const std::size_t before = discovery.requests.size();
+  for (const char step : steps) take(step);
+  const bool stopped = steps.find('T') != std::string::npos;
+  if (!stopped) {
+    Peer& counts = discoveryOf(last);
+    // It is asked for the whole list, and then watched.
+    const std::size_t from = last == 'a' ? before : 0;
+    ASSERT_TRUE(wait([&] { return counts.requests.size() >= from + 2; }));
+    EXPECT_EQ(counts.requests[from].message.target(), "/v1/endpoints");
+    EXPECT_TRUE(sidecar->freshness().sure);
+    // The others are left alone: no connection stays.
+    for (const char letter : {'a', 'b', 'c'}) {
+      if (letter == last) continue;
+      EXPECT_TRUE(wait([&] { return discoveryOf(letter).open() == 0; })) << letter;
+    }
+  }
+  busy().requests[0].reply(200, "served");
+  ASSERT_TRUE(wait([&] { return client.answers() == 1; }));
+  EXPECT_EQ(client.answer(0).result_int(), 200u);
+  if (stopped) {
+    ASSERT_TRUE(wait([&] { return ends > 0; }));
+    pollAll(io);
+    EXPECT_EQ(ends, 1);
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    InQuickSuccession, ReloadTest,
+    testing::Values(Reloads{"one", "b"}, Reloads{"two", "bc"}, Reloads{"there and back", "ba"},
+                    Reloads{"there and back, with a turn", "b|a"}, Reloads{"there again", "bcb"},
+                    Reloads{"turns between", "b|c|b|c|b|c"},
+                    Reloads{"many", "bcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbcbc"},
+                    Reloads{"bad ones between", "bxxcxx|x"}, Reloads{"a bad one first", "x|b"},
+                    Reloads{"SIGTERM right behind", "bT"}, Reloads{"SIGTERM a turn behind", "b|T"},
+                    Reloads{"SIGTERM first", "Tb"}, Reloads{"SIGTERM amid", "b|cT|b|cx"},
+                    Reloads{"SIGTERM twice", "bTcT|b"}));
+
+}  // namespace
+}  // namespace ivypost
--- /dev/null
+++ b/tests/start_time_estimator_test.cpp
@@ -0,0 +1,133 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "start_time_estimator.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace ivypost {
+namespace {
+
+using Micros = StartTimeEstimator::Micros;
+
+constexpr Micros kSecond = 1'000'000;
+constexpr Micros kHour = 3600 * kSecond;
+constexpr Micros kDelay = StartTimeEstimator::kNoticeDelay;
+constexpr Micros kUnix = 1'790'000'000 * kSecond;  // the true Unix time when the process starts
+constexpr Micros kBoot = 50'000 * kSecond;         // the monotonic time then
+
+// An upstream is listed for the first time, with the true Unix time of its start.
+struct Case {
+  std::string name;
+  Micros clockError;                  // of the wall clock, at the start of the process
+  std::optional<Micros> previousAgo;  // the list before was current so long before this one; none: the first
+  Micros startedAgo;                  // before this list
+  Micros toldError;                   // of the clock by which the list tells the start
+  Micros expectedAgo;                 // what the estimate is, before this list
+};
+std::ostream& operator<<(std::ostream& out, const Case& one) {
+  return out << one.name;
+}
+
+class StartTimeTest : public testing::TestWithParam<Case> {};
+
+TEST_P(StartTimeTest, IsTheTrueOneAsFarAsTheMonotonicClockTells) {
+  const Case& one = GetParam();
+  StartTimeEstimator starts(kUnix + one.clockError, kBoot);
+  const Micros listed = 600 * kSecond;  // since the process started
+  const auto previous =
+      one.previousAgo ? std::optional(kBoot + listed - *one.previousAgo) : std::optional<Micros>();
+  starts.listCame(previous, kBoot + listed);
+  const std::int64_t startedAtMs = (kUnix + listed - one.startedAgo + one.toldError) / 1000;
+  EXPECT_EQ(kBoot + listed - starts.startOf(7, startedAtMs), one.expectedAgo);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Clocks, StartTimeTest,
+    testing::Values(
+        // A right clock: what the list tells, however late it comes.
+        Case{"right", 0, 0, 50'000, 0, 50'000}, Case{"right, told at once", 0, 0, 0, 0, 0},
+        Case{"right, listed 2 s late", 0, 0, 2 * kSecond, 0, 2 * kSecond},
+        Case{"right, behind an outage", 0, 30 * kSecond, 20 * kSecond, 0, 20 * kSecond},
+        Case{"right, as late as may be", 0, 0, kDelay, 0, kDelay},
+        Case{"right, first list", 0, std::nullopt, kHour, 0, kHour},
+        Case{"right, first list, just started", 0, std::nullopt, kSecond, 0, kSecond},
+        // Ahead, here: what was seen to start is cold.
+        Case{"an hour ahead", kHour, 0, 50'000, 0, 0}, Case{"5 s ahead", 5 * kSecond, 0, 50'000, 0, 0},
+        Case{"an hour ahead, behind an outage", kHour, 30 * kSecond, 20 * kSecond, 0, 0},
+        Case{"2 s ahead, not to be told from a late list", 2 * kSecond, 0, 50'000, 0, 2'050'000},
+        Case{"an hour ahead, first list", kHour, std::nullopt, 50'000, 0, kHour + 50'000},
+        // Behind, here: nothing starts later than now.
+        Case{"an hour behind", -kHour, 0, 50'000, 0, 0}, Case{"3 s behind", -3 * kSecond, 0, kSecond, 0, 0},
+        Case{"an hour behind, first list", -kHour, std::nullopt, kSecond, 0, 0},
+        Case{"an hour behind, first list, started long ago", -kHour, std::nullopt, 3 * kHour, 0, 2 * kHour},
+        Case{"before 1970", -kUnix - kHour, 0, 50'000, 0, 0},
+        Case{"before 1970, first list", -kUnix - kHour, std::nullopt, 9 * kHour, 0, 0},
+        // Stepped where the list is made, while this process runs.
+        Case{"lists step an hour back", 0, 0, 50'000, -kHour, 0},
+        Case{"lists step an hour on", 0, 0, 50'000, kHour, 0},
+        Case{"lists step 5 s back", 0, 0, 50'000, -5 * kSecond, 0}));
+
+// The time that lists tell names a start, and the estimate of one doesn't move.
+TEST(StartTime, StaysWhereItIsWhateverListsComeLater) {
+  for (const Micros error : {Micros{0}, kHour, -kHour, 5 * kSecond}) {
+    StartTimeEstimator starts(kUnix + error, kBoot);
+    starts.listCame(std::nullopt, kBoot);
+    const std::int64_t first = (kUnix - 100 * kSecond) / 1000;
+    const Micros known = starts.startOf(1, first);
+    starts.listCame(kBoot + 10 * kSecond, kBoot + 10 * kSecond);
+    const std::int64_t second = (kUnix + 10 * kSecond) / 1000;
+    const Micros seen = starts.startOf(2, second);
+    EXPECT_EQ(kBoot + 10 * kSecond - seen, 0) << error;
+    for (Micros at = 20 * kSecond; at < 2 * kHour; at += 100 * kSecond) {
+      starts.listCame(kBoot + at - kSecond, kBoot + at);
+      EXPECT_EQ(starts.startOf(1, first), known);
+      EXPECT_EQ(starts.startOf(2, second), seen);
+    }
+  }
+}
+
+// One that lists left out for a while and name again with the same start has not been seen to start.
+TEST(StartTime, OfOneThatIsBackIsTheOneItHad) {
+  StartTimeEstimator starts(kUnix, kBoot);
+  starts.listCame(std::nullopt, kBoot);
+  const std::int64_t startedAtMs = (kUnix - kHour) / 1000;
+  const Micros before = starts.startOf(1, startedAtMs);
+  starts.listCame(kBoot, kBoot + 60 * kSecond);  // without it
+  starts.listCame(kBoot + 70 * kSecond, kBoot + 70 * kSecond);
+  EXPECT_EQ(starts.startOf(1, startedAtMs), before);
+  // With a new start it is another matter.
+  EXPECT_EQ(starts.startOf(1, startedAtMs + 1), kBoot + 70 * kSecond);
+}
+
+TEST(StartTime, OfLongAgoIsNone) {
+  StartTimeEstimator starts(kUnix, kBoot);
+  starts.listCame(kBoot, kBoot);
+  EXPECT_EQ(starts.startOf(1, 0), 0);
+  EXPECT_EQ(starts.remembered(), 0u);
+}
+
+// A start from before the machine's own, and the largest time that a list may tell.
+TEST(StartTime, IsAPointInTimeForAnyFigure) {
+  for (const Micros clock : {kUnix, Micros{-kUnix}, Micros{0}}) {
+    StartTimeEstimator starts(clock, 5);
+    starts.listCame(std::nullopt, 10);
+    EXPECT_GE(starts.startOf(1, 1), 1);
+    EXPECT_LE(starts.startOf(2, (std::int64_t{1} << 53) / 1000), 10);
+  }
+}
+
+TEST(StartTime, RemembersABoundedNumberAndTheNewestOfThem) {
+  StartTimeEstimator starts(kUnix, kBoot);
+  starts.listCame(std::nullopt, kBoot);
+  for (std::size_t n = 0; n < 2 * StartTimeEstimator::kMost; ++n)
+    starts.startOf(n, kUnix / 1000 - static_cast<std::int64_t>(n));
+  EXPECT_EQ(starts.remembered(), StartTimeEstimator::kMost);
+  const std::size_t last = 2 * StartTimeEstimator::kMost - 1;
+  const Micros before = kBoot - static_cast<Micros>(last) * 1000;
+  starts.listCame(kBoot + kHour, kBoot + kHour);
+  EXPECT_EQ(starts.startOf(last, kUnix / 1000 - static_cast<std::int64_t>(last)), before);
+}
+
+}  // namespace
+}  // namespace ivypost
--- /dev/null
+++ b/tests/start_time_test.cpp
@@ -0,0 +1,115 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// A cold upstream joins while the wall clock is wrong: the sidecar's, or that of whoever makes the lists.
+// What counts is only how far they are apart.
+#include <ostream>
+
+#include "moments.h"
+
+namespace ivypost {
+namespace {
+
+struct ClockCase {
+  const char* name;
+  std::chrono::seconds ahead;  // the sidecar's wall clock, of the one that lists go by
+};
+std::ostream& operator<<(std::ostream& out, const ClockCase& one) {
+  return out << one.name;
+}
+
+class WrongClockTest : public SidecarTest, public testing::WithParamInterface<ClockCase> {
+ protected:
+  static constexpr milliseconds kWarmUp{1500};
+
+  // All upstreams serve at once.
+  void startServing() {
+    start(3, {{"settings",
+               {{"contract",
+                 {{"startCapacity", 0.2},
+                  {"cold", kWarmUp.count() * 1000},
+                  {"fallMultiple", 4.0},
+                  {"fall", 1000000}}}}}});
+    for (const auto& upstream : upstreams) serveAt(*upstream);
+    for (int n = 0; n < 16; ++n) clients.push_back(std::make_unique<Client>(io, sidecar->port()));
+    sent.assign(clients.size(), 0);
+  }
+  static void serveAt(Peer& upstream) {
+    const auto serve = [](Peer::Exchange& call) { call.reply(200, ""); };
+    upstream.onRequest = serve;
+  }
+
+  // Each client sends its next request behind the answer, for so long. The part that the last upstream got.
+  double shareOfNewest(milliseconds span) {
+    const auto before = counts();
+    const auto end = Clock::now() + span;
+    EXPECT_TRUE(wait([&] {
+      const bool over = Clock::now() >= end;
+      bool idle = true;
+      for (std::size_t n = 0; n < clients.size(); ++n) {
+        if (clients[n]->answers() < sent[n]) {
+          idle = false;
+          continue;
+        }
+        if (over) continue;
+        Request request;
+        request.trace = traceOf(++trace);
+        clients[n]->send(request.text());
+        ++sent[n];
+      }
+      return over && idle;
+    }));
+    const auto after = counts();
+    const double all = static_cast<double>(after.first - before.first);
+    EXPECT_GT(all, 400);
+    return static_cast<double>(after.second - before.second) / all;
+  }
+  std::pair<std::size_t, std::size_t> counts() const {
+    return {arrived(), upstreams.back()->requests.size()};
+  }
+
+  // Discovery tells of one more upstream, which has just started.
+  void join() {
+    const auto unixMs = std::chrono::duration_cast<milliseconds>(
+                            std::chrono::system_clock::now().time_since_epoch() - GetParam().ahead)
+                            .count();
+    upstreams.push_back(std::make_unique<Peer>(io));
+    states.emplace_back("up");
+    serveAt(*upstreams.back());
+    json update = list(++generation, false);
+    json newest = update["instances"].back();
+    newest["startedAtMs"] = unixMs;
+    update["instances"] = json::array({newest});
+    const auto before = watches();
+    discovery.requests.back().reply(200, update.dump());
+    ASSERT_TRUE(wait([&] { return watches() > before; }));
+  }
+
+  std::vector<std::unique_ptr<Client>> clients;
+  std::vector<std::size_t> sent;
+  int trace = 0;
+};
+
+TEST_P(WrongClockTest, AnUpstreamThatWasSeenToStartIsColdForItsWarmUpAlone) {
+  startServing();
+  // A watch that has told nothing for a while is in touch all the same.
+  ASSERT_TRUE(wait([&, end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
+  join();
+  const double cold = shareOfNewest(kWarmUp / 3);
+  shareOfNewest(kWarmUp * 2 / 3);
+  const double warm = shareOfNewest(kWarmUp / 3);
+  RecordProperty("cold", std::to_string(cold));
+  RecordProperty("warm", std::to_string(warm));
+  std::printf("%s: %.3f of the requests while cold, %.3f while warm\n", GetParam().name, cold, warm);
+  EXPECT_LT(cold, 0.15) << "a quarter is a warm one's part";
+  EXPECT_GT(warm, 0.19);
+}
+
+INSTANTIATE_TEST_SUITE_P(Clocks, WrongClockTest,
+                         testing::Values(ClockCase{"right", std::chrono::seconds(0)},
+                                         ClockCase{"an hour ahead", std::chrono::hours(1)},
+                                         ClockCase{"5 s ahead", std::chrono::seconds(5)},
+                                         ClockCase{"an hour behind", -std::chrono::hours(1)},
+                                         ClockCase{"3 s behind", std::chrono::seconds(-3)}));
+
+}  // namespace
+}  // namespace ivypost
