--- a/src/shared/judgements.cpp
+++ b/src/shared/judgements.cpp
@@ -14,6 +14,8 @@
 constexpr Micros kStep = 1000;
 // A judgement that says the same as the last one is told anew so often: it grows younger by that.
 constexpr Micros kRenew = 500'000;
+// Versions above this are no times: one that tells them must not bring this sidecar's own to overflow.
+constexpr std::uint64_t kMostOutbid = std::uint64_t{1} << 62;
 
 std::uint16_t shortened(std::size_t count) {
   return static_cast<std::uint16_t>(std::min<std::size_t>(count, std::numeric_limits<std::uint16_t>::max()));
@@ -146,6 +148,18 @@
   return news;
 }
 
+// Guards against an earlier life whose clock was ahead: others would go by what it said until that lapses.
+// What this life has said is told anew.
+void Judgements::outbid(std::uint64_t version) {
+  if (version <= version_ || version > kMostOutbid) return;
+  version_ = version;
+  for (auto& [key, held] : held_) {
+    if (key.second != self_) continue;
+    held.version = ++version_;
+    held.tellings = tellings_;
+  }
+}
+
 std::optional<bool> Judgements::take(std::span<const std::uint8_t> facts, Micros late, Micros now) {
   peers::Reader from(facts);
   bool news = false;
@@ -153,6 +167,7 @@
     const auto told = get(from);
     if (!told) return std::nullopt;
     // What this sidecar said in an earlier life counts no more than that life.
+    if (told->witness == self_) outbid(told->version);
     if (told->witness != self_) news = take(*told, late, now) || news;
   }
   return news;
--- a/src/shared/judgements.h
+++ b/src/shared/judgements.h
@@ -89,7 +89,8 @@
 
 class Judgements {
  public:
-  // `version`: higher than any that this witness told in an earlier life; Unix time in microseconds does.
+  // `version`: higher than any that this witness told in an earlier life; Unix time in microseconds does. If
+  // it is not, since the wall clock was set back, it is outbid as soon as others tell what they hold.
   Judgements(PeerId self, std::uint64_t version) : self_(self), version_(version) {}
 
   // The end of an own attempt. What it changes is told; true: this sidecar finds otherwise than before.
@@ -132,6 +133,7 @@
   };
   using Key = std::pair<Life, PeerId>;
 
+  void outbid(std::uint64_t version);
   bool hasRoom(const Judgement& told) const;
   std::size_t witnessesOf(const Life& life) const;
   std::size_t heldOf(PeerId witness) const;
--- a/tests/shared/judgements_test.cpp
+++ b/tests/shared/judgements_test.cpp
@@ -90,6 +90,56 @@
   EXPECT_EQ(from.ask(kLife, everybody, kStart).bad, 0u) << "one's own is no hearsay";
 }
 
+// A restart with the wall clock set back by an hour: what the earlier life has said is outbid once it is
+// heard of, and does not count until it lapses.
+TEST(Judgements, OfAnEarlierLifeWithALaterClockAreOutbid) {
+  constexpr std::uint64_t kNow = 1'790'000'000'000'000, kHour = 3'600'000'000;
+  Judgements other(2, kNow);
+  Judgements earlier(1, kNow);
+  earlier.attempted(kLife, Evidence::Outcome::Silent, 500, kStart);
+  other.take(earlier.tell(kRoom, kStart), 0, kStart);
+  ASSERT_EQ(other.ask(kLife, everybody, kStart).bad, 1u);
+  Judgements one(1, kNow - kHour);
+  // It hears what the other one holds, its own earlier word too, and finds the upstream well.
+  one.take(said(3, 1, Finding::Failing), 0, kStart + kSecond);
+  one.take(other.tell(kRoom, kStart + kSecond), 0, kStart + kSecond);
+  for (int n = 0; n < 3; ++n) one.attempted(kLife, Evidence::Outcome::Served, 500, kStart + kSecond);
+  other.take(one.tell(kRoom, kStart + kSecond), 0, kStart + kSecond);
+  const auto state = stateOf(other, kStart + kSecond);
+  EXPECT_TRUE(std::any_of(state.begin(), state.end(), [](const auto& judgement) {
+    return std::get<1>(judgement) == 1 && std::get<Finding>(judgement) == Finding::Well;
+  }));
+}
+
+// So is one that was told before that was heard.
+TEST(Judgements, ToldBeforeTheEarlierOneWasHeardOfAreToldAnew) {
+  Judgements other(2, 100), one(1, 100);
+  other.take(said(1, 5000, Finding::Failing), 0, kStart);
+  one.take(said(3, 1, Finding::Failing), 0, kStart);
+  one.attempted(kLife, Evidence::Outcome::Served, 500, kStart);
+  other.take(one.tell(kRoom, kStart), 0, kStart);
+  one.take(other.tell(kRoom, kStart), 0, kStart);
+  other.take(one.tell(kRoom, kStart), 0, kStart);
+  const auto state = stateOf(other, kStart);
+  EXPECT_TRUE(std::any_of(state.begin(), state.end(), [](const auto& judgement) {
+    return std::get<1>(judgement) == 1 && std::get<Finding>(judgement) == Finding::Well;
+  }));
+}
+
+// A version that is no time is not followed: the own one would overflow.
+TEST(Judgements, AVersionThatIsNoTimeIsNotOutbid) {
+  Judgements liar(2, 100), one(1, 100), other(4, 100);
+  liar.take(said(1, ~std::uint64_t{0}, Finding::Failing), 0, kStart);
+  one.take(liar.tell(kRoom, kStart), 0, kStart);
+  one.take(said(3, 1, Finding::Failing), 0, kStart);
+  one.attempted(kLife, Evidence::Outcome::Served, 500, kStart);
+  other.take(one.tell(kRoom, kStart), 0, kStart);
+  for (const Judgement& held : other.all(kStart)) {
+    if (held.witness != 1) continue;
+    EXPECT_EQ(held.version, 101u);
+  }
+}
+
 TEST(Judgements, WellCountsOnlyAgainstEarlierEvidence) {
   Judgements one(9, 1);
   one.take(said(1, 1, Finding::Failing, 2 * kSecond), 0, kStart);
