--- a/tests/start_test.sh
+++ b/tests/start_test.sh
@@ -58,6 +58,15 @@
 printf '%s' "${good/127.0.0.1:1/127.0.0.1:3}" >"$dir/config.next"
 mv "$dir/config.next" "$dir/config.json"
 told 'discovery moves to 127.0.0.1:3'
+# Of many configurations in quick succession, some of them bad, the last one counts.
+for n in $(seq 11 40); do
+  printf '%s' "${good/127.0.0.1:1/127.0.0.1:$n}" >"$dir/config.next"
+  [ $((n % 3)) -eq 0 ] && printf '%s' "${good:0:60}" >"$dir/config.next"
+  mv "$dir/config.next" "$dir/config.json"
+  kill -HUP "$pid" || fail "SIGHUP $n: the program has ended"
+done
+told 'discovery moves to 127.0.0.1:40'
+[ "$(grep 'discovery moves to' "$dir/err" | tail -1)" = 'discovery moves to 127.0.0.1:40' ] || fail "not the last one: $(cat "$dir/err")"
 # Signals amid each other, and SIGTERM twice, end it once and well.
 kill -HUP "$pid"
 kill -TERM "$pid"
