--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "etcd/client.h"
 
+#include <grpc/support/time.h>
 #include <grpcpp/grpcpp.h>
 
 #include <boost/asio/post.hpp>
@@ -23,7 +24,6 @@
 namespace {
 
 namespace pb = etcdserverpb;
-using std::chrono::microseconds;
 
 // A response may hold a page of the list, or the largest transaction that etcd takes by default (1.5 MiB)
 // once for each watch.
@@ -311,7 +311,9 @@
 template <class Request, class Response, class Invoke, class Done>
 void Client::Impl::unary(std::shared_ptr<Unary<Request, Response>> call, Micros timeout, Invoke invoke,
                          Done done) {
-  call->context.set_deadline(std::chrono::system_clock::now() + microseconds(timeout));
+  // By the monotonic clock: the wall clock may step between here and the call.
+  call->context.set_deadline(
+      gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC), gpr_time_from_micros(timeout, GPR_TIMESPAN)));
   const std::shared_ptr<grpc::ClientContext> context(call, &call->context);
   contexts_.emplace(context.get(), context);
   outstanding_->begin();
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -25,7 +25,7 @@
 
 constexpr std::uint32_t kNodesAGroup = 8;
 constexpr Micros kReadyWithin = 15'000'000;
-// A sidecar ends within the longest deadline and 0.7 s of SIGTERM; 3.6 s is what it allows itself.
+// A sidecar ends within the longest deadline, of which 3 s count at the most, and 0.7 s of SIGTERM.
 constexpr Micros kEndWithin = 8'000'000;
 // What still runs when the load ends is waited for so long behind the longest deadline.
 constexpr Micros kSettle = 500'000;
--- a/tests/lifecycle/lifecycle_test.cpp
+++ b/tests/lifecycle/lifecycle_test.cpp
@@ -5,6 +5,7 @@
 
 #include <algorithm>
 #include <optional>
+#include <ostream>
 
 namespace ivypost::lifecycle {
 namespace {
@@ -152,6 +153,9 @@
   std::optional<Micros> deadline;
   Micros kill;
 };
+std::ostream& operator<<(std::ostream& out, const StopCase& one) {
+  return out << "deadline " << one.deadline.value_or(-1) << " us, SIGKILL at " << one.kill << " us";
+}
 class StopBoundTest : public testing::TestWithParam<StopCase> {};
 
 TEST_P(StopBoundTest, EndsAheadOfTheKillWhereverTheProcessIsHeldUp) {
