--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -56,10 +56,12 @@
 constexpr Micros kUploadSpare = 3'000'000;
 // A client that takes nothing more of an answer for so long has stopped.
 constexpr milliseconds kClientTakes{10'000};
-// What is read of what a client sends ahead while its request waits. With more unread, its leaving is looked
-// for so often: what it has asked for must not be sent on 0.3 s later.
+// What is read of what a client sends ahead while its request waits, whatever the budget says; up to kMaxHeld
+// as far as that goes. With more unread its close may stand in its own machine's queue, where nobody sees it:
+// then no attempt is begun for it, and it is looked for so often.
 constexpr std::size_t kMaxAhead = 16UL * 1024;
 constexpr milliseconds kLookForLeaver{100};
+constexpr std::size_t kReadOnce = 4096;
 // A request that was being read when its time was up may have come whole meanwhile; it is read for so long.
 constexpr milliseconds kLastLook{10};
 // The kernel tells times by its own tick, of 10 ms at the most; less may be none.
@@ -127,6 +129,7 @@
         deadline_(server.deadlines_),
         leaver_(server.deadlines_),
         held_(server.budget_),
+        ahead_(server.budget_),
         place_(place) {}
 
   void start() {
@@ -152,6 +155,21 @@
     return quiet();
   }
 
+  // Whether the client of the waiting request has left; closes the connection then, but not from within the
+  // caller, who may be in the middle of something of this request's.
+  bool isClientGone() {
+    const bool left = admission::peerHasLeft(socket_.native_handle()) || (!uploading_ && !catchUp());
+    if (!left && (uploading_ || !behind_)) return false;
+    asio::post(server_.io_, [self = shared_from_this(), id = request_, left] {
+      if (self->state_ != State::Waiting || self->request_ != id) return;
+      if (left) return self->close();
+      if (!self->server_.endRequest(*self)) return;
+      self->write(self->server_.plain(502, "too much was sent ahead of the answer"));
+      self->server_.over(id);
+    });
+    return true;
+  }
+
   RequestId request() const { return request_; }
   Clock::time_point arrivedAt() const { return arrivedAt_; }
   std::uint64_t trace() const { return trace_; }
@@ -229,14 +247,36 @@
       self->watching_ = false;
       if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
       const error_code error = self->readAhead();
+      if (error) self->behind_ = false;  // the kernel holds nothing more
       if (error == asio::error::would_block) return self->watch();
       if (error) return self->close();
       if (self->state_ == State::Idle) return self->read();
-      if (self->buffer_.size() < kMaxAhead) return self->watch();
+      if (self->mayReadAhead()) return self->watch();
+      self->behind_ = true;
       self->lookForLeaver();
     });
   }
 
+  // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
+  // reading stops only where memory ends.
+  bool mayReadAhead() {
+    if (buffer_.size() < kMaxAhead) return true;
+    while (ahead_.bytes() < buffer_.size()) {
+      if (buffer_.size() >= kMaxHeld || !ahead_.grow(kHeldStep)) return false;
+    }
+    return true;
+  }
+
+  // Reads what has come since reading had to stop. False if the client has left.
+  bool catchUp() {
+    while (behind_ && mayReadAhead()) {
+      const error_code error = readAhead();
+      if (error) behind_ = false;
+      if (error && error != asio::error::would_block) return false;
+    }
+    return true;
+  }
+
   // Looks now and then whether the client has left, while what it sends is not read: behind that its close
   // can't be seen by reading.
   void lookForLeaver() {
@@ -244,6 +284,7 @@
       const auto self = shared_from_this();
       if (state_ != State::Waiting) return;
       if (admission::peerHasLeft(socket_.native_handle())) return close();
+      if (!uploading_ && mayReadAhead()) return watch();
       lookForLeaver();
     });
   }
@@ -252,7 +293,8 @@
   // unnoticed.
   error_code readAhead() {
     error_code error;
-    buffer_.commit(socket_.receive(buffer_.prepare(4096), 0, error));
+    const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
+    buffer_.commit(socket_.receive(buffer_.prepare(most), 0, error));
     return error;
   }
 
@@ -322,7 +364,10 @@
     upload_.reset();
     held_.release();
     if (last_) return hangUp();
-    if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+    if (buffer_.size() == 0) {
+      if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+      ahead_.release();
+    }
     state_ = State::Idle;
     server_.door_.rest(place_, now());
     if (wrong_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
@@ -632,6 +677,7 @@
   std::optional<http::request_parser<relay::PiecesBody>> parser_;
   std::optional<relay::Pace> pace_;      // of the body
   relay::Budget::Share held_;            // of a large body that is read whole
+  relay::Budget::Share ahead_;           // of what is read ahead of an answer
   std::shared_ptr<Upload> upload_;       // of one that is not
   std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
   Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
@@ -650,6 +696,7 @@
   State state_ = State::Idle;
   bool keepAlive_ = true;
   bool watching_ = false;
+  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
 };
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -757,6 +804,11 @@
   session->write(std::move(answer));
 }
 
+bool Server::isClientGone(RequestId id) {
+  const auto found = open_.find(id);
+  return found == open_.end() || found->second->isClientGone();
+}
+
 bool Server::endRequest(const Session& session) {
   if (open_.erase(session.request()) == 0) return false;
   traces_.over(session.trace(), now());
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -64,6 +64,11 @@
   // Gives the request its final answer. Ignored when the request is over.
   void answer(orchiddrum::RequestId id, Answer answer);
 
+  // Whether nobody waits for this request's answer any more: it is over, or the client has closed or reset
+  // its connection or ended its sending, as the kernel knows it now (one system call). A connection that was
+  // left is closed soon after, from the loop, which ends the request.
+  bool isClientGone(orchiddrum::RequestId id);
+
   // What holds from now on.
   void follow(const lifecycle::Effects& effects);
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -51,7 +51,8 @@
           io, config_, budget_,
           {[this](AttemptId id) { onWritten(id); }, [this](AttemptEnd end) { onEnded(std::move(end)); },
            [this](StreamBegin begin) { onBegan(std::move(begin)); },
-           [this](const ProbeEnd& end) { onProbed(end); }}),
+           [this](const ProbeEnd& end) { onProbed(end); },
+           [this](RequestId id) { return server_.isClientGone(id); }}),
       makeEtcd_(std::move(makeEtcd)),
       membership_(io, config_.seed,
                   {[this](const InstanceList& list) {
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -92,6 +92,8 @@
       self->comingUp_ = false;
       if (!self->job_) return;
       if (failed) return self->fail(Outcome::ConnectFailed);
+      // It has had time to leave since the attempt was decided on.
+      if (self->pool_.isClientGone(*self->job_)) return self->fail(Outcome::Moot);
       self->write();
     });
   }
@@ -536,6 +538,7 @@
   job->startedAt = Clock::now();
   if (job->attempt && job->attempt->upload && job->attempt->upload->pipe.gone() > 0)
     return end(*job, Outcome::ConnectFailed);  // what has gone out can't go out again
+  if (isClientGone(*job)) return end(*job, Outcome::Moot);
   if (const auto open = reuse(job->upstream)) return open->carry(std::move(job));
   if (!addresses_.at(job->upstream) || !makeRoom()) return end(*job, Outcome::ConnectFailed);
   const auto fresh = std::make_shared<Connection>(*this, job->upstream);
@@ -543,6 +546,10 @@
   fresh->open(std::move(job));
 }
 
+bool Upstreams::isClientGone(const Job& job) const {
+  return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
+}
+
 std::shared_ptr<Upstreams::Connection> Upstreams::reuse(UpstreamId upstream) {
   auto& idle = idle_[upstream];
   const auto since = [](const auto& one) { return one->idleSince(); };
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -75,6 +75,9 @@
     // Comes before `ended`; the body that it hands out fails if the rest of the answer does not come.
     std::function<void(StreamBegin)> began;
     std::function<void(ProbeEnd)> probed;
+    // Whether this request's client has closed its connection. Asked right before an attempt's first byte; it
+    // must not call back into this class. If so, the attempt ends as Moot and nothing is sent. May be empty.
+    std::function<bool(orchiddrum::RequestId)> isClientGone{};
   };
 
   // `budget` is for answers that stream.
@@ -110,6 +113,7 @@
   void start(std::shared_ptr<Job> job);
   std::shared_ptr<Connection> reuse(UpstreamId upstream);
   bool makeRoom();
+  bool isClientGone(const Job& job) const;
   void end(Job& job, orchiddrum::Outcome outcome);
   std::optional<orchiddrum::LoadReport> report(std::string_view text) const;
 
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -3,6 +3,8 @@
 // Attempts and idle connections at the moments when a time runs out.
 #include <sys/socket.h>
 
+#include <set>
+
 #include "moments.h"
 
 namespace ivypost {
@@ -26,8 +28,11 @@
   void open(const json& patch) {
     config.emplace(configure(patch));
     pool.emplace(io, *config, budget,
-                 Upstreams::Callbacks{
-                     [](AttemptId) {}, [this](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
+                 Upstreams::Callbacks{[](AttemptId) {},
+                                      [this](AttemptEnd end) { ends.push_back(std::move(end)); },
+                                      {},
+                                      {},
+                                      [this](orchiddrum::RequestId id) { return gone.count(id) > 0; }});
   }
   void send(orchiddrum::RequestId id, const std::string& body, const std::string& padding = "") {
     auto message = std::make_shared<Message>();
@@ -48,8 +53,45 @@
   std::optional<Config> config;
   std::optional<Upstreams> pool;
   std::vector<AttemptEnd> ends;
+  std::set<orchiddrum::RequestId> gone;  // whose clients have left
 };
 
+// First attempts, retries and hedged requests all begin here: nobody's goes out on an idle connection, and
+// that connection is still there for the next one.
+TEST_F(PoolTest, NothingIsSentOnAnIdleConnectionForAClientThatHasLeft) {
+  Peer upstream(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(upstream.address()));
+  send(1, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
+  upstream.requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
+  gone = {2};
+  send(2, "x");
+  EXPECT_EQ(ends.size(), 1u) << "not from within the call";
+  ASSERT_TRUE(wait([&] { return ends.size() == 2; }));
+  EXPECT_EQ(ends[1].id.request, 2u);
+  EXPECT_EQ(ends[1].outcome, Outcome::Moot);
+  send(3, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 2; }));
+  EXPECT_EQ(upstream.requests[1].message["X-Trace-Id"], traceOf(3));
+  EXPECT_EQ(upstream.lines.size(), 1u);
+}
+
+// It leaves while a connection comes up, and nobody has said so by then.
+TEST_F(PoolTest, NothingIsSentOnANewConnectionForAClientThatHasLeft) {
+  Peer upstream(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(upstream.address()));
+  send(1, "x");
+  gone = {1};
+  ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
+  EXPECT_EQ(ends[0].outcome, Outcome::Moot);
+  send(2, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
+  EXPECT_EQ(upstream.requests[0].message["X-Trace-Id"], traceOf(2));
+}
+
 // The kernel takes the rest of a request in the turn in which its upstream is given up as one that does not
 // read: a first piece before the handler of that time, and the last one with it already queued. Whatever has
 // gone out whole may run, so the attempt must not end as one that never did.
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -8,6 +8,13 @@
 
 enum class Leaves { Close, Reset, HalfClose, CloseAfterMuch, ResetAfterMuch };
 
+op::File withQueue(std::int64_t perTurn) {
+  op::File file;
+  file.admission.queue = true;
+  file.admission.perTurn = perTurn;
+  return file;
+}
+
 // A client's socket without a reader of its own.
 class Visitor {
  public:
@@ -17,9 +24,9 @@
   void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
   bool sendsAhead(Leaves how) const { return how == Leaves::CloseAfterMuch || how == Leaves::ResetAfterMuch; }
   // More than the sidecar reads ahead of an answer, and less than the kernel holds.
-  void sendAhead() {
+  void sendAhead(std::size_t size = 40'000) {
     std::string much;
-    for (int n = 100; much.size() < 40'000; ++n) {
+    for (int n = 100; much.size() < size; ++n) {
       Request request;
       request.trace = traceOf(n);
       request.body.assign(900, 'b');
@@ -27,6 +34,23 @@
     }
     send(much);
   }
+  // So much of a request's body, as far as this end's kernel holds it.
+  void sendWithoutWaiting(std::size_t size) {
+    socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(size)));
+    Request request;
+    request.body.assign(size, 'b');
+    socket_.non_blocking(true);
+    const std::string text = request.text();
+    error_code error;
+    for (std::size_t at = 0; at < text.size() && !error;)
+      at += socket_.write_some(asio::buffer(text) + at, error);
+  }
+  // All that has come.
+  std::string got() {
+    std::string text(socket_.available(), ' ');
+    if (!text.empty()) asio::read(socket_, asio::buffer(text));
+    return text;
+  }
   void leave(Leaves how) {
     if (how == Leaves::HalfClose) {
       socket_.shutdown(tcp::socket::shutdown_send);
@@ -89,6 +113,34 @@
   EXPECT_EQ(node.got().find(Request().trace), std::string::npos);
 }
 
+// Right before the first byte: the connection comes up and then the client leaves, both before the loop
+// looks. So the handler that would write runs ahead of the one that hears of the leaving.
+TEST_P(LeavesTest, AsItsConnectionHasComeUp) {
+  FullListener node(io);
+  start(0, patched());
+  tell(node.address());
+  Visitor visitor(io, sidecar->port());
+  visitor.send(Request().text());
+  ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
+  if (visitor.sendsAhead(how())) {
+    visitor.sendAhead();
+    settle();
+  }
+  // The connection's first packets were dropped for want of room; the kernel sends them anew after 1 s.
+  node.emptyTheQueue();
+  standStill(milliseconds(1500));
+  visitor.leave(how());
+  settle();
+  EXPECT_EQ(sidecar->comingUp(), 0u);
+  node.readAll();
+  const Client next = client();
+  Request request;
+  request.trace = traceOf(7);
+  next.send(request.text());
+  ASSERT_TRUE(wait([&] { return node.got().find(traceOf(7)) != std::string::npos; }));
+  EXPECT_EQ(node.got().find(Request().trace), std::string::npos);
+}
+
 // In the module, since its only upstream has as much as it may. The next client's request goes instead.
 TEST_P(LeavesTest, WhileNobodyIsReady) {
   start(1, patched());
@@ -253,12 +305,117 @@
   EXPECT_EQ(sentOn, 0u);
 }
 
+// A client that closes behind more than the kernel takes: the sidecar reads on while memory lasts, so that
+// the end of the stream can come.
+TEST_F(MomentsTest, AClientThatClosesBehindAMegabyteIsSeenToLeave) {
+  FullListener node(io);
+  start(0, {{"settings", {{"limits", {{"connectTimeout", 60'000'000}}}}}});
+  json told = list(++generation, true);
+  told["instances"].push_back({{"instanceId", "s-1"},
+                               {"hostPort", node.address()},
+                               {"zone", "oviedo"},
+                               {"lifecycle", "up"},
+                               {"weight", 1.0},
+                               {"startedAtMs", 0}});
+  const auto before = watches();
+  discovery.requests.back().reply(200, told.dump());
+  ASSERT_TRUE(wait([&] { return watches() > before; }));
+  Visitor visitor(io, sidecar->port());
+  visitor.send(Request().text());
+  ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
+  visitor.sendWithoutWaiting(1'000'000);
+  visitor.leave(Leaves::Close);
+  const auto left = Clock::now();
+  EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
+  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // not by its time-out
+}
+
+// Behind more than memory allows it can't be seen: such a request gets an answer, and is not sent late.
+TEST_F(ServerTest, WhoMayHaveLeftBehindUnreadBytesIsAnsweredAndNotSentOn) {
+  budget.emplace(0);
+  serve();
+  Visitor visitor(io, server->port());
+  visitor.send(Request().text());
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  EXPECT_FALSE(server->isClientGone(taken[0].id));
+  visitor.sendWithoutWaiting(1'000'000);
+  pollAll(io);
+  EXPECT_TRUE(server->isClientGone(taken[0].id));
+  EXPECT_EQ(visitor.got(), "");
+  pollAll(io);
+  EXPECT_EQ(visitor.got().substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(over, std::vector{taken[0].id});
+}
+
+// The same client with as much as can be read is not suspected.
+TEST_F(ServerTest, WhoSendsAheadWhatCanBeReadIsServed) {
+  budget.emplace(0);
+  serve();
+  Visitor visitor(io, server->port());
+  visitor.send(Request().text());
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  visitor.sendAhead(10'000);
+  pollAll(io);
+  EXPECT_FALSE(server->isClientGone(taken[0].id));
+}
+
+class AskedTest : public ServerTest, public testing::WithParamInterface<Leaves> {};
+
+// The server's word for it, before the loop has looked at the socket.
+TEST_P(AskedTest, WhoHasLeftIsKnownToBeGoneWhenAsked) {
+  serve();
+  Visitor visitor(io, server->port());
+  visitor.send(Request().text());
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  EXPECT_FALSE(server->isClientGone(taken[0].id));
+  visitor.leave(GetParam());
+  EXPECT_TRUE(server->isClientGone(taken[0].id));
+  EXPECT_TRUE(over.empty()) << "not from within the call";
+  pollAll(io);
+  EXPECT_EQ(over, std::vector{taken[0].id});
+  EXPECT_TRUE(server->isClientGone(taken[0].id)) << "it is over";
+}
+
+INSTANTIATE_TEST_SUITE_P(All, AskedTest, testing::Values(Leaves::Close, Leaves::Reset, Leaves::HalfClose));
+
+// Behind the queue for the core: the loop stands still while all of them leave, and goes on with the queue.
+TEST_F(MomentsTest, WhoLeavesTheQueueForTheCoreIsNotSentOn) {
+  upstreams.push_back(std::make_unique<Peer>(io));
+  states.assign(1, "up");
+  sidecar = std::make_unique<Sidecar>(io, configure({{"settings", {{"limits", {{"maxStreams", 1000}}}}}}),
+                                      withQueue(1));
+  ASSERT_TRUE(wait([this] { return watches() > 0; }));
+  constexpr int kMany = 60;
+  std::vector<std::unique_ptr<Visitor>> visitors;
+  for (int n = 0; n < kMany; ++n) visitors.push_back(std::make_unique<Visitor>(io, sidecar->port()));
+  pollAll(io);
+  Request request;
+  request.qos = "consulta";
+  request.method = "GET";
+  request.body.clear();
+  for (int n = 0; n < kMany; ++n) {
+    request.trace = traceOf(n);
+    visitors[static_cast<std::size_t>(n)]->send(request.text());
+  }
+  // All are read, and one or two of them have had their turn.
+  io.restart();
+  while (arrived() == 0) io.run_one_for(milliseconds(50));
+  const std::size_t before = arrived();
+  ASSERT_LT(before, 20u);
+  for (int n = 0; n < kMany; ++n)
+    visitors[static_cast<std::size_t>(n)]->leave(n % 2 == 0 ? Leaves::Close : Leaves::HalfClose);
+  // What has been written by then may still be on its way.
+  const Client last = client();
+  last.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
+  ASSERT_TRUE(wait([&] { return last.answers() == 1; }));
+  pollAll(io);
+  RecordProperty("sent_on", static_cast<int>(arrived() - before));
+  EXPECT_LE(arrived(), before + 2);
+}
+
 // In the queue for the core: those that leave do not get their turn.
 TEST_F(ServerTest, WhoLeavesTheQueueForTheCoreIsNotHandedOn) {
-  op::File file;
-  file.admission.queue = true;
-  file.admission.perTurn = 1;
-  serve(file);
+  serve(withQueue(1));
   constexpr std::size_t kMany = 100;
   std::vector<std::unique_ptr<Visitor>> visitors;
   for (std::size_t n = 0; n < kMany; ++n) visitors.push_back(std::make_unique<Visitor>(io, server->port()));
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -65,6 +65,21 @@
     return all;
   }
   std::size_t connections() const { return lines_.size(); }
+  // Takes those that stand in the queue, without the loop, so that the next one's connection comes up while
+  // it stands still.
+  void emptyTheQueue() {
+    error_code error;
+    acceptor_.non_blocking(true, error);
+    while (!error) {
+      tcp::socket socket(acceptor_.get_executor());
+      acceptor_.accept(socket, error);
+      if (!error) lines_.push_back(std::make_shared<Line>(std::move(socket)));
+    }
+  }
+  void readAll() {
+    for (const auto& line : lines_) read(line);
+    accept();
+  }
 
  private:
   struct Line {
@@ -97,9 +112,9 @@
  protected:
   void serve(const op::File& file = {}) {
     config.emplace(configure(json::object()));
-    server.emplace(io, *config, file, budget,
+    server.emplace(io, *config, file, *budget,
                    Server::Callbacks{[this](ClientRequest request) { taken.push_back(std::move(request)); },
-                                     [](orchiddrum::RequestId) {},
+                                     [this](orchiddrum::RequestId id) { over.push_back(id); },
                                      {},
                                      {},
                                      [this] { ended = true; }});
@@ -124,10 +139,11 @@
     return effects;
   }
 
-  relay::Budget budget{1'000'000};
+  std::optional<relay::Budget> budget{1'000'000};
   std::optional<Config> config;
   std::optional<Server> server;
   std::vector<ClientRequest> taken;
+  std::vector<orchiddrum::RequestId> over;
   bool ended = false;
 };
 
