--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -23,6 +23,7 @@
   relay::Pipe pipe;
   std::optional<std::uint64_t> length;  // none: it comes in chunks
   Clock::time_point deadline;           // of the request: an estimate until the last byte has come
+  Clock::duration clientGave{};         // from the last byte on; no attempt is told more
 };
 
 struct ClientRequest {
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -528,6 +528,7 @@
     request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
     request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
     upload->deadline = request.deadline;
+    upload->clientGave = std::chrono::microseconds(expiresIn_);
     upload->pipe.onRoom = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
     };
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -136,6 +136,14 @@
   }
 
  private:
+  // What the upstream is told. While a body is still coming in, the deadline allows for that too; the client
+  // has given the time from its last byte on.
+  static Clock::duration timeLeft(const Job& job, Clock::time_point now) {
+    if (!job.attempt->upload) return job.deadline - now;
+    const Upload& upload = *job.attempt->upload;
+    return std::min({job.deadline - now, upload.deadline - now, upload.clientGave});
+  }
+
   void write() {
     const auto now = Clock::now();
     const Job& job = *job_;
@@ -146,7 +154,7 @@
       head = job.attempt->message->base();
       body = job.attempt->message->body();
       dropHopByHop(head);
-      const auto left = duration_cast<milliseconds>(job.deadline - now).count();
+      const auto left = duration_cast<milliseconds>(timeLeft(job, now)).count();
       head.set("X-Expires-In-Ms", std::to_string(std::max<std::int64_t>(1, left)));
     } else {
       head.method(http::verb::get);
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -92,6 +92,155 @@
   EXPECT_EQ(upstream.requests[0].message["X-Trace-Id"], traceOf(2));
 }
 
+// What an upstream is told of the time that is left, in a request as it was received.
+int toldMs(const std::string& text) {
+  const std::string name = "X-Expires-In-Ms: ";
+  const std::size_t at = text.find(name);
+  return at == std::string::npos ? -1 : std::stoi(text.substr(at + name.size()));
+}
+int toldMs(const Peer::Exchange& exchange) {
+  return std::stoi(std::string(exchange.message["X-Expires-In-Ms"]));
+}
+
+// Each way in which time passes between a client's last byte and an attempt's first; in each the loop stands
+// still for so long, and what is told must be less by that.
+TEST_F(PoolTest, AConnectionThatComesUpLateIsToldWhatIsLeftByThen) {
+  FullListener node(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(node.address()));
+  send(1, "x");  // with 60 s
+  ASSERT_EQ(pool->comingUp(), 1u);
+  node.emptyTheQueue();
+  standStill(milliseconds(1500));
+  node.readAll();
+  ASSERT_TRUE(wait([&] { return toldMs(node.got()) >= 0; }));
+  EXPECT_LE(toldMs(node.got()), 58'500);
+  EXPECT_GT(toldMs(node.got()), 50'000);
+}
+
+class ToldTest : public SidecarTest {
+ protected:
+  static constexpr milliseconds kLate{200};
+  static Request idempotent(int n = 0) {
+    Request request;
+    request.qos = "consulta";
+    request.method = "GET";
+    request.body.clear();
+    request.trace = traceOf(n);
+    request.expiresInMs = 5000;
+    return request;
+  }
+};
+
+TEST_F(ToldTest, ARetryIsToldWhatIsLeftByThen) {
+  start(2);
+  const Client asks = client();
+  asks.send(idempotent().text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  EXPECT_LE(toldMs(busy().requests[0]), 5000);
+  standStill(kLate);
+  const Peer& first = busy();
+  first.requests[0].reply(503, "", "X-Never-Ran: 1\r\n");
+  ASSERT_TRUE(wait([&] { return arrived() == 2; }));
+  const Peer& other = upstreams[0].get() == &first ? *upstreams[1] : *upstreams[0];
+  EXPECT_LE(toldMs(other.requests.empty() ? first.requests[1] : other.requests[0]), 4800);
+}
+
+TEST_F(ToldTest, ARequestThatLayUnreadIsToldWhatIsLeftByThen) {
+  start(1);
+  const Client asks = client();
+  pollAll(io);
+  asks.send(idempotent().text());
+  standStill(kLate);
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  EXPECT_LE(toldMs(busy().requests[0]), 4800 + 20);  // the kernel's tick, both ways
+}
+
+// It waits in the module, for want of an upstream that may get more.
+TEST_F(ToldTest, ARequestThatWaitedForAnUpstreamIsToldWhatIsLeftByThen) {
+  start(1);
+  const Client first = client();
+  first.send(idempotent(1).text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  const Client second = client();
+  second.send(idempotent(2).text());
+  pollAll(io);
+  ASSERT_EQ(arrived(), 1u);
+  standStill(kLate);
+  busy().requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return arrived() == 2; }));
+  EXPECT_LE(toldMs(busy().requests[1]), 4800);
+}
+
+// With very little left: what could no longer be answered is not sent, and each has its answer in time.
+TEST_F(ToldTest, WithHardlyAnyTimeLeftEachIsAnswered) {
+  start(1);
+  busy().onRequest = [](Peer::Exchange& call) {
+    if (call.message.target() != "/status/load") {
+      EXPECT_LE(toldMs(call), 100);
+    }
+  };
+  int n = 0;
+  for (const char* qos : {"consulta", "cambio", "reserva"}) {
+    for (const int ms : {0, 1, 2, 5, 10, 20, 50, 100}) {
+      SCOPED_TRACE(std::string(qos) + " with " + std::to_string(ms) + " ms");
+      Request request;
+      request.qos = qos;
+      if (request.qos == "consulta") request = idempotent();
+      if (request.qos == "reserva") request.headers = "Idempotency-Key: k\r\n";
+      request.trace = traceOf(++n);
+      request.expiresInMs = ms;
+      const Client asks = client();
+      const auto sentAt = Clock::now();
+      asks.send(request.text());
+      ASSERT_TRUE(wait([&] { return asks.answers() == 1 || asks.closed(); }));
+      ASSERT_EQ(asks.answers(), 1u);
+      EXPECT_GE(asks.answer(0).result_int(), 500u);
+      EXPECT_LT(Clock::now() - sentAt, milliseconds(ms + 500));
+      asks.close();
+      busy().dropAll();
+      pollAll(io);
+    }
+  }
+}
+
+// The network forgets an idle connection without a word to us: what is written there goes nowhere, and the
+// request has its answer by its deadline all the same. Nor does the connection carry another one.
+class ForgottenTest : public ToldTest, public testing::WithParamInterface<const char*> {};
+
+TEST_P(ForgottenTest, AnIdleConnectionThatIsForgottenCostsNobodyItsAnswer) {
+  start(1);
+  const std::string qos = GetParam();
+  Request request = idempotent(1);
+  const Client asks = client();
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  busy().requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return asks.answers() == 1; }));
+  const auto forgotten = busy().requests[0].line;
+  busy().onRequest = [&](Peer::Exchange& call) {
+    if (call.line != forgotten) call.reply(200, "");
+  };
+  if (qos != "consulta") request = Request();
+  request.qos = qos;
+  request.trace = traceOf(2);
+  request.headers = qos == "reserva" ? "Idempotency-Key: k\r\n" : "";
+  request.expiresInMs = 400;
+  const auto sentAt = Clock::now();
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return asks.answers() == 2; }));
+  EXPECT_LT(Clock::now() - sentAt, milliseconds(900));
+  pollAll(io);
+  request.trace = traceOf(3);
+  request.expiresInMs = 5000;
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return asks.answers() == 3; }));
+  EXPECT_EQ(asks.answer(2).result_int(), 200u);
+  EXPECT_NE(busy().requests.back().line, forgotten);
+}
+
+INSTANTIATE_TEST_SUITE_P(Classes, ForgottenTest, testing::Values("consulta", "cambio", "reserva"));
+
 // The kernel takes the rest of a request in the turn in which its upstream is given up as one that does not
 // read: a first piece before the handler of that time, and the last one with it already queued. Whatever has
 // gone out whole may run, so the attempt must not end as one that never did.
--- a/tests/transfer_test.cpp
+++ b/tests/transfer_test.cpp
@@ -460,6 +460,18 @@
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
 }
 
+// What is allowed for its way here is not the client's time, and its upstream counts from the last byte too.
+TEST_F(TransferTest, AnUploadIsToldNoMoreTimeThanItsClientGave) {
+  transfer();
+  const Wire client = connect();
+  client.send(head(length(4'000'000), "cambio", 300) + pattern(3'000'000));
+  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].body().size() > 100'000; }));
+  const std::string name = "X-Expires-In-Ms: ";
+  const std::size_t at = wires[0].got().find(name);
+  ASSERT_NE(at, std::string::npos);
+  EXPECT_LE(std::stoi(wires[0].got().substr(at + name.size())), 300);
+}
+
 TEST_F(TransferTest, AnUploadWithoutAnAnswerFailsWhenItsTimeIsOver) {
   transfer();
   const std::string body = pattern(4'000'000);
