--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -7,7 +7,6 @@
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/http/rfc7230.hpp>
 
 #include "framing.h"
 #include "idle_choice.h"
@@ -309,12 +308,11 @@
     parse();
   }
 
-  // An answer without a length that has said so, and not merely broken off (RFC 9112, 6.3 and 9.6).
-  bool endsWithConnection() {
-    return parser_->is_header_done() && parser_->need_eof() &&
-           (parser_->get().version() < 11 ||
-            http::token_list(parser_->get()[http::field::connection]).exists("close"));
-  }
+  // An answer with neither a length nor chunks is whole when its sender has ended the connection, whether or
+  // not it has announced that (RFC 9112, 6.3). The end of the stream alone counts: a reset is no end. Where
+  // an upstream's process dies in the middle, its kernel may end the stream as if it were whole; nothing on
+  // the wire tells the two apart.
+  bool endsWithConnection() { return parser_->is_header_done() && parser_->need_eof(); }
 
   void pause() {
     paused_ = true;
@@ -371,8 +369,7 @@
         newParser();
         continue;
       }
-      // An answer that ends with its connection and has not said so can't be told from one that broke off.
-      if (!plainFraming(answer) || (parser_->need_eof() && !endsWithConnection())) return broke();
+      if (!plainFraming(answer)) return broke();
       if (const auto length = parser_->content_length(); length && *length > kMaxBody) return broke();
       parser_->eager(true);
     }
--- a/tests/transfer_test.cpp
+++ b/tests/transfer_test.cpp
@@ -34,6 +34,10 @@
     if (!still) read(line_);
   }
   void close() const { line_->socket.close(); }
+  void abort() const {
+    line_->socket.set_option(asio::socket_base::linger(true, 0));
+    line_->socket.close();
+  }
   void end() const { line_->socket.shutdown(tcp::socket::shutdown_send); }
   // Of an HTTP message, what stands behind its head.
   std::string_view body() const {
@@ -199,6 +203,64 @@
   EXPECT_EQ(unchunked(std::string(client.body())), body);
 }
 
+// RFC 9112, 6.3: an answer with neither a length nor chunks ends with its connection, announced or not.
+class UntilTheEndTest : public TransferTest,
+                        public testing::WithParamInterface<std::tuple<const char*, std::size_t>> {
+ protected:
+  const std::string body = pattern(std::get<1>(GetParam()));
+  std::string answer() const {
+    return std::string("HTTP/1.1 200 OK\r\n") + std::get<0>(GetParam()) + "\r\n" + body;
+  }
+  bool isLarge() const { return body.size() > 65536; }
+  // All that the upstream has written has been read.
+  void settle() {
+    for (int n = 0; n < 200; ++n) {
+      io.restart();
+      io.poll();
+    }
+  }
+};
+
+TEST_P(UntilTheEndTest, PassesWholeWhenItsUpstreamHasEndedIt) {
+  transfer();
+  const Wire client = asked();
+  wires[0].send(answer());
+  ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
+  settle();
+  EXPECT_EQ(client.got().find("0\r\n\r\n"), std::string::npos) << "not before its end";
+  wires[0].end();
+  const auto whole = [&] {
+    return isLarge()
+               ? client.got().size() > 5 && client.got().substr(client.got().size() - 5) == "0\r\n\r\n"
+               : client.got().find("\r\n\r\n") != std::string::npos && client.body().size() == body.size();
+  };
+  ASSERT_TRUE(wait(whole)) << client.got().substr(0, 100);
+  EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 200");
+  EXPECT_EQ(isLarge() ? unchunked(std::string(client.body())) : std::string(client.body()), body);
+  EXPECT_TRUE(wait([&] { return wires[0].closed(); })) << "it is never used again";
+}
+
+TEST_P(UntilTheEndTest, IsNotWholeWhenItsConnectionIsReset) {
+  transfer();
+  const Wire client = asked();
+  wires[0].send(answer());
+  ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
+  settle();
+  wires[0].abort();
+  if (isLarge()) {
+    ASSERT_TRUE(wait([&] { return client.closed(); }));
+    EXPECT_TRUE(client.reset());
+  } else {
+    ASSERT_TRUE(wait([&] { return client.got().find("\r\n\r\n") != std::string::npos; }));
+    EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 502");
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(Forms, UntilTheEndTest,
+                         testing::Combine(testing::Values("", "Connection: close\r\n",
+                                                          "Connection: keep-alive\r\n"),
+                                          testing::Values(2U, 40'000U, 200'000U)));
+
 TEST_F(TransferTest, AnHttp10ClientGetsAnAnswerWithoutLengthUntilTheClose) {
   transfer();
   const std::string body = pattern(200'000);
