--- a/src/admission/peer.cpp
+++ b/src/admission/peer.cpp
@@ -27,4 +27,9 @@
   return ioctl(socket, SIOCOUTQ, &unsent) == 0 && unsent == 0;
 }
 
+bool awaitsAcknowledgement(int socket) {
+  int unsent = 0;
+  return ioctl(socket, SIOCOUTQ, &unsent) == 0 && unsent > 0;
+}
+
 }  // namespace ivypost::admission
--- a/src/admission/peer.h
+++ b/src/admission/peer.h
@@ -20,6 +20,9 @@
 // has not got (tcp(7), SIOCOUTQ).
 bool allAcknowledged(int socket);
 
+// Something that was sent, or the end of sending, is known to be on its way still.
+bool awaitsAcknowledgement(int socket);
+
 }  // namespace ivypost::admission
 
 #endif  // IVYPOST_ADMISSION_PEER_H_
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -44,6 +44,9 @@
 // reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
 constexpr milliseconds kLinger{200};
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
+// A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
+// takes nothing must not hold its place, nor the end of the process.
+constexpr milliseconds kMaxLinger{1000};
 // A buffer that was read empty is kept up to this size for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
 // A larger body is held whole up to this, as far as the budget goes: so it can be sent again, and a client
@@ -62,7 +65,8 @@
 constexpr std::size_t kMaxAhead = 16UL * 1024;
 constexpr milliseconds kLookForLeaver{100};
 constexpr std::size_t kReadOnce = 4096;
-// A request that was being read when its time was up may have come whole meanwhile; it is read for so long.
+// A request that was expected or being read when its time was up may have come whole meanwhile; it is read
+// for so long.
 constexpr milliseconds kLastLook{10};
 // The kernel tells times by its own tick, of 10 ms at the most; less may be none.
 constexpr milliseconds kKernelTick{10};
@@ -152,9 +156,13 @@
   // Whether closing it costs its client nothing.
   bool givesWay() {
     if (state_ == State::HangingUp) return admission::allAcknowledged(socket_.native_handle());
-    return quiet();
+    return mayCloseIdle();
   }
 
+  // Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
+  // that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
+  bool mayCloseIdle() { return quiet() && !admission::awaitsAcknowledgement(socket_.native_handle()); }
+
   // Whether the client of the waiting request has left; closes the connection then, but not from within the
   // caller, who may be in the middle of something of this request's.
   bool isClientGone() {
@@ -174,13 +182,20 @@
   Clock::time_point arrivedAt() const { return arrivedAt_; }
   std::uint64_t trace() const { return trace_; }
 
+  // Whether something of a next request has come. What has been read is owed an answer, so the connection is
+  // not ended by us ahead of that.
+  bool hasNext() {
+    if (buffer_.size() == 0) readAhead();
+    return buffer_.size() > 0;
+  }
+
   // Answers what the client has sent, and goes on or hangs up.
   void write(Answer answer) {
     state_ = State::Writing;
     // What is left of a body is not waited for; the client hears at once.
     if (uploading_) keepAlive_ = false;
     uploading_ = false;
-    last_ = !keepAlive_ || !server_.effects_.keeps || !server_.door_.keeps(place_);
+    last_ = !keepAlive_ || (!(server_.effects_.keeps && server_.door_.keeps(place_)) && !hasNext());
     wrong_ = answer.status / 100 == 4;
     const auto reason = http::obsolete_reason(static_cast<http::status>(answer.status));
     head_ = "HTTP/1.1 " + std::to_string(answer.status) + " " + std::string(view(reason)) +
@@ -646,7 +661,8 @@
   void limit(Clock::time_point until) {
     deadline_.set(until, [this] {
       const auto self = shared_from_this();
-      if (state_ != State::Reading || peek() == asio::error::would_block) return close();
+      const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+      if (!reads || peek() == asio::error::would_block) return close();
       deadline_.set(Clock::now() + kLastLook, [this] { close(); });
     });
   }
@@ -656,10 +672,20 @@
     server_.door_.end(place_, now());
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    limit(Clock::now() + kLinger);
+    linger(Clock::now() + kMaxLinger);
     discard(kMaxDiscard);
   }
 
+  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+  void linger(Clock::time_point atMost) {
+    deadline_.set(Clock::now() + kLinger, [this, atMost] {
+      const auto self = shared_from_this();
+      if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle()))
+        return close();
+      linger(atMost);
+    });
+  }
+
   void discard(std::size_t atMost) {
     buffer_.clear();
     socket_.async_read_some(buffer_.prepare(4096),
@@ -956,7 +982,7 @@
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->settled(time) && session->quiet()) session->close();
+    if (session->settled(time) && session->mayCloseIdle()) session->close();
   }
   if (effects_.mayEnd) {
     // One on which something has come by now is about to be read.
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -35,6 +35,66 @@
   ASSERT_TRUE(wait([&] { return wrong.answers() == 2 && ended; }));
 }
 
+// Read ahead of an answer, or unread behind it: while the process ends the connection is not ended between.
+TEST_F(ServerTest, WhatWasSentAheadIsAnsweredWhileTheProcessEnds) {
+  serve();
+  const Client ahead(io, server->port());
+  Request second, third;
+  second.trace = traceOf(2);
+  third.trace = traceOf(3);
+  ahead.send(Request().text() + second.text());
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  pollAll(io);
+  server->follow(stopping(false, true));
+  ahead.send(third.text());  // not read when the first answer is given
+  answerAll();
+  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  answerAll();
+  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  answerAll();
+  ASSERT_TRUE(wait([&] { return ahead.closed() && ended; }));
+  ASSERT_EQ(ahead.answers(), 3u);
+  EXPECT_NE(ahead.answer(0)[http::field::connection], "close");
+  EXPECT_EQ(ahead.answer(2)[http::field::connection], "close");
+}
+
+// A client that takes its last answer slowly, and sends on: the connection is not closed over what it sends
+// before the answer has arrived, since that would reset it.
+TEST_F(ServerTest, ALastAnswerThatIsTakenSlowlyArrivesWhole) {
+  serve();
+  tcp::socket slow(io);
+  slow.open(tcp::v4());
+  slow.set_option(asio::socket_base::receive_buffer_size(4096));
+  slow.connect({asio::ip::address_v4::loopback(), server->port()});
+  Request request;
+  request.headers = "Connection: close\r\n";
+  asio::write(slow, asio::buffer(request.text()));
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  const std::string body(300'000, 'b');
+  Answer answer;
+  answer.status = 200;
+  answer.body = body;
+  server->answer(taken[0].id, std::move(answer));
+  // More than is read and dropped; it stands still for longer than the pause ahead of the close.
+  const std::string much(100'000, 'm');
+  std::size_t at = 0;
+  error_code error;
+  slow.non_blocking(true);
+  const auto begin = Clock::now();
+  ASSERT_TRUE(wait([&] {
+    if (at < much.size() && !error) at += slow.write_some(asio::buffer(much) + at, error);
+    if (error == asio::error::would_block) error = {};
+    return Clock::now() - begin > milliseconds(500);
+  }));
+  std::string got;
+  std::array<char, 65536> bytes{};
+  ASSERT_TRUE(wait([&] {
+    got.append(bytes.data(), slow.read_some(asio::buffer(bytes), error));
+    return error && error != asio::error::would_block;
+  }));
+  EXPECT_GT(got.size(), body.size()) << error.message();
+}
+
 // A head that has come in part, or an answer on its way, is no end either.
 TEST_F(ServerTest, ARequestHalfReadIsAnsweredBeforeTheEnd) {
   serve();
@@ -70,20 +130,22 @@
 
 class LastByteTest : public ServerTest {
  protected:
-  // A request of which a part has been read; this much more of it comes in the turn in which its time is up,
+  // A request of which so much has been read; this much more of it comes in the turn in which its time is up,
   // ahead of the handler that would close it.
-  void sendAsItsTimeIsUp(std::size_t more) {
+  void sendAsItsTimeIsUp(std::size_t more, std::size_t first = 30) {
     serve();
     slow.emplace(io, server->port());
     ASSERT_TRUE(wait([&] { return inside() == 1; }));
     const auto in = Clock::now();
     const std::string text = Request().text();
-    slow->send(text.substr(0, 30));
-    ASSERT_TRUE(wait([&] { return server->door().count(admission::Door::State::Working) == 1; }));
+    if (first > 0) {
+      slow->send(text.substr(0, first));
+      ASSERT_TRUE(wait([&] { return server->door().count(admission::Door::State::Working) == 1; }));
+    }
     // A handler that is due a little earlier, and so runs right before, however late the loop is.
     asio::steady_timer before(io);
     before.expires_at(in + milliseconds(2400));
-    before.async_wait([&](error_code) { slow->send(text.substr(30, more)); });
+    before.async_wait([&](error_code) { slow->send(text.substr(first, more)); });
     standStill(in + milliseconds(2600) - Clock::now());
     ASSERT_TRUE(wait([&] { return taken.size() == 1 || slow->closed(); }));
   }
@@ -97,6 +159,14 @@
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
+// Nor does a new connection that has been silent so far lose the request that comes in that turn.
+TEST_F(LastByteTest, AFirstRequestThatComesWhenItsTimeIsUpIsTaken) {
+  sendAsItsTimeIsUp(std::string::npos, 0);
+  ASSERT_EQ(taken.size(), 1u);
+  answerAll();
+  ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
+}
+
 // One that has come to nothing more by then is closed all the same.
 TEST_F(LastByteTest, ARequestThatIsNotWholeWhenItsTimeIsUpIsNotWaitedFor) {
   sendAsItsTimeIsUp(10);
