--- a/src/relay/pace.h
+++ b/src/relay/pace.h
@@ -16,8 +16,9 @@
   // Clients may write 64 kB a second; half of that is asked for, after some grace.
   static constexpr std::int64_t kLeastPerSecond = 32'000;
   static constexpr Micros kGrace = 2'500'000;
-  // Between two pieces; a body that came fast at first must not stand still for long.
-  static constexpr Micros kStall = 4'000'000;
+  // Between two pieces, however fast a body came at first: a client that has stopped is owed an error or a
+  // close within 3 s.
+  static constexpr Micros kStall = 2'500'000;
 
   explicit Pace(Micros now) : from_(now), last_(now) {}
 
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -1,8 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Attempts and idle connections at the moments when a time runs out.
+#include <sys/resource.h>
 #include <sys/socket.h>
+#include <unistd.h>
 
+#include <algorithm>
+#include <map>
 #include <set>
 
 #include "moments.h"
@@ -321,5 +325,137 @@
   EXPECT_EQ(ends[1].outcome, Outcome::Ok);
 }
 
+// Faults at upstreams and of other clients free no request of its final answer.
+class FinalAnswerTest : public SidecarTest {
+ protected:
+  struct Asked {
+    Client client;
+    std::string qos;
+    Clock::time_point at{};
+  };
+  // Clients that are in, of each class in turn.
+  void connect(int count) {
+    for (int n = 0; n < count; ++n)
+      asked.push_back(
+          {client(), std::array{"consulta", "cambio", "reserva"}[static_cast<std::size_t>(n) % 3]});
+    pollAll(io);
+  }
+  void ask(int expiresInMs) {
+    for (std::size_t n = 0; n < asked.size(); ++n) {
+      Request request;
+      request.qos = asked[n].qos;
+      request.trace = traceOf(static_cast<int>(n) + 1);
+      request.expiresInMs = expiresInMs;
+      if (request.qos == "consulta") request.method = "GET", request.body.clear();
+      if (request.qos == "reserva") request.headers = "Idempotency-Key: k\r\n";
+      asked[n].at = Clock::now();
+      asked[n].client.send(request.text());
+    }
+  }
+  // Each has one, in time; who has it leaves, or stays.
+  void expectAnswers(int expiresInMs, bool leave = true) {
+    std::vector<bool> done(asked.size());
+    ASSERT_TRUE(wait([&] {
+      for (std::size_t n = 0; n < asked.size(); ++n) {
+        const Client& client = asked[n].client;
+        if (done[n] || (client.answers() == 0 && !client.closed())) continue;
+        done[n] = true;
+        EXPECT_EQ(client.answers(), 1u) << asked[n].qos << " " << n << " was closed";
+        EXPECT_LT(Clock::now() - asked[n].at, milliseconds(expiresInMs + 500));
+        if (client.answers() == 1) ++statuses[client.answer(0).result_int()];
+        if (leave) client.close();
+      }
+      return std::find(done.begin(), done.end(), false) == done.end();
+    }));
+  }
+  std::vector<Asked> asked;
+  std::map<unsigned, int> statuses;
+};
+
+TEST_F(FinalAnswerTest, ComesWhenAllUpstreamsAreSilent) {
+  start(2);
+  connect(30);
+  ask(600);
+  expectAnswers(600);
+  EXPECT_EQ(statuses[200], 0);
+}
+
+TEST_F(FinalAnswerTest, ComesWhenPlacesAreUsedUp) {
+  start(2, {{"limits", {{"sockets", 16}}}});
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  connect(30);
+  ask(5000);
+  expectAnswers(5000);
+}
+
+TEST_F(FinalAnswerTest, ComesWhenTheKernelHasNoDescriptors) {
+  start(2);
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  connect(30);
+  const int lowest = ::dup(0);
+  ASSERT_GE(lowest, 0);
+  ::close(lowest);
+  rlimit before{};
+  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &before), 0);
+  const rlimit none{static_cast<rlim_t>(lowest), before.rlim_max};
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &none), 0);
+  ask(600);
+  expectAnswers(600, false);
+  EXPECT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
+  EXPECT_EQ(arrived(), 0u) << "there was a descriptor left";
+  // And it serves again.
+  const Client next = client();
+  Request request;
+  request.trace = traceOf(1000);
+  next.send(request.text());
+  ASSERT_TRUE(wait([&] { return next.answers() == 1; }));
+  EXPECT_EQ(next.answer(0).result_int(), 200u);
+}
+
+TEST_F(FinalAnswerTest, ComesBesideAClientThatFloods) {
+  start(2);
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  tcp::socket flood(io);
+  flood.connect({asio::ip::address_v4::loopback(), sidecar->port()});
+  flood.non_blocking(true);
+  std::string much;
+  for (int n = 0; n < 500; ++n) {
+    Request request;
+    request.trace = traceOf(10'000 + n);
+    request.body.assign(1000, 'b');
+    much += request.text();
+  }
+  std::size_t at = 0;
+  const auto pour = [&] {
+    error_code error;
+    at = (at + flood.write_some(asio::buffer(much) + at, error)) % much.size();
+  };
+  pour();
+  connect(30);
+  ask(3000);
+  for (int n = 0; n < 20; ++n) {
+    pour();
+    pollAll(io);
+  }
+  expectAnswers(3000);
+  EXPECT_GT(statuses[200], 0);
+}
+
+TEST_F(FinalAnswerTest, ComesBesideSpoiltAnswers) {
+  start(2);
+  upstreams[0]->onRequest = [](Peer::Exchange& call) { call.raw("HTTP/1.1 2x0 what\r\n\r\n"); };
+  upstreams[1]->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  connect(30);
+  ask(3000);
+  expectAnswers(3000);
+  EXPECT_GT(statuses[200], 0);
+}
+
 }  // namespace
 }  // namespace ivypost
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -1,6 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // The server as it ends, and the time of a request that runs out as it comes.
+#include <algorithm>
+
 #include "moments.h"
 
 namespace ivypost {
@@ -174,5 +176,105 @@
   EXPECT_TRUE(taken.empty());
 }
 
+// Clients that send so much of a request and then nothing more, and stay: within 3 s each has an error or is
+// closed, on a new connection and behind an earlier request, also while the process drains.
+struct Stop {
+  const char* where;
+  std::string sent;
+};
+
+std::vector<Stop> stops() {
+  const std::string start = "POST /cambio/7 HTTP/1.1\r\n";
+  int n = 0;
+  // Each with an id of its own.
+  const auto fields = [&] {
+    return "Host: s\r\nX-Qos: cambio\r\nX-Customer: nalon\r\nX-Trace-Id: " + traceOf(++n) +
+           "\r\nX-Expires-In-Ms: 20000\r\n";
+  };
+  const auto chunked = [&](const std::string& sent) {
+    return start + fields() + "Transfer-Encoding: chunked\r\n\r\n" + sent;
+  };
+  const auto withLength = [&](std::size_t said, std::size_t sent, const std::string& more = "") {
+    return start + fields() + more + "Content-Length: " + std::to_string(said) + "\r\n\r\n" +
+           std::string(sent, 'b');
+  };
+  return {{"an empty line", "\r\n"},
+          {"in the method", "PO"},
+          {"in the target", "POST /cam"},
+          {"in the version", "POST /cambio/7 HTTP/1"},
+          {"behind the start line", start},
+          {"in a field's name", start + "Ho"},
+          {"in a field", start + "Host: s"},
+          {"ahead of the head's end", start + fields()},
+          {"in the head's end", start + fields() + "Content-Length: 9\r\n\r"},
+          {"behind the head", withLength(9, 0)},
+          {"where it waits to go on", withLength(9, 0, "Expect: 100-continue\r\n")},
+          {"in a small body", withLength(9, 5)},
+          {"in a body that is held whole", withLength(500'000, 200'000)},
+          {"in a body that goes on in pieces", withLength(4'000'000, 200'000)},
+          {"ahead of the first chunk", chunked("")},
+          {"in a chunk's size", chunked("1")},
+          {"behind a chunk's size", chunked("10\r\n")},
+          {"in a chunk", chunked("10\r\nbbbb")},
+          {"behind a chunk", chunked("2\r\nbb\r\n")},
+          {"in a large chunk", chunked("100000\r\n" + std::string(100'000, 'b'))},
+          {"in the last chunk", chunked("2\r\nbb\r\n0\r\n")},
+          {"in the trailer", chunked("2\r\nbb\r\n0\r\nX-T: 1")}};
+}
+
+class StopsMidwayTest : public ServerTest, public testing::WithParamInterface<std::tuple<bool, bool>> {};
+
+TEST_P(StopsMidwayTest, IsAnsweredOrClosedWithin3Seconds) {
+  const auto [reused, draining] = GetParam();
+  serve();
+  struct Stopped {
+    Stop stop;
+    Client client;
+    std::size_t before = 0;
+    std::optional<Clock::duration> took;
+  };
+  std::vector<Stopped> all;
+  for (Stop& stop : stops()) all.push_back({std::move(stop), Client(io, server->port()), 0, {}});
+  if (reused) {
+    for (const Stopped& one : all) one.client.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
+    ASSERT_TRUE(wait([&] {
+      return std::all_of(all.begin(), all.end(), [](const auto& one) { return one.client.answers() == 1; });
+    }));
+    for (Stopped& one : all) one.before = 1;
+  }
+  const auto begin = Clock::now();
+  for (const Stopped& one : all) one.client.send(one.stop.sent);
+  if (draining) {
+    pollAll(io);
+    server->follow(stopping(true, false));
+  }
+  ASSERT_TRUE(wait([&] {
+    bool done = true;
+    // Upstreams take what comes.
+    for (const ClientRequest& request : taken) {
+      if (request.upload) request.upload->pipe.pop(request.upload->pipe.front().size());
+    }
+    for (Stopped& one : all) {
+      // Being asked for the body is no answer.
+      if (one.client.answers() > one.before && one.client.answer(one.before).result_int() == 100)
+        ++one.before;
+      if (!one.took && (one.client.answers() > one.before || one.client.closed()))
+        one.took = Clock::now() - begin;
+      done = done && one.took;
+    }
+    return done || Clock::now() - begin > std::chrono::seconds(6);
+  }));
+  for (const Stopped& one : all) {
+    SCOPED_TRACE(one.stop.where);
+    ASSERT_TRUE(one.took) << "neither";
+    EXPECT_LT(*one.took, std::chrono::seconds(3));
+    if (one.client.answers() > one.before) {
+      EXPECT_GE(one.client.answer(one.before).result_int(), 400u);
+    }
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(All, StopsMidwayTest, testing::Combine(testing::Bool(), testing::Bool()));
+
 }  // namespace
 }  // namespace ivypost
--- a/tests/relay/pace_test.cpp
+++ b/tests/relay/pace_test.cpp
@@ -33,6 +33,7 @@
   Pace pace(0);
   pace.came(30'000'000, kSecond);
   EXPECT_EQ(pace.due(), kSecond + Pace::kStall);
+  EXPECT_LT(Pace::kStall, 3 * kSecond);
 }
 
 TEST(Pace, TimeHeldBackByUsDoesNotCount) {
