--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -46,6 +46,9 @@
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
 // And of each connection so much while the whole server ends: what the kernel can hold unread of one.
 constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
+// A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
+// takes nothing must not hold its place, nor the end of the process.
+constexpr milliseconds kMaxLinger{1000};
 // A buffer that was read empty is kept up to this size for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
 // A larger body is held whole up to this, as far as the budget goes: so it can be sent again, and a client
@@ -58,11 +61,14 @@
 constexpr Micros kUploadSpare = 3'000'000;
 // A client that takes nothing more of an answer for so long has stopped.
 constexpr milliseconds kClientTakes{10'000};
-// What is read of what a client sends ahead while its request waits. With more unread, its leaving is looked
-// for so often: what it has asked for must not be sent on 0.3 s later.
+// What is read of what a client sends ahead while its request waits, whatever the budget says; up to kMaxHeld
+// as far as that goes. With more unread its close may stand in its own machine's queue, where nobody sees it:
+// then no attempt is begun for it, and it is looked for so often.
 constexpr std::size_t kMaxAhead = 16UL * 1024;
 constexpr milliseconds kLookForLeaver{100};
-// A request that was being read when its time was up may have come whole meanwhile; it is read for so long.
+constexpr std::size_t kReadOnce = 4096;
+// A request that was expected or being read when its time was up may have come whole meanwhile; it is read
+// for so long.
 constexpr milliseconds kLastLook{10};
 // The kernel tells times by its own tick, of 10 ms at the most; less may be none.
 constexpr milliseconds kKernelTick{10};
@@ -129,6 +135,7 @@
         deadline_(server.deadlines_),
         leaver_(server.deadlines_),
         held_(server.budget_),
+        ahead_(server.budget_),
         place_(place) {}
 
   void start() {
@@ -151,7 +158,26 @@
   // Whether closing it costs its client nothing.
   bool givesWay() {
     if (state_ == State::HangingUp) return admission::allAcknowledged(socket_.native_handle());
-    return quiet();
+    return mayCloseIdle();
+  }
+
+  // Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
+  // that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
+  bool mayCloseIdle() { return quiet() && !admission::awaitsAcknowledgement(socket_.native_handle()); }
+
+  // Whether the client of the waiting request has left; closes the connection then, but not from within the
+  // caller, who may be in the middle of something of this request's.
+  bool isClientGone() {
+    const bool left = admission::peerHasLeft(socket_.native_handle()) || (!uploading_ && !catchUp());
+    if (!left && (uploading_ || !behind_)) return false;
+    asio::post(server_.io_, [self = shared_from_this(), id = request_, left] {
+      if (self->state_ != State::Waiting || self->request_ != id) return;
+      if (left) return self->close();
+      if (!self->server_.endRequest(*self)) return;
+      self->write(self->server_.plain(502, "too much was sent ahead of the answer"));
+      self->server_.over(id);
+    });
+    return true;
   }
 
   // The server stops: what is owed an answer gets its final one. Nothing of what is still being read has run.
@@ -210,13 +236,20 @@
   Clock::time_point arrivedAt() const { return arrivedAt_; }
   std::uint64_t trace() const { return trace_; }
 
+  // Whether something of a next request has come. What has been read is owed an answer, so the connection is
+  // not ended by us ahead of that.
+  bool hasNext() {
+    if (buffer_.size() == 0) readAhead();
+    return buffer_.size() > 0;
+  }
+
   // Answers what the client has sent, and goes on or hangs up.
   void write(Answer answer) {
     state_ = State::Writing;
     // What is left of a body is not waited for; the client hears at once.
     if (uploading_) keepAlive_ = false;
     uploading_ = false;
-    last_ = !keepAlive_ || !server_.effects_.keeps || !server_.door_.keeps(place_);
+    last_ = !keepAlive_ || (!(server_.effects_.keeps && server_.door_.keeps(place_)) && !hasNext());
     wrong_ = answer.status / 100 == 4;
     const auto reason = http::obsolete_reason(static_cast<http::status>(answer.status));
     head_ = "HTTP/1.1 " + std::to_string(answer.status) + " " + std::string(view(reason)) +
@@ -283,14 +316,36 @@
       self->watching_ = false;
       if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
       const error_code error = self->readAhead();
+      if (error) self->behind_ = false;  // the kernel holds nothing more
       if (error == asio::error::would_block) return self->watch();
       if (error) return self->close();
       if (self->state_ == State::Idle) return self->read();
-      if (self->buffer_.size() < kMaxAhead) return self->watch();
+      if (self->mayReadAhead()) return self->watch();
+      self->behind_ = true;
       self->lookForLeaver();
     });
   }
 
+  // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
+  // reading stops only where memory ends.
+  bool mayReadAhead() {
+    if (buffer_.size() < kMaxAhead) return true;
+    while (ahead_.bytes() < buffer_.size()) {
+      if (buffer_.size() >= kMaxHeld || !ahead_.grow(kHeldStep)) return false;
+    }
+    return true;
+  }
+
+  // Reads what has come since reading had to stop. False if the client has left.
+  bool catchUp() {
+    while (behind_ && mayReadAhead()) {
+      const error_code error = readAhead();
+      if (error) behind_ = false;
+      if (error && error != asio::error::would_block) return false;
+    }
+    return true;
+  }
+
   // Looks now and then whether the client has left, while what it sends is not read: behind that its close
   // can't be seen by reading.
   void lookForLeaver() {
@@ -298,6 +353,7 @@
       const auto self = shared_from_this();
       if (state_ != State::Waiting) return;
       if (admission::peerHasLeft(socket_.native_handle())) return close();
+      if (!uploading_ && mayReadAhead()) return watch();
       lookForLeaver();
     });
   }
@@ -306,7 +362,8 @@
   // unnoticed.
   error_code readAhead() {
     error_code error;
-    buffer_.commit(socket_.receive(buffer_.prepare(4096), 0, error));
+    const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
+    buffer_.commit(socket_.receive(buffer_.prepare(most), 0, error));
     return error;
   }
 
@@ -376,7 +433,10 @@
     upload_.reset();
     held_.release();
     if (last_) return hangUp();
-    if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+    if (buffer_.size() == 0) {
+      if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+      ahead_.release();
+    }
     state_ = State::Idle;
     server_.door_.rest(place_, now());
     if (wrong_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
@@ -541,6 +601,7 @@
     request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
     request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
     upload->deadline = request.deadline;
+    upload->clientGave = std::chrono::microseconds(expiresIn_);
     upload->pipe.onRoom = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
     };
@@ -660,7 +721,8 @@
   void limit(Clock::time_point until) {
     deadline_.set(until, [this] {
       const auto self = shared_from_this();
-      if (state_ != State::Reading || peek() == asio::error::would_block) return close();
+      const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+      if (!reads || peek() == asio::error::would_block) return close();
       deadline_.set(Clock::now() + kLastLook, [this] { close(); });
     });
   }
@@ -670,11 +732,21 @@
     server_.door_.end(place_, now());
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    limit(Clock::now() + kLinger);
+    linger(Clock::now() + kMaxLinger);
     // Once the whole server ends there is nobody to take the core from.
     discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
   }
 
+  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+  void linger(Clock::time_point atMost) {
+    deadline_.set(Clock::now() + kLinger, [this, atMost] {
+      const auto self = shared_from_this();
+      if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle()))
+        return close();
+      linger(atMost);
+    });
+  }
+
   void discard(std::size_t atMost) {
     buffer_.clear();
     socket_.async_read_some(buffer_.prepare(4096),
@@ -693,6 +765,7 @@
   std::optional<http::request_parser<relay::PiecesBody>> parser_;
   std::optional<relay::Pace> pace_;      // of the body
   relay::Budget::Share held_;            // of a large body that is read whole
+  relay::Budget::Share ahead_;           // of what is read ahead of an answer
   std::shared_ptr<Upload> upload_;       // of one that is not
   std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
   Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
@@ -711,7 +784,8 @@
   State state_ = State::Idle;
   bool keepAlive_ = true;
   bool watching_ = false;
-  bool busy_ = false;  // a head is read, or a 100 written, by an operation that has the buffer
+  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
+  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
 };
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -819,6 +893,11 @@
   session->write(std::move(answer));
 }
 
+bool Server::isClientGone(RequestId id) {
+  const auto found = open_.find(id);
+  return found == open_.end() || found->second->isClientGone();
+}
+
 bool Server::endRequest(const Session& session) {
   if (open_.erase(session.request()) == 0) return false;
   traces_.over(session.trace(), now());
@@ -965,7 +1044,7 @@
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->settled(time) && session->quiet()) {
+    if (session->settled(time) && session->mayCloseIdle()) {
       session->close();
     } else if (effects_.answersAll) {
       session->answerFinally();
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -7,7 +7,6 @@
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/http/rfc7230.hpp>
 
 #include "framing.h"
 #include "idle_choice.h"
@@ -92,6 +91,8 @@
       self->comingUp_ = false;
       if (!self->job_) return;
       if (failed) return self->fail(Outcome::ConnectFailed);
+      // It has had time to leave since the attempt was decided on.
+      if (self->pool_.isClientGone(*self->job_)) return self->fail(Outcome::Moot);
       self->write();
     });
   }
@@ -134,6 +135,14 @@
   }
 
  private:
+  // What the upstream is told. While a body is still coming in, the deadline allows for that too; the client
+  // has given the time from its last byte on.
+  static Clock::duration timeLeft(const Job& job, Clock::time_point now) {
+    if (!job.attempt->upload) return job.deadline - now;
+    const Upload& upload = *job.attempt->upload;
+    return std::min({job.deadline - now, upload.deadline - now, upload.clientGave});
+  }
+
   void write() {
     const auto now = Clock::now();
     const Job& job = *job_;
@@ -144,7 +153,7 @@
       head = job.attempt->message->base();
       body = job.attempt->message->body();
       dropHopByHop(head);
-      const auto left = duration_cast<milliseconds>(job.deadline - now).count();
+      const auto left = duration_cast<milliseconds>(timeLeft(job, now)).count();
       head.set("X-Expires-In-Ms", std::to_string(std::max<std::int64_t>(1, left)));
     } else {
       head.method(http::verb::get);
@@ -299,12 +308,11 @@
     parse();
   }
 
-  // An answer without a length that has said so, and not merely broken off (RFC 9112, 6.3 and 9.6).
-  bool endsWithConnection() {
-    return parser_->is_header_done() && parser_->need_eof() &&
-           (parser_->get().version() < 11 ||
-            http::token_list(parser_->get()[http::field::connection]).exists("close"));
-  }
+  // An answer with neither a length nor chunks is whole when its sender has ended the connection, whether or
+  // not it has announced that (RFC 9112, 6.3). The end of the stream alone counts: a reset is no end. Where
+  // an upstream's process dies in the middle, its kernel may end the stream as if it were whole; nothing on
+  // the wire tells the two apart.
+  bool endsWithConnection() { return parser_->is_header_done() && parser_->need_eof(); }
 
   void pause() {
     paused_ = true;
@@ -361,8 +369,7 @@
         newParser();
         continue;
       }
-      // An answer that ends with its connection and has not said so can't be told from one that broke off.
-      if (!plainFraming(answer) || (parser_->need_eof() && !endsWithConnection())) return broke();
+      if (!plainFraming(answer)) return broke();
       if (const auto length = parser_->content_length(); length && *length > kMaxBody) return broke();
       parser_->eager(true);
     }
@@ -536,6 +543,7 @@
   job->startedAt = Clock::now();
   if (job->attempt && job->attempt->upload && job->attempt->upload->pipe.gone() > 0)
     return end(*job, Outcome::ConnectFailed);  // what has gone out can't go out again
+  if (isClientGone(*job)) return end(*job, Outcome::Moot);
   if (const auto open = reuse(job->upstream)) return open->carry(std::move(job));
   if (!addresses_.at(job->upstream) || !makeRoom()) return end(*job, Outcome::ConnectFailed);
   const auto fresh = std::make_shared<Connection>(*this, job->upstream);
@@ -543,6 +551,10 @@
   fresh->open(std::move(job));
 }
 
+bool Upstreams::isClientGone(const Job& job) const {
+  return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
+}
+
 std::shared_ptr<Upstreams::Connection> Upstreams::reuse(UpstreamId upstream) {
   auto& idle = idle_[upstream];
   const auto since = [](const auto& one) { return one->idleSince(); };
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -1,7 +1,13 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Attempts and idle connections at the moments when a time runs out.
+#include <sys/resource.h>
 #include <sys/socket.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <map>
+#include <set>
 
 #include "moments.h"
 
@@ -26,8 +32,11 @@
   void open(const json& patch) {
     config.emplace(configure(patch));
     pool.emplace(io, *config, budget,
-                 Upstreams::Callbacks{
-                     [](AttemptId) {}, [this](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
+                 Upstreams::Callbacks{[](AttemptId) {},
+                                      [this](AttemptEnd end) { ends.push_back(std::move(end)); },
+                                      {},
+                                      {},
+                                      [this](orchiddrum::RequestId id) { return gone.count(id) > 0; }});
   }
   void send(orchiddrum::RequestId id, const std::string& body, const std::string& padding = "") {
     auto message = std::make_shared<Message>();
@@ -48,8 +57,194 @@
   std::optional<Config> config;
   std::optional<Upstreams> pool;
   std::vector<AttemptEnd> ends;
+  std::set<orchiddrum::RequestId> gone;  // whose clients have left
+};
+
+// First attempts, retries and hedged requests all begin here: nobody's goes out on an idle connection, and
+// that connection is still there for the next one.
+TEST_F(PoolTest, NothingIsSentOnAnIdleConnectionForAClientThatHasLeft) {
+  Peer upstream(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(upstream.address()));
+  send(1, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
+  upstream.requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
+  gone = {2};
+  send(2, "x");
+  EXPECT_EQ(ends.size(), 1u) << "not from within the call";
+  ASSERT_TRUE(wait([&] { return ends.size() == 2; }));
+  EXPECT_EQ(ends[1].id.request, 2u);
+  EXPECT_EQ(ends[1].outcome, Outcome::Moot);
+  send(3, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 2; }));
+  EXPECT_EQ(upstream.requests[1].message["X-Trace-Id"], traceOf(3));
+  EXPECT_EQ(upstream.lines.size(), 1u);
+}
+
+// It leaves while a connection comes up, and nobody has said so by then.
+TEST_F(PoolTest, NothingIsSentOnANewConnectionForAClientThatHasLeft) {
+  Peer upstream(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(upstream.address()));
+  send(1, "x");
+  gone = {1};
+  ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
+  EXPECT_EQ(ends[0].outcome, Outcome::Moot);
+  send(2, "x");
+  ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
+  EXPECT_EQ(upstream.requests[0].message["X-Trace-Id"], traceOf(2));
+}
+
+// What an upstream is told of the time that is left, in a request as it was received.
+int toldMs(const std::string& text) {
+  const std::string name = "X-Expires-In-Ms: ";
+  const std::size_t at = text.find(name);
+  return at == std::string::npos ? -1 : std::stoi(text.substr(at + name.size()));
+}
+int toldMs(const Peer::Exchange& exchange) {
+  return std::stoi(std::string(exchange.message["X-Expires-In-Ms"]));
+}
+
+// Each way in which time passes between a client's last byte and an attempt's first; in each the loop stands
+// still for so long, and what is told must be less by that.
+TEST_F(PoolTest, AConnectionThatComesUpLateIsToldWhatIsLeftByThen) {
+  FullListener node(io);
+  open(json::object());
+  pool->setAddress(0, parseEndpoint(node.address()));
+  send(1, "x");  // with 60 s
+  ASSERT_EQ(pool->comingUp(), 1u);
+  node.emptyTheQueue();
+  standStill(milliseconds(1500));
+  node.readAll();
+  ASSERT_TRUE(wait([&] { return toldMs(node.got()) >= 0; }));
+  EXPECT_LE(toldMs(node.got()), 58'500);
+  EXPECT_GT(toldMs(node.got()), 50'000);
+}
+
+class ToldTest : public SidecarTest {
+ protected:
+  static constexpr milliseconds kLate{200};
+  static Request idempotent(int n = 0) {
+    Request request;
+    request.qos = "consulta";
+    request.method = "GET";
+    request.body.clear();
+    request.trace = traceOf(n);
+    request.expiresInMs = 5000;
+    return request;
+  }
 };
 
+TEST_F(ToldTest, ARetryIsToldWhatIsLeftByThen) {
+  start(2);
+  const Client asks = client();
+  asks.send(idempotent().text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  EXPECT_LE(toldMs(busy().requests[0]), 5000);
+  standStill(kLate);
+  const Peer& first = busy();
+  first.requests[0].reply(503, "", "X-Never-Ran: 1\r\n");
+  ASSERT_TRUE(wait([&] { return arrived() == 2; }));
+  const Peer& other = upstreams[0].get() == &first ? *upstreams[1] : *upstreams[0];
+  EXPECT_LE(toldMs(other.requests.empty() ? first.requests[1] : other.requests[0]), 4800);
+}
+
+TEST_F(ToldTest, ARequestThatLayUnreadIsToldWhatIsLeftByThen) {
+  start(1);
+  const Client asks = client();
+  pollAll(io);
+  asks.send(idempotent().text());
+  standStill(kLate);
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  EXPECT_LE(toldMs(busy().requests[0]), 4800 + 20);  // the kernel's tick, both ways
+}
+
+// It waits in the module, for want of an upstream that may get more.
+TEST_F(ToldTest, ARequestThatWaitedForAnUpstreamIsToldWhatIsLeftByThen) {
+  start(1);
+  const Client first = client();
+  first.send(idempotent(1).text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  const Client second = client();
+  second.send(idempotent(2).text());
+  pollAll(io);
+  ASSERT_EQ(arrived(), 1u);
+  standStill(kLate);
+  busy().requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return arrived() == 2; }));
+  EXPECT_LE(toldMs(busy().requests[1]), 4800);
+}
+
+// With very little left: what could no longer be answered is not sent, and each has its answer in time.
+TEST_F(ToldTest, WithHardlyAnyTimeLeftEachIsAnswered) {
+  start(1);
+  busy().onRequest = [](Peer::Exchange& call) {
+    if (call.message.target() != "/status/load") {
+      EXPECT_LE(toldMs(call), 100);
+    }
+  };
+  int n = 0;
+  for (const char* qos : {"consulta", "cambio", "reserva"}) {
+    for (const int ms : {0, 1, 2, 5, 10, 20, 50, 100}) {
+      SCOPED_TRACE(std::string(qos) + " with " + std::to_string(ms) + " ms");
+      Request request;
+      request.qos = qos;
+      if (request.qos == "consulta") request = idempotent();
+      if (request.qos == "reserva") request.headers = "Idempotency-Key: k\r\n";
+      request.trace = traceOf(++n);
+      request.expiresInMs = ms;
+      const Client asks = client();
+      const auto sentAt = Clock::now();
+      asks.send(request.text());
+      ASSERT_TRUE(wait([&] { return asks.answers() == 1 || asks.closed(); }));
+      ASSERT_EQ(asks.answers(), 1u);
+      EXPECT_GE(asks.answer(0).result_int(), 500u);
+      EXPECT_LT(Clock::now() - sentAt, milliseconds(ms + 500));
+      asks.close();
+      busy().dropAll();
+      pollAll(io);
+    }
+  }
+}
+
+// The network forgets an idle connection without a word to us: what is written there goes nowhere, and the
+// request has its answer by its deadline all the same. Nor does the connection carry another one.
+class ForgottenTest : public ToldTest, public testing::WithParamInterface<const char*> {};
+
+TEST_P(ForgottenTest, AnIdleConnectionThatIsForgottenCostsNobodyItsAnswer) {
+  start(1);
+  const std::string qos = GetParam();
+  Request request = idempotent(1);
+  const Client asks = client();
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  busy().requests[0].reply(200, "");
+  ASSERT_TRUE(wait([&] { return asks.answers() == 1; }));
+  const auto forgotten = busy().requests[0].line;
+  busy().onRequest = [&](Peer::Exchange& call) {
+    if (call.line != forgotten) call.reply(200, "");
+  };
+  if (qos != "consulta") request = Request();
+  request.qos = qos;
+  request.trace = traceOf(2);
+  request.headers = qos == "reserva" ? "Idempotency-Key: k\r\n" : "";
+  request.expiresInMs = 400;
+  const auto sentAt = Clock::now();
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return asks.answers() == 2; }));
+  EXPECT_LT(Clock::now() - sentAt, milliseconds(900));
+  pollAll(io);
+  request.trace = traceOf(3);
+  request.expiresInMs = 5000;
+  asks.send(request.text());
+  ASSERT_TRUE(wait([&] { return asks.answers() == 3; }));
+  EXPECT_EQ(asks.answer(2).result_int(), 200u);
+  EXPECT_NE(busy().requests.back().line, forgotten);
+}
+
+INSTANTIATE_TEST_SUITE_P(Classes, ForgottenTest, testing::Values("consulta", "cambio", "reserva"));
+
 // The kernel takes the rest of a request in the turn in which its upstream is given up as one that does not
 // read: a first piece before the handler of that time, and the last one with it already queued. Whatever has
 // gone out whole may run, so the attempt must not end as one that never did.
@@ -130,5 +325,137 @@
   EXPECT_EQ(ends[1].outcome, Outcome::Ok);
 }
 
+// Faults at upstreams and of other clients free no request of its final answer.
+class FinalAnswerTest : public SidecarTest {
+ protected:
+  struct Asked {
+    Client client;
+    std::string qos;
+    Clock::time_point at{};
+  };
+  // Clients that are in, of each class in turn.
+  void connect(int count) {
+    for (int n = 0; n < count; ++n)
+      asked.push_back(
+          {client(), std::array{"consulta", "cambio", "reserva"}[static_cast<std::size_t>(n) % 3]});
+    pollAll(io);
+  }
+  void ask(int expiresInMs) {
+    for (std::size_t n = 0; n < asked.size(); ++n) {
+      Request request;
+      request.qos = asked[n].qos;
+      request.trace = traceOf(static_cast<int>(n) + 1);
+      request.expiresInMs = expiresInMs;
+      if (request.qos == "consulta") request.method = "GET", request.body.clear();
+      if (request.qos == "reserva") request.headers = "Idempotency-Key: k\r\n";
+      asked[n].at = Clock::now();
+      asked[n].client.send(request.text());
+    }
+  }
+  // Each has one, in time; who has it leaves, or stays.
+  void expectAnswers(int expiresInMs, bool leave = true) {
+    std::vector<bool> done(asked.size());
+    ASSERT_TRUE(wait([&] {
+      for (std::size_t n = 0; n < asked.size(); ++n) {
+        const Client& client = asked[n].client;
+        if (done[n] || (client.answers() == 0 && !client.closed())) continue;
+        done[n] = true;
+        EXPECT_EQ(client.answers(), 1u) << asked[n].qos << " " << n << " was closed";
+        EXPECT_LT(Clock::now() - asked[n].at, milliseconds(expiresInMs + 500));
+        if (client.answers() == 1) ++statuses[client.answer(0).result_int()];
+        if (leave) client.close();
+      }
+      return std::find(done.begin(), done.end(), false) == done.end();
+    }));
+  }
+  std::vector<Asked> asked;
+  std::map<unsigned, int> statuses;
+};
+
+TEST_F(FinalAnswerTest, ComesWhenAllUpstreamsAreSilent) {
+  start(2);
+  connect(30);
+  ask(600);
+  expectAnswers(600);
+  EXPECT_EQ(statuses[200], 0);
+}
+
+TEST_F(FinalAnswerTest, ComesWhenPlacesAreUsedUp) {
+  start(2, {{"limits", {{"sockets", 16}}}});
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  connect(30);
+  ask(5000);
+  expectAnswers(5000);
+}
+
+TEST_F(FinalAnswerTest, ComesWhenTheKernelHasNoDescriptors) {
+  start(2);
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  connect(30);
+  const int lowest = ::dup(0);
+  ASSERT_GE(lowest, 0);
+  ::close(lowest);
+  rlimit before{};
+  ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &before), 0);
+  const rlimit none{static_cast<rlim_t>(lowest), before.rlim_max};
+  ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &none), 0);
+  ask(600);
+  expectAnswers(600, false);
+  EXPECT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
+  EXPECT_EQ(arrived(), 0u) << "there was a descriptor left";
+  // And it serves again.
+  const Client next = client();
+  Request request;
+  request.trace = traceOf(1000);
+  next.send(request.text());
+  ASSERT_TRUE(wait([&] { return next.answers() == 1; }));
+  EXPECT_EQ(next.answer(0).result_int(), 200u);
+}
+
+TEST_F(FinalAnswerTest, ComesBesideAClientThatFloods) {
+  start(2);
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  }
+  tcp::socket flood(io);
+  flood.connect({asio::ip::address_v4::loopback(), sidecar->port()});
+  flood.non_blocking(true);
+  std::string much;
+  for (int n = 0; n < 500; ++n) {
+    Request request;
+    request.trace = traceOf(10'000 + n);
+    request.body.assign(1000, 'b');
+    much += request.text();
+  }
+  std::size_t at = 0;
+  const auto pour = [&] {
+    error_code error;
+    at = (at + flood.write_some(asio::buffer(much) + at, error)) % much.size();
+  };
+  pour();
+  connect(30);
+  ask(3000);
+  for (int n = 0; n < 20; ++n) {
+    pour();
+    pollAll(io);
+  }
+  expectAnswers(3000);
+  EXPECT_GT(statuses[200], 0);
+}
+
+TEST_F(FinalAnswerTest, ComesBesideSpoiltAnswers) {
+  start(2);
+  upstreams[0]->onRequest = [](Peer::Exchange& call) { call.raw("HTTP/1.1 2x0 what\r\n\r\n"); };
+  upstreams[1]->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
+  connect(30);
+  ask(3000);
+  expectAnswers(3000);
+  EXPECT_GT(statuses[200], 0);
+}
+
 }  // namespace
 }  // namespace ivypost
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -38,6 +38,66 @@
   ASSERT_TRUE(wait([&] { return wrong.answers() == 2 && ended; }));
 }
 
+// Read ahead of an answer, or unread behind it: while the process ends the connection is not ended between.
+TEST_F(ServerTest, WhatWasSentAheadIsAnsweredWhileTheProcessEnds) {
+  serve();
+  const Client ahead(io, server->port());
+  Request second, third;
+  second.trace = traceOf(2);
+  third.trace = traceOf(3);
+  ahead.send(Request().text() + second.text());
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  pollAll(io);
+  server->follow(stopping(false, true));
+  ahead.send(third.text());  // not read when the first answer is given
+  answerAll();
+  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  answerAll();
+  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  answerAll();
+  ASSERT_TRUE(wait([&] { return ahead.closed() && ended; }));
+  ASSERT_EQ(ahead.answers(), 3u);
+  EXPECT_NE(ahead.answer(0)[http::field::connection], "close");
+  EXPECT_EQ(ahead.answer(2)[http::field::connection], "close");
+}
+
+// A client that takes its last answer slowly, and sends on: the connection is not closed over what it sends
+// before the answer has arrived, since that would reset it.
+TEST_F(ServerTest, ALastAnswerThatIsTakenSlowlyArrivesWhole) {
+  serve();
+  tcp::socket slow(io);
+  slow.open(tcp::v4());
+  slow.set_option(asio::socket_base::receive_buffer_size(4096));
+  slow.connect({asio::ip::address_v4::loopback(), server->port()});
+  Request request;
+  request.headers = "Connection: close\r\n";
+  asio::write(slow, asio::buffer(request.text()));
+  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  const std::string body(300'000, 'b');
+  Answer answer;
+  answer.status = 200;
+  answer.body = body;
+  server->answer(taken[0].id, std::move(answer));
+  // More than is read and dropped; it stands still for longer than the pause ahead of the close.
+  const std::string much(100'000, 'm');
+  std::size_t at = 0;
+  error_code error;
+  slow.non_blocking(true);
+  const auto begin = Clock::now();
+  ASSERT_TRUE(wait([&] {
+    if (at < much.size() && !error) at += slow.write_some(asio::buffer(much) + at, error);
+    if (error == asio::error::would_block) error = {};
+    return Clock::now() - begin > milliseconds(500);
+  }));
+  std::string got;
+  std::array<char, 65536> bytes{};
+  ASSERT_TRUE(wait([&] {
+    got.append(bytes.data(), slow.read_some(asio::buffer(bytes), error));
+    return error && error != asio::error::would_block;
+  }));
+  EXPECT_GT(got.size(), body.size()) << error.message();
+}
+
 // A head that has come in part, or an answer on its way, is no end either.
 TEST_F(ServerTest, ARequestHalfReadIsAnsweredBeforeTheEnd) {
   serve();
@@ -73,20 +133,22 @@
 
 class LastByteTest : public ServerTest {
  protected:
-  // A request of which a part has been read; this much more of it comes in the turn in which its time is up,
+  // A request of which so much has been read; this much more of it comes in the turn in which its time is up,
   // ahead of the handler that would close it.
-  void sendAsItsTimeIsUp(std::size_t more) {
+  void sendAsItsTimeIsUp(std::size_t more, std::size_t first = 30) {
     serve();
     slow.emplace(io, server->port());
     ASSERT_TRUE(wait([&] { return inside() == 1; }));
     const auto in = Clock::now();
     const std::string text = Request().text();
-    slow->send(text.substr(0, 30));
-    ASSERT_TRUE(wait([&] { return server->door().count(admission::Door::State::Working) == 1; }));
+    if (first > 0) {
+      slow->send(text.substr(0, first));
+      ASSERT_TRUE(wait([&] { return server->door().count(admission::Door::State::Working) == 1; }));
+    }
     // A handler that is due a little earlier, and so runs right before, however late the loop is.
     asio::steady_timer before(io);
     before.expires_at(in + milliseconds(2400));
-    before.async_wait([&](error_code) { slow->send(text.substr(30, more)); });
+    before.async_wait([&](error_code) { slow->send(text.substr(first, more)); });
     standStill(in + milliseconds(2600) - Clock::now());
     ASSERT_TRUE(wait([&] { return taken.size() == 1 || slow->closed(); }));
   }
@@ -100,6 +162,14 @@
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
+// Nor does a new connection that has been silent so far lose the request that comes in that turn.
+TEST_F(LastByteTest, AFirstRequestThatComesWhenItsTimeIsUpIsTaken) {
+  sendAsItsTimeIsUp(std::string::npos, 0);
+  ASSERT_EQ(taken.size(), 1u);
+  answerAll();
+  ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
+}
+
 // One that has come to nothing more by then is closed all the same.
 TEST_F(LastByteTest, ARequestThatIsNotWholeWhenItsTimeIsUpIsNotWaitedFor) {
   sendAsItsTimeIsUp(10);
@@ -278,5 +348,105 @@
   for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
 }
 
+// Clients that send so much of a request and then nothing more, and stay: within 3 s each has an error or is
+// closed, on a new connection and behind an earlier request, also while the process drains.
+struct Stop {
+  const char* where;
+  std::string sent;
+};
+
+std::vector<Stop> stops() {
+  const std::string start = "POST /cambio/7 HTTP/1.1\r\n";
+  int n = 0;
+  // Each with an id of its own.
+  const auto fields = [&] {
+    return "Host: s\r\nX-Qos: cambio\r\nX-Customer: nalon\r\nX-Trace-Id: " + traceOf(++n) +
+           "\r\nX-Expires-In-Ms: 20000\r\n";
+  };
+  const auto chunked = [&](const std::string& sent) {
+    return start + fields() + "Transfer-Encoding: chunked\r\n\r\n" + sent;
+  };
+  const auto withLength = [&](std::size_t said, std::size_t sent, const std::string& more = "") {
+    return start + fields() + more + "Content-Length: " + std::to_string(said) + "\r\n\r\n" +
+           std::string(sent, 'b');
+  };
+  return {{"an empty line", "\r\n"},
+          {"in the method", "PO"},
+          {"in the target", "POST /cam"},
+          {"in the version", "POST /cambio/7 HTTP/1"},
+          {"behind the start line", start},
+          {"in a field's name", start + "Ho"},
+          {"in a field", start + "Host: s"},
+          {"ahead of the head's end", start + fields()},
+          {"in the head's end", start + fields() + "Content-Length: 9\r\n\r"},
+          {"behind the head", withLength(9, 0)},
+          {"where it waits to go on", withLength(9, 0, "Expect: 100-continue\r\n")},
+          {"in a small body", withLength(9, 5)},
+          {"in a body that is held whole", withLength(500'000, 200'000)},
+          {"in a body that goes on in pieces", withLength(4'000'000, 200'000)},
+          {"ahead of the first chunk", chunked("")},
+          {"in a chunk's size", chunked("1")},
+          {"behind a chunk's size", chunked("10\r\n")},
+          {"in a chunk", chunked("10\r\nbbbb")},
+          {"behind a chunk", chunked("2\r\nbb\r\n")},
+          {"in a large chunk", chunked("100000\r\n" + std::string(100'000, 'b'))},
+          {"in the last chunk", chunked("2\r\nbb\r\n0\r\n")},
+          {"in the trailer", chunked("2\r\nbb\r\n0\r\nX-T: 1")}};
+}
+
+class StopsMidwayTest : public ServerTest, public testing::WithParamInterface<std::tuple<bool, bool>> {};
+
+TEST_P(StopsMidwayTest, IsAnsweredOrClosedWithin3Seconds) {
+  const auto [reused, draining] = GetParam();
+  serve();
+  struct Stopped {
+    Stop stop;
+    Client client;
+    std::size_t before = 0;
+    std::optional<Clock::duration> took;
+  };
+  std::vector<Stopped> all;
+  for (Stop& stop : stops()) all.push_back({std::move(stop), Client(io, server->port()), 0, {}});
+  if (reused) {
+    for (const Stopped& one : all) one.client.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
+    ASSERT_TRUE(wait([&] {
+      return std::all_of(all.begin(), all.end(), [](const auto& one) { return one.client.answers() == 1; });
+    }));
+    for (Stopped& one : all) one.before = 1;
+  }
+  const auto begin = Clock::now();
+  for (const Stopped& one : all) one.client.send(one.stop.sent);
+  if (draining) {
+    pollAll(io);
+    server->follow(stopping(true, false));
+  }
+  ASSERT_TRUE(wait([&] {
+    bool done = true;
+    // Upstreams take what comes.
+    for (const ClientRequest& request : taken) {
+      if (request.upload) request.upload->pipe.pop(request.upload->pipe.front().size());
+    }
+    for (Stopped& one : all) {
+      // Being asked for the body is no answer.
+      if (one.client.answers() > one.before && one.client.answer(one.before).result_int() == 100)
+        ++one.before;
+      if (!one.took && (one.client.answers() > one.before || one.client.closed()))
+        one.took = Clock::now() - begin;
+      done = done && one.took;
+    }
+    return done || Clock::now() - begin > std::chrono::seconds(6);
+  }));
+  for (const Stopped& one : all) {
+    SCOPED_TRACE(one.stop.where);
+    ASSERT_TRUE(one.took) << "neither";
+    EXPECT_LT(*one.took, std::chrono::seconds(3));
+    if (one.client.answers() > one.before) {
+      EXPECT_GE(one.client.answer(one.before).result_int(), 400u);
+    }
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(All, StopsMidwayTest, testing::Combine(testing::Bool(), testing::Bool()));
+
 }  // namespace
 }  // namespace ivypost
