--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -220,8 +220,13 @@
   ++sidecar.result.starts;
   std::vector<std::string> arguments;
   if (!sidecar.operatorFile.empty()) arguments = {"--operator", sidecar.operatorFile};
-  sidecar.process = std::make_unique<Process>(io_, options_.program, arguments,
-                                              std::vector<std::string>{"GW_CONFIG=" + sidecar.config},
+  std::vector<std::string> environment = {"GW_CONFIG=" + sidecar.config};
+  for (std::string variable : options_.environment) {
+    if (const auto at = variable.find('%'); at != std::string::npos)
+      variable.replace(at, 1, std::to_string(sidecar.number + 1));
+    environment.push_back(std::move(variable));
+  }
+  sidecar.process = std::make_unique<Process>(io_, options_.program, arguments, environment,
                                               [this, &sidecar](const std::string& line) {
                                                 if (line.rfind("ready on port ", 0) == 0)
                                                   sidecar.ready = true;
