--- a/src/peers/peers_io.cpp
+++ b/src/peers/peers_io.cpp
@@ -76,11 +76,11 @@
   while (inSlice_ < kMostInTick) {
     boost::system::error_code error;
     const std::size_t length = socket_.receive_from(asio::buffer(buffer_), from_, 0, error);
-    // An answer from the system that somebody is not there comes as an error of the socket; it means nothing.
-    if (error == asio::error::connection_refused) continue;
-    if (error) return receive();
+    if (error == asio::error::would_block) return receive();
     ++inSlice_;
-    take(length);
+    // An answer from the system that somebody is not there comes as an error of the socket; it means nothing,
+    // nor does another of one call. They count, so that the loop doesn't spin on one that lasts.
+    if (!error) take(length);
   }
   complain("more datagrams than are looked at");
   pause_.expires_at(Clock::time_point(std::chrono::microseconds((slice_ + 1) * kTick)));
