--- a/src/membership/platform.cpp
+++ b/src/membership/platform.cpp
@@ -9,6 +9,7 @@
 #include <optional>
 #include <utility>
 
+#include "network/nonblocking_io.h"
 #include "settings.h"
 
 namespace ivypost::membership {
@@ -33,8 +34,7 @@
   explicit Connection(Platform& owner) : owner_(&owner), socket_(owner.io_), timer_(owner.io_) {}
 
   void call(const std::string& target, milliseconds patience) {
-    request_ = http::request<http::empty_body>(http::verb::get, target, 11);
-    request_.set(http::field::host, "discovery");
+    request_ = "GET " + target + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
     out_ = true;
     timer_.expires_after(patience);
     timer_.async_wait([self = shared_from_this()](error_code cancelled) {
@@ -48,6 +48,7 @@
       if (error) return self->fail(error.message());
       error_code ignored;
       self->socket_.set_option(tcp::no_delay(true), ignored);
+      self->socket_.non_blocking(true, ignored);
       self->write();
     });
   }
@@ -59,7 +60,7 @@
     char byte = 0;
     error_code error;
     socket_.non_blocking(true, error);
-    if (!error) socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    if (!error) network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
     return error == asio::error::would_block;
   }
 
@@ -77,7 +78,7 @@
 
  private:
   void write() {
-    http::async_write(socket_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+    network::writeAll(socket_, request_, [self = shared_from_this()](error_code error) {
       if (self->owner_ == nullptr) return;
       if (error) return self->fail(error.message());
       self->read();
@@ -126,7 +127,7 @@
   asio::steady_timer timer_;
   bool out_ = false;  // a call is
   beast::flat_buffer buffer_;
-  http::request<http::empty_body> request_;
+  std::string request_;
   std::optional<http::response_parser<http::string_body>> parser_;
 };
 
