--- a/src/console/console_io.cpp
+++ b/src/console/console_io.cpp
@@ -3,13 +3,14 @@
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
-#include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 #include <optional>
 #include <string>
 #include <utility>
 
+#include "network/nonblocking_io.h"
+
 namespace ivypost::console {
 namespace {
 
@@ -81,12 +82,12 @@
   void readable() {
     error_code error;
     while (!error) {
-      buffer_.commit(socket_.receive(buffer_.prepare(kReadAtOnce), 0, error));
-      if (error == asio::error::would_block) return watch();
+      buffer_.commit(network::receiveSome(socket_, buffer_.prepare(kReadAtOnce), error));
+      if (network::isTransient(error)) return watch(error);
       if (error) return finish();
       if (answered_) {
         buffer_.clear();
-        return watch();
+        return watch({});
       }
       while (!error && !parser_.is_done() && buffer_.size() > 0)
         buffer_.consume(parser_.put(buffer_.data(), error));
@@ -95,8 +96,9 @@
     }
   }
 
-  void watch() {
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
+  // `why`: what the last read came to.
+  void watch(error_code why) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code error) {
       if (self->owner_ == nullptr) return;
       if (error) return self->finish();
       self->readable();
@@ -124,14 +126,13 @@
             std::to_string(said.text.size() + 1) + "\r\n\r\n" + said.text + "\n";
     buffer_.clear();
     limit(kLinger);
-    asio::async_write(socket_, asio::buffer(text_),
-                      [self = shared_from_this()](error_code failed, std::size_t) {
-                        if (self->owner_ == nullptr) return;
-                        if (failed) return self->finish();
-                        error_code ignored;
-                        self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
-                        self->watch();
-                      });
+    network::writeAll(socket_, text_, [self = shared_from_this()](error_code failed) {
+      if (self->owner_ == nullptr) return;
+      if (failed) return self->finish();
+      error_code ignored;
+      self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
+      self->watch({});
+    });
   }
 
   Console* owner_;  // none once it is closed
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -13,6 +13,7 @@
 
 #include "admission/peer.h"
 #include "framing.h"
+#include "network/nonblocking_io.h"
 #include "relay/pace.h"
 #include "relay/pieces_body.h"
 #include "request_form.h"
@@ -35,8 +36,10 @@
 // A connection's first request must be whole within this time of its accept, and each further one of its
 // first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
 constexpr milliseconds kMaxRequest{2500};
-// An answer must be gone within this time.
+// An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
+// then. One that is written late gets a little time all the same.
 constexpr milliseconds kAnswerTime{5000};
+constexpr milliseconds kLateAnswerTime{200};
 // A client that has got an error is read again after this pause: one that sends the same at full speed must
 // not take the core from the others.
 constexpr milliseconds kErrorPause{100};
@@ -175,22 +178,17 @@
     // Nearly always the kernel takes all of it at once.
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
     error_code error;
-    const std::size_t sent = socket_.write_some(parts, error);
-    if (!error && sent == asio::buffer_size(parts)) return onWritten();
-    if (error && error != asio::error::would_block) {
+    const std::size_t sent = network::writeSome(socket_, parts, error);
+    if (!error) return onWritten();
+    if (!network::isTransient(error)) {
       // Not from within the caller, who may be in the middle of something of this session's.
       asio::post(server_.io_, [self = shared_from_this()] { self->close(); });
       return;
     }
     head_ += body_;
     head_.erase(0, sent);
-    limit(Clock::now() + kAnswerTime);
-    asio::async_write(socket_, asio::buffer(head_),
-                      [self = shared_from_this()](error_code failed, std::size_t) {
-                        if (self->state_ != State::Writing) return;
-                        if (failed) return self->close();
-                        self->onWritten();
-                      });
+    limit(std::min(Clock::now() + kAnswerTime, std::max(answerBy_, Clock::now() + kLateAnswerTime)));
+    writeRest(error);
   }
 
   void close() {
@@ -214,22 +212,37 @@
   // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
   enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
 
+  // Of the answer. `why`: the write before came to no end.
+  void writeRest(error_code why) {
+    network::waitToRetry(socket_, tcp::socket::wait_write, why,
+                         [self = shared_from_this()](error_code failed) {
+                           if (self->state_ != State::Writing) return;
+                           if (failed) return self->close();
+                           network::writeAll(self->socket_, self->head_, [self](error_code error) {
+                             if (self->state_ != State::Writing) return;
+                             if (error) return self->close();
+                             self->onWritten();
+                           });
+                         });
+  }
+
   error_code peek() {
     char byte = 0;
     error_code error;
-    socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
     return error;
   }
 
-  // Waits for a request, or for a client that leaves without its answer.
-  void watch() {
+  // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
+  // nothing.
+  void watch(error_code why = {}) {
     if (watching_) return;
     watching_ = true;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
       self->watching_ = false;
       if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
       const error_code error = self->readAhead();
-      if (error == asio::error::would_block) return self->watch();
+      if (network::isTransient(error)) return self->watch(error);
       if (error) return self->close();
       if (self->state_ == State::Idle) return self->read();
       if (self->buffer_.size() < kMaxAhead) return self->watch();
@@ -252,7 +265,7 @@
   // unnoticed.
   error_code readAhead() {
     error_code error;
-    buffer_.commit(socket_.receive(buffer_.prepare(4096), 0, error));
+    buffer_.commit(network::receiveSome(socket_, buffer_.prepare(4096), error));
     return error;
   }
 
@@ -306,7 +319,7 @@
   void pumpLater() {
     waitsToWrite_ = true;
     limit(Clock::now() + kClientTakes);
-    socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
+    writer_.wait(socket_, [self = shared_from_this()](error_code error) {
       self->waitsToWrite_ = false;
       if (!self->stream_ || self->state_ != State::Writing) return;
       if (error) return self->close();
@@ -321,6 +334,7 @@
     body_ = {};
     upload_.reset();
     held_.release();
+    answerBy_ = Clock::time_point::max();
     if (last_) return hangUp();
     if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
     state_ = State::Idle;
@@ -362,9 +376,19 @@
     if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
     if (error != http::error::need_more && (error || parser_->is_header_done()))
       return onHead(error, mayBeEmptyLine);
+    readRestOfHead(mayBeEmptyLine);
+  }
+
+  void readRestOfHead(bool mayBeEmptyLine) {
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
-                              if (self->state_ == State::Reading) self->onHead(failed, mayBeEmptyLine);
+                              if (self->state_ != State::Reading) return;
+                              if (!network::isShortage(failed)) return self->onHead(failed, mayBeEmptyLine);
+                              network::waitToRetry(self->socket_, tcp::socket::wait_read, failed,
+                                                   [self, mayBeEmptyLine](error_code) {
+                                                     if (self->state_ == State::Reading)
+                                                       self->readRestOfHead(mayBeEmptyLine);
+                                                   });
                             });
   }
 
@@ -396,12 +420,11 @@
   // The client waits for this before it sends the body.
   void goOn() {
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-    asio::async_write(socket_, asio::buffer(kContinue.data(), kContinue.size()),
-                      [self = shared_from_this()](error_code error, std::size_t) {
-                        if (self->state_ != State::Reading) return;
-                        if (error) return self->close();
-                        self->readBody();
-                      });
+    network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
+      if (self->state_ != State::Reading) return;
+      if (error) return self->close();
+      self->readBody();
+    });
   }
 
   void readBody() {
@@ -430,20 +453,23 @@
     readMore(kReadOfStream);
   }
 
-  void readMore(std::size_t most) {
+  // `why`: the read before came to nothing.
+  void readMore(std::size_t most, error_code why = {}) {
     if (std::exchange(readingBody_, true)) return;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), most](error_code failed) {
-      self->readingBody_ = false;
-      if (self->state_ != State::Reading && !self->uploading_) return;
-      error_code error = failed;
-      std::size_t size = 0;
-      if (!error) size = self->socket_.receive(self->buffer_.prepare(most), 0, error);
-      self->buffer_.commit(size);
-      if (error == asio::error::would_block) return self->readMore(most);
-      if (error) return self->close();
-      self->pace_->came(size, now());
-      self->takeBody();
-    });
+    network::waitToRetry(socket_, tcp::socket::wait_read, why,
+                         [self = shared_from_this(), most](error_code failed) {
+                           self->readingBody_ = false;
+                           if (self->state_ != State::Reading && !self->uploading_) return;
+                           error_code error = failed;
+                           std::size_t size = 0;
+                           if (!error)
+                             size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
+                           self->buffer_.commit(size);
+                           if (network::isTransient(error)) return self->readMore(most, error);
+                           if (error) return self->close();
+                           self->pace_->came(size, now());
+                           self->takeBody();
+                         });
   }
 
   // Whether a body of more than 64 KiB may go on being held whole.
@@ -508,7 +534,7 @@
     if (!parser_->is_done()) return nextOfUpload();
     uploading_ = false;
     const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
-    upload_->deadline = deadline;
+    upload_->deadline = answerBy_ = deadline;
     guard(deadline);
     watch();
     upload_->pipe.end();
@@ -569,6 +595,7 @@
   void take(ClientRequest request) {
     state_ = State::Waiting;
     request_ = request.id;
+    answerBy_ = request.deadline;
     arrivedAt_ = request.arrived;
     trace_ = request.trace;
     server_.traces_.open(trace_, now());
@@ -645,6 +672,7 @@
   bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
   RequestId request_ = 0;
   Clock::time_point arrivedAt_;
+  Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
   std::uint64_t trace_ = 0;
   const admission::Door::Place place_;
   State state_ = State::Idle;
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -15,6 +15,7 @@
 #include <string_view>
 #include <utility>
 
+#include "network/nonblocking_io.h"
 #include "relay/pipe.h"
 
 namespace ivypost {
@@ -51,16 +52,21 @@
           return pipe.done() ? Step::Done : Step::Starved;
         }
       }
-      boost::system::error_code error;
       const std::size_t sent =
-          socket.write_some(boost::asio::buffer(text_.data() + at_, text_.size() - at_), error);
-      if (error && error != boost::asio::error::would_block) return Step::Broken;
+          network::writeSome(socket, boost::asio::buffer(text_.data() + at_, text_.size() - at_), blocked_);
+      if (blocked_ && !network::isTransient(blocked_)) return Step::Broken;
       at_ += sent;
       inTurn += sent;
-      if (error || inTurn > kPerTurn) return Step::Blocked;
+      if (blocked_ || inTurn > kPerTurn) return Step::Blocked;
     }
   }
 
+  // Calls back when a step that was Blocked may go on.
+  template <class Handler>
+  void wait(boost::asio::ip::tcp::socket& socket, Handler handler) {
+    network::waitToRetry(socket, boost::asio::ip::tcp::socket::wait_write, blocked_, std::move(handler));
+  }
+
  private:
   // Copied out of the pipe at once, and written in one turn of the loop at the most.
   static constexpr std::size_t kPiece = 16UL * 1024;
@@ -87,6 +93,7 @@
   std::string text_;
   std::size_t at_ = 0;  // what stands before has been written
   bool chunked_ = false, lastChunk_ = false;
+  boost::system::error_code blocked_;  // what ended the last write
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -11,6 +11,7 @@
 
 #include "framing.h"
 #include "idle_choice.h"
+#include "network/nonblocking_io.h"
 #include "relay/pieces_body.h"
 #include "request_form.h"
 #include "stream_writer.h"
@@ -109,7 +110,7 @@
   bool stands() {
     char byte = 0;
     error_code error;
-    socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
     return error == asio::error::would_block;
   }
 
@@ -172,9 +173,9 @@
                                                      asio::buffer(body.data(), body.size())};
     const std::size_t size = asio::buffer_size(parts);
     error_code error;
-    const std::size_t sent = socket_.write_some(parts, error);
-    if (error && error != asio::error::would_block) return fail(Outcome::ConnectFailed);
+    const std::size_t sent = network::writeSome(socket_, parts, error);
     if (sent == size) return onWritten();
+    if (!network::isTransient(error)) return fail(Outcome::ConnectFailed);
     rest_ = body;
     dropSent(sent);
     // A repeat's last byte has to go out within the window too. And a body that the kernel can't take at once
@@ -183,7 +184,7 @@
     if (body.size() > kSendBuffer) until = std::min(until, now + pool_.connectTimeout_);
     if (body.size() > kMaxWhole) until = std::min({job.deadline, job.writeBy, now + kUpstreamTakes});
     limit(until);
-    writeRest();
+    writeRest(error);
   }
 
   void dropSent(std::size_t sent) {
@@ -194,22 +195,23 @@
 
   // What the kernel has not taken yet. Each piece is handed over from here and counted in the same breath:
   // did the loop write it by itself, a time-out could come between the last byte and the news of it, and a
-  // request that may run would be taken for one that never did.
-  void writeRest() {
-    socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this(), job = job_](error_code error) {
+  // request that may run would be taken for one that never did. `why`: the write before came to no end.
+  void writeRest(error_code why) {
+    const auto ready = [self = shared_from_this(), job = job_](error_code error) {
       if (self->job_ != job) return;
       const std::array<asio::const_buffer, 2> parts = {asio::buffer(self->text_),
                                                        asio::buffer(self->rest_.data(), self->rest_.size())};
       const std::size_t size = asio::buffer_size(parts);
-      const std::size_t sent = error ? 0 : self->socket_.write_some(parts, error);
-      if (error && error != asio::error::would_block) return self->fail(Outcome::ConnectFailed);
+      const std::size_t sent = error ? 0 : network::writeSome(self->socket_, parts, error);
       if (sent == size) return self->onWritten();
+      if (!network::isTransient(error)) return self->fail(Outcome::ConnectFailed);
       self->dropSent(sent);
       // It reads on, if slowly.
       if (job->attempt && sent > 0 && job->attempt->message->body().size() > kMaxWhole)
         self->limit(std::min({job->deadline, job->writeBy, Clock::now() + kUpstreamTakes}));
-      self->writeRest();
-    });
+      self->writeRest(error);
+    };
+    network::waitToRetry(socket_, tcp::socket::wait_write, why, ready);
   }
 
   // The body goes on as it comes in.
@@ -252,7 +254,7 @@
     waitsToWrite_ = true;
     // An upstream that takes nothing more is as one that does not come up.
     limit(Clock::now() + kUpstreamTakes);
-    socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
+    writer_.wait(socket_, [self = shared_from_this()](error_code error) {
       self->waitsToWrite_ = false;
       if (!self->job_ || !self->uploading_) return;
       if (error) return self->fail(Outcome::ConnectFailed);
@@ -289,8 +291,8 @@
     error_code error;
     const std::size_t most = answer_ ? std::min(answer_->room(), kReadOfStream) : kReadAtOnce;
     if (most == 0) return pause();
-    buffer_.commit(socket_.receive(buffer_.prepare(most), 0, error));
-    if (error == asio::error::would_block) return watch();
+    buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
+    if (network::isTransient(error)) return watch(error);
     if (error == asio::error::eof && endsWithConnection()) {
       parser_->put_eof(error);
       if (!error) return parse();
@@ -418,10 +420,11 @@
     watch();
   }
 
-  void watch() {
+  // `why`: the read before came to nothing.
+  void watch(error_code why = {}) {
     if (watching_) return;
     watching_ = true;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
       self->watching_ = false;
       if (self->closed_) return;
       if (self->job_) {
