--- a/src/console/console_io.cpp
+++ b/src/console/console_io.cpp
@@ -151,6 +151,8 @@
   acceptor_.bind(address);
   acceptor_.listen();
   acceptor_.non_blocking(true);
+  // Otherwise Asio waits for the next connection behind one that ended in the queue.
+  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
 }
 
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -75,8 +75,10 @@
 constexpr milliseconds kMaxRefused{300};
 // A connection that has sent nothing since it came is not idle before this: its request is on the way.
 constexpr Micros kSettling = 300'000;
-// When the kernel has no descriptor for a new connection, accepting waits this long.
+// When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
+// connections in a row ended while they stood in its queue.
 constexpr milliseconds kAcceptPause{10};
+constexpr int kMaxFailedAccepts = 16;
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientShare = 0.6112;
 
@@ -113,6 +115,12 @@
   return settings;
 }
 
+// accept() failed since the system is short of something, not since the connection had ended already.
+bool isOfTheSystem(const error_code& error) {
+  return error == asio::error::no_descriptors ||
+         error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
+}
+
 std::string seconds(Micros span) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.3f", static_cast<double>(span) / 1e6);
@@ -706,6 +714,9 @@
     acceptor_.listen();
   }
   acceptor_.non_blocking(true);
+  // Asio would pass over a connection that ended in the queue and wait for the next one to come, while others
+  // stand there already.
+  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 Server::~Server() {
@@ -721,9 +732,12 @@
     // What was accepted counts as taken, also when the acceptor has been closed since.
     if (!error) admit(std::move(socket));
     if (!acceptor_.is_open()) return;
-    if (error && error != asio::error::connection_aborted) {
+    failedAccepts_ = error ? failedAccepts_ + 1 : 0;
+    const bool isShort = isOfTheSystem(error);
+    if (isShort || failedAccepts_ >= kMaxFailedAccepts) {
       // Guards against a loop that spins when descriptors have run out.
-      makeRoom();
+      if (isShort) makeRoom();
+      failedAccepts_ = 0;
       timer_.expires_after(kAcceptPause);
       return waitForRoom();
     }
@@ -951,12 +965,15 @@
 
 void Server::closeAcceptor() {
   // Whatever stands in the queue counts as taken, unless another process reads it too.
-  while (!config_.listener) {
+  // One that has ended there, or the want of a descriptor, says nothing of those behind.
+  for (int failed = 0; !config_.listener && failed < kMaxFailedAccepts;) {
     error_code error;
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (error) break;
-    admit(std::move(socket));
+    if (error == asio::error::would_block) break;
+    failed = error ? failed + 1 : 0;
+    if (isOfTheSystem(error)) makeRoom();
+    if (!error) admit(std::move(socket));
   }
   // Closed, and never shut down: an inherited one stays open for the other process.
   error_code ignored;
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -114,6 +114,7 @@
   op::File::Status statusOn_;
   lifecycle::Effects effects_;  // nothing yet
   bool accepting_ = false;      // the next connection is waited for
+  int failedAccepts_ = 0;       // in a row
   bool waitsForRoom_ = false;   // accepting does
   bool tending_ = false;
   admission::VisitorId lastVisitor_ = 0;
