--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -13,6 +13,7 @@
 
 #include "admission/peer.h"
 #include "framing.h"
+#include "network/nonblocking_io.h"
 #include "relay/pace.h"
 #include "relay/pieces_body.h"
 #include "request_form.h"
@@ -35,8 +36,10 @@
 // A connection's first request must be whole within this time of its accept, and each further one of its
 // first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
 constexpr milliseconds kMaxRequest{2500};
-// An answer must be gone within this time.
+// An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
+// then. One that is written late gets a little time all the same.
 constexpr milliseconds kAnswerTime{5000};
+constexpr milliseconds kLateAnswerTime{200};
 // A client that has got an error is read again after this pause: one that sends the same at full speed must
 // not take the core from the others.
 constexpr milliseconds kErrorPause{100};
@@ -80,8 +83,10 @@
 constexpr milliseconds kMaxRefused{300};
 // A connection that has sent nothing since it came is not idle before this: its request is on the way.
 constexpr Micros kSettling = 300'000;
-// When the kernel has no descriptor for a new connection, accepting waits this long.
+// When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
+// connections in a row ended while they stood in its queue.
 constexpr milliseconds kAcceptPause{10};
+constexpr int kMaxFailedAccepts = 16;
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientShare = 0.6112;
 
@@ -118,6 +123,12 @@
   return settings;
 }
 
+// accept() failed since the system is short of something, not since the connection had ended already.
+bool isOfTheSystem(const error_code& error) {
+  return error == asio::error::no_descriptors ||
+         error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
+}
+
 std::string seconds(Micros span) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.3f", static_cast<double>(span) / 1e6);
@@ -262,22 +273,17 @@
     // Nearly always the kernel takes all of it at once.
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
     error_code error;
-    const std::size_t sent = socket_.write_some(parts, error);
-    if (!error && sent == asio::buffer_size(parts)) return onWritten();
-    if (error && error != asio::error::would_block) {
+    const std::size_t sent = network::writeSome(socket_, parts, error);
+    if (!error) return onWritten();
+    if (!network::isTransient(error)) {
       // Not from within the caller, who may be in the middle of something of this session's.
       asio::post(server_.io_, [self = shared_from_this()] { self->close(); });
       return;
     }
     head_ += body_;
     head_.erase(0, sent);
-    limit(Clock::now() + kAnswerTime);
-    asio::async_write(socket_, asio::buffer(head_),
-                      [self = shared_from_this()](error_code failed, std::size_t) {
-                        if (self->state_ != State::Writing) return;
-                        if (failed) return self->close();
-                        self->onWritten();
-                      });
+    limit(std::min(Clock::now() + kAnswerTime, std::max(answerBy_, Clock::now() + kLateAnswerTime)));
+    writeRest(error);
   }
 
   void close() {
@@ -301,23 +307,38 @@
   // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
   enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
 
+  // Of the answer. `why`: the write before came to no end.
+  void writeRest(error_code why) {
+    network::waitToRetry(socket_, tcp::socket::wait_write, why,
+                         [self = shared_from_this()](error_code failed) {
+                           if (self->state_ != State::Writing) return;
+                           if (failed) return self->close();
+                           network::writeAll(self->socket_, self->head_, [self](error_code error) {
+                             if (self->state_ != State::Writing) return;
+                             if (error) return self->close();
+                             self->onWritten();
+                           });
+                         });
+  }
+
   error_code peek() {
     char byte = 0;
     error_code error;
-    socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
     return error;
   }
 
-  // Waits for a request, or for a client that leaves without its answer.
-  void watch() {
+  // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
+  // nothing.
+  void watch(error_code why = {}) {
     if (watching_) return;
     watching_ = true;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
       self->watching_ = false;
       if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
       const error_code error = self->readAhead();
-      if (error) self->behind_ = false;  // the kernel holds nothing more
-      if (error == asio::error::would_block) return self->watch();
+      if (error && !network::isShortage(error)) self->behind_ = false;  // the kernel holds nothing more
+      if (network::isTransient(error)) return self->watch(error);
       if (error) return self->close();
       if (self->state_ == State::Idle) return self->read();
       if (self->mayReadAhead()) return self->watch();
@@ -340,8 +361,9 @@
   bool catchUp() {
     while (behind_ && mayReadAhead()) {
       const error_code error = readAhead();
+      if (network::isShortage(error)) return true;
       if (error) behind_ = false;
-      if (error && error != asio::error::would_block) return false;
+      if (error && !network::isTransient(error)) return false;
     }
     return true;
   }
@@ -363,7 +385,7 @@
   error_code readAhead() {
     error_code error;
     const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
-    buffer_.commit(socket_.receive(buffer_.prepare(most), 0, error));
+    buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
     return error;
   }
 
@@ -417,7 +439,7 @@
   void pumpLater() {
     waitsToWrite_ = true;
     limit(Clock::now() + kClientTakes);
-    socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
+    writer_.wait(socket_, [self = shared_from_this()](error_code error) {
       self->waitsToWrite_ = false;
       if (!self->stream_ || self->state_ != State::Writing) return;
       if (error) return self->close();
@@ -432,6 +454,7 @@
     body_ = {};
     upload_.reset();
     held_.release();
+    answerBy_ = Clock::time_point::max();
     if (last_) return hangUp();
     if (buffer_.size() == 0) {
       if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
@@ -476,316 +499,328 @@
     if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
     if (error != http::error::need_more && (error || parser_->is_header_done()))
       return onHead(error, mayBeEmptyLine);
+    readRestOfHead(mayBeEmptyLine);
+  }
+
+  void readRestOfHead(bool mayBeEmptyLine) {
     busy_ = true;
     http::async_read_header(socket_, buffer_, *parser_,
                             [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
                               self->busy_ = false;
-                              if (self->state_ == State::Reading) self->onHead(failed, mayBeEmptyLine);
+                              if (self->state_ != State::Reading) return;
+                              if (!network::isShortage(failed)) return self->onHead(failed, mayBeEmptyLine);
+                              network::waitToRetry(self->socket_, tcp::socket::wait_read, failed,
+                                                   [self, mayBeEmptyLine](error_code) {
+                                                     if (self->state_ == State::Reading)
+                                                       self->readRestOfHead(mayBeEmptyLine);
+                                                   });
                             });
-  }
+  });
+}
 
   void onHead(error_code error, bool mayBeEmptyLine) {
-    // RFC 9112, 2.2: an empty line ahead of a request is passed over.
-    if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
-      buffer_.consume(2);
-      return readHead(false);
-    }
-    if (error) return onRead(error);
-    version_ = parser_->get().version();
-    if (const auto flaw = flawOf(parser_->get())) {
+  // RFC 9112, 2.2: an empty line ahead of a request is passed over.
+  if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
+    buffer_.consume(2);
+    return readHead(false);
+  }
+  if (error) return onRead(error);
+  version_ = parser_->get().version();
+  if (const auto flaw = flawOf(parser_->get())) {
+    keepAlive_ = false;
+    return write(server_.plain(flaw->status, flaw->why));
+  }
+  if (parser_->is_done()) return onRead(error);
+  if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
+  // A body that has come along costs less to read than a new connection would.
+  if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
+    if (auto refused = server_.refusesFromHead(parser_->get(), unreadFor())) {
       keepAlive_ = false;
-      return write(server_.plain(flaw->status, flaw->why));
+      return write(std::move(*refused));
     }
-    if (parser_->is_done()) return onRead(error);
-    if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
-    // A body that has come along costs less to read than a new connection would.
-    if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
-      if (auto refused = server_.refusesFromHead(parser_->get(), unreadFor())) {
-        keepAlive_ = false;
-        return write(std::move(*refused));
-      }
-    }
-    if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
-    readBody();
   }
+  if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
+  readBody();
+}
 
-  // The client waits for this before it sends the body.
-  void goOn() {
-    static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-    busy_ = true;
-    asio::async_write(socket_, asio::buffer(kContinue.data(), kContinue.size()),
-                      [self = shared_from_this()](error_code error, std::size_t) {
-                        self->busy_ = false;
-                        if (self->state_ != State::Reading) return;
-                        if (error) return self->onRead(error);
-                        self->readBody();
-                      });
-  }
+// The client waits for this before it sends the body.
+void goOn() {
+  static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+  busy_ = true;
+  network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
+    self->busy_ = false;
+    if (self->state_ != State::Reading) return;
+    if (error) return self->onRead(error);
+    self->readBody();
+  });
+}
 
-  void readBody() {
-    // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
-    if (parser_->chunked()) headers_ = parser_->get().base();
-    parser_->eager(true);
-    pace_.emplace(now());
-    pace_->came(buffer_.size(), now());
-    takeBody();
-  }
+void readBody() {
+  // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
+  if (parser_->chunked()) headers_ = parser_->get().base();
+  parser_->eager(true);
+  pace_.emplace(now());
+  pace_->came(buffer_.size(), now());
+  takeBody();
+}
 
-  // What has come of the body.
-  void takeBody() {
-    error_code error;
-    while (!error && !parser_->is_done() && buffer_.size() > 0)
-      buffer_.consume(parser_->put(buffer_.data(), error));
-    if (error == http::error::need_more) error = {};
-    // A chunk's head without end.
-    if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader)
-      error = http::error::bad_chunk_extension;
-    if (uploading_) return onPiece(error);
-    if (error || parser_->is_done()) return onBody(error);
-    if (parser_->get().body().size() > kMaxWhole && !holds(parser_->get().body().size()))
-      return beginUpload();
-    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-    readMore(kReadOfStream);
-  }
+// What has come of the body.
+void takeBody() {
+  error_code error;
+  while (!error && !parser_->is_done() && buffer_.size() > 0)
+    buffer_.consume(parser_->put(buffer_.data(), error));
+  if (error == http::error::need_more) error = {};
+  // A chunk's head without end.
+  if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader) error = http::error::bad_chunk_extension;
+  if (uploading_) return onPiece(error);
+  if (error || parser_->is_done()) return onBody(error);
+  if (parser_->get().body().size() > kMaxWhole && !holds(parser_->get().body().size())) return beginUpload();
+  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  readMore(kReadOfStream);
+}
 
-  void readMore(std::size_t most) {
-    if (std::exchange(readingBody_, true)) return;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), most](error_code failed) {
-      self->readingBody_ = false;
-      if (self->state_ != State::Reading && !self->uploading_) return;
-      error_code error = failed;
-      std::size_t size = 0;
-      if (!error) size = self->socket_.receive(self->buffer_.prepare(most), 0, error);
-      self->buffer_.commit(size);
-      if (error == asio::error::would_block) return self->readMore(most);
-      if (error) return self->close();
-      self->pace_->came(size, now());
-      self->takeBody();
-    });
-  }
+// `why`: the read before came to nothing.
+void readMore(std::size_t most, error_code why = {}) {
+  if (std::exchange(readingBody_, true)) return;
+  network::waitToRetry(socket_, tcp::socket::wait_read, why,
+                       [self = shared_from_this(), most](error_code failed) {
+                         self->readingBody_ = false;
+                         if (self->state_ != State::Reading && !self->uploading_) return;
+                         error_code error = failed;
+                         std::size_t size = 0;
+                         if (!error)
+                           size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
+                         self->buffer_.commit(size);
+                         if (network::isTransient(error)) return self->readMore(most, error);
+                         if (error) return self->close();
+                         self->pace_->came(size, now());
+                         self->takeBody();
+                       });
+}
 
-  // Whether a body of more than 64 KiB may go on being held whole.
-  bool holds(std::size_t size) {
-    const std::uint64_t length = parser_->content_length().value_or(0);
-    if (std::max<std::uint64_t>(size, length) > kMaxHeld) return false;
-    // A stated length is taken at once, so that the string need not grow: it would hold twice as much.
-    const std::size_t wanted = std::max<std::size_t>(size, length);
-    while (held_.bytes() < wanted) {
-      if (!held_.grow(kHeldStep)) return false;
-    }
-    parser_->get().body().reserve(wanted);
-    return true;
+// Whether a body of more than 64 KiB may go on being held whole.
+bool holds(std::size_t size) {
+  const std::uint64_t length = parser_->content_length().value_or(0);
+  if (std::max<std::uint64_t>(size, length) > kMaxHeld) return false;
+  // A stated length is taken at once, so that the string need not grow: it would hold twice as much.
+  const std::size_t wanted = std::max<std::size_t>(size, length);
+  while (held_.bytes() < wanted) {
+    if (!held_.grow(kHeldStep)) return false;
   }
+  parser_->get().body().reserve(wanted);
+  return true;
+}
 
-  // ---- A request's body in pieces
-
-  // Hands the request on while its body is still coming in.
-  void beginUpload() {
-    auto& read = parser_->get();
-    // The parser goes on with its own, and a later request must not get these.
-    Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
-    keepAlive_ = parser_->keep_alive();
-    auto upload = std::make_shared<Upload>(server_.budget_);
-    if (const auto length = parser_->content_length()) upload->length = *length;
-    auto checked = server_.check(std::move(message), milliseconds(0));
-    if (auto* answer = std::get_if<Answer>(&checked)) {
-      keepAlive_ = false;
-      return write(std::move(*answer));
-    }
-    auto& request = std::get<ClientRequest>(checked);
-    upload_ = upload;
-    uploading_ = true;
-    expiresIn_ = request.expiresIn;
-    const std::uint64_t left = parser_->content_length_remaining().value_or(kMaxHeld);
-    // The request's time counts from its last byte, which is not known yet.
-    request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
-    request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
-    upload->deadline = request.deadline;
-    upload->clientGave = std::chrono::microseconds(expiresIn_);
-    upload->pipe.onRoom = [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
-    };
-    upload->pipe.push(read.body());
-    read.body() = {};
-    held_.release();
-    request.upload = std::move(upload);
-    take(std::move(request));
-    if (uploading_) nextOfUpload();
+// ---- A request's body in pieces
+
+// Hands the request on while its body is still coming in.
+void beginUpload() {
+  auto& read = parser_->get();
+  // The parser goes on with its own, and a later request must not get these.
+  Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
+  keepAlive_ = parser_->keep_alive();
+  auto upload = std::make_shared<Upload>(server_.budget_);
+  if (const auto length = parser_->content_length()) upload->length = *length;
+  auto checked = server_.check(std::move(message), milliseconds(0));
+  if (auto* answer = std::get_if<Answer>(&checked)) {
+    keepAlive_ = false;
+    return write(std::move(*answer));
   }
+  auto& request = std::get<ClientRequest>(checked);
+  upload_ = upload;
+  uploading_ = true;
+  expiresIn_ = request.expiresIn;
+  const std::uint64_t left = parser_->content_length_remaining().value_or(kMaxHeld);
+  // The request's time counts from its last byte, which is not known yet.
+  request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
+  request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
+  upload->deadline = request.deadline;
+  upload->clientGave = std::chrono::microseconds(expiresIn_);
+  upload->pipe.onRoom = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
+  };
+  upload->pipe.push(read.body());
+  read.body() = {};
+  held_.release();
+  request.upload = std::move(upload);
+  take(std::move(request));
+  if (uploading_) nextOfUpload();
+}
 
-  void onPiece(error_code error) {
-    if (error) {
-      // The attempt ends without its last byte, so it never runs.
-      const auto self = shared_from_this();
-      upload_->pipe.fail();
-      if (!server_.endRequest(*this)) return close();
-      write(server_.flawOfBody(error));
-      return server_.over(request_);
-    }
-    upload_->pipe.push(parser_->get().body());
-    parser_->get().body().clear();
-    if (!parser_->is_done()) return nextOfUpload();
-    uploading_ = false;
-    const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
-    upload_->deadline = deadline;
-    guard(deadline);
-    watch();
-    upload_->pipe.end();
+void onPiece(error_code error) {
+  if (error) {
+    // The attempt ends without its last byte, so it never runs.
+    const auto self = shared_from_this();
+    upload_->pipe.fail();
+    if (!server_.endRequest(*this)) return close();
+    write(server_.flawOfBody(error));
+    return server_.over(request_);
   }
+  upload_->pipe.push(parser_->get().body());
+  parser_->get().body().clear();
+  if (!parser_->is_done()) return nextOfUpload();
+  uploading_ = false;
+  const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
+  upload_->deadline = answerBy_ = deadline;
+  guard(deadline);
+  watch();
+  upload_->pipe.end();
+}
 
-  void nextOfUpload() {
-    const std::size_t room = upload_->pipe.room();
-    if (room == 0) {
-      // Held back by us: the client's pace does not count meanwhile.
-      deadline_.cancel();
-      if (!heldBackSince_) heldBackSince_ = now();
-      return lookForLeaver();
-    }
-    leaver_.cancel();
-    if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
-    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-    readMore(std::min(room, kReadOfStream));
+void nextOfUpload() {
+  const std::size_t room = upload_->pipe.room();
+  if (room == 0) {
+    // Held back by us: the client's pace does not count meanwhile.
+    deadline_.cancel();
+    if (!heldBackSince_) heldBackSince_ = now();
+    return lookForLeaver();
   }
+  leaver_.cancel();
+  if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
+  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  readMore(std::min(room, kReadOfStream));
+}
 
-  void roomMade() {
-    if (uploading_ && heldBackSince_) nextOfUpload();
-  }
+void roomMade() {
+  if (uploading_ && heldBackSince_) nextOfUpload();
+}
 
-  void onBody(error_code error) {
-    if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
-    onRead(error);
-  }
+void onBody(error_code error) {
+  if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
+  onRead(error);
+}
 
-  std::string_view received() const {
-    const auto data = buffer_.data();
-    return {static_cast<const char*>(data.data()), data.size()};
-  }
+std::string_view received() const {
+  const auto data = buffer_.data();
+  return {static_cast<const char*>(data.data()), data.size()};
+}
 
-  void onRead(error_code error) {
-    deadline_.cancel();
-    if (error) {
-      keepAlive_ = false;
-      if (error == asio::error::operation_aborted && server_.effects_.answersAll)
-        return write(server_.refusal("refused: the sidecar stops"));
-      if (error == http::error::body_limit) return write(server_.flawOfBody(error));
-      if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
-      if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
-      if (error == http::error::bad_version)
-        return write(server_.plain(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
-      if (error.category() == make_error_code(http::error::bad_method).category())
-        return write(server_.flawOfBody(error));
-      return close();
-    }
-    const milliseconds unread = unreadFor();
-    // Nobody waits for what stood unread until its client had left.
-    if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
-    keepAlive_ = parser_->keep_alive();
-    auto whole = parser_->release();
-    auto checked = server_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
-    if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
-    take(std::move(std::get<ClientRequest>(checked)));
+void onRead(error_code error) {
+  deadline_.cancel();
+  if (error) {
+    keepAlive_ = false;
+    if (error == asio::error::operation_aborted && server_.effects_.answersAll)
+      return write(server_.refusal("refused: the sidecar stops"));
+    if (error == http::error::body_limit) return write(server_.flawOfBody(error));
+    if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
+    if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
+    if (error == http::error::bad_version)
+      return write(server_.plain(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
+    if (error.category() == make_error_code(http::error::bad_method).category())
+      return write(server_.flawOfBody(error));
+    return close();
   }
+  const milliseconds unread = unreadFor();
+  // Nobody waits for what stood unread until its client had left.
+  if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
+  keepAlive_ = parser_->keep_alive();
+  auto whole = parser_->release();
+  auto checked = server_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
+  if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
+  take(std::move(std::get<ClientRequest>(checked)));
+}
 
-  // An answer is owed from here on.
-  void take(ClientRequest request) {
-    state_ = State::Waiting;
-    request_ = request.id;
-    arrivedAt_ = request.arrived;
-    trace_ = request.trace;
-    server_.traces_.open(trace_, now());
-    server_.open_.emplace(request_, shared_from_this());
-    if (!uploading_) {
-      watch();
-      guard(request.deadline);
-    }
-    server_.gate_.offer(std::move(request), !server_.door_.mayWork());
+// An answer is owed from here on.
+void take(ClientRequest request) {
+  state_ = State::Waiting;
+  request_ = request.id;
+  answerBy_ = request.deadline;
+  arrivedAt_ = request.arrived;
+  trace_ = request.trace;
+  server_.traces_.open(trace_, now());
+  server_.open_.emplace(request_, shared_from_this());
+  if (!uploading_) {
+    watch();
+    guard(request.deadline);
   }
+  server_.gate_.offer(std::move(request), !server_.door_.mayWork());
+}
 
-  // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
-  void guard(Clock::time_point deadline) {
-    deadline_.set(deadline + kBackstop, [this] {
-      const auto self = shared_from_this();
-      if (state_ != State::Waiting || !server_.endRequest(*this)) return;
-      write(server_.plain(504, "no answer in time"));
-      server_.over(request_);
-    });
-  }
+// Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
+void guard(Clock::time_point deadline) {
+  deadline_.set(deadline + kBackstop, [this] {
+    const auto self = shared_from_this();
+    if (state_ != State::Waiting || !server_.endRequest(*this)) return;
+    write(server_.plain(504, "no answer in time"));
+    server_.over(request_);
+  });
+}
 
-  // How long a request that has been read now had stood unread: in the accept queue, or while the loop was
-  // late. Its time counts from its last byte.
-  milliseconds unreadFor() {
-    const auto waited = admission::sinceLastData(socket_.native_handle());
-    return waited < kKernelTick ? milliseconds(0) : waited;
-  }
+// How long a request that has been read now had stood unread: in the accept queue, or while the loop was
+// late. Its time counts from its last byte.
+milliseconds unreadFor() {
+  const auto waited = admission::sinceLastData(socket_.native_handle());
+  return waited < kKernelTick ? milliseconds(0) : waited;
+}
 
-  void limit(Clock::time_point until) {
-    deadline_.set(until, [this] {
-      const auto self = shared_from_this();
-      const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
-      if (!reads || peek() == asio::error::would_block) return close();
-      deadline_.set(Clock::now() + kLastLook, [this] { close(); });
-    });
-  }
+void limit(Clock::time_point until) {
+  deadline_.set(until, [this] {
+    const auto self = shared_from_this();
+    const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+    if (!reads || peek() == asio::error::would_block) return close();
+    deadline_.set(Clock::now() + kLastLook, [this] { close(); });
+  });
+}
 
-  void hangUp() {
-    state_ = State::HangingUp;
-    server_.door_.end(place_, now());
-    error_code ignored;
-    socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    linger(Clock::now() + kMaxLinger);
-    // Once the whole server ends there is nobody to take the core from.
-    discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
-  }
+void hangUp() {
+  state_ = State::HangingUp;
+  server_.door_.end(place_, now());
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  linger(Clock::now() + kMaxLinger);
+  // Once the whole server ends there is nobody to take the core from.
+  discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
+}
 
-  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
-  void linger(Clock::time_point atMost) {
-    deadline_.set(Clock::now() + kLinger, [this, atMost] {
-      const auto self = shared_from_this();
-      if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle()))
-        return close();
-      linger(atMost);
-    });
-  }
+// Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+void linger(Clock::time_point atMost) {
+  deadline_.set(Clock::now() + kLinger, [this, atMost] {
+    const auto self = shared_from_this();
+    if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle())) return close();
+    linger(atMost);
+  });
+}
 
-  void discard(std::size_t atMost) {
-    buffer_.clear();
-    socket_.async_read_some(buffer_.prepare(4096),
-                            [self = shared_from_this(), atMost](error_code error, std::size_t size) {
-                              if (self->state_ != State::HangingUp) return;
-                              if (error) return self->close();
-                              if (size < atMost) self->discard(atMost - size);
-                            });
-  }
+void discard(std::size_t atMost) {
+  buffer_.clear();
+  socket_.async_read_some(buffer_.prepare(4096),
+                          [self = shared_from_this(), atMost](error_code error, std::size_t size) {
+                            if (self->state_ != State::HangingUp) return;
+                            if (error) return self->close();
+                            if (size < atMost) self->discard(atMost - size);
+                          });
+}
 
-  Server& server_;
-  tcp::socket socket_;
-  Deadlines::Deadline deadline_;
-  Deadlines::Deadline leaver_;  // the next look for one
-  beast::flat_buffer buffer_;
-  std::optional<http::request_parser<relay::PiecesBody>> parser_;
-  std::optional<relay::Pace> pace_;      // of the body
-  relay::Budget::Share held_;            // of a large body that is read whole
-  relay::Budget::Share ahead_;           // of what is read ahead of an answer
-  std::shared_ptr<Upload> upload_;       // of one that is not
-  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
-  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
-  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
-  unsigned version_ = 11;                // of the request's HTTP
-  bool uploading_ = false, readingBody_ = false;
-  StreamWriter writer_;                 // of an answer that streams
-  bool waitsToWrite_ = false;           // for the client to take more of it
-  std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
-  std::string head_, body_;             // of the answer
-  bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
-  RequestId request_ = 0;
-  Clock::time_point arrivedAt_;
-  std::uint64_t trace_ = 0;
-  const admission::Door::Place place_;
-  State state_ = State::Idle;
-  bool keepAlive_ = true;
-  bool watching_ = false;
-  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
-  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
+Server& server_;
+tcp::socket socket_;
+Deadlines::Deadline deadline_;
+Deadlines::Deadline leaver_;  // the next look for one
+beast::flat_buffer buffer_;
+std::optional<http::request_parser<relay::PiecesBody>> parser_;
+std::optional<relay::Pace> pace_;      // of the body
+relay::Budget::Share held_;            // of a large body that is read whole
+relay::Budget::Share ahead_;           // of what is read ahead of an answer
+std::shared_ptr<Upload> upload_;       // of one that is not
+std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
+Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
+std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
+unsigned version_ = 11;                // of the request's HTTP
+bool uploading_ = false, readingBody_ = false;
+StreamWriter writer_;                 // of an answer that streams
+bool waitsToWrite_ = false;           // for the client to take more of it
+std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
+std::string head_, body_;             // of the answer
+bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
+RequestId request_ = 0;
+Clock::time_point arrivedAt_;
+Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
+std::uint64_t trace_ = 0;
+const admission::Door::Place place_;
+State state_ = State::Idle;
+bool keepAlive_ = true;
+bool watching_ = false;
+bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
+bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
 };
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -814,6 +849,9 @@
     acceptor_.listen();
   }
   acceptor_.non_blocking(true);
+  // Asio would pass over a connection that ended in the queue and wait for the next one to come, while others
+  // stand there already.
+  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 Server::~Server() {
@@ -829,9 +867,12 @@
     // What was accepted counts as taken, also when the acceptor has been closed since.
     if (!error) admit(std::move(socket));
     if (!acceptor_.is_open()) return;
-    if (error && error != asio::error::connection_aborted) {
+    failedAccepts_ = error ? failedAccepts_ + 1 : 0;
+    const bool isShort = isOfTheSystem(error);
+    if (isShort || failedAccepts_ >= kMaxFailedAccepts) {
       // Guards against a loop that spins when descriptors have run out.
-      makeRoom();
+      if (isShort) makeRoom();
+      failedAccepts_ = 0;
       timer_.expires_after(kAcceptPause);
       return waitForRoom();
     }
@@ -1068,12 +1109,15 @@
 
 void Server::closeAcceptor() {
   // Whatever stands in the queue counts as taken, unless another process reads it too.
-  while (!config_.listener) {
+  // One that has ended there, or the want of a descriptor, says nothing of those behind.
+  for (int failed = 0; !config_.listener && failed < kMaxFailedAccepts;) {
     error_code error;
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (error) break;
-    admit(std::move(socket));
+    if (error == asio::error::would_block) break;
+    failed = error ? failed + 1 : 0;
+    if (isOfTheSystem(error)) makeRoom();
+    if (!error) admit(std::move(socket));
   }
   // Closed, and never shut down: an inherited one stays open for the other process.
   error_code ignored;
