--- a/src/console/console_io.cpp
+++ b/src/console/console_io.cpp
@@ -9,6 +9,7 @@
 #include <optional>
 #include <string>
 #include <utility>
+#include <variant>
 
 namespace ivypost::console {
 namespace {
@@ -103,20 +104,25 @@
     });
   }
 
-  Reply reply(error_code error) const {
-    if (error == http::error::header_limit) return {431, "header over 8 KiB"};
-    if (error == http::error::body_limit) return {413, "body over 16 KiB"};
-    if (error) return {400, "malformed HTTP: " + error.message()};
+  std::variant<Call, Reply> routed(error_code error) const {
+    if (error == http::error::header_limit) return Reply{431, "header over 8 KiB"};
+    if (error == http::error::body_limit) return Reply{413, "body over 16 KiB"};
+    if (error) return Reply{400, "malformed HTTP: " + error.message()};
     const auto& call = parser_.get();
     const auto method = call.method_string();
     const auto target = call.target();
-    const auto routed = route({method.data(), method.size()}, {target.data(), target.size()});
-    if (const auto* wrong = std::get_if<Reply>(&routed)) return *wrong;
-    return owner_->handler_(std::get<Call>(routed));
+    return route({method.data(), method.size()}, {target.data(), target.size()});
   }
 
   void answer(error_code error) {
-    const Reply said = reply(error);
+    const auto call = routed(error);
+    if (const auto* wrong = std::get_if<Reply>(&call)) return send(*wrong);
+    owner_->handler_(std::get<Call>(call),
+                     [self = shared_from_this()](const Reply& reply) { self->send(reply); });
+  }
+
+  void send(const Reply& said) {
+    if (owner_ == nullptr || answered_) return;
     answered_ = true;
     const auto reason = http::obsolete_reason(static_cast<http::status>(said.status));
     text_ = "HTTP/1.1 " + std::to_string(said.status) + " " + std::string(reason) +
--- a/src/console/console_io.h
+++ b/src/console/console_io.h
@@ -19,7 +19,10 @@
 
 class Console {
  public:
-  using Handler = std::function<Reply(const Call&)>;
+  // Sends the answer of one call; the second time, or when the caller has gone, it does nothing.
+  using Answer = std::function<void(const Reply&)>;
+  // Answers at once or later, from the event loop.
+  using Handler = std::function<void(const Call&, Answer)>;
   // Connections held at once. The one that has been without a whole call for longest gives way to the next.
   static constexpr std::size_t kMost = 24;
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -366,8 +366,9 @@
 
 void Sidecar::openConsole() {
   try {
-    console_ = std::make_unique<console::Console>(io_, *config_.console,
-                                                  [this](const console::Call& call) { return onCall(call); });
+    console_ = std::make_unique<console::Console>(
+        io_, *config_.console,
+        [this](const console::Call& call, const console::Console::Answer& answer) { answer(onCall(call)); });
     if (consoleFailed_) log("the console listens now");
   } catch (const boost::system::system_error& error) {
     if (!std::exchange(consoleFailed_, true))
--- a/tests/console/console_io_test.cpp
+++ b/tests/console/console_io_test.cpp
@@ -51,10 +51,16 @@
 class ConsoleTest : public testing::Test {
  protected:
   ConsoleTest()
-      : console(io, {asio::ip::address_v4::loopback(), 0}, [this](const Call& call) {
-          calls.push_back(call);
-          return Reply{200, "done"};
-        }) {}
+      : console(io, {asio::ip::address_v4::loopback(), 0},
+                [this](const Call& call, const Console::Answer& answer) {
+                  calls.push_back(call);
+                  if (late) {
+                    answers.push_back(answer);
+                    return;
+                  }
+                  answer({200, "done"});
+                  answer({500, "a second answer"});
+                }) {}
 
   bool wait(const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -75,6 +81,8 @@
 
   asio::io_context io;
   std::vector<Call> calls;
+  bool late = false;  // calls are answered by the test
+  std::vector<Console::Answer> answers;
   Console console;
 };
 
@@ -142,10 +150,40 @@
   EXPECT_FALSE(holders.back().closed());
 }
 
+TEST_F(ConsoleTest, ALateAnswerIsSentOnceAndOthersAreServedMeanwhile) {
+  late = true;
+  Caller waits(io, console.port());
+  waits.send("POST /api/exclude/s-1 HTTP/1.1\r\n\r\n");
+  ASSERT_TRUE(wait([&] { return answers.size() == 1; }));
+  late = false;
+  EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\n\r\n").status(), "HTTP/1.1 200");
+  EXPECT_TRUE(waits.got().empty());
+  answers[0]({503, "late"});
+  answers[0]({200, "again"});
+  ASSERT_TRUE(wait([&] { return waits.closed(); }));
+  EXPECT_EQ(waits.status(), "HTTP/1.1 503");
+  EXPECT_EQ(waits.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
+}
+
+TEST(Console, ALateAnswerMayOutliveIt) {
+  asio::io_context io;
+  Console::Answer kept;
+  auto console = std::make_unique<Console>(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
+                                           [&](const Call&, Console::Answer answer) { kept = answer; });
+  const Caller caller(io, console->port());
+  caller.send("GET /api/ready HTTP/1.1\r\n\r\n");
+  while (!kept) io.run_one_for(std::chrono::milliseconds(50));
+  console.reset();
+  kept({200, "too late"});
+  io.restart();
+  io.poll();
+  EXPECT_TRUE(caller.got().empty());
+}
+
 TEST(Console, AnAddressInUseIsAnError) {
   asio::io_context io;
   const tcp::acceptor other(io, {asio::ip::address_v4::loopback(), 0});
-  EXPECT_THROW(Console(io, other.local_endpoint(), [](const Call&) { return Reply{}; }),
+  EXPECT_THROW(Console(io, other.local_endpoint(), [](const Call&, const Console::Answer&) {}),
                boost::system::system_error);
 }
 
