--- a/src/rotation/rotation_file.cpp
+++ b/src/rotation/rotation_file.cpp
@@ -3,154 +3,247 @@
 
 #include <fcntl.h>
 #include <sys/file.h>
-#include <unistd.h>
 
 #include <cerrno>
-#include <chrono>
-#include <cstdio>
-#include <cstring>
 #include <stdexcept>
-#include <thread>
-#include <utility>
+#include <string_view>
 
 namespace ivypost::rotation {
 namespace {
 
 // No set that parse() takes is larger.
 constexpr std::size_t kMaxText = 2 * Rotation::kMost * (6 * Rotation::kMaxId + 32);
-// The other process holds the lock for some microseconds; the event loop waits for it so often, a millisecond
-// each.
-constexpr int kLockTries = 50;
+// Files written for one change. A failed sync may be a matter of that file's pages, so one more is written;
+// if that fails too the disk is at fault, and the event loop has waited for it long enough.
+constexpr int kWritesPerChange = 2;
+constexpr mode_t kOwnerOnly = 0600;
 
-// A descriptor that is closed when it goes.
-class Descriptor {
+class FileErrorCategory : public std::error_category {
  public:
-  explicit Descriptor(int number) : number_(number) {}
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
-  ~Descriptor() {
-    if (number_ >= 0) ::close(number_);
+  const char* name() const noexcept override { return "ivypost.rotation"; }
+  std::string message(int value) const override {
+    switch (static_cast<FileError>(value)) {
+      case FileError::NoFolder:
+        return "there is no folder for it";
+      case FileError::Busy:
+        return "the other process holds the file";
+    }
+    return "unknown error";
   }
-  int number() const { return number_; }
-  bool open() const { return number_ >= 0; }
-  // Closes it now and tells whether all that was written is kept.
-  bool finish() { return ::close(std::exchange(number_, -1)) == 0; }
-
- private:
-  int number_;
 };
 
-std::string reason() {
-  return std::strerror(errno);
+std::error_code lastError() {
+  return {errno, std::generic_category()};
 }
 
-bool writeAll(int file, const std::string& text) {
-  std::size_t done = 0;
-  while (done < text.size()) {
-    const ssize_t size = ::write(file, text.data() + done, text.size() - done);
+std::error_code writeAll(FileOperations& files, int file, std::string_view text) {
+  while (!text.empty()) {
+    const ssize_t size = files.write(file, text.data(), text.size());
     if (size < 0 && errno == EINTR) continue;
-    if (size <= 0) return false;
-    done += static_cast<std::size_t>(size);
+    if (size < 0) return lastError();
+    if (size == 0) return std::make_error_code(std::errc::no_space_on_device);
+    text.remove_prefix(static_cast<std::size_t>(size));
   }
-  return true;
+  return {};
 }
 
-// Throws std::runtime_error. An empty text: there is no file.
-std::string readAll(const std::string& path) {
-  const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
-  if (!file.open()) {
-    if (errno == ENOENT) return {};
-    throw std::runtime_error(reason());
-  }
-  std::string text(kMaxText + 1, '\0');
+// At most kMaxText + 1 bytes: one more than a good file has.
+std::error_code readAll(FileOperations& files, int file, std::string& text) {
+  text.assign(kMaxText + 1, '\0');
   std::size_t size = 0;
   while (size < text.size()) {
-    const ssize_t got = ::read(file.number(), text.data() + size, text.size() - size);
+    const ssize_t got = files.read(file, text.data() + size, text.size() - size);
     if (got < 0 && errno == EINTR) continue;
-    if (got < 0) throw std::runtime_error(reason());
+    if (got < 0) return lastError();
     if (got == 0) break;
     size += static_cast<std::size_t>(got);
   }
-  if (size > kMaxText) throw std::runtime_error("too large");
-  if (size == 0) throw std::runtime_error("empty");
   text.resize(size);
-  return text;
+  return {};
 }
 
-bool lock(int file) {
-  for (int n = 0; n < kLockTries; ++n) {
-    if (::flock(file, LOCK_EX | LOCK_NB) == 0) return true;
-    if (errno != EWOULDBLOCK && errno != EINTR) return false;
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));
-  }
-  return false;
+// Throws std::runtime_error, one line, for content that is none of ours.
+Rotation parsed(const std::string& text) {
+  if (text.empty()) throw std::runtime_error("empty");
+  if (text.size() > kMaxText) throw std::runtime_error("too large");
+  return Rotation::parse(text);
+}
+
+bool sameTime(const timespec& a, const timespec& b) {
+  return a.tv_sec == b.tv_sec && a.tv_nsec == b.tv_nsec;
+}
+
+// Times are compared for being the same only, so that a step of the clock either way hides nothing.
+bool sameVersion(const struct stat& a, const struct stat& b) {
+  return a.st_dev == b.st_dev && a.st_ino == b.st_ino && a.st_size == b.st_size &&
+         sameTime(a.st_mtim, b.st_mtim) && sameTime(a.st_ctim, b.st_ctim);
 }
 
 }  // namespace
 
-bool RotationFile::Stamp::operator==(const Stamp& other) const {
-  return inode == other.inode && size == other.size && modified.tv_sec == other.modified.tv_sec &&
-         modified.tv_nsec == other.modified.tv_nsec;
+std::error_code make_error_code(FileError error) {
+  static const FileErrorCategory category;
+  return {static_cast<int>(error), category};
 }
 
-RotationFile::RotationFile(std::string folder, std::function<void(const std::string&)> log)
-    : log_(std::move(log)) {
-  if (!folder.empty()) path_ = std::move(folder) + "/ivypost-excluded.json";
+RotationFile::RotationFile(std::string folder, std::function<void(const std::string&)> log,
+                           FileOperations& files)
+    : folder_(std::move(folder)), log_(std::move(log)), files_(files) {
+  if (folder_.empty()) return;
+  path_ = folder_ + "/ivypost-excluded.json";
+  if (files_.writable(folder_.c_str()) != 0)
+    log_("exclusions can't be changed, the folder can't be written to: " + folder_ + ": " +
+         lastError().message());
 }
 
-std::optional<RotationFile::Stamp> RotationFile::stamp() const {
-  struct stat found {};
-  if (path_.empty() || ::stat(path_.c_str(), &found) != 0) return std::nullopt;
-  return Stamp{found.st_ino, found.st_size, found.st_mtim};
+// Closing the descriptor unlocks.
+RotationFile::Lock RotationFile::tryLock(int operation) {
+  const int flags = operation == LOCK_EX ? O_RDWR | O_CREAT : O_RDONLY;
+  Lock lock{{files_, files_.open((path_ + ".lock").c_str(), flags | O_CLOEXEC, kOwnerOnly)}, {}};
+  if (!lock.file.open()) {
+    lock.error = lastError();
+  } else if (files_.tryLock(lock.file.number(), operation) != 0) {
+    lock.error = errno == EWOULDBLOCK || errno == EINTR ? make_error_code(FileError::Busy) : lastError();
+  }
+  return lock;
+}
+
+std::error_code RotationFile::openVersion(std::optional<Version>& version) {
+  Version found{{files_, files_.open(path_.c_str(), O_RDONLY | O_CLOEXEC, 0)}, {}};
+  if (!found.file.open() || ::fstat(found.file.number(), &found.status) != 0) return lastError();
+  version = std::move(found);
+  return {};
+}
+
+bool RotationFile::isSeen() const {
+  struct stat now {};
+  return seen_ && ::stat(path_.c_str(), &now) == 0 && sameVersion(now, seen_->status);
 }
 
 std::optional<Rotation> RotationFile::read() {
-  const auto now = stamp();
-  if (!now || now == seen_) return std::nullopt;
-  seen_ = now;
+  const bool first = !std::exchange(hasRead_, true);
+  struct stat found {};
+  if (path_.empty() || isSeen() || (::stat(path_.c_str(), &found) != 0 && errno == ENOENT))
+    return std::nullopt;
+  const Lock lock = tryLock(LOCK_SH);
+  // What another process is writing may yet be taken back. A process that starts takes what there is: an
+  // earlier change must be in force from the first request on.
+  if (!first && lock.error == FileError::Busy) return std::nullopt;
+  std::optional<Version> version;
+  std::string text;
+  std::error_code error = openVersion(version);
+  if (!error) error = readAll(files_, version->file.number(), text);
+  if (error) {
+    if (error != std::errc::no_such_file_or_directory && !std::exchange(hasLoggedFailure_, true))
+      log_("the file of excluded upstreams can't be read, and is tried again: " + error.message());
+    return std::nullopt;
+  }
+  hasLoggedFailure_ = false;
+  seen_ = std::move(version);
+  restoreTo_.reset();
   try {
-    const std::string text = readAll(path_);
-    if (text.empty()) return std::nullopt;
-    return Rotation::parse(text);
-  } catch (const std::runtime_error& error) {
-    log_("the file of excluded upstreams is left alone: " + std::string(error.what()));
+    return parsed(text);
+  } catch (const std::runtime_error& bad) {
+    log_("the file of excluded upstreams is left alone: " + std::string(bad.what()));
     return std::nullopt;
   }
 }
 
-bool RotationFile::change(Rotation& current, const std::function<void(Rotation&)>& change, std::string& why) {
-  if (path_.empty()) {
-    why = "TMPDIR is not set, so it can't be kept";
-    return false;
+std::error_code RotationFile::change(Rotation& current, const std::function<bool(Rotation&)>& change) {
+  if (path_.empty()) return FileError::NoFolder;
+  const Lock lock = tryLock(LOCK_EX);
+  if (lock.error) return lock.error;
+  Content before;
+  if (const auto error = content(before)) return error;
+  Rotation next = current;
+  try {
+    if (before) next = parsed(*before);
+  } catch (const std::runtime_error& bad) {
+    log_("the file of excluded upstreams is replaced: " + std::string(bad.what()));
   }
-  const Descriptor lockFile(::open((path_ + ".lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-  if (!lockFile.open()) {
-    why = "it can't be kept: " + reason();
-    return false;
+  if (change(next)) {
+    if (const auto error = replace(next.text(), before)) return error;
   }
-  if (!lock(lockFile.number())) {
-    why = "it can't be kept: the other process holds the file";
-    return false;
+  current = std::move(next);
+  return {};
+}
+
+// What the file holds; none if there is no file.
+std::error_code RotationFile::content(Content& text) {
+  if (restoreTo_ && isSeen()) {
+    text = *restoreTo_;
+    return {};
   }
-  Rotation next = current;
-  try {
-    const std::string text = readAll(path_);
-    if (!text.empty()) next = Rotation::parse(text);
-  } catch (const std::runtime_error& error) {
-    log_("the file of excluded upstreams is replaced: " + std::string(error.what()));
+  std::optional<Version> version;
+  std::error_code error = openVersion(version);
+  if (error == std::errc::no_such_file_or_directory) return {};
+  if (!error) error = readAll(files_, version->file.number(), text.emplace());
+  return error;
+}
+
+std::error_code RotationFile::replace(const std::string& text, const Content& before) {
+  bool renamed = false;
+  Written written;
+  for (int n = 0; n < kWritesPerChange; ++n) {
+    written = write(text);
+    renamed = renamed || written.renamed;
+    if (!written.error || !written.syncFailed) break;
+  }
+  if (!written.error) {
+    rememberVersion();
+    restoreTo_.reset();
+  } else if (renamed) {
+    restore(before, written.error);
   }
-  change(next);
+  return written.error;
+}
+
+// Writes a file of its own, syncs it and puts it in the place of the one there is.
+RotationFile::Written RotationFile::write(const std::string& text) {
   const std::string fresh = path_ + ".new";
-  Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-  if (!file.open() || !writeAll(file.number(), next.text()) || !file.finish() ||
-      ::rename(fresh.c_str(), path_.c_str()) != 0) {
-    why = "it can't be kept: " + reason();
-    ::unlink(fresh.c_str());
-    return false;
+  files_.unlink(fresh.c_str());  // of a process that was killed
+  // Opened first: what can't be opened can't be synced, and then nothing should be renamed.
+  const Descriptor folder(files_, files_.open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC, 0));
+  if (!folder.open()) return {lastError()};
+  Descriptor file(files_, files_.open(fresh.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kOwnerOnly));
+  if (!file.open()) return {lastError()};
+  Written written{writeAll(files_, file.number(), text)};
+  if (!written.error && files_.sync(file.number()) != 0) written = {lastError(), false, true};
+  if (!file.finish() && !written.error) written.error = lastError();
+  if (!written.error && files_.rename(fresh.c_str(), path_.c_str()) != 0) written.error = lastError();
+  if (written.error) {
+    files_.unlink(fresh.c_str());
+    return written;
   }
-  seen_ = stamp();
-  current = std::move(next);
-  return true;
+  written.renamed = true;
+  // A file system that has no sync of folders says EINVAL: it has nothing to be kept that way.
+  if (files_.sync(folder.number()) != 0 && errno != EINVAL) written = {lastError(), true, true};
+  return written;
+}
+
+// The file holds a change that is going to be reported as failed: the earlier content is put back.
+void RotationFile::restore(const Content& before, const std::error_code& cause) {
+  std::error_code error;
+  if (before) {
+    const Written written = write(*before);
+    if (!written.renamed) error = written.error;
+  } else if (files_.unlink(path_.c_str()) != 0) {
+    error = lastError();
+  }
+  if (!error) {
+    log_("a change of the excluded upstreams could not be synced and is taken back: " + cause.message());
+    return;
+  }
+  log_("a change of the excluded upstreams was reported as failed, but its file can't be restored: " +
+       error.message());
+  rememberVersion();
+  restoreTo_ = before;
+}
+
+// The file as it is now holds nothing that this process has to read.
+void RotationFile::rememberVersion() {
+  seen_.reset();
+  openVersion(seen_);
 }
 
 }  // namespace ivypost::rotation
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -23,6 +23,11 @@
 constexpr microseconds kWindowMargin{10'000};
 // How soon this process hears of what operators have told the other one, while one replaces the other.
 constexpr std::chrono::milliseconds kRotationEvery{100};
+// The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
+// disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
+constexpr std::chrono::milliseconds kLockRetryEvery{5};
+constexpr std::chrono::milliseconds kLockPatience{2000};
+constexpr const char* kLockHeld = "it can't be kept: the other process holds the file";
 // The console's address is tried again so often when it can't be bound.
 constexpr std::chrono::milliseconds kConsoleAgain{1000};
 
@@ -74,8 +79,9 @@
              {[this] { return gauges(); }, [this](levels::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty()}, now()),
       lifecycleTimer_(io),
-      rotationFile_(config_.tempFolder, log),
+      rotationFile_(config_.console ? config_.tempFolder : std::string(), log),
       rotationTimer_(io),
+      changeTimer_(io),
       consoleTimer_(io) {
   level_.adopt(file.levels);
   peersAs_ = file.peers;
@@ -367,8 +373,9 @@
 void Sidecar::openConsole() {
   try {
     console_ = std::make_unique<console::Console>(
-        io_, *config_.console,
-        [this](const console::Call& call, const console::Console::Answer& answer) { answer(onCall(call)); });
+        io_, *config_.console, [this](const console::Call& call, console::Console::Answer answer) {
+          onCall(call, std::move(answer));
+        });
     if (consoleFailed_) log("the console listens now");
   } catch (const boost::system::system_error& error) {
     if (!std::exchange(consoleFailed_, true))
@@ -380,24 +387,47 @@
   }
 }
 
-console::Reply Sidecar::onCall(const console::Call& call) {
+void Sidecar::onCall(const console::Call& call, console::Console::Answer answer) {
   using What = console::Call::What;
   switch (call.what) {
     case What::Ready:
-      return {lifecycle_.effects().ready ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())};
+      return answer({lifecycle_.effects().ready ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
     case What::Evacuate:
     case What::Rejoin:
-      if (lifecycle_.state() == lifecycle::State::Stopping) return {409, "the sidecar is stopping"};
+      if (lifecycle_.state() == lifecycle::State::Stopping) return answer({409, "the sidecar is stopping"});
       onLifecycle(call.what == What::Evacuate ? lifecycle::Event::Evacuate : lifecycle::Event::Rejoin);
-      return {200, lifecycle::nameOf(lifecycle_.state())};
+      return answer({200, lifecycle::nameOf(lifecycle_.state())});
     case What::Exclude:
     case What::Include:
-      return changeRotation(call);
+      return queueChange({call, std::move(answer), Clock::now() + kLockPatience});
   }
-  return {404, "unknown call"};
 }
 
-console::Reply Sidecar::changeRotation(const console::Call& call) {
+void Sidecar::queueChange(PendingChange change) {
+  if (pendingChanges_.size() >= console::Console::kMost) return change.answer({503, kLockHeld});
+  pendingChanges_.push_back(std::move(change));
+  if (pendingChanges_.size() == 1) tryNextChange();
+}
+
+// One change a turn: each waits for the disk.
+void Sidecar::tryNextChange() {
+  const auto reply = changeRotation(pendingChanges_.front().call);
+  if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryEvery);
+  const PendingChange done = std::move(pendingChanges_.front());
+  pendingChanges_.pop_front();
+  if (!pendingChanges_.empty()) scheduleNextChange(Clock::duration::zero());
+  done.answer(reply.value_or(console::Reply{503, kLockHeld}));
+}
+
+void Sidecar::scheduleNextChange(Clock::duration after) {
+  changeTimer_.expires_after(after);
+  changeTimer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) tryNextChange();
+  });
+}
+
+// None: the other process holds the lock.
+std::optional<console::Reply> Sidecar::changeRotation(const console::Call& call) {
   using Change = rotation::Rotation::Change;
   const bool exclude = call.what == console::Call::What::Exclude;
   const auto named = ids_.find(call.upstream);
@@ -405,19 +435,25 @@
   rotation::Rotation next = rotation_;
   Change change = Change::None;
   bool unknown = false;
-  std::string why;
   const auto apply = [&](rotation::Rotation& current) {
     unknown = !listed && !current.isOut(call.upstream);
-    if (unknown) return;
+    if (unknown) return false;
     change = exclude ? current.exclude(call.upstream) : current.include(call.upstream, unixNow() / 1000);
+    return change != Change::Full;
   };
-  if (!rotationFile_.change(next, apply, why)) return {503, why};
+  if (const auto error = rotationFile_.change(next, apply)) {
+    if (error == rotation::FileError::Busy) return std::nullopt;
+    if (error == rotation::FileError::NoFolder)
+      return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
+    return console::Reply{503, "it can't be kept: " + error.message()};
+  }
   onRotation(std::move(next));
-  if (unknown) return {404, "no upstream has this id"};
-  if (change == Change::Full) return {503, "too many upstreams are out, or the id is too long"};
+  if (unknown) return console::Reply{404, "no upstream has this id"};
+  if (change == Change::Full) return console::Reply{503, "too many upstreams are out, or the id is too long"};
   if (change == Change::Done) log((exclude ? "excluded by hand: " : "included by hand: ") + call.upstream);
   const bool out = rotation_.isOut(call.upstream);
-  return {200, std::string(change == Change::None ? "already " : "") + (out ? "excluded" : "included")};
+  return console::Reply{
+      200, std::string(change == Change::None ? "already " : "") + (out ? "excluded" : "included")};
 }
 
 // ---- Peers
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -8,6 +8,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
+#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
@@ -86,6 +87,13 @@
     std::uint32_t uses = 0;  // attempts of requests not forgotten yet, and probes out
   };
 
+  // An operator's call that changes the exclusions, until it is answered.
+  struct PendingChange {
+    console::Call call;
+    console::Console::Answer answer;
+    Clock::time_point until;  // the lock is tried for
+  };
+
   void onTaken(ClientRequest client);
   void onOver(orchiddrum::RequestId id);
   void onWritten(AttemptId id);
@@ -97,8 +105,11 @@
   void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void onRotation(rotation::Rotation next);
-  console::Reply onCall(const console::Call& call);
-  console::Reply changeRotation(const console::Call& call);
+  void onCall(const console::Call& call, console::Console::Answer answer);
+  void queueChange(PendingChange change);
+  void tryNextChange();
+  void scheduleNextChange(Clock::duration after);
+  std::optional<console::Reply> changeRotation(const console::Call& call);
   void openConsole();
   void watchRotation();
   void onLevel(levels::Level level);
@@ -159,7 +170,8 @@
   std::function<void()> stopped_;
   rotation::Rotation rotation_;
   rotation::RotationFile rotationFile_;
-  boost::asio::steady_timer rotationTimer_, consoleTimer_;
+  std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
+  boost::asio::steady_timer rotationTimer_, changeTimer_, consoleTimer_;
   peers::Options peersAs_;            // as the operator has set them
   std::unique_ptr<FleetView> fleet_;  // none: off
   bool consoleFailed_ = false;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -2,6 +2,8 @@
 //
 // Daily operation over loopback sockets: the operators' console, upstreams out by hand, drains, and two
 // sidecars on one listening socket. Tests wait for events, never for a time.
+#include <fcntl.h>
+#include <sys/file.h>
 #include <unistd.h>
 
 #include <cstdlib>
@@ -74,6 +76,20 @@
     return std::string(16 - text.size(), '0') + text;
   }
 
+  // A call whose answer may be late.
+  Client caller(const std::string& path) {
+    Client one(io, sidecar->consolePort().value());
+    one.send("POST " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+    return one;
+  }
+
+  // Holds the lock of the exclusions' file, as the other process of a replacement does, until it is closed.
+  int holdLock() const {
+    const int file = open((folder + "/ivypost-excluded.json.lock").c_str(), O_RDWR | O_CREAT, 0600);
+    EXPECT_EQ(flock(file, LOCK_EX), 0);
+    return file;
+  }
+
   // A list that discovery tells now.
   void tell(bool whole) {
     const std::size_t before = watches();
@@ -194,6 +210,62 @@
   EXPECT_TRUE(used) << "a no must change nothing";
 }
 
+TEST_F(OperationsTest, AFolderThatCannotBeWrittenToIsNamedOnceAtTheStart) {
+  std::filesystem::remove_all(folder);
+  testing::internal::CaptureStderr();
+  operate(1);
+  EXPECT_EQ(serve(trace(1)), 0U);
+  EXPECT_EQ(post("/api/exclude/s-0"), 503U);
+  const std::string said = testing::internal::GetCapturedStderr();
+  const auto at = said.find("exclusions can't be changed");
+  ASSERT_NE(at, std::string::npos) << said;
+  EXPECT_NE(said.find(folder, at), std::string::npos);
+  EXPECT_EQ(said.find("exclusions can't be changed", at + 1), std::string::npos);
+}
+
+// The other process writes: the call is answered when it has ended, and the loop runs on meanwhile.
+TEST_F(OperationsTest, ACallWaitsForTheLockWhileOthersAreServed) {
+  operate(1);
+  const int held = holdLock();
+  const Client first = caller("/api/exclude/s-0");
+  const Client second = caller("/api/include/s-0");
+  EXPECT_EQ(serve(trace(1)), 0U);
+  EXPECT_EQ(call("GET", "/api/ready"), 200U);
+  EXPECT_EQ(first.answers() + second.answers(), 0U);
+  close(held);
+  ASSERT_TRUE(wait([&] { return first.answers() == 1 && second.answers() == 1; }));
+  EXPECT_EQ(first.answer(0).result_int(), 200U);
+  EXPECT_EQ(second.answer(0).result_int(), 200U);
+  EXPECT_EQ(second.answer(0).body(), "included\n") << "in the order of the calls";
+}
+
+TEST_F(OperationsTest, ALockThatStaysHeldIsANoInTime) {
+  operate(1);
+  const int held = holdLock();
+  const auto start = std::chrono::steady_clock::now();
+  EXPECT_EQ(post("/api/exclude/s-0"), 503U);
+  EXPECT_GE(std::chrono::steady_clock::now() - start, std::chrono::seconds(2));
+  EXPECT_EQ(serve(trace(1)), 0U) << "a no must change nothing";
+  close(held);
+  EXPECT_EQ(post("/api/exclude/s-0"), 200U);
+}
+
+// More calls than the console has connections, while the lock is held.
+TEST_F(OperationsTest, CallsThatWaitForTheLockAreBounded) {
+  operate(1);
+  const int held = holdLock();
+  std::deque<Client> waiting;
+  for (std::size_t n = 0; n < console::Console::kMost; ++n) waiting.push_back(caller("/api/exclude/s-0"));
+  // They are with the sidecar when a call behind them is answered.
+  const Client tooMany = caller("/api/include/s-0");
+  ASSERT_TRUE(wait([&] { return tooMany.answers() == 1; }));
+  EXPECT_EQ(tooMany.answer(0).result_int(), 503U);
+  close(held);
+  // The first has given its connection to the one too many.
+  ASSERT_TRUE(wait([&] { return waiting.back().answers() == 1; }));
+  for (std::size_t n = 1; n < waiting.size(); ++n) EXPECT_EQ(waiting[n].answer(0).result_int(), 200U) << n;
+}
+
 TEST_F(OperationsTest, ADrainEndsConnectionsAndLeavesThemUsableUntilThen) {
   operate(1);
   Client kept = client();
--- a/tests/rotation/rotation_file_test.cpp
+++ b/tests/rotation/rotation_file_test.cpp
@@ -6,16 +6,105 @@
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/file.h>
+#include <sys/wait.h>
 #include <unistd.h>
 
+#include <algorithm>
+#include <cerrno>
+#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
+#include <map>
+#include <sstream>
+#include <string_view>
 #include <vector>
 
 namespace ivypost::rotation {
 namespace {
 
+// The system's calls, one line for each that changes something, and some of them made to fail. A path is told
+// by its last part's ending.
+class TestFiles : public FileOperations {
+ public:
+  struct Fault {
+    std::string call;  // "write .new"
+    int error = EIO;
+    int times = 1;
+    int after = 0;  // calls that go well before
+  };
+
+  std::vector<std::string> calls;
+  std::vector<Fault> faults;
+  std::function<void()> onCall = [] {};  // behind each call
+
+  int open(const char* path, int flags, mode_t mode) override {
+    if (fails("open " + ending(path))) return -1;
+    const int file = FileOperations::open(path, flags, mode);
+    if (file >= 0) names_[file] = ending(path);
+    return done("open " + ending(path), file);
+  }
+  ssize_t read(int file, void* bytes, std::size_t size) override {
+    if (fails("read " + names_[file])) return -1;
+    return FileOperations::read(file, bytes, size);
+  }
+  // In pieces, as a system may.
+  ssize_t write(int file, const void* bytes, std::size_t size) override {
+    if (fails("write " + names_[file])) return -1;
+    return done("write " + names_[file], FileOperations::write(file, bytes, std::min<std::size_t>(size, 16)));
+  }
+  int sync(int file) override {
+    if (fails("sync " + names_[file])) return -1;
+    return done("sync " + names_[file], FileOperations::sync(file));
+  }
+  int close(int file) override {
+    const int result = FileOperations::close(file);
+    if (fails("close " + names_[file])) return -1;
+    return done("close " + names_[file], result);
+  }
+  int rename(const char* from, const char* to) override {
+    if (fails("rename " + ending(to))) return -1;
+    return done("rename " + ending(to), FileOperations::rename(from, to));
+  }
+  int unlink(const char* path) override {
+    if (fails("unlink " + ending(path))) return -1;
+    return done("unlink " + ending(path), FileOperations::unlink(path));
+  }
+  int tryLock(int file, int operation) override {
+    if (fails("lock")) return -1;
+    return done("lock", FileOperations::tryLock(file, operation));
+  }
+  int writable(const char* path) override {
+    if (fails("writable")) return -1;
+    return FileOperations::writable(path);
+  }
+
+ private:
+  static std::string ending(const char* path) {
+    const std::string extension = std::filesystem::path(path).extension();
+    return extension.empty() ? "folder" : extension;
+  }
+  bool fails(const std::string& call) {
+    for (Fault& fault : faults) {
+      if (fault.call != call || fault.times == 0 || fault.after-- > 0) continue;
+      --fault.times;
+      errno = fault.error;
+      return true;
+    }
+    return false;
+  }
+  template <typename Result>
+  Result done(const std::string& call, Result result) {
+    const int error = errno;
+    calls.push_back(call);
+    onCall();
+    errno = error;
+    return result;
+  }
+
+  std::map<int, std::string> names_;
+};
+
 class RotationFileTest : public testing::Test {
  protected:
   RotationFileTest() {
@@ -25,15 +114,23 @@
   }
   ~RotationFileTest() override { std::filesystem::remove_all(folder); }
 
-  RotationFile file() {
-    return {folder, [this](const std::string& line) { lines.push_back(line); }};
+  RotationFile file(FileOperations& files = systemFiles()) {
+    return {folder, [this](const std::string& line) { lines.push_back(line); }, files};
   }
   std::string path() const { return folder + "/ivypost-excluded.json"; }
   void write(const std::string& text) const { std::ofstream(path(), std::ios::binary) << text; }
-  static bool exclude(RotationFile& file, Rotation& rotation, const std::string& id) {
-    std::string why;
-    return file.change(
-        rotation, [&](Rotation& one) { one.exclude(id); }, why);
+  std::string content() const {
+    std::ostringstream text;
+    text << std::ifstream(path(), std::ios::binary).rdbuf();
+    return text.str();
+  }
+  // What a process that starts now takes as excluded.
+  bool isOutAfterAStart(const std::string& id) {
+    const auto read = file().read();
+    return read && read->isOut(id);
+  }
+  static std::error_code exclude(RotationFile& file, Rotation& rotation, const std::string& id) {
+    return file.change(rotation, [&](Rotation& one) { return one.exclude(id) != Rotation::Change::Full; });
   }
 
   std::string folder;
@@ -45,7 +142,7 @@
   RotationFile yours = file();
   EXPECT_FALSE(yours.read());
   Rotation rotation;
-  ASSERT_TRUE(exclude(mine, rotation, "a"));
+  ASSERT_FALSE(exclude(mine, rotation, "a"));
   EXPECT_FALSE(mine.read()) << "its own change is no news";
   const auto heard = yours.read();
   ASSERT_TRUE(heard);
@@ -58,8 +155,8 @@
   RotationFile mine = file();
   RotationFile yours = file();
   Rotation a, b;
-  ASSERT_TRUE(exclude(mine, a, "a"));
-  ASSERT_TRUE(exclude(yours, b, "b"));
+  ASSERT_FALSE(exclude(mine, a, "a"));
+  ASSERT_FALSE(exclude(yours, b, "b"));
   EXPECT_TRUE(b.isOut("a"));
   EXPECT_TRUE(mine.read()->isOut("b"));
 }
@@ -75,7 +172,7 @@
     EXPECT_EQ(lines.size(), 1U) << text;
     Rotation rotation;
     rotation.exclude("kept");
-    ASSERT_TRUE(exclude(mine, rotation, "b"));
+    ASSERT_FALSE(exclude(mine, rotation, "b"));
     const auto read = file().read();
     ASSERT_TRUE(read);
     EXPECT_TRUE(read->isOut("kept")) << "what the process had stays";
@@ -89,32 +186,354 @@
 
 TEST_F(RotationFileTest, WhatCannotBeKeptIsANo) {
   Rotation rotation;
-  std::string why;
   RotationFile nowhere(folder + "/missing", [](const std::string&) {});
-  EXPECT_FALSE(exclude(nowhere, rotation, "a"));
+  EXPECT_EQ(exclude(nowhere, rotation, "a"), std::errc::no_such_file_or_directory);
   RotationFile none("", [](const std::string&) {});
-  EXPECT_FALSE(exclude(none, rotation, "a"));
+  EXPECT_EQ(exclude(none, rotation, "a"), FileError::NoFolder);
   EXPECT_FALSE(none.read());
-  // A full disk looks so: the file to be written can't be.
   std::filesystem::create_directory(path() + ".new");
   RotationFile full = file();
-  EXPECT_FALSE(full.change(
-      rotation, [](Rotation& one) { one.exclude("a"); }, why));
-  EXPECT_NE(why.find("can't be kept"), std::string::npos);
-  EXPECT_EQ(why.find('\n'), std::string::npos);
+  const std::error_code error = exclude(full, rotation, "a");
+  EXPECT_EQ(error, std::errc::file_exists);
+  EXPECT_EQ(error.message().find('\n'), std::string::npos);
   EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_FALSE(std::filesystem::exists(path()));
 }
 
-// A process that stands still with the lock held must not hold up this one's loop.
-TEST_F(RotationFileTest, ALockThatStaysHeldIsANo) {
+// A process that stands still with the lock held must not hold up this one's loop: nothing waits, and the
+// caller is told to come again.
+TEST_F(RotationFileTest, ALockThatIsHeldIsBusyAtOnce) {
   const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
   ASSERT_GE(held, 0);
   ASSERT_EQ(flock(held, LOCK_EX), 0);
-  RotationFile mine = file();
+  TestFiles files;
+  RotationFile mine = file(files);
   Rotation rotation;
+  EXPECT_EQ(exclude(mine, rotation, "a"), FileError::Busy);
+  EXPECT_EQ(files.calls, (std::vector<std::string>{"open .lock", "lock", "close .lock"})) << "one try";
+  EXPECT_FALSE(rotation.isOut("a"));
+  close(held);
   EXPECT_FALSE(exclude(mine, rotation, "a"));
+}
+
+// What the other process is writing may yet be taken back; but a process that starts waits for nobody.
+TEST_F(RotationFileTest, AChangeInTheMakingIsReadAtAStartOnly) {
+  RotationFile running = file();
+  EXPECT_FALSE(running.read());
+  Rotation rotation;
+  RotationFile writer = file();
+  ASSERT_FALSE(exclude(writer, rotation, "a"));
+  const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
+  ASSERT_EQ(flock(held, LOCK_EX), 0);
+  EXPECT_FALSE(running.read());
+  EXPECT_TRUE(isOutAfterAStart("a"));
   close(held);
+  const auto read = running.read();
+  ASSERT_TRUE(read);
+  EXPECT_TRUE(read->isOut("a"));
+}
+
+// ---- A disk that fails ------------------------------------------------------------------------------------
+
+struct DiskFault {
+  const char* name;
+  std::vector<TestFiles::Fault> faults;
+  std::errc error;
+
+  friend void PrintTo(const DiskFault& fault, std::ostream* out) { *out << fault.name; }
+};
+
+class FailingDiskTest : public RotationFileTest, public testing::WithParamInterface<DiskFault> {};
+
+// Answered as not made: not in this process, not in the other one, not after a start, and nothing is left
+// over.
+TEST_P(FailingDiskTest, AChangeThatCannotBeKeptIsNotInForceAnywhere) {
+  for (const bool hasFile : {true, false}) {
+    std::filesystem::remove(path());
+    TestFiles files;
+    RotationFile mine = file(files);
+    RotationFile other = file();
+    Rotation rotation;
+    if (hasFile) {
+      ASSERT_FALSE(exclude(mine, rotation, "kept"));
+    }
+    const std::string before = content();
+    EXPECT_EQ(other.read().has_value(), hasFile);
+    files.faults = GetParam().faults;
+    if (hasFile || GetParam().faults[0].call != "read .json") {
+      EXPECT_EQ(exclude(mine, rotation, "a"), GetParam().error);
+    }
+    files.faults.clear();
+    EXPECT_FALSE(rotation.isOut("a"));
+    EXPECT_EQ(rotation.isOut("kept"), hasFile);
+    EXPECT_EQ(content(), before);
+    EXPECT_EQ(std::filesystem::exists(path()), hasFile);
+    EXPECT_FALSE(std::filesystem::exists(path() + ".new"));
+    const auto read = other.read();
+    EXPECT_FALSE(read && read->isOut("a"));
+    EXPECT_FALSE(isOutAfterAStart("a"));
+    EXPECT_EQ(isOutAfterAStart("kept"), hasFile);
+    // And the next one is made.
+    EXPECT_FALSE(exclude(mine, rotation, "b"));
+    EXPECT_TRUE(isOutAfterAStart("b"));
+    EXPECT_FALSE(isOutAfterAStart("a"));
+  }
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    RotationFile, FailingDiskTest,
+    testing::Values(
+        DiskFault{"NoSpaceAtOpen", {{"open .new", ENOSPC}}, std::errc::no_space_on_device},
+        DiskFault{"NoSpaceAtWrite", {{"write .new", ENOSPC}}, std::errc::no_space_on_device},
+        DiskFault{"NoSpaceHalfWay", {{"write .new", ENOSPC, 1, 2}}, std::errc::no_space_on_device},
+        DiskFault{"ErrorAtWrite", {{"write .new", EIO}}, std::errc::io_error},
+        DiskFault{"ErrorAtRead", {{"read .json", EIO}}, std::errc::io_error},
+        DiskFault{"NoDescriptor", {{"open folder", EMFILE}}, std::errc::too_many_files_open},
+        DiskFault{"ReadOnly", {{"open .lock", EROFS}}, std::errc::read_only_file_system},
+        DiskFault{"NoLocks", {{"lock", ENOLCK}}, std::errc::no_lock_available},
+        DiskFault{"SyncOfTheFile", {{"sync .new", EIO, 2}}, std::errc::io_error},
+        DiskFault{"NoSpaceAtSync", {{"sync .new", ENOSPC, 2}}, std::errc::no_space_on_device},
+        DiskFault{"Close", {{"close .new", EIO}}, std::errc::io_error},
+        DiskFault{"Rename", {{"rename .json", EIO}}, std::errc::io_error},
+        DiskFault{"SyncOfTheFolder", {{"sync folder", EIO, 2}}, std::errc::io_error},
+        DiskFault{"SyncOfTheFolderForGood", {{"sync folder", EIO, 9}}, std::errc::io_error},
+        DiskFault{
+            "FolderThenFile", {{"sync folder", EIO, 1}, {"sync .new", EIO, 1, 1}}, std::errc::io_error}),
+    [](const auto& one) { return one.param.name; });
+
+TEST_F(RotationFileTest, AChangeIsSyncedBeforeAndBehindItsRename) {
+  TestFiles files;
+  RotationFile mine = file(files);
+  Rotation rotation;
+  ASSERT_FALSE(exclude(mine, rotation, "a"));
+  std::vector<std::string> order;
+  for (const std::string& call : files.calls) {
+    const bool counts = call == "write .new" || call == "rename .json" || call.substr(0, 4) == "sync";
+    if (counts && (order.empty() || order.back() != call)) order.push_back(call);
+  }
+  EXPECT_EQ(order, (std::vector<std::string>{"write .new", "sync .new", "rename .json", "sync folder"}));
+}
+
+// The pages may be lost with the first failure, and then a second sync says that all is well.
+TEST_F(RotationFileTest, AfterAFailedSyncTheSetIsWrittenIntoAnotherFile) {
+  for (const char* call : {"sync .new", "sync folder"}) {
+    TestFiles files;
+    RotationFile mine = file(files);
+    Rotation rotation;
+    files.faults = {{call, EIO, 1}};
+    ASSERT_FALSE(exclude(mine, rotation, "a")) << call;
+    EXPECT_EQ(std::count(files.calls.begin(), files.calls.end(), "open .new"), 2) << call;
+    EXPECT_TRUE(isOutAfterAStart("a"));
+  }
+}
+
+TEST_F(RotationFileTest, AFileSystemWithoutSyncOfFoldersKeepsChangesAsItCan) {
+  TestFiles files;
+  RotationFile mine = file(files);
+  Rotation rotation;
+  files.faults = {{"sync folder", EINVAL, 9}};
+  EXPECT_FALSE(exclude(mine, rotation, "a"));
+  EXPECT_TRUE(isOutAfterAStart("a"));
+}
+
+// The folder's sync fails, and the disk is full when the earlier set is to be put back: the file holds what
+// was answered as not made. This process leaves it out, and the next change that is kept mends it.
+TEST_F(RotationFileTest, AFileThatCannotBeRestoredIsLoggedAndLeftOut) {
+  TestFiles files;
+  RotationFile mine = file(files);
+  Rotation rotation;
+  ASSERT_FALSE(exclude(mine, rotation, "kept"));
+  const auto writes = std::count(files.calls.begin(), files.calls.end(), "write .new");
+  files.calls.clear();
+  files.faults = {{"sync folder", EIO, 2}, {"rename .json", EIO, 1, 2}};
   EXPECT_TRUE(exclude(mine, rotation, "a"));
+  EXPECT_GT(std::count(files.calls.begin(), files.calls.end(), "write .new"), 2 * writes) << "it was tried";
+  ASSERT_EQ(lines.size(), 1U);
+  EXPECT_NE(lines[0].find("can't be restored"), std::string::npos);
+  EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_FALSE(mine.read()) << "it would bring the change into force";
+  ASSERT_FALSE(exclude(mine, rotation, "b"));
+  EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_TRUE(isOutAfterAStart("kept"));
+  EXPECT_TRUE(isOutAfterAStart("b"));
+  EXPECT_FALSE(isOutAfterAStart("a"));
+}
+
+TEST_F(RotationFileTest, AFolderThatCannotBeWrittenToIsNamedAtTheStartAndItsFileCounts) {
+  RotationFile writer = file();
+  Rotation rotation;
+  ASSERT_FALSE(exclude(writer, rotation, "a"));
+  TestFiles files;
+  files.faults = {{"writable", EROFS, 9}, {"open .lock", EROFS, 9}};
+  RotationFile mine = file(files);
+  ASSERT_EQ(lines.size(), 1U);
+  EXPECT_NE(lines[0].find(folder), std::string::npos);
+  EXPECT_NE(lines[0].find("Read-only"), std::string::npos);
+  EXPECT_EQ(lines[0].find('\n'), std::string::npos);
+  const auto read = mine.read();
+  ASSERT_TRUE(read);
+  EXPECT_TRUE(read->isOut("a"));
+  EXPECT_EQ(exclude(mine, rotation, "b"), std::errc::read_only_file_system);
+  EXPECT_EQ(lines.size(), 1U);
+}
+
+// A read that fails says nothing of the file: it is tried until it goes well.
+TEST_F(RotationFileTest, AReadThatFailsIsLoggedOnceAndTriedAgain) {
+  RotationFile writer = file();
+  Rotation rotation;
+  ASSERT_FALSE(exclude(writer, rotation, "a"));
+  for (const char* call : {"open .json", "read .json"}) {
+    lines.clear();
+    TestFiles files;
+    files.faults = {{call, EIO, 2}};
+    RotationFile mine = file(files);
+    EXPECT_FALSE(mine.read());
+    EXPECT_FALSE(mine.read());
+    EXPECT_EQ(lines.size(), 1U) << call;
+    const auto read = mine.read();
+    ASSERT_TRUE(read) << call;
+    EXPECT_TRUE(read->isOut("a"));
+  }
+}
+
+// ---- Times ------------------------------------------------------------------------------------------------
+
+void stepBack(const std::string& path, const timespec& to) {
+  const timespec times[2] = {to, to};
+  ASSERT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0);
+}
+
+// The clock is stepped back between two changes of one size, so that both bear one time.
+TEST_F(RotationFileTest, AStepOfTheClockHidesNoChange) {
+  const timespec once{1'700'000'000, 0};
+  const auto text = [](char id) {
+    return std::string("{\"version\":1,\"out\":[\"") + id + "\"],\"back\":{}}";
+  };
+  const auto publish = [&](char id) {
+    std::ofstream(path() + ".new", std::ios::binary) << text(id);
+    stepBack(path() + ".new", once);
+    std::filesystem::rename(path() + ".new", path());
+  };
+  RotationFile mine = file();
+  publish('a');
+  ASSERT_TRUE(mine.read());
+  for (const char id : {'b', 'c', 'd', 'e'}) {
+    // Two renames with one read: the first frees the number of the inode that was read, the second would get
+    // it.
+    publish('z');
+    publish(id);
+    const auto read = mine.read();
+    ASSERT_TRUE(read) << id;
+    EXPECT_TRUE(read->isOut(std::string(1, id)));
+  }
+  // In place, by an editor.
+  write(text('f'));
+  stepBack(path(), once);
+  const auto read = mine.read();
+  ASSERT_TRUE(read);
+  EXPECT_TRUE(read->isOut("f"));
+}
+
+// ---- Processes that are killed ----------------------------------------------------------------------------
+
+// A process makes the change of `id` and is killed behind its nth call; true: it was not, there are fewer.
+// What it answered is in `kept`.
+bool changeAndBeKilled(const std::string& folder, const std::vector<TestFiles::Fault>& faults, int nth,
+                       bool& kept) {
+  int line[2];
+  EXPECT_EQ(pipe(line), 0);
+  const pid_t child = fork();
+  if (child == 0) {
+    TestFiles files;
+    files.faults = faults;
+    int calls = 0;
+    files.onCall = [&] {
+      if (++calls == nth) ::raise(SIGKILL);
+    };
+    RotationFile file(
+        folder, [](const std::string&) {}, files);
+    Rotation rotation;
+    if (auto read = file.read()) rotation = std::move(*read);
+    const auto error = file.change(rotation, [](Rotation& one) {
+      one.exclude("new");
+      return true;
+    });
+    const char answer = error ? 'n' : 'y';
+    _exit(::write(line[1], &answer, 1) == 1 ? 0 : 1);
+  }
+  ::close(line[1]);
+  char answer = 0;
+  kept = ::read(line[0], &answer, 1) == 1 && answer == 'y';
+  ::close(line[0]);
+  int status = 0;
+  EXPECT_EQ(waitpid(child, &status, 0), child);
+  return WIFEXITED(status) && WEXITSTATUS(status) == 0;
+}
+
+TEST_F(RotationFileTest, AKillBehindAnyCallLeavesTheOldSetOrTheNewOne) {
+  const std::vector<std::vector<TestFiles::Fault>> disks = {
+      {}, {{"sync .new", EIO, 1}}, {{"sync folder", EIO, 1}}, {{"sync folder", EIO, 2}}};
+  for (const auto& faults : disks) {
+    bool ended = false;
+    int nth = 0;
+    while (!ended) {
+      std::filesystem::remove(path());
+      RotationFile mine = file();
+      Rotation rotation;
+      ASSERT_FALSE(exclude(mine, rotation, "old"));
+      bool kept = false;
+      ended = changeAndBeKilled(folder, faults, ++nth, kept);
+      ASSERT_LT(nth, 200);
+      Rotation found;
+      ASSERT_NO_THROW(found = Rotation::parse(content())) << "half a file behind call " << nth;
+      EXPECT_TRUE(found.isOut("old")) << nth;
+      EXPECT_TRUE(!kept || found.isOut("new")) << "answered as made, and gone behind call " << nth;
+      // Its lock went with it, and what it left over is in nobody's way.
+      ASSERT_FALSE(exclude(mine, rotation, "next")) << nth;
+      EXPECT_TRUE(isOutAfterAStart("old") && isOutAfterAStart("next"));
+    }
+    EXPECT_GT(nth, 10) << "calls of a change";
+  }
+}
+
+// The machine stops behind each call. Of a file that was not synced nothing is on the disk, and of a rename
+// whose folder was not synced it is anybody's guess.
+TEST_F(RotationFileTest, AStopOfTheMachineLeavesTheOldSetOrTheNewOne) {
+  for (int nth = 1;; ++nth) {
+    std::filesystem::remove(path());
+    RotationFile before = file();
+    Rotation rotation;
+    ASSERT_FALSE(exclude(before, rotation, "old"));
+    TestFiles files;
+    std::string disk = content();  // what the name surely stands for
+    std::string fresh;             // what has been synced of the file to be renamed
+    std::vector<std::string> mayBe{disk};
+    std::vector<std::string> atStop;
+    int calls = 0;
+    files.onCall = [&] {
+      const std::string& call = files.calls.back();
+      if (call == "open .new") fresh.clear();
+      if (call == "sync .new") {
+        std::ostringstream text;
+        text << std::ifstream(path() + ".new", std::ios::binary).rdbuf();
+        fresh = text.str();
+      }
+      if (call == "rename .json") mayBe.push_back(fresh);
+      if (call == "sync folder") mayBe.assign(1, mayBe.back());
+      if (++calls == nth) atStop = mayBe;
+    };
+    RotationFile mine = file(files);
+    ASSERT_FALSE(exclude(mine, rotation, "new"));
+    const bool answered = atStop.empty();
+    if (answered) atStop = mayBe;
+    for (const std::string& text : atStop) {
+      Rotation found;
+      ASSERT_NO_THROW(found = Rotation::parse(text)) << "nothing is left behind call " << nth;
+      EXPECT_TRUE(found.isOut("old"));
+      EXPECT_TRUE(!answered || found.isOut("new")) << "answered as made, and lost";
+    }
+    if (answered) break;
+  }
 }
 
 }  // namespace
