--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -515,312 +515,314 @@
                                                        self->readRestOfHead(mayBeEmptyLine);
                                                    });
                             });
-  });
-}
+  }
 
   void onHead(error_code error, bool mayBeEmptyLine) {
-  // RFC 9112, 2.2: an empty line ahead of a request is passed over.
-  if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
-    buffer_.consume(2);
-    return readHead(false);
-  }
-  if (error) return onRead(error);
-  version_ = parser_->get().version();
-  if (const auto flaw = flawOf(parser_->get())) {
-    keepAlive_ = false;
-    return write(server_.plain(flaw->status, flaw->why));
-  }
-  if (parser_->is_done()) return onRead(error);
-  if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
-  // A body that has come along costs less to read than a new connection would.
-  if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
-    if (auto refused = server_.refusesFromHead(parser_->get(), unreadFor())) {
+    // RFC 9112, 2.2: an empty line ahead of a request is passed over.
+    if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
+      buffer_.consume(2);
+      return readHead(false);
+    }
+    if (error) return onRead(error);
+    version_ = parser_->get().version();
+    if (const auto flaw = flawOf(parser_->get())) {
       keepAlive_ = false;
-      return write(std::move(*refused));
+      return write(server_.plain(flaw->status, flaw->why));
     }
+    if (parser_->is_done()) return onRead(error);
+    if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
+    // A body that has come along costs less to read than a new connection would.
+    if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
+      if (auto refused = server_.refusesFromHead(parser_->get(), unreadFor())) {
+        keepAlive_ = false;
+        return write(std::move(*refused));
+      }
+    }
+    if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
+    readBody();
   }
-  if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
-  readBody();
-}
 
-// The client waits for this before it sends the body.
-void goOn() {
-  static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-  busy_ = true;
-  network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
-    self->busy_ = false;
-    if (self->state_ != State::Reading) return;
-    if (error) return self->onRead(error);
-    self->readBody();
-  });
-}
+  // The client waits for this before it sends the body.
+  void goOn() {
+    static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+    busy_ = true;
+    network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
+      self->busy_ = false;
+      if (self->state_ != State::Reading) return;
+      if (error) return self->onRead(error);
+      self->readBody();
+    });
+  }
 
-void readBody() {
-  // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
-  if (parser_->chunked()) headers_ = parser_->get().base();
-  parser_->eager(true);
-  pace_.emplace(now());
-  pace_->came(buffer_.size(), now());
-  takeBody();
-}
+  void readBody() {
+    // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
+    if (parser_->chunked()) headers_ = parser_->get().base();
+    parser_->eager(true);
+    pace_.emplace(now());
+    pace_->came(buffer_.size(), now());
+    takeBody();
+  }
 
-// What has come of the body.
-void takeBody() {
-  error_code error;
-  while (!error && !parser_->is_done() && buffer_.size() > 0)
-    buffer_.consume(parser_->put(buffer_.data(), error));
-  if (error == http::error::need_more) error = {};
-  // A chunk's head without end.
-  if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader) error = http::error::bad_chunk_extension;
-  if (uploading_) return onPiece(error);
-  if (error || parser_->is_done()) return onBody(error);
-  if (parser_->get().body().size() > kMaxWhole && !holds(parser_->get().body().size())) return beginUpload();
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-  readMore(kReadOfStream);
-}
+  // What has come of the body.
+  void takeBody() {
+    error_code error;
+    while (!error && !parser_->is_done() && buffer_.size() > 0)
+      buffer_.consume(parser_->put(buffer_.data(), error));
+    if (error == http::error::need_more) error = {};
+    // A chunk's head without end.
+    if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader)
+      error = http::error::bad_chunk_extension;
+    if (uploading_) return onPiece(error);
+    if (error || parser_->is_done()) return onBody(error);
+    if (parser_->get().body().size() > kMaxWhole && !holds(parser_->get().body().size()))
+      return beginUpload();
+    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+    readMore(kReadOfStream);
+  }
 
-// `why`: the read before came to nothing.
-void readMore(std::size_t most, error_code why = {}) {
-  if (std::exchange(readingBody_, true)) return;
-  network::waitToRetry(socket_, tcp::socket::wait_read, why,
-                       [self = shared_from_this(), most](error_code failed) {
-                         self->readingBody_ = false;
-                         if (self->state_ != State::Reading && !self->uploading_) return;
-                         error_code error = failed;
-                         std::size_t size = 0;
-                         if (!error)
-                           size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
-                         self->buffer_.commit(size);
-                         if (network::isTransient(error)) return self->readMore(most, error);
-                         if (error) return self->close();
-                         self->pace_->came(size, now());
-                         self->takeBody();
-                       });
-}
+  // `why`: the read before came to nothing.
+  void readMore(std::size_t most, error_code why = {}) {
+    if (std::exchange(readingBody_, true)) return;
+    network::waitToRetry(socket_, tcp::socket::wait_read, why,
+                         [self = shared_from_this(), most](error_code failed) {
+                           self->readingBody_ = false;
+                           if (self->state_ != State::Reading && !self->uploading_) return;
+                           error_code error = failed;
+                           std::size_t size = 0;
+                           if (!error)
+                             size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
+                           self->buffer_.commit(size);
+                           if (network::isTransient(error)) return self->readMore(most, error);
+                           if (error) return self->close();
+                           self->pace_->came(size, now());
+                           self->takeBody();
+                         });
+  }
 
-// Whether a body of more than 64 KiB may go on being held whole.
-bool holds(std::size_t size) {
-  const std::uint64_t length = parser_->content_length().value_or(0);
-  if (std::max<std::uint64_t>(size, length) > kMaxHeld) return false;
-  // A stated length is taken at once, so that the string need not grow: it would hold twice as much.
-  const std::size_t wanted = std::max<std::size_t>(size, length);
-  while (held_.bytes() < wanted) {
-    if (!held_.grow(kHeldStep)) return false;
+  // Whether a body of more than 64 KiB may go on being held whole.
+  bool holds(std::size_t size) {
+    const std::uint64_t length = parser_->content_length().value_or(0);
+    if (std::max<std::uint64_t>(size, length) > kMaxHeld) return false;
+    // A stated length is taken at once, so that the string need not grow: it would hold twice as much.
+    const std::size_t wanted = std::max<std::size_t>(size, length);
+    while (held_.bytes() < wanted) {
+      if (!held_.grow(kHeldStep)) return false;
+    }
+    parser_->get().body().reserve(wanted);
+    return true;
   }
-  parser_->get().body().reserve(wanted);
-  return true;
-}
 
-// ---- A request's body in pieces
-
-// Hands the request on while its body is still coming in.
-void beginUpload() {
-  auto& read = parser_->get();
-  // The parser goes on with its own, and a later request must not get these.
-  Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
-  keepAlive_ = parser_->keep_alive();
-  auto upload = std::make_shared<Upload>(server_.budget_);
-  if (const auto length = parser_->content_length()) upload->length = *length;
-  auto checked = server_.check(std::move(message), milliseconds(0));
-  if (auto* answer = std::get_if<Answer>(&checked)) {
-    keepAlive_ = false;
-    return write(std::move(*answer));
+  // ---- A request's body in pieces
+
+  // Hands the request on while its body is still coming in.
+  void beginUpload() {
+    auto& read = parser_->get();
+    // The parser goes on with its own, and a later request must not get these.
+    Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
+    keepAlive_ = parser_->keep_alive();
+    auto upload = std::make_shared<Upload>(server_.budget_);
+    if (const auto length = parser_->content_length()) upload->length = *length;
+    auto checked = server_.check(std::move(message), milliseconds(0));
+    if (auto* answer = std::get_if<Answer>(&checked)) {
+      keepAlive_ = false;
+      return write(std::move(*answer));
+    }
+    auto& request = std::get<ClientRequest>(checked);
+    upload_ = upload;
+    uploading_ = true;
+    expiresIn_ = request.expiresIn;
+    const std::uint64_t left = parser_->content_length_remaining().value_or(kMaxHeld);
+    // The request's time counts from its last byte, which is not known yet.
+    request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
+    request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
+    upload->deadline = request.deadline;
+    upload->clientGave = std::chrono::microseconds(expiresIn_);
+    upload->pipe.onRoom = [weak = weak_from_this()] {
+      if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
+    };
+    upload->pipe.push(read.body());
+    read.body() = {};
+    held_.release();
+    request.upload = std::move(upload);
+    take(std::move(request));
+    if (uploading_) nextOfUpload();
   }
-  auto& request = std::get<ClientRequest>(checked);
-  upload_ = upload;
-  uploading_ = true;
-  expiresIn_ = request.expiresIn;
-  const std::uint64_t left = parser_->content_length_remaining().value_or(kMaxHeld);
-  // The request's time counts from its last byte, which is not known yet.
-  request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
-  request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
-  upload->deadline = request.deadline;
-  upload->clientGave = std::chrono::microseconds(expiresIn_);
-  upload->pipe.onRoom = [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
-  };
-  upload->pipe.push(read.body());
-  read.body() = {};
-  held_.release();
-  request.upload = std::move(upload);
-  take(std::move(request));
-  if (uploading_) nextOfUpload();
-}
 
-void onPiece(error_code error) {
-  if (error) {
-    // The attempt ends without its last byte, so it never runs.
-    const auto self = shared_from_this();
-    upload_->pipe.fail();
-    if (!server_.endRequest(*this)) return close();
-    write(server_.flawOfBody(error));
-    return server_.over(request_);
+  void onPiece(error_code error) {
+    if (error) {
+      // The attempt ends without its last byte, so it never runs.
+      const auto self = shared_from_this();
+      upload_->pipe.fail();
+      if (!server_.endRequest(*this)) return close();
+      write(server_.flawOfBody(error));
+      return server_.over(request_);
+    }
+    upload_->pipe.push(parser_->get().body());
+    parser_->get().body().clear();
+    if (!parser_->is_done()) return nextOfUpload();
+    uploading_ = false;
+    const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
+    upload_->deadline = answerBy_ = deadline;
+    guard(deadline);
+    watch();
+    upload_->pipe.end();
   }
-  upload_->pipe.push(parser_->get().body());
-  parser_->get().body().clear();
-  if (!parser_->is_done()) return nextOfUpload();
-  uploading_ = false;
-  const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
-  upload_->deadline = answerBy_ = deadline;
-  guard(deadline);
-  watch();
-  upload_->pipe.end();
-}
 
-void nextOfUpload() {
-  const std::size_t room = upload_->pipe.room();
-  if (room == 0) {
-    // Held back by us: the client's pace does not count meanwhile.
-    deadline_.cancel();
-    if (!heldBackSince_) heldBackSince_ = now();
-    return lookForLeaver();
+  void nextOfUpload() {
+    const std::size_t room = upload_->pipe.room();
+    if (room == 0) {
+      // Held back by us: the client's pace does not count meanwhile.
+      deadline_.cancel();
+      if (!heldBackSince_) heldBackSince_ = now();
+      return lookForLeaver();
+    }
+    leaver_.cancel();
+    if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
+    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+    readMore(std::min(room, kReadOfStream));
   }
-  leaver_.cancel();
-  if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-  readMore(std::min(room, kReadOfStream));
-}
 
-void roomMade() {
-  if (uploading_ && heldBackSince_) nextOfUpload();
-}
+  void roomMade() {
+    if (uploading_ && heldBackSince_) nextOfUpload();
+  }
 
-void onBody(error_code error) {
-  if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
-  onRead(error);
-}
+  void onBody(error_code error) {
+    if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
+    onRead(error);
+  }
 
-std::string_view received() const {
-  const auto data = buffer_.data();
-  return {static_cast<const char*>(data.data()), data.size()};
-}
+  std::string_view received() const {
+    const auto data = buffer_.data();
+    return {static_cast<const char*>(data.data()), data.size()};
+  }
 
-void onRead(error_code error) {
-  deadline_.cancel();
-  if (error) {
-    keepAlive_ = false;
-    if (error == asio::error::operation_aborted && server_.effects_.answersAll)
-      return write(server_.refusal("refused: the sidecar stops"));
-    if (error == http::error::body_limit) return write(server_.flawOfBody(error));
-    if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
-    if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
-    if (error == http::error::bad_version)
-      return write(server_.plain(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
-    if (error.category() == make_error_code(http::error::bad_method).category())
-      return write(server_.flawOfBody(error));
-    return close();
+  void onRead(error_code error) {
+    deadline_.cancel();
+    if (error) {
+      keepAlive_ = false;
+      if (error == asio::error::operation_aborted && server_.effects_.answersAll)
+        return write(server_.refusal("refused: the sidecar stops"));
+      if (error == http::error::body_limit) return write(server_.flawOfBody(error));
+      if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
+      if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
+      if (error == http::error::bad_version)
+        return write(server_.plain(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
+      if (error.category() == make_error_code(http::error::bad_method).category())
+        return write(server_.flawOfBody(error));
+      return close();
+    }
+    const milliseconds unread = unreadFor();
+    // Nobody waits for what stood unread until its client had left.
+    if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
+    keepAlive_ = parser_->keep_alive();
+    auto whole = parser_->release();
+    auto checked = server_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
+    if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
+    take(std::move(std::get<ClientRequest>(checked)));
   }
-  const milliseconds unread = unreadFor();
-  // Nobody waits for what stood unread until its client had left.
-  if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
-  keepAlive_ = parser_->keep_alive();
-  auto whole = parser_->release();
-  auto checked = server_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
-  if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
-  take(std::move(std::get<ClientRequest>(checked)));
-}
 
-// An answer is owed from here on.
-void take(ClientRequest request) {
-  state_ = State::Waiting;
-  request_ = request.id;
-  answerBy_ = request.deadline;
-  arrivedAt_ = request.arrived;
-  trace_ = request.trace;
-  server_.traces_.open(trace_, now());
-  server_.open_.emplace(request_, shared_from_this());
-  if (!uploading_) {
-    watch();
-    guard(request.deadline);
+  // An answer is owed from here on.
+  void take(ClientRequest request) {
+    state_ = State::Waiting;
+    request_ = request.id;
+    answerBy_ = request.deadline;
+    arrivedAt_ = request.arrived;
+    trace_ = request.trace;
+    server_.traces_.open(trace_, now());
+    server_.open_.emplace(request_, shared_from_this());
+    if (!uploading_) {
+      watch();
+      guard(request.deadline);
+    }
+    server_.gate_.offer(std::move(request), !server_.door_.mayWork());
   }
-  server_.gate_.offer(std::move(request), !server_.door_.mayWork());
-}
 
-// Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
-void guard(Clock::time_point deadline) {
-  deadline_.set(deadline + kBackstop, [this] {
-    const auto self = shared_from_this();
-    if (state_ != State::Waiting || !server_.endRequest(*this)) return;
-    write(server_.plain(504, "no answer in time"));
-    server_.over(request_);
-  });
-}
+  // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
+  void guard(Clock::time_point deadline) {
+    deadline_.set(deadline + kBackstop, [this] {
+      const auto self = shared_from_this();
+      if (state_ != State::Waiting || !server_.endRequest(*this)) return;
+      write(server_.plain(504, "no answer in time"));
+      server_.over(request_);
+    });
+  }
 
-// How long a request that has been read now had stood unread: in the accept queue, or while the loop was
-// late. Its time counts from its last byte.
-milliseconds unreadFor() {
-  const auto waited = admission::sinceLastData(socket_.native_handle());
-  return waited < kKernelTick ? milliseconds(0) : waited;
-}
+  // How long a request that has been read now had stood unread: in the accept queue, or while the loop was
+  // late. Its time counts from its last byte.
+  milliseconds unreadFor() {
+    const auto waited = admission::sinceLastData(socket_.native_handle());
+    return waited < kKernelTick ? milliseconds(0) : waited;
+  }
 
-void limit(Clock::time_point until) {
-  deadline_.set(until, [this] {
-    const auto self = shared_from_this();
-    const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
-    if (!reads || peek() == asio::error::would_block) return close();
-    deadline_.set(Clock::now() + kLastLook, [this] { close(); });
-  });
-}
+  void limit(Clock::time_point until) {
+    deadline_.set(until, [this] {
+      const auto self = shared_from_this();
+      const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+      if (!reads || peek() == asio::error::would_block) return close();
+      deadline_.set(Clock::now() + kLastLook, [this] { close(); });
+    });
+  }
 
-void hangUp() {
-  state_ = State::HangingUp;
-  server_.door_.end(place_, now());
-  error_code ignored;
-  socket_.shutdown(tcp::socket::shutdown_send, ignored);
-  linger(Clock::now() + kMaxLinger);
-  // Once the whole server ends there is nobody to take the core from.
-  discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
-}
+  void hangUp() {
+    state_ = State::HangingUp;
+    server_.door_.end(place_, now());
+    error_code ignored;
+    socket_.shutdown(tcp::socket::shutdown_send, ignored);
+    linger(Clock::now() + kMaxLinger);
+    // Once the whole server ends there is nobody to take the core from.
+    discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
+  }
 
-// Closing over unread input resets the connection, and what the client has not acknowledged is gone.
-void linger(Clock::time_point atMost) {
-  deadline_.set(Clock::now() + kLinger, [this, atMost] {
-    const auto self = shared_from_this();
-    if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle())) return close();
-    linger(atMost);
-  });
-}
+  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+  void linger(Clock::time_point atMost) {
+    deadline_.set(Clock::now() + kLinger, [this, atMost] {
+      const auto self = shared_from_this();
+      if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle()))
+        return close();
+      linger(atMost);
+    });
+  }
 
-void discard(std::size_t atMost) {
-  buffer_.clear();
-  socket_.async_read_some(buffer_.prepare(4096),
-                          [self = shared_from_this(), atMost](error_code error, std::size_t size) {
-                            if (self->state_ != State::HangingUp) return;
-                            if (error) return self->close();
-                            if (size < atMost) self->discard(atMost - size);
-                          });
-}
+  void discard(std::size_t atMost) {
+    buffer_.clear();
+    socket_.async_read_some(buffer_.prepare(4096),
+                            [self = shared_from_this(), atMost](error_code error, std::size_t size) {
+                              if (self->state_ != State::HangingUp) return;
+                              if (error) return self->close();
+                              if (size < atMost) self->discard(atMost - size);
+                            });
+  }
 
-Server& server_;
-tcp::socket socket_;
-Deadlines::Deadline deadline_;
-Deadlines::Deadline leaver_;  // the next look for one
-beast::flat_buffer buffer_;
-std::optional<http::request_parser<relay::PiecesBody>> parser_;
-std::optional<relay::Pace> pace_;      // of the body
-relay::Budget::Share held_;            // of a large body that is read whole
-relay::Budget::Share ahead_;           // of what is read ahead of an answer
-std::shared_ptr<Upload> upload_;       // of one that is not
-std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
-Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
-std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
-unsigned version_ = 11;                // of the request's HTTP
-bool uploading_ = false, readingBody_ = false;
-StreamWriter writer_;                 // of an answer that streams
-bool waitsToWrite_ = false;           // for the client to take more of it
-std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
-std::string head_, body_;             // of the answer
-bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
-RequestId request_ = 0;
-Clock::time_point arrivedAt_;
-Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
-std::uint64_t trace_ = 0;
-const admission::Door::Place place_;
-State state_ = State::Idle;
-bool keepAlive_ = true;
-bool watching_ = false;
-bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
-bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
+  Server& server_;
+  tcp::socket socket_;
+  Deadlines::Deadline deadline_;
+  Deadlines::Deadline leaver_;  // the next look for one
+  beast::flat_buffer buffer_;
+  std::optional<http::request_parser<relay::PiecesBody>> parser_;
+  std::optional<relay::Pace> pace_;      // of the body
+  relay::Budget::Share held_;            // of a large body that is read whole
+  relay::Budget::Share ahead_;           // of what is read ahead of an answer
+  std::shared_ptr<Upload> upload_;       // of one that is not
+  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
+  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
+  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
+  unsigned version_ = 11;                // of the request's HTTP
+  bool uploading_ = false, readingBody_ = false;
+  StreamWriter writer_;                 // of an answer that streams
+  bool waitsToWrite_ = false;           // for the client to take more of it
+  std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
+  std::string head_, body_;             // of the answer
+  bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
+  RequestId request_ = 0;
+  Clock::time_point arrivedAt_;
+  Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
+  std::uint64_t trace_ = 0;
+  const admission::Door::Place place_;
+  State state_ = State::Idle;
+  bool keepAlive_ = true;
+  bool watching_ = false;
+  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
+  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
 };
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
