--- a/src/membership/platform.cpp
+++ b/src/membership/platform.cpp
@@ -23,6 +23,9 @@
 
 // A watch goes on if the next call comes within 200 ms of the last answer; so does one after a failure.
 constexpr milliseconds kAgain{100};
+// A discovery that is asked for too much answers a call up to 2 s late. A first watch that has waited for
+// longer than this told nothing because there was nothing to tell.
+constexpr milliseconds kTellsWithin{3000};
 constexpr std::size_t kMaxList = 16UL * 1024 * 1024;
 
 }  // namespace
@@ -217,8 +220,9 @@
   const auto previously = std::exchange(answeredAt_, std::chrono::steady_clock::now());
   // A watch that is out tells at once what changes. Of a call after one that failed or fell silent, only the
   // answer before them is known to have told all there was.
-  const auto until = waits_ && !lost_ ? answeredAt_ : previously;
-  if (previously)
+  const bool inTouch = previously || *answeredAt_ - calledAt_ >= kTellsWithin;
+  const auto until = inTouch && waits_ && !lost_ ? answeredAt_ : previously;
+  if (until)
     list.previousUntil =
         std::chrono::duration_cast<std::chrono::microseconds>(until->time_since_epoch()).count();
   if (std::exchange(lost_, false)) std::fprintf(stderr, "discovery is back\n");
--- a/tests/membership/platform_test.cpp
+++ b/tests/membership/platform_test.cpp
@@ -211,6 +211,20 @@
   EXPECT_LE(*lists[3].previousUntil, renewed) << "a plain call may find what has long been there";
 }
 
+// With a list from the last process the first call is a watch. That one waits, and so tells that the list is
+// current, once it has been out for longer than discovery may take to answer.
+TEST_F(PlatformTest, AFirstWatchThatWaitsConfirmsTheListThatIsKnown) {
+  follow(false, {milliseconds(20'000), milliseconds(1000), milliseconds(60'000)});
+  ASSERT_TRUE(calls(1));
+  ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(3050)] { return Clock::now() >= end; }));
+  const std::int64_t replied = now();
+  discovery.requests[0].reply(200, listOf(42, "up"));
+  ASSERT_TRUE(calls(2));
+  ASSERT_EQ(lists.size(), 1u);
+  ASSERT_TRUE(lists[0].previousUntil);
+  EXPECT_GE(*lists[0].previousUntil, replied);
+}
+
 // Discovery that has too much to do, is slow, or breaks off: the last list stays, calls keep their distance,
 // and the next good answer counts.
 struct Trouble {
