--- a/src/levels/ladder.cpp
+++ b/src/degradation/level_controller.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "levels/ladder.h"
+#include "degradation/level_controller.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <cstdio>
 
-namespace ivypost::levels {
+namespace ivypost::degradation {
 namespace {
 
 std::size_t index(Signal signal) {
@@ -77,8 +77,8 @@
   return std::nullopt;
 }
 
-Effect effectOf(Level level) {
-  Effect effect;
+Restrictions effectOf(Level level) {
+  Restrictions effect;
   if (level >= Level::Thrifty) {
     effect.secondCopies = false;
     effect.probeShare = 0.25;
@@ -92,7 +92,7 @@
   return effect;
 }
 
-std::string describe(const Change& change) {
+std::string describe(const Transition& change) {
   std::array<char, 192> text{};
   if (change.cause) {
     std::snprintf(text.data(), text.size(), "level %s, was %s: %s %.4g over %.4g", nameOf(change.to),
@@ -103,10 +103,10 @@
   return text.data();
 }
 
-Ladder::Ladder(const Settings& settings, Micros now)
+LevelController::LevelController(const Settings& settings, Micros now)
     : settings_(settings), now_(now), changedAt_(now - settings.stepDown), calmNeeded_(settings.calm) {}
 
-void Ladder::adopt(const Settings& settings, Micros now) {
+void LevelController::adopt(const Settings& settings, Micros now) {
   now_ = std::max(now_, now);
   settings_ = settings;
   asked_.fill(0);
@@ -114,10 +114,10 @@
   calmNeeded_ = std::clamp(calmNeeded_, settings.calm, settings.maxCalm);
 }
 
-void Ladder::sample(Signal signal, double value, Micros now) {
+void LevelController::sample(Signal signal, double value, Micros now) {
   if (!std::isfinite(value) || value < 0) return;
   now_ = std::max(now_, now);
-  Smoothed& smoothed = smoothed_.at(index(signal));
+  MovingAverage& smoothed = smoothed_.at(index(signal));
   const auto constant = static_cast<double>(settings_.smoothing.at(index(signal)));
   // The first sample stands for the past, of which nothing is known.
   const double part =
@@ -127,7 +127,7 @@
   smoothed.any = true;
 }
 
-std::optional<Change> Ladder::judge(Micros now) {
+std::optional<Transition> LevelController::judge(Micros now) {
   now_ = std::max(now_, now);
   const std::size_t wanted = ask();
   if (wanted > index(level_)) return reduce(now_);
@@ -135,7 +135,7 @@
 }
 
 // Each signal asks for a level of its own, with its own entry and exit; the strictest leads.
-std::size_t Ladder::ask() {
+std::size_t LevelController::ask() {
   std::size_t wanted = 0;
   for (std::size_t n = 0; n < kSignals; ++n) {
     const auto threshold = [&](std::size_t level) { return settings_.thresholds.at(level).at(n); };
@@ -149,11 +149,11 @@
 }
 
 // One level further.
-std::optional<Change> Ladder::reduce(Micros now) {
+std::optional<Transition> LevelController::reduce(Micros now) {
   calmSince_.reset();
   if (now - changedAt_ < settings_.stepDown) return std::nullopt;
   const auto& next = settings_.thresholds.at(index(level_));
-  Change change{level_, static_cast<Level>(index(level_) + 1), now, std::nullopt, 0, 0};
+  Transition change{level_, static_cast<Level>(index(level_) + 1), now, std::nullopt, 0, 0};
   double worst = 0;
   for (std::size_t n = 0; n < kSignals; ++n) {
     if (asked_[n] <= index(level_)) continue;
@@ -174,7 +174,7 @@
 }
 
 // One level back when no signal has asked for this one for long enough.
-std::optional<Change> Ladder::restore(Micros now, std::size_t wanted) {
+std::optional<Transition> LevelController::restore(Micros now, std::size_t wanted) {
   if (restoredAt_ && now - *restoredAt_ >= settings_.probation) {
     restoredAt_.reset();
     calmNeeded_ = settings_.calm;
@@ -185,7 +185,7 @@
   }
   if (!calmSince_) calmSince_ = now;
   if (now - *calmSince_ < calmNeeded_) return std::nullopt;
-  const Change change{level_, static_cast<Level>(index(level_) - 1), now, std::nullopt, 0, 0};
+  const Transition change{level_, static_cast<Level>(index(level_) - 1), now, std::nullopt, 0, 0};
   level_ = change.to;
   changedAt_ = now;
   restoredAt_ = now;
@@ -193,4 +193,4 @@
   return change;
 }
 
-}  // namespace ivypost::levels
+}  // namespace ivypost::degradation
--- a/src/levels/ladder.h
+++ b/src/degradation/level_controller.h
@@ -9,8 +9,8 @@
 // and ceases to ask at a lower threshold than it began; service is reduced by one level at a time, kStepDown
 // apart; and it is restored by one level at a time, after a calm that doubles with each restoration that did
 // not hold (a probe, as a circuit breaker's half-open state is).
-#ifndef IVYPOST_LEVELS_LADDER_H_
-#define IVYPOST_LEVELS_LADDER_H_
+#ifndef IVYPOST_DEGRADATION_LEVEL_CONTROLLER_H_
+#define IVYPOST_DEGRADATION_LEVEL_CONTROLLER_H_
 
 #include <array>
 #include <cstdint>
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-namespace ivypost::levels {
+namespace ivypost::degradation {
 
 using Micros = std::int64_t;
 
@@ -68,33 +68,33 @@
 std::optional<std::string> flawOf(const Settings& settings);
 
 // What a level switches, as data.
-struct Effect {
+struct Restrictions {
   bool secondCopies = true;
   double probeShare = 1;        // of the usual probes
   bool worthFirst = false;      // admission in the order of worth; over-share schools last
   bool refuseFromHead = false;  // what can't be in time is refused before its body is read
   double leastWorth = 0;        // relative to the worthiest class: less is refused
 };
-Effect effectOf(Level level);
+Restrictions effectOf(Level level);
 
-struct Change {
+struct Transition {
   Level from = Level::Normal, to = Level::Normal;
   Micros at = 0;
   std::optional<Signal> cause;  // of a reduction: the signal that is furthest over its threshold
   double value = 0, threshold = 0;
 };
 // One line for the log.
-std::string describe(const Change& change);
+std::string describe(const Transition& change);
 
-class Ladder {
+class LevelController {
  public:
   // `settings` flawless.
-  Ladder(const Settings& settings, Micros now);
+  LevelController(const Settings& settings, Micros now);
 
   // A new sample. Not finite or negative: passed over. Time that goes back counts as standing still.
   void sample(Signal signal, double value, Micros now);
   // Judges; at most one change a call. Call it every kTick or so, and after samples that matter.
-  std::optional<Change> judge(Micros now);
+  std::optional<Transition> judge(Micros now);
 
   // Takes over other, flawless settings. Level and smoothed signals stay; what the signals ask for is judged
   // anew, from nothing, and a restoration waits for a whole calm.
@@ -107,17 +107,17 @@
   static constexpr Micros kTick = 50'000;
 
  private:
-  struct Smoothed {
+  struct MovingAverage {
     double value = 0;
     Micros at = 0;
     bool any = false;
   };
   std::size_t ask();
-  std::optional<Change> reduce(Micros now);
-  std::optional<Change> restore(Micros now, std::size_t wanted);
+  std::optional<Transition> reduce(Micros now);
+  std::optional<Transition> restore(Micros now, std::size_t wanted);
 
   Settings settings_;
-  std::array<Smoothed, kSignals> smoothed_;
+  std::array<MovingAverage, kSignals> smoothed_;
   std::array<std::size_t, kSignals> asked_{};  // the level that each signal asks for
   Level level_ = Level::Normal;
   Micros now_, changedAt_;
@@ -126,6 +126,6 @@
   std::optional<Micros> restoredAt_;  // the last restoration that may not have held yet
 };
 
-}  // namespace ivypost::levels
+}  // namespace ivypost::degradation
 
-#endif  // IVYPOST_LEVELS_LADDER_H_
+#endif  // IVYPOST_DEGRADATION_LEVEL_CONTROLLER_H_
--- a/src/levels/monitor.cpp
+++ b/src/degradation/load_monitor.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "levels/monitor.h"
+#include "degradation/load_monitor.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace ivypost::levels {
+namespace ivypost::degradation {
 
-void Monitor::Part::decay(Micros now) {
+void LoadMonitor::DecayingFraction::decay(Micros now) {
   if (now <= at) return;
   const double kept = std::exp(-static_cast<double>(now - at) / kConstant);
   at = now;
@@ -14,29 +14,29 @@
   all *= kept;
 }
 
-void Monitor::Part::count(bool one, Micros now) {
+void LoadMonitor::DecayingFraction::count(bool one, Micros now) {
   decay(now);
   all += 1;
   if (one) some += 1;
 }
 
-double Monitor::Part::value(Micros now) {
+double LoadMonitor::DecayingFraction::value(Micros now) {
   decay(now);
   return all < kLeast ? 0 : std::min(1.0, some / all);
 }
 
-Monitor::Monitor(const Settings& settings, double cores, Micros now)
+LoadMonitor::LoadMonitor(const Settings& settings, double cores, Micros now)
     : cores_(cores), ladder_(settings, now), tickedAt_(now) {}
 
-void Monitor::requestCame(bool resent, Micros now) {
+void LoadMonitor::requestCame(bool resent, Micros now) {
   resent_.count(resent, now);
 }
 
-void Monitor::attemptEnded(bool bad, Micros now) {
+void LoadMonitor::attemptEnded(bool bad, Micros now) {
   bad_.count(bad, now);
 }
 
-std::optional<Change> Monitor::tick(const Gauges& gauges, Micros now) {
+std::optional<Transition> LoadMonitor::tick(const Measurements& gauges, Micros now) {
   const Micros passed = now - tickedAt_;
   if (processor_ && passed > 0) {
     const auto used = static_cast<double>(gauges.processor - *processor_);
@@ -54,8 +54,8 @@
   return ladder_.judge(now);
 }
 
-void Monitor::adopt(const Settings& settings, Micros now) {
+void LoadMonitor::adopt(const Settings& settings, Micros now) {
   ladder_.adopt(settings, now);
 }
 
-}  // namespace ivypost::levels
+}  // namespace ivypost::degradation
--- a/src/operator/file.h
+++ b/src/operator/file.h
@@ -12,18 +12,18 @@
 
 #include "admission/door.h"
 #include "admission/queue.h"
+#include "degradation/level_controller.h"
 #include "etcd/options.h"
-#include "levels/ladder.h"
 #include "peers/options.h"
 
 namespace ivypost::op {
 
 // As an empty file gives it: all off, and each figure at its default.
 struct File {
-  struct Levels {
+  struct Degradation {
     bool on = false;
-    levels::Settings ladder = levels::defaultSettings();
-  } levels;
+    degradation::Settings settings = degradation::defaultSettings();
+  } degradation;
   struct Admission {
     bool queue = false;
     admission::QueueSettings figures;
--- a/src/operator/keys.cpp
+++ b/src/operator/keys.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using configfile::Table;
-using levels::Signal;
+using degradation::Signal;
 
 // How far a threshold of a part of something may go, and the longest time that means anything here.
 constexpr double kMostPart = 10;
@@ -98,14 +98,14 @@
   const auto n = static_cast<std::size_t>(signal);
   return {"levels.smoothing." + keyOf(signal), "",
           [n](File& file, Table& table, std::string_view leaf) {
-            if (table.has(leaf)) file.levels.ladder.smoothing.at(n) = readTime(table, leaf, 0);
+            if (table.has(leaf)) file.degradation.settings.smoothing.at(n) = readTime(table, leaf, 0);
           },
-          [n](const File& file) { return shownTime(file.levels.ladder.smoothing.at(n)); }};
+          [n](const File& file) { return shownTime(file.degradation.settings.smoothing.at(n)); }};
 }
 
-Key threshold(levels::Level level, Signal signal) {
+Key threshold(degradation::Level level, Signal signal) {
   const auto at = [=](auto& file) -> auto& {
-    return file.levels.ladder.thresholds.at(static_cast<std::size_t>(level) - 1)
+    return file.degradation.settings.thresholds.at(static_cast<std::size_t>(level) - 1)
         .at(static_cast<std::size_t>(signal));
   };
   return {"levels." + std::string(nameOf(level)) + "." + keyOf(signal), "",
@@ -117,7 +117,7 @@
             }
             auto pair = table.table(leaf);
             if (!pair) return;
-            levels::Threshold one;
+            degradation::Threshold one;
             for (const auto& [name, value] : {std::pair("enter", &one.enter), std::pair("exit", &one.exit)}) {
               *value = isTime(signal) ? static_cast<double>(readTime(*pair, name, 0))
                                       : pair->number(name, 0, kMostPart);
@@ -325,23 +325,23 @@
                           "Requests handed on before the loop sees to everything else that is ready.", 1,
                           1024, [](File& f) -> std::int64_t& { return f.admission.perTurn; }),
       flag("levels.on", "The ladder of reduced service: normal, thrifty, protect, shed, cutoff.",
-           [](File& f) -> bool& { return f.levels.on; }),
+           [](File& f) -> bool& { return f.degradation.on; }),
       time("levels.step_down", "Between two reductions of service.", 1000,
-           [](File& f) -> std::int64_t& { return f.levels.ladder.stepDown; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.stepDown; }),
       time("levels.calm",
            "All signals below their exits for so long, before service is restored by one level.", 1000,
-           [](File& f) -> std::int64_t& { return f.levels.ladder.calm; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.calm; }),
       time("levels.max_calm", "The calm doubles up to this with each restoration that did not hold ...", 1000,
-           [](File& f) -> std::int64_t& { return f.levels.ladder.maxCalm; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.maxCalm; }),
       time("levels.probation", "... for so long.", 1000,
-           [](File& f) -> std::int64_t& { return f.levels.ladder.probation; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.probation; }),
   };
   addMembership(all);
   addPeers(all);
-  for (std::size_t n = 0; n < levels::kSignals; ++n) all.push_back(smoothing(static_cast<Signal>(n)));
-  for (std::size_t level = 1; level < levels::kLevels; ++level) {
-    for (std::size_t n = 0; n < levels::kSignals; ++n)
-      all.push_back(threshold(static_cast<levels::Level>(level), static_cast<Signal>(n)));
+  for (std::size_t n = 0; n < degradation::kSignals; ++n) all.push_back(smoothing(static_cast<Signal>(n)));
+  for (std::size_t level = 1; level < degradation::kLevels; ++level) {
+    for (std::size_t n = 0; n < degradation::kSignals; ++n)
+      all.push_back(threshold(static_cast<degradation::Level>(level), static_cast<Signal>(n)));
   }
   return all;
 }
--- a/src/sidecar/service_level.h
+++ b/src/sidecar/degradation_manager.h
@@ -2,8 +2,8 @@
 //
 // Carries the ladder of reduced service out: ticks, reads the gauges, logs each change and tells it. Off, it
 // has no timer and counts nothing.
-#ifndef IVYPOST_SERVICE_LEVEL_H_
-#define IVYPOST_SERVICE_LEVEL_H_
+#ifndef IVYPOST_DEGRADATION_MANAGER_H_
+#define IVYPOST_DEGRADATION_MANAGER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,23 +12,23 @@
 #include <optional>
 
 #include "clock.h"
-#include "levels/monitor.h"
+#include "degradation/load_monitor.h"
 #include "operator/file.h"
 
 namespace ivypost {
 
-class ServiceLevel {
+class DegradationManager {
  public:
   struct Callbacks {
     // All but processor and lateness, which are looked up here.
-    std::function<levels::Gauges()> gauges;
-    std::function<void(levels::Level)> changed;
+    std::function<degradation::Measurements()> gauges;
+    std::function<void(degradation::Level)> changed;
   };
 
-  ServiceLevel(boost::asio::io_context& io, double cores, Callbacks callbacks);
+  DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks);
 
   // Begins, goes on with other figures at the level that it has, or ends at normal.
-  void adopt(const op::File::Levels& settings);
+  void adopt(const op::File::Degradation& settings);
 
   void requestCame(bool resent) {
     if (monitor_) monitor_->requestCame(resent, now());
@@ -37,7 +37,9 @@
     if (monitor_) monitor_->attemptEnded(bad, now());
   }
 
-  levels::Level level() const { return monitor_ ? monitor_->ladder().level() : levels::Level::Normal; }
+  degradation::Level level() const {
+    return monitor_ ? monitor_->ladder().level() : degradation::Level::Normal;
+  }
   // For whoever is awake: level, since when, and each signal.
   nlohmann::json status() const;
 
@@ -48,9 +50,9 @@
   const double cores_;
   Callbacks callbacks_;
   boost::asio::steady_timer timer_;
-  std::optional<levels::Monitor> monitor_;  // none: off
+  std::optional<degradation::LoadMonitor> monitor_;  // none: off
 };
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_SERVICE_LEVEL_H_
+#endif  // IVYPOST_DEGRADATION_MANAGER_H_
--- a/src/sidecar/gate.cpp
+++ b/src/sidecar/gate.cpp
@@ -63,7 +63,7 @@
 void Gate::adopt(const op::File& file) {
   worth_ = worthBy(file);
   perTurn_ = file.admission.perTurn;
-  counting_ = file.admission.queue || file.levels.on;
+  counting_ = file.admission.queue || file.degradation.on;
   queue_.reset();
   if (file.admission.queue) {
     queue_ = std::make_unique<admission::Queue>(file.admission.figures, worth_);
@@ -82,7 +82,7 @@
   }
 }
 
-void Gate::reduce(const levels::Effect& effect) {
+void Gate::reduce(const degradation::Restrictions& effect) {
   effect_ = effect;
   if (queue_) queue_->worthFirst(effect.worthFirst);
 }
--- a/src/sidecar/gate.h
+++ b/src/sidecar/gate.h
@@ -18,7 +18,7 @@
 #include "admission/queue.h"
 #include "admission/shares.h"
 #include "client_request.h"
-#include "levels/ladder.h"
+#include "degradation/level_controller.h"
 #include "operator/file.h"
 
 namespace ivypost {
@@ -40,7 +40,7 @@
   void check(const op::File& file) const;
   // What waits stays, in the new order.
   void adopt(const op::File& file);
-  void reduce(const levels::Effect& effect);
+  void reduce(const degradation::Restrictions& effect);
 
   // Takes a request on, or one after the other refuses and hands on, from within the call or later.
   // `crowded`: there is no place for one more, so the least worthy is refused for it.
@@ -82,7 +82,7 @@
     admission::Waiting waiting;
   };
   std::unordered_map<orchiddrum::RequestId, Held> held_;
-  levels::Effect effect_;
+  degradation::Restrictions effect_;
   std::int64_t handedOn_ = 0;  // in this turn of the loop
   bool turnSet_ = false;
   admission::Estimate wait_, answer_;  // of those handed on: in the queue, and until they were served
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -71,13 +71,13 @@
                  if (stopped_) stopped_();
                }}),
       level_(io, config_.cores,
-             {[this] { return gauges(); }, [this](levels::Level level) { onLevel(level); }}),
+             {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty()}, now()),
       lifecycleTimer_(io),
       rotationFile_(config_.tempFolder, log),
       rotationTimer_(io),
       consoleTimer_(io) {
-  level_.adopt(file.levels);
+  level_.adopt(file.degradation);
   peersAs_ = file.peers;
   fleet_ = viewOf(peersAs_);
   follow(file.membership, config_.discovery);
@@ -119,7 +119,7 @@
   }
   membership_.platformMoved(config.discovery);
   server_.adopt(file);
-  level_.adopt(file.levels);
+  level_.adopt(file.degradation);
 }
 
 // Begins with this source, or changes to it. Throws where it can't be made, and then nothing has changed.
@@ -446,15 +446,15 @@
 // ---- Levels
 // ---------------------------------------------------------------------------------------------------
 
-void Sidecar::onLevel(levels::Level level) {
-  const levels::Effect effect = levels::effectOf(level);
+void Sidecar::onLevel(degradation::Level level) {
+  const degradation::Restrictions effect = degradation::effectOf(level);
   server_.gate().reduce(effect);
   handle(orchiddrum::ReducedService{effect.secondCopies, effect.probeShare});
 }
 
-levels::Gauges Sidecar::gauges() {
+degradation::Measurements Sidecar::gauges() {
   const auto& door = server_.door();
-  levels::Gauges gauges;
+  degradation::Measurements gauges;
   gauges.openShare = server_.openShare();
   const auto working = static_cast<double>(door.count(admission::Door::State::Working));
   gauges.busyPlaces = std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -18,13 +18,13 @@
 
 #include "config.h"
 #include "console/console_io.h"
+#include "degradation_manager.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
 #include "membership/membership.h"
 #include "membership/platform.h"
 #include "rotation/rotation_file.h"
 #include "server.h"
-#include "service_level.h"
 #include "shedding_note.h"
 #include "upstreams.h"
 
@@ -50,7 +50,7 @@
   void stop(std::function<void()> stopped);
 
   std::uint16_t port() const { return server_.port(); }
-  levels::Level level() const { return level_.level(); }
+  degradation::Level level() const { return level_.level(); }
   lifecycle::State state() const { return lifecycle_.state(); }
   // None: there is no console, or it could not be bound yet.
   std::optional<std::uint16_t> consolePort() const;
@@ -101,8 +101,8 @@
   console::Reply changeRotation(const console::Call& call);
   void openConsole();
   void watchRotation();
-  void onLevel(levels::Level level);
-  levels::Gauges gauges();
+  void onLevel(degradation::Level level);
+  degradation::Measurements gauges();
   std::string status() const;
   std::unique_ptr<FleetView> viewOf(const peers::Options& options);
   std::vector<FleetView::Listed> listed() const;
@@ -152,7 +152,7 @@
   op::File::Membership followed_;  // by the source that counts
   op::File::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
-  ServiceLevel level_;
+  DegradationManager level_;
   SheddingNote shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
--- a/tests/levels/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -8,9 +8,9 @@
 #include <cstdint>
 #include <string>
 
-#include "levels/monitor.h"
+#include "degradation/load_monitor.h"
 
-namespace ivypost::levels {
+namespace ivypost::degradation {
 namespace {
 
 class RandomStream {
@@ -29,7 +29,7 @@
 // Load that stays at a height of its own for 0.5 to 20 s, with noise; the clock jumps now and then.
 std::string transitionsOf(std::uint64_t seed) {
   RandomStream random(seed);
-  Monitor monitor(defaultSettings(), 2, 0);
+  LoadMonitor monitor(defaultSettings(), 2, 0);
   std::string lines;
   Micros now = 0, processor = 0, episodeEnd = 0;
   double load = 0;
@@ -42,7 +42,7 @@
     }
     const auto noisy = [&](double scale) { return scale * load * (0.8 + 0.4 * random.next()); };
     processor += static_cast<Micros>(noisy(100'000));
-    Gauges gauges;
+    Measurements gauges;
     gauges.processor = processor;
     gauges.late = static_cast<Micros>(noisy(100'000) * load * load);
     gauges.openShare = noisy(0.9);
@@ -79,4 +79,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::levels
+}  // namespace ivypost::degradation
--- a/tests/levels/service_level_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -6,19 +6,19 @@
 namespace ivypost {
 namespace {
 
-using levels::Level;
+using degradation::Level;
 
-class ServiceLevelTest : public SidecarTest {
+class DegradationManagerTest : public SidecarTest {
  protected:
   // A file that leads to this level and stays there: the core is always busier than nothing.
   static op::File leadingTo(Level level) {
     op::File file;
-    file.levels.on = file.admission.queue = file.status.level = true;
-    file.levels.ladder.stepDown = 1000;
-    for (std::size_t n = 0; n < levels::kLevels - 1; ++n) {
-      auto& thresholds = file.levels.ladder.thresholds.at(n);
+    file.degradation.on = file.admission.queue = file.status.level = true;
+    file.degradation.settings.stepDown = 1000;
+    for (std::size_t n = 0; n < degradation::kLevels - 1; ++n) {
+      auto& thresholds = file.degradation.settings.thresholds.at(n);
       thresholds.fill(std::nullopt);
-      if (n < static_cast<std::size_t>(level)) thresholds[0] = levels::Threshold{1e-12, 0};
+      if (n < static_cast<std::size_t>(level)) thresholds[0] = degradation::Threshold{1e-12, 0};
     }
     return file;
   }
@@ -56,7 +56,7 @@
 };
 
 // Without the operator's word nothing of it is there.
-TEST_F(ServiceLevelTest, IsOffByItself) {
+TEST_F(DegradationManagerTest, IsOffByItself) {
   start(op::File{});
   const Client asking = client();
   asking.send("GET /status/level HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -66,14 +66,14 @@
 }
 
 // A reread that fails changes nothing, at each level; one that succeeds takes effect, and its end is normal.
-TEST_F(ServiceLevelTest, ABadFileAtSighupChangesNothingAtAnyLevel) {
+TEST_F(DegradationManagerTest, ABadFileAtSighupChangesNothingAtAnyLevel) {
   start(leadingTo(Level::Normal));
-  for (std::size_t n = 0; n < levels::kLevels; ++n) {
+  for (std::size_t n = 0; n < degradation::kLevels; ++n) {
     const auto level = static_cast<Level>(n);
     sidecar->reload(config, leadingTo(level));
     ASSERT_TRUE(wait([&] { return sidecar->level() == level; })) << n;
     op::File bad = leadingTo(Level::Normal);
-    bad.levels.on = bad.status.level = false;
+    bad.degradation.on = bad.status.level = false;
     bad.admission.order = {"cambio", "nosuch"};
     try {
       sidecar->reload(config, bad);
@@ -82,16 +82,16 @@
       EXPECT_STREQ(error.what(), "admission.order names a class that the platform doesn't have: 'nosuch'");
     }
     EXPECT_EQ(sidecar->level(), level);
-    EXPECT_EQ(status()["level"], levels::nameOf(level));
+    EXPECT_EQ(status()["level"], degradation::nameOf(level));
   }
   op::File off = leadingTo(Level::Cutoff);
-  off.levels.on = false;
+  off.degradation.on = false;
   sidecar->reload(config, off);
   EXPECT_EQ(sidecar->level(), Level::Normal);
   serveOne("00000000000000a2");
 }
 
-TEST_F(ServiceLevelTest, IsVisible) {
+TEST_F(DegradationManagerTest, IsVisible) {
   start(leadingTo(Level::Protect));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Protect; }));
   serveOne("00000000000000a3", "X-Second-Try: 1\r\n");
@@ -99,14 +99,14 @@
   EXPECT_EQ(seen["name"], "n1");
   EXPECT_EQ(seen["on"], true);
   EXPECT_GE(seen["for_ms"], 0);
-  EXPECT_EQ(seen["signals"].size(), levels::kSignals);
+  EXPECT_EQ(seen["signals"].size(), degradation::kSignals);
   EXPECT_EQ(seen["queue"]["handed on"], 1);
   EXPECT_EQ(seen["waiting"], 0);
 }
 
 // At shed, what can't be served in time is refused from its head: its body is never read. One that can is
 // read.
-TEST_F(ServiceLevelTest, ShedRefusesFromTheHead) {
+TEST_F(DegradationManagerTest, ShedRefusesFromTheHead) {
   start(leadingTo(Level::Shed));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Shed; }));
   serveOne("00000000000000a4");
@@ -126,7 +126,7 @@
 
 // At cutoff only the class is taken that the operator put first; the others are told when to come again,
 // where the platform allows that.
-TEST_F(ServiceLevelTest, CutoffTakesTheWorthiestClassOnly) {
+TEST_F(DegradationManagerTest, CutoffTakesTheWorthiestClassOnly) {
   op::File file = leadingTo(Level::Cutoff);
   file.admission.order = {"cambio"};
   start(file, {{"settings", {{"limits", {{"retryAfter", true}, {"maxRetryAfter", 60'000}}}}}});
@@ -146,7 +146,7 @@
 
 // A client that leaves while its request waits for the core costs no node anything, and a reread that ends
 // the queue hands on what waits.
-TEST_F(ServiceLevelTest, TheQueueLosesNothing) {
+TEST_F(DegradationManagerTest, TheQueueLosesNothing) {
   op::File file = leadingTo(Level::Protect);
   file.admission.perTurn = 1;
   start(file);
--- a/tests/levels/ladder_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // The ladder of reduced service, with made-up time.
-#include "levels/ladder.h"
+#include "degradation/level_controller.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
@@ -13,34 +13,34 @@
 #include <utility>
 #include <vector>
 
-namespace ivypost::levels {
+namespace ivypost::degradation {
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
 
 // Plays a signal as a function of time, a sample a tick, and gives the changes.
-std::vector<Change> play(Ladder& ladder, Micros from, Micros until,
-                         const std::function<void(Ladder&, Micros)>& feed) {
-  std::vector<Change> changes;
-  for (Micros now = from; now < until; now += Ladder::kTick) {
+std::vector<Transition> play(LevelController& ladder, Micros from, Micros until,
+                             const std::function<void(LevelController&, Micros)>& feed) {
+  std::vector<Transition> changes;
+  for (Micros now = from; now < until; now += LevelController::kTick) {
     feed(ladder, now);
     if (const auto change = ladder.judge(now)) changes.push_back(*change);
   }
   return changes;
 }
 
-std::function<void(Ladder&, Micros)> steady(Signal signal, double value) {
-  return [=](Ladder& ladder, Micros now) { ladder.sample(signal, value, now); };
+std::function<void(LevelController&, Micros)> steady(Signal signal, double value) {
+  return [=](LevelController& ladder, Micros now) { ladder.sample(signal, value, now); };
 }
 
-TEST(Ladder, StaysNormalWhenCalm) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, StaysNormalWhenCalm) {
+  LevelController ladder(defaultSettings(), 0);
   EXPECT_TRUE(play(ladder, 0, 60 * kSecond, steady(Signal::CpuShare, 0.5)).empty());
   EXPECT_EQ(ladder.level(), Level::Normal);
 }
 
-TEST(Ladder, GoesDownStepByStepAndNamesTheCause) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, GoesDownStepByStepAndNamesTheCause) {
+  LevelController ladder(defaultSettings(), 0);
   const auto changes = play(ladder, 0, 5 * kSecond, steady(Signal::LoopLag, 1e6));
   ASSERT_EQ(changes.size(), 4u);
   for (std::size_t n = 0; n < 4; ++n) {
@@ -53,8 +53,8 @@
   EXPECT_EQ(describe(changes[0]), "level thrifty, was normal: loop lag 1e+06 over 2e+04");
 }
 
-TEST(Ladder, ComesBackStepByStepAfterCalm) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, ComesBackStepByStepAfterCalm) {
+  LevelController ladder(defaultSettings(), 0);
   play(ladder, 0, 5 * kSecond, steady(Signal::LoopLag, 1e6));
   const auto changes = play(ladder, 5 * kSecond, 60 * kSecond, steady(Signal::LoopLag, 0));
   ASSERT_EQ(changes.size(), 4u);
@@ -64,7 +64,7 @@
 }
 
 // Each threshold by itself: a slow sine around it gives at most one change a swing.
-TEST(Ladder, ASlowSineChangesTheLevelOnceASwing) {
+TEST(LevelController, ASlowSineChangesTheLevelOnceASwing) {
   const Settings settings = defaultSettings();
   int thresholds = 0;
   for (std::size_t level = 0; level < kLevels - 1; ++level) {
@@ -79,14 +79,14 @@
       if (level > 0) most = std::min(most, 0.9 * (1 - settings.thresholds[level - 1][n]->exit / one->enter));
       for (const Micros period : {20 * kSecond, 60 * kSecond, 300 * kSecond}) {
         for (const double swing : {most / 10, most}) {
-          Ladder ladder(settings, 0);
+          LevelController ladder(settings, 0);
           const auto signal = static_cast<Signal>(n);
           // To the level below first, as the ladder knows no jump.
           play(ladder, 0, 5 * kSecond, steady(signal, one->enter * 0.999));
           ASSERT_EQ(ladder.level(), static_cast<Level>(level)) << nameOf(signal);
           // Noise on top, by a fixed pattern.
           const auto changes =
-              play(ladder, 5 * kSecond, 5 * kSecond + 10 * period, [&](Ladder& l, Micros now) {
+              play(ladder, 5 * kSecond, 5 * kSecond + 10 * period, [&](LevelController& l, Micros now) {
                 const double phase = 2 * std::numbers::pi * static_cast<double>(now - 5 * kSecond) /
                                      static_cast<double>(period);
                 const double noise = most / 20 * std::sin(static_cast<double>(now) * 0.37);
@@ -104,10 +104,10 @@
 }
 
 // A load that hovers right at a threshold, with noise to both sides, changes the level once.
-TEST(Ladder, HoveringAtAThresholdDoesNotFlap) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, HoveringAtAThresholdDoesNotFlap) {
+  LevelController ladder(defaultSettings(), 0);
   std::uint64_t random = 1;
-  const auto changes = play(ladder, 0, 600 * kSecond, [&](Ladder& l, Micros now) {
+  const auto changes = play(ladder, 0, 600 * kSecond, [&](LevelController& l, Micros now) {
     random = random * 6364136223846793005u + 1442695040888963407u;
     l.sample(Signal::CpuShare, 0.75 + (static_cast<double>(random >> 40) * 0x1p-24 - 0.5) * 0.1, now);
   });
@@ -116,21 +116,21 @@
 
 // A recovery that comes in bursts: calm and overload in turns. The calm that is asked for doubles, so that
 // changes become rare, whatever the bursts' length.
-TEST(Ladder, ARecoveryInBurstsDoesNotFlap) {
+TEST(LevelController, ARecoveryInBurstsDoesNotFlap) {
   for (const Micros burst : {kSecond / 10, kSecond, 10 * kSecond}) {
-    Ladder ladder(defaultSettings(), 0);
-    const auto changes = play(ladder, 0, 300 * kSecond, [&](Ladder& l, Micros now) {
+    LevelController ladder(defaultSettings(), 0);
+    const auto changes = play(ladder, 0, 300 * kSecond, [&](LevelController& l, Micros now) {
       l.sample(Signal::LoopLag, now / burst % 2 == 0 ? 100e3 : 0, now);
     });
-    const auto late =
-        std::count_if(changes.begin(), changes.end(), [](const Change& c) { return c.at > 200 * kSecond; });
+    const auto late = std::count_if(changes.begin(), changes.end(),
+                                    [](const Transition& c) { return c.at > 200 * kSecond; });
     EXPECT_LE(late, 8) << "bursts of " << burst;
     EXPECT_LE(changes.size(), 40u) << "bursts of " << burst;
   }
 }
 
-TEST(Ladder, AStepUpAndBackIsFollowedAndForgotten) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, AStepUpAndBackIsFollowedAndForgotten) {
+  LevelController ladder(defaultSettings(), 0);
   play(ladder, 0, 10 * kSecond, steady(Signal::OpenShare, 0.18));
   const auto up = play(ladder, 10 * kSecond, 20 * kSecond, steady(Signal::OpenShare, 0.9));
   EXPECT_EQ(ladder.level(), Level::Shed);
@@ -140,10 +140,10 @@
 }
 
 // Two signals that ask for different levels: the stricter one leads, and its exit is the one that counts.
-TEST(Ladder, TheStricterOfTwoSignalsLeads) {
-  Ladder ladder(defaultSettings(), 0);
+TEST(LevelController, TheStricterOfTwoSignalsLeads) {
+  LevelController ladder(defaultSettings(), 0);
   const auto both = [](double cpu, double lag) {
-    return [=](Ladder& l, Micros now) {
+    return [=](LevelController& l, Micros now) {
       l.sample(Signal::CpuShare, cpu, now);
       l.sample(Signal::LoopLag, lag, now);
     };
@@ -157,8 +157,8 @@
   EXPECT_EQ(ladder.level(), Level::Normal);
 }
 
-TEST(Ladder, PassesOverNonsenseAndTimeThatGoesBack) {
-  Ladder ladder(defaultSettings(), 10 * kSecond);
+TEST(LevelController, PassesOverNonsenseAndTimeThatGoesBack) {
+  LevelController ladder(defaultSettings(), 10 * kSecond);
   for (const double value : {std::nan(""), HUGE_VAL, -1.0}) {
     ladder.sample(Signal::CpuShare, value, 11 * kSecond);
     EXPECT_EQ(ladder.smoothed(Signal::CpuShare), 0);
@@ -173,9 +173,9 @@
   EXPECT_EQ(ladder.level(), Level::Thrifty);
 }
 
-TEST(Ladder, EffectsOnlyGrowStricter) {
+TEST(LevelController, EffectsOnlyGrowStricter) {
   for (std::size_t n = 1; n < kLevels; ++n) {
-    const Effect before = effectOf(static_cast<Level>(n - 1)), after = effectOf(static_cast<Level>(n));
+    const Restrictions before = effectOf(static_cast<Level>(n - 1)), after = effectOf(static_cast<Level>(n));
     EXPECT_LE(after.secondCopies, before.secondCopies);
     EXPECT_LE(after.probeShare, before.probeShare);
     EXPECT_GE(after.worthFirst, before.worthFirst);
@@ -185,7 +185,7 @@
   EXPECT_TRUE(effectOf(Level::Normal).secondCopies);
 }
 
-TEST(LadderSettings, FlawsAreNamed) {
+TEST(LevelControllerSettings, FlawsAreNamed) {
   EXPECT_EQ(flawOf(defaultSettings()), std::nullopt);
   Settings settings = defaultSettings();
   settings.thresholds[0][0]->exit = settings.thresholds[0][0]->enter;
@@ -206,16 +206,16 @@
 }
 
 // Whatever the signals do: no step is skipped, changes a minute are bounded, and calm leads back to normal.
-TEST(LadderProperty, AnySeries) {
+TEST(LevelControllerProperty, AnySeries) {
   EXPECT_TRUE(rc::check("bounded changes, no skipped step, never stuck", [] {
     const Settings settings = defaultSettings();
-    Ladder ladder(settings, 0);
+    LevelController ladder(settings, 0);
     const auto series = *rc::gen::container<std::vector<std::tuple<int, double, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, static_cast<int>(kSignals)),
                        rc::gen::map(rc::gen::inRange(0, 3000), [](int part) { return part / 1000.0; }),
                        rc::gen::inRange(1, 400)));
     Micros now = 0;
-    std::vector<Change> changes;
+    std::vector<Transition> changes;
     Level last = Level::Normal;
     const auto judge = [&] {
       if (const auto change = ladder.judge(now)) {
@@ -230,7 +230,7 @@
       // Values relative to the signal's first threshold, up to three times it.
       const auto& one = settings.thresholds[0][static_cast<std::size_t>(signal)];
       for (int n = 0; n < ticks; ++n) {
-        now += Ladder::kTick;
+        now += LevelController::kTick;
         ladder.sample(static_cast<Signal>(signal), value * one->enter, now);
         judge();
       }
@@ -248,7 +248,7 @@
       RC_ASSERT(all <= 2 * restored + kLevels);
     }
     // Calm: all signals at zero.
-    for (Micros end = now + 5 * settings.maxCalm; now < end; now += Ladder::kTick) {
+    for (Micros end = now + 5 * settings.maxCalm; now < end; now += LevelController::kTick) {
       for (std::size_t n = 0; n < kSignals; ++n) ladder.sample(static_cast<Signal>(n), 0, now);
       judge();
     }
@@ -257,4 +257,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::levels
+}  // namespace ivypost::degradation
--- a/tests/operator/file_test.cpp
+++ b/tests/operator/file_test.cpp
@@ -25,7 +25,7 @@
 TEST(OperatorFile, TheExampleIsTheDefault) {
   const File empty = parse("", "empty"), file = parse(example(), "example");
   for (const Key& key : keys()) EXPECT_EQ(key.show(file), key.show(empty)) << key.path;
-  EXPECT_FALSE(empty.levels.on || empty.admission.queue || empty.status.level);
+  EXPECT_FALSE(empty.degradation.on || empty.admission.queue || empty.status.level);
 }
 
 // Every key of the table is read: writing another value shows it.
@@ -71,10 +71,10 @@
       "[levels.thrifty]\nloop_lag = { enter = \"30ms\", exit = \"10ms\" }\n"
       "list_age = \"never\"\n",
       "op.toml");
-  const auto& thrifty = file.levels.ladder.thresholds[0];
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(levels::Signal::LoopLag)]->enter, 30'000);
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(levels::Signal::LoopLag)]->exit, 10'000);
-  EXPECT_FALSE(thrifty[static_cast<std::size_t>(levels::Signal::ListAge)]);
+  const auto& thrifty = file.degradation.settings.thresholds[0];
+  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::LoopLag)]->enter, 30'000);
+  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::LoopLag)]->exit, 10'000);
+  EXPECT_FALSE(thrifty[static_cast<std::size_t>(degradation::Signal::ListAge)]);
 }
 
 TEST(OperatorFile, ReadsTheRegion) {
