--- a/src/degradation/level_controller.cpp
+++ b/src/degradation/level_controller.cpp
@@ -19,15 +19,15 @@
 }  // namespace
 
 const char* nameOf(Level level) {
-  static constexpr std::array<const char*, kLevels> kNames = {"normal", "thrifty", "protect", "shed",
-                                                              "cutoff"};
+  static constexpr std::array<const char*, kLevelCount> kNames = {"normal", "thrifty", "protect", "shed",
+                                                                  "cutoff"};
   return kNames.at(index(level));
 }
 
 const char* nameOf(Signal signal) {
-  static constexpr std::array<const char*, kSignals> kNames = {"cpu share",        "loop lag",  "open share",
-                                                               "descriptor share", "bad share", "over share",
-                                                               "retry share",      "list age"};
+  static constexpr std::array<const char*, kSignalCount> kNames = {
+      "cpu share", "loop lag",   "open share",  "descriptor share",
+      "bad share", "over share", "retry share", "list age"};
   return kNames.at(index(signal));
 }
 
@@ -37,25 +37,25 @@
     std::size_t level = 0;
     for (const Threshold& one : upwards) s.thresholds.at(level++).at(index(signal)) = one;
   };
-  set(Signal::CpuShare, {{0.75, 0.60}, {0.88, 0.72}, {0.96, 0.82}});
-  set(Signal::LoopLag, {{20e3, 8e3}, {60e3, 25e3}, {150e3, 60e3}, {500e3, 200e3}});
-  set(Signal::OpenShare, {{0.50, 0.35}, {0.70, 0.50}, {0.85, 0.65}, {0.97, 0.80}});
-  set(Signal::DescriptorShare, {{0.75, 0.60}, {0.88, 0.75}, {0.95, 0.85}, {0.99, 0.92}});
-  set(Signal::BadShare, {{0.12, 0.05}, {0.30, 0.15}});
-  set(Signal::OverShare, {{0.25, 0.12}, {0.40, 0.25}});
-  set(Signal::RetryShare, {{0.20, 0.10}, {0.35, 0.20}});
-  set(Signal::ListAge, {{6e6, 3e6}});
-  s.smoothing.fill(500'000);
-  s.smoothing[index(Signal::LoopLag)] = 250'000;
-  for (const Signal slow : {Signal::BadShare, Signal::OverShare, Signal::RetryShare})
-    s.smoothing[index(slow)] = 2'000'000;
-  s.smoothing[index(Signal::ListAge)] = 0;
+  set(Signal::CpuUtilization, {{0.75, 0.60}, {0.88, 0.72}, {0.96, 0.82}});
+  set(Signal::EventLoopLag, {{20e3, 8e3}, {60e3, 25e3}, {150e3, 60e3}, {500e3, 200e3}});
+  set(Signal::OpenRequestFraction, {{0.50, 0.35}, {0.70, 0.50}, {0.85, 0.65}, {0.97, 0.80}});
+  set(Signal::BusyConnectionFraction, {{0.75, 0.60}, {0.88, 0.75}, {0.95, 0.85}, {0.99, 0.92}});
+  set(Signal::FailedAttemptFraction, {{0.12, 0.05}, {0.30, 0.15}});
+  set(Signal::OverQuotaFraction, {{0.25, 0.12}, {0.40, 0.25}});
+  set(Signal::RetryFraction, {{0.20, 0.10}, {0.35, 0.20}});
+  set(Signal::EndpointListAge, {{6e6, 3e6}});
+  s.smoothingTimes.fill(500'000);
+  s.smoothingTimes[index(Signal::EventLoopLag)] = 250'000;
+  for (const Signal slow : {Signal::FailedAttemptFraction, Signal::OverQuotaFraction, Signal::RetryFraction})
+    s.smoothingTimes[index(slow)] = 2'000'000;
+  s.smoothingTimes[index(Signal::EndpointListAge)] = 0;
   return s;
 }
 
-std::optional<std::string> flawOf(const Settings& settings) {
-  for (std::size_t level = 0; level < kLevels - 1; ++level) {
-    for (std::size_t n = 0; n < kSignals; ++n) {
+std::optional<std::string> findFlaw(const Settings& settings) {
+  for (std::size_t level = 0; level < kLevelCount - 1; ++level) {
+    for (std::size_t n = 0; n < kSignalCount; ++n) {
       const auto& one = settings.thresholds[level][n];
       if (!one) continue;
       const std::string where =
@@ -69,27 +69,28 @@
       if (!below) return where + ": the level below has none for it";
     }
   }
-  if (settings.stepDown <= 0 || settings.calm <= 0 || settings.maxCalm < settings.calm ||
-      settings.probation <= 0)
+  if (settings.escalationInterval <= 0 || settings.recoveryDelay <= 0 ||
+      settings.maxRecoveryDelay < settings.recoveryDelay || settings.probationPeriod <= 0)
     return "times have to be over 0, and the longest calm no shorter than the first";
-  if (std::any_of(settings.smoothing.begin(), settings.smoothing.end(), [](Micros span) { return span < 0; }))
+  if (std::any_of(settings.smoothingTimes.begin(), settings.smoothingTimes.end(),
+                  [](Micros span) { return span < 0; }))
     return "a smoothing time under 0";
   return std::nullopt;
 }
 
-Restrictions effectOf(Level level) {
-  Restrictions effect;
+Restrictions restrictionsAt(Level level) {
+  Restrictions restrictions;
   if (level >= Level::Thrifty) {
-    effect.secondCopies = false;
-    effect.probeShare = 0.25;
+    restrictions.allowsHedging = false;
+    restrictions.healthCheckFraction = 0.25;
   }
-  if (level >= Level::Protect) effect.worthFirst = true;
+  if (level >= Level::Protect) restrictions.admitsByPriority = true;
   if (level >= Level::Shed) {
-    effect.refuseFromHead = true;
-    effect.probeShare = 0;
+    restrictions.rejectsBeforeBody = true;
+    restrictions.healthCheckFraction = 0;
   }
-  if (level >= Level::Cutoff) effect.leastWorth = 1;
-  return effect;
+  if (level >= Level::Cutoff) restrictions.minPriorityWeight = 1;
+  return restrictions;
 }
 
 std::string describe(const Transition& change) {
@@ -104,21 +105,24 @@
 }
 
 LevelController::LevelController(const Settings& settings, Micros now)
-    : settings_(settings), now_(now), changedAt_(now - settings.stepDown), calmNeeded_(settings.calm) {}
+    : settings_(settings),
+      now_(now),
+      lastTransitionAt_(now - settings.escalationInterval),
+      recoveryDelay_(settings.recoveryDelay) {}
 
-void LevelController::adopt(const Settings& settings, Micros now) {
+void LevelController::apply(const Settings& settings, Micros now) {
   now_ = std::max(now_, now);
   settings_ = settings;
-  asked_.fill(0);
+  requestedLevels_.fill(0);
   calmSince_.reset();
-  calmNeeded_ = std::clamp(calmNeeded_, settings.calm, settings.maxCalm);
+  recoveryDelay_ = std::clamp(recoveryDelay_, settings.recoveryDelay, settings.maxRecoveryDelay);
 }
 
-void LevelController::sample(Signal signal, double value, Micros now) {
+void LevelController::observe(Signal signal, double value, Micros now) {
   if (!std::isfinite(value) || value < 0) return;
   now_ = std::max(now_, now);
-  MovingAverage& smoothed = smoothed_.at(index(signal));
-  const auto constant = static_cast<double>(settings_.smoothing.at(index(signal)));
+  MovingAverage& smoothed = averages_.at(index(signal));
+  const auto constant = static_cast<double>(settings_.smoothingTimes.at(index(signal)));
   // The first sample stands for the past, of which nothing is known.
   const double part =
       !smoothed.any || constant <= 0 ? 1 : 1 - std::exp(-static_cast<double>(now_ - smoothed.at) / constant);
@@ -127,21 +131,21 @@
   smoothed.any = true;
 }
 
-std::optional<Transition> LevelController::judge(Micros now) {
+std::optional<Transition> LevelController::evaluate(Micros now) {
   now_ = std::max(now_, now);
-  const std::size_t wanted = ask();
-  if (wanted > index(level_)) return reduce(now_);
-  return restore(now_, wanted);
+  const std::size_t wanted = strictestRequestedLevel();
+  if (wanted > index(level_)) return escalate(now_);
+  return recover(now_, wanted);
 }
 
 // Each signal asks for a level of its own, with its own entry and exit; the strictest leads.
-std::size_t LevelController::ask() {
+std::size_t LevelController::strictestRequestedLevel() {
   std::size_t wanted = 0;
-  for (std::size_t n = 0; n < kSignals; ++n) {
+  for (std::size_t n = 0; n < kSignalCount; ++n) {
     const auto threshold = [&](std::size_t level) { return settings_.thresholds.at(level).at(n); };
-    std::size_t& asked = asked_.at(n);
-    const double value = smoothed_.at(n).value;
-    while (asked + 1 < kLevels && threshold(asked) && value >= threshold(asked)->enter) ++asked;
+    std::size_t& asked = requestedLevels_.at(n);
+    const double value = averages_.at(n).value;
+    while (asked + 1 < kLevelCount && threshold(asked) && value >= threshold(asked)->enter) ++asked;
     while (asked > 0 && value < threshold(asked - 1)->exit) --asked;
     wanted = std::max(wanted, asked);
   }
@@ -149,46 +153,46 @@
 }
 
 // One level further.
-std::optional<Transition> LevelController::reduce(Micros now) {
+std::optional<Transition> LevelController::escalate(Micros now) {
   calmSince_.reset();
-  if (now - changedAt_ < settings_.stepDown) return std::nullopt;
+  if (now - lastTransitionAt_ < settings_.escalationInterval) return std::nullopt;
   const auto& next = settings_.thresholds.at(index(level_));
   Transition change{level_, static_cast<Level>(index(level_) + 1), now, std::nullopt, 0, 0};
   double worst = 0;
-  for (std::size_t n = 0; n < kSignals; ++n) {
-    if (asked_[n] <= index(level_)) continue;
-    const double over = smoothed_[n].value / next[n]->enter;
+  for (std::size_t n = 0; n < kSignalCount; ++n) {
+    if (requestedLevels_[n] <= index(level_)) continue;
+    const double over = averages_[n].value / next[n]->enter;
     if (change.cause && over <= worst) continue;
     worst = over;
     change.cause = static_cast<Signal>(n);
-    change.value = smoothed_[n].value;
+    change.value = averages_[n].value;
     change.threshold = next[n]->enter;
   }
   // A restoration that did not hold: the next one waits for twice the calm.
-  if (restoredAt_ && now - *restoredAt_ < settings_.probation)
-    calmNeeded_ = std::min(settings_.maxCalm, 2 * calmNeeded_);
-  restoredAt_.reset();
+  if (unconfirmedRecoveryAt_ && now - *unconfirmedRecoveryAt_ < settings_.probationPeriod)
+    recoveryDelay_ = std::min(settings_.maxRecoveryDelay, 2 * recoveryDelay_);
+  unconfirmedRecoveryAt_.reset();
   level_ = change.to;
-  changedAt_ = now;
+  lastTransitionAt_ = now;
   return change;
 }
 
 // One level back when no signal has asked for this one for long enough.
-std::optional<Transition> LevelController::restore(Micros now, std::size_t wanted) {
-  if (restoredAt_ && now - *restoredAt_ >= settings_.probation) {
-    restoredAt_.reset();
-    calmNeeded_ = settings_.calm;
+std::optional<Transition> LevelController::recover(Micros now, std::size_t wanted) {
+  if (unconfirmedRecoveryAt_ && now - *unconfirmedRecoveryAt_ >= settings_.probationPeriod) {
+    unconfirmedRecoveryAt_.reset();
+    recoveryDelay_ = settings_.recoveryDelay;
   }
   if (wanted == index(level_)) {
     calmSince_.reset();
     return std::nullopt;
   }
   if (!calmSince_) calmSince_ = now;
-  if (now - *calmSince_ < calmNeeded_) return std::nullopt;
+  if (now - *calmSince_ < recoveryDelay_) return std::nullopt;
   const Transition change{level_, static_cast<Level>(index(level_) - 1), now, std::nullopt, 0, 0};
   level_ = change.to;
-  changedAt_ = now;
-  restoredAt_ = now;
+  lastTransitionAt_ = now;
+  unconfirmedRecoveryAt_ = now;
   calmSince_.reset();
   return change;
 }
--- a/src/degradation/level_controller.h
+++ b/src/degradation/level_controller.h
@@ -29,21 +29,21 @@
   Shed,     // what can't be served in time is refused from its head
   Cutoff,   // nothing new is taken but what is worth most
 };
-constexpr std::size_t kLevels = 5;
+constexpr std::size_t kLevelCount = 5;
 const char* nameOf(Level level);
 
 // What the ladder goes by.
 enum class Signal : std::uint8_t {
-  CpuShare,         // of the core that the sidecar may use; 0 to 1
-  LoopLag,          // microseconds from when a handler was ready to when it ran
-  OpenShare,        // open requests, of the most that may be; 0 to 1
-  DescriptorShare,  // descriptors in use, of the limit; 0 to 1
-  BadShare,         // attempts that hung, failed or were turned away, of all; 0 to 1
-  OverShare,        // requests of schools beyond their share, of all; 0 to 1
-  RetryShare,       // requests that their client marked as retries, of all; 0 to 1
-  ListAge,          // microseconds since the list of upstreams was last known to be right
+  CpuUtilization,          // of the core that the sidecar may use; 0 to 1
+  EventLoopLag,            // microseconds from when a handler was ready to when it ran
+  OpenRequestFraction,     // open requests, of the most that may be; 0 to 1
+  BusyConnectionFraction,  // descriptors in use, of the limit; 0 to 1
+  FailedAttemptFraction,   // attempts that hung, failed or were turned away, of all; 0 to 1
+  OverQuotaFraction,       // requests of schools beyond their share, of all; 0 to 1
+  RetryFraction,           // requests that their client marked as retries, of all; 0 to 1
+  EndpointListAge,         // microseconds since the list of upstreams was last known to be right
 };
-constexpr std::size_t kSignals = 8;
+constexpr std::size_t kSignalCount = 8;
 const char* nameOf(Signal signal);
 
 // What a level is entered and left at, by one signal. None: this signal never leads to this level.
@@ -54,28 +54,29 @@
 struct Settings {
   // [level - 1][signal], from Thrifty on. A higher level's thresholds lie no lower than those of the one
   // under it.
-  std::array<std::array<std::optional<Threshold>, kSignals>, kLevels - 1> thresholds;
+  std::array<std::array<std::optional<Threshold>, kSignalCount>, kLevelCount - 1> thresholds;
   // Time constants of the signals' smoothing (exponentially weighted by time), microseconds.
-  std::array<Micros, kSignals> smoothing{};
-  Micros stepDown = 300'000;      // between two reductions
-  Micros calm = 2'000'000;        // below all exits for so long before the first restoration
-  Micros maxCalm = 32'000'000;    // the calm doubles up to this with each restoration that did not hold
-  Micros probation = 10'000'000;  // a restoration that held so long has held
+  std::array<Micros, kSignalCount> smoothingTimes{};
+  Micros escalationInterval = 300'000;  // between two reductions
+  Micros recoveryDelay = 2'000'000;     // below all exits for so long before the first restoration
+  Micros maxRecoveryDelay =
+      32'000'000;                       // the calm doubles up to this with each restoration that did not hold
+  Micros probationPeriod = 10'000'000;  // a restoration that held so long has held
 };
 // Measured or argued for in docs/design/reduced-service.md.
 Settings defaultSettings();
 // One line that names what is wrong with them; none: nothing.
-std::optional<std::string> flawOf(const Settings& settings);
+std::optional<std::string> findFlaw(const Settings& settings);
 
 // What a level switches, as data.
 struct Restrictions {
-  bool secondCopies = true;
-  double probeShare = 1;        // of the usual probes
-  bool worthFirst = false;      // admission in the order of worth; over-share schools last
-  bool refuseFromHead = false;  // what can't be in time is refused before its body is read
-  double leastWorth = 0;        // relative to the worthiest class: less is refused
+  bool allowsHedging = true;
+  double healthCheckFraction = 1;  // of the usual probes
+  bool admitsByPriority = false;   // admission in the order of worth; over-share schools last
+  bool rejectsBeforeBody = false;  // what can't be in time is refused before its body is read
+  double minPriorityWeight = 0;    // relative to the worthiest class: less is refused
 };
-Restrictions effectOf(Level level);
+Restrictions restrictionsAt(Level level);
 
 struct Transition {
   Level from = Level::Normal, to = Level::Normal;
@@ -92,19 +93,20 @@
   LevelController(const Settings& settings, Micros now);
 
   // A new sample. Not finite or negative: passed over. Time that goes back counts as standing still.
-  void sample(Signal signal, double value, Micros now);
-  // Judges; at most one change a call. Call it every kTick or so, and after samples that matter.
-  std::optional<Transition> judge(Micros now);
+  void observe(Signal signal, double value, Micros now);
+  // Judges; at most one change a call. Call it every kEvaluationInterval or so, and after samples that
+  // matter.
+  std::optional<Transition> evaluate(Micros now);
 
   // Takes over other, flawless settings. Level and smoothed signals stay; what the signals ask for is judged
   // anew, from nothing, and a restoration waits for a whole calm.
-  void adopt(const Settings& settings, Micros now);
+  void apply(const Settings& settings, Micros now);
 
   Level level() const { return level_; }
-  Micros since() const { return changedAt_; }
-  double smoothed(Signal signal) const { return smoothed_.at(static_cast<std::size_t>(signal)).value; }
+  Micros lastTransitionAt() const { return lastTransitionAt_; }
+  double smoothedValue(Signal signal) const { return averages_.at(static_cast<std::size_t>(signal)).value; }
 
-  static constexpr Micros kTick = 50'000;
+  static constexpr Micros kEvaluationInterval = 50'000;
 
  private:
   struct MovingAverage {
@@ -112,18 +114,18 @@
     Micros at = 0;
     bool any = false;
   };
-  std::size_t ask();
-  std::optional<Transition> reduce(Micros now);
-  std::optional<Transition> restore(Micros now, std::size_t wanted);
+  std::size_t strictestRequestedLevel();
+  std::optional<Transition> escalate(Micros now);
+  std::optional<Transition> recover(Micros now, std::size_t wanted);
 
   Settings settings_;
-  std::array<MovingAverage, kSignals> smoothed_;
-  std::array<std::size_t, kSignals> asked_{};  // the level that each signal asks for
+  std::array<MovingAverage, kSignalCount> averages_;
+  std::array<std::size_t, kSignalCount> requestedLevels_{};  // the level that each signal asks for
   Level level_ = Level::Normal;
-  Micros now_, changedAt_;
+  Micros now_, lastTransitionAt_;
   std::optional<Micros> calmSince_;
-  Micros calmNeeded_;
-  std::optional<Micros> restoredAt_;  // the last restoration that may not have held yet
+  Micros recoveryDelay_;
+  std::optional<Micros> unconfirmedRecoveryAt_;  // the last restoration that may not have held yet
 };
 
 }  // namespace ivypost::degradation
--- a/src/degradation/load_monitor.cpp
+++ b/src/degradation/load_monitor.cpp
@@ -8,7 +8,7 @@
 
 void LoadMonitor::DecayingFraction::decay(Micros now) {
   if (now <= at) return;
-  const double kept = std::exp(-static_cast<double>(now - at) / kConstant);
+  const double kept = std::exp(-static_cast<double>(now - at) / kDecayTime);
   at = now;
   some *= kept;
   all *= kept;
@@ -22,40 +22,40 @@
 
 double LoadMonitor::DecayingFraction::value(Micros now) {
   decay(now);
-  return all < kLeast ? 0 : std::min(1.0, some / all);
+  return all < kMinEvents ? 0 : std::min(1.0, some / all);
 }
 
 LoadMonitor::LoadMonitor(const Settings& settings, double cores, Micros now)
-    : cores_(cores), ladder_(settings, now), tickedAt_(now) {}
+    : cores_(cores), controller_(settings, now), lastTickAt_(now) {}
 
-void LoadMonitor::requestCame(bool resent, Micros now) {
-  resent_.count(resent, now);
+void LoadMonitor::onRequest(bool isRetry, Micros now) {
+  retries_.count(isRetry, now);
 }
 
-void LoadMonitor::attemptEnded(bool bad, Micros now) {
-  bad_.count(bad, now);
+void LoadMonitor::onAttemptEnd(bool failed, Micros now) {
+  failedAttempts_.count(failed, now);
 }
 
-std::optional<Transition> LoadMonitor::tick(const Measurements& gauges, Micros now) {
-  const Micros passed = now - tickedAt_;
-  if (processor_ && passed > 0) {
-    const auto used = static_cast<double>(gauges.processor - *processor_);
-    ladder_.sample(Signal::CpuShare, used / static_cast<double>(passed) / cores_, now);
+std::optional<Transition> LoadMonitor::tick(const Measurements& measurements, Micros now) {
+  const Micros passed = now - lastTickAt_;
+  if (cpuTime_ && passed > 0) {
+    const auto used = static_cast<double>(measurements.cpuTime - *cpuTime_);
+    controller_.observe(Signal::CpuUtilization, used / static_cast<double>(passed) / cores_, now);
   }
-  processor_ = gauges.processor;
-  tickedAt_ = std::max(now, tickedAt_);
-  ladder_.sample(Signal::LoopLag, static_cast<double>(gauges.late), now);
-  ladder_.sample(Signal::OpenShare, gauges.openShare, now);
-  ladder_.sample(Signal::DescriptorShare, gauges.busyPlaces, now);
-  ladder_.sample(Signal::BadShare, bad_.value(now), now);
-  ladder_.sample(Signal::OverShare, gauges.beyondShare, now);
-  ladder_.sample(Signal::RetryShare, resent_.value(now), now);
-  ladder_.sample(Signal::ListAge, static_cast<double>(gauges.listAge), now);
-  return ladder_.judge(now);
+  cpuTime_ = measurements.cpuTime;
+  lastTickAt_ = std::max(now, lastTickAt_);
+  controller_.observe(Signal::EventLoopLag, static_cast<double>(measurements.eventLoopLag), now);
+  controller_.observe(Signal::OpenRequestFraction, measurements.openRequestFraction, now);
+  controller_.observe(Signal::BusyConnectionFraction, measurements.busyConnectionFraction, now);
+  controller_.observe(Signal::FailedAttemptFraction, failedAttempts_.value(now), now);
+  controller_.observe(Signal::OverQuotaFraction, measurements.overQuotaFraction, now);
+  controller_.observe(Signal::RetryFraction, retries_.value(now), now);
+  controller_.observe(Signal::EndpointListAge, static_cast<double>(measurements.endpointListAge), now);
+  return controller_.evaluate(now);
 }
 
-void LoadMonitor::adopt(const Settings& settings, Micros now) {
-  ladder_.adopt(settings, now);
+void LoadMonitor::apply(const Settings& settings, Micros now) {
+  controller_.apply(settings, now);
 }
 
 }  // namespace ivypost::degradation
--- a/src/operator/keys.cpp
+++ b/src/operator/keys.cpp
@@ -85,7 +85,7 @@
 }
 
 bool isTime(Signal signal) {
-  return signal == Signal::LoopLag || signal == Signal::ListAge;
+  return signal == Signal::EventLoopLag || signal == Signal::EndpointListAge;
 }
 
 std::string keyOf(Signal signal) {
@@ -98,9 +98,9 @@
   const auto n = static_cast<std::size_t>(signal);
   return {"levels.smoothing." + keyOf(signal), "",
           [n](File& file, Table& table, std::string_view leaf) {
-            if (table.has(leaf)) file.degradation.settings.smoothing.at(n) = readTime(table, leaf, 0);
+            if (table.has(leaf)) file.degradation.settings.smoothingTimes.at(n) = readTime(table, leaf, 0);
           },
-          [n](const File& file) { return shownTime(file.degradation.settings.smoothing.at(n)); }};
+          [n](const File& file) { return shownTime(file.degradation.settings.smoothingTimes.at(n)); }};
 }
 
 Key threshold(degradation::Level level, Signal signal) {
@@ -327,20 +327,21 @@
       flag("levels.on", "The ladder of reduced service: normal, thrifty, protect, shed, cutoff.",
            [](File& f) -> bool& { return f.degradation.on; }),
       time("levels.step_down", "Between two reductions of service.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.stepDown; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.escalationInterval; }),
       time("levels.calm",
            "All signals below their exits for so long, before service is restored by one level.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.calm; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.recoveryDelay; }),
       time("levels.max_calm", "The calm doubles up to this with each restoration that did not hold ...", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.maxCalm; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.maxRecoveryDelay; }),
       time("levels.probation", "... for so long.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.probation; }),
+           [](File& f) -> std::int64_t& { return f.degradation.settings.probationPeriod; }),
   };
   addMembership(all);
   addPeers(all);
-  for (std::size_t n = 0; n < degradation::kSignals; ++n) all.push_back(smoothing(static_cast<Signal>(n)));
-  for (std::size_t level = 1; level < degradation::kLevels; ++level) {
-    for (std::size_t n = 0; n < degradation::kSignals; ++n)
+  for (std::size_t n = 0; n < degradation::kSignalCount; ++n)
+    all.push_back(smoothing(static_cast<Signal>(n)));
+  for (std::size_t level = 1; level < degradation::kLevelCount; ++level) {
+    for (std::size_t n = 0; n < degradation::kSignalCount; ++n)
       all.push_back(threshold(static_cast<degradation::Level>(level), static_cast<Signal>(n)));
   }
   return all;
--- a/src/sidecar/degradation_manager.cpp
+++ b/src/sidecar/degradation_manager.cpp
@@ -14,7 +14,7 @@
 
 using degradation::Micros;
 
-Micros processorUsed() {
+Micros processCpuTime() {
   timespec used{};
   if (clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used) != 0) return 0;
   return static_cast<Micros>(used.tv_sec) * 1'000'000 + used.tv_nsec / 1000;
@@ -25,46 +25,46 @@
 DegradationManager::DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks)
     : cores_(cores), callbacks_(std::move(callbacks)), timer_(io) {}
 
-void DegradationManager::adopt(const op::File::Degradation& settings) {
+void DegradationManager::apply(const op::File::Degradation& settings) {
   if (!settings.on) {
     const bool reduced = level() != degradation::Level::Normal;
     timer_.cancel();
     monitor_.reset();
-    if (reduced) callbacks_.changed(degradation::Level::Normal);
+    if (reduced) callbacks_.levelChanged(degradation::Level::Normal);
     return;
   }
-  if (monitor_) return monitor_->adopt(settings.settings, now());
+  if (monitor_) return monitor_->apply(settings.settings, now());
   monitor_.emplace(settings.settings, cores_, now());
-  tickLater();
+  scheduleTick();
 }
 
-void DegradationManager::tickLater() {
-  timer_.expires_after(std::chrono::microseconds(degradation::LevelController::kTick));
+void DegradationManager::scheduleTick() {
+  timer_.expires_after(std::chrono::microseconds(degradation::LevelController::kEvaluationInterval));
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled && monitor_) tick();
   });
 }
 
 void DegradationManager::tick() {
-  degradation::Measurements gauges = callbacks_.gauges();
-  gauges.processor = processorUsed();
-  gauges.late = std::max<Micros>(0, now() - microsOf(timer_.expiry()));
-  const auto change = monitor_->tick(gauges, now());
-  tickLater();
+  degradation::Measurements measurements = callbacks_.measure();
+  measurements.cpuTime = processCpuTime();
+  measurements.eventLoopLag = std::max<Micros>(0, now() - microsOf(timer_.expiry()));
+  const auto change = monitor_->tick(measurements, now());
+  scheduleTick();
   if (!change) return;
   std::fprintf(stderr, "%s\n", degradation::describe(*change).c_str());
-  callbacks_.changed(change->to);
+  callbacks_.levelChanged(change->to);
 }
 
 nlohmann::json DegradationManager::status() const {
   nlohmann::json status = {{"level", degradation::nameOf(level())}, {"on", monitor_.has_value()}};
   if (!monitor_) return status;
-  const auto& ladder = monitor_->ladder();
-  status["for_ms"] = (now() - ladder.since()) / 1000;
+  const auto& controller = monitor_->controller();
+  status["for_ms"] = (now() - controller.lastTransitionAt()) / 1000;
   auto& signals = status["signals"];
-  for (std::size_t n = 0; n < degradation::kSignals; ++n) {
+  for (std::size_t n = 0; n < degradation::kSignalCount; ++n) {
     const auto signal = static_cast<degradation::Signal>(n);
-    signals[degradation::nameOf(signal)] = ladder.smoothed(signal);
+    signals[degradation::nameOf(signal)] = controller.smoothedValue(signal);
   }
   return status;
 }
--- a/src/sidecar/degradation_manager.h
+++ b/src/sidecar/degradation_manager.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Carries the ladder of reduced service out: ticks, reads the gauges, logs each change and tells it. Off, it
-// has no timer and counts nothing.
+// Carries the controller of reduced service out: ticks, reads the measurements, logs each change and tells
+// it. Off, it has no timer and counts nothing.
 #ifndef IVYPOST_DEGRADATION_MANAGER_H_
 #define IVYPOST_DEGRADATION_MANAGER_H_
 
@@ -21,30 +21,30 @@
  public:
   struct Callbacks {
     // All but processor and lateness, which are looked up here.
-    std::function<degradation::Measurements()> gauges;
-    std::function<void(degradation::Level)> changed;
+    std::function<degradation::Measurements()> measure;
+    std::function<void(degradation::Level)> levelChanged;
   };
 
   DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks);
 
   // Begins, goes on with other figures at the level that it has, or ends at normal.
-  void adopt(const op::File::Degradation& settings);
+  void apply(const op::File::Degradation& settings);
 
-  void requestCame(bool resent) {
-    if (monitor_) monitor_->requestCame(resent, now());
+  void onRequest(bool isRetry) {
+    if (monitor_) monitor_->onRequest(isRetry, now());
   }
-  void attemptEnded(bool bad) {
-    if (monitor_) monitor_->attemptEnded(bad, now());
+  void onAttemptEnd(bool failed) {
+    if (monitor_) monitor_->onAttemptEnd(failed, now());
   }
 
   degradation::Level level() const {
-    return monitor_ ? monitor_->ladder().level() : degradation::Level::Normal;
+    return monitor_ ? monitor_->controller().level() : degradation::Level::Normal;
   }
   // For whoever is awake: level, since when, and each signal.
   nlohmann::json status() const;
 
  private:
-  void tickLater();
+  void scheduleTick();
   void tick();
 
   const double cores_;
--- a/src/sidecar/gate.cpp
+++ b/src/sidecar/gate.cpp
@@ -67,7 +67,7 @@
   queue_.reset();
   if (file.admission.queue) {
     queue_ = std::make_unique<admission::Queue>(file.admission.figures, worth_);
-    queue_->worthFirst(effect_.worthFirst);
+    queue_->worthFirst(restrictions_.admitsByPriority);
     std::vector<Decision> tooMany;
     for (const auto& [id, held] : held_) {
       if (const auto refused = queue_->push(held.waiting, now())) tooMany.push_back(*refused);
@@ -82,9 +82,9 @@
   }
 }
 
-void Gate::reduce(const degradation::Restrictions& effect) {
-  effect_ = effect;
-  if (queue_) queue_->worthFirst(effect.worthFirst);
+void Gate::reduce(const degradation::Restrictions& restrictions) {
+  restrictions_ = restrictions;
+  if (queue_) queue_->worthFirst(restrictions.admitsByPriority);
 }
 
 void Gate::offer(ClientRequest request, bool crowded) {
@@ -120,7 +120,7 @@
 
 bool Gate::hopeless(std::uint32_t requestClass, Micros left) const {
   const double most = *std::max_element(worth_.begin(), worth_.end());
-  if (worth_.at(requestClass) < effect_.leastWorth * most) return true;
+  if (worth_.at(requestClass) < restrictions_.minPriorityWeight * most) return true;
   const Micros at = now();
   return left < wait_.value(at) + answer_.value(at);
 }
--- a/src/sidecar/gate.h
+++ b/src/sidecar/gate.h
@@ -40,7 +40,7 @@
   void check(const op::File& file) const;
   // What waits stays, in the new order.
   void adopt(const op::File& file);
-  void reduce(const degradation::Restrictions& effect);
+  void reduce(const degradation::Restrictions& restrictions);
 
   // Takes a request on, or one after the other refuses and hands on, from within the call or later.
   // `crowded`: there is no place for one more, so the least worthy is refused for it.
@@ -50,7 +50,7 @@
   // Since it was handed on.
   void served(Micros took) { answer_.add(took, now()); }
 
-  bool refusesFromHead() const { return effect_.refuseFromHead; }
+  bool refusesFromHead() const { return restrictions_.rejectsBeforeBody; }
   bool queues() const { return queue_ != nullptr; }
   // Whether a request of this class with so much time left can't be served, so that its body need not be
   // read.
@@ -82,7 +82,7 @@
     admission::Waiting waiting;
   };
   std::unordered_map<orchiddrum::RequestId, Held> held_;
-  degradation::Restrictions effect_;
+  degradation::Restrictions restrictions_;
   std::int64_t handedOn_ = 0;  // in this turn of the loop
   bool turnSet_ = false;
   admission::Estimate wait_, answer_;  // of those handed on: in the queue, and until they were served
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -70,14 +70,14 @@
                [this] {
                  if (stopped_) stopped_();
                }}),
-      level_(io, config_.cores,
-             {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
+      degradation_(io, config_.cores,
+                   {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty()}, now()),
       lifecycleTimer_(io),
       rotationFile_(config_.tempFolder, log),
       rotationTimer_(io),
       consoleTimer_(io) {
-  level_.adopt(file.degradation);
+  degradation_.apply(file.degradation);
   peersAs_ = file.peers;
   fleet_ = viewOf(peersAs_);
   follow(file.membership, config_.discovery);
@@ -119,7 +119,7 @@
   }
   membership_.platformMoved(config.discovery);
   server_.adopt(file);
-  level_.adopt(file.degradation);
+  degradation_.apply(file.degradation);
 }
 
 // Begins with this source, or changes to it. Throws where it can't be made, and then nothing has changed.
@@ -179,7 +179,7 @@
   event.expiresIn = client.expiresIn;
   event.work = client.work;
   event.resent = client.resent;
-  level_.requestCame(client.resent);
+  degradation_.onRequest(client.resent);
   Request request;
   request.client = std::move(client);
   requests_.emplace(event.request, std::move(request));
@@ -210,7 +210,7 @@
   if (const Known& known = known_[attempt.upstream]; fleet_ && known.listed)
     fleet_->attempted(lifeOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
-    level_.attemptEnded(end.outcome != Outcome::Ok);
+    degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   orchiddrum::AttemptOutcome event;
   event.request = end.id.request;
   event.attempt = end.id.number;
@@ -447,24 +447,25 @@
 // ---------------------------------------------------------------------------------------------------
 
 void Sidecar::onLevel(degradation::Level level) {
-  const degradation::Restrictions effect = degradation::effectOf(level);
-  server_.gate().reduce(effect);
-  handle(orchiddrum::ReducedService{effect.secondCopies, effect.probeShare});
+  const degradation::Restrictions restrictions = degradation::restrictionsAt(level);
+  server_.gate().reduce(restrictions);
+  handle(orchiddrum::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
 }
 
 degradation::Measurements Sidecar::gauges() {
   const auto& door = server_.door();
-  degradation::Measurements gauges;
-  gauges.openShare = server_.openShare();
+  degradation::Measurements measurements;
+  measurements.openRequestFraction = server_.openShare();
   const auto working = static_cast<double>(door.count(admission::Door::State::Working));
-  gauges.busyPlaces = std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
-  gauges.beyondShare = server_.gate().beyondShare();
-  gauges.listAge = membership_.freshness().age;
-  return gauges;
+  measurements.busyConnectionFraction =
+      std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
+  measurements.overQuotaFraction = server_.gate().beyondShare();
+  measurements.endpointListAge = membership_.freshness().age;
+  return measurements;
 }
 
 std::string Sidecar::status() const {
-  nlohmann::json status = level_.status();
+  nlohmann::json status = degradation_.status();
   status["name"] = config_.name;
   status["waiting"] = server_.gate().waiting();
   const membership::Freshness freshness = membership_.freshness();
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -50,7 +50,7 @@
   void stop(std::function<void()> stopped);
 
   std::uint16_t port() const { return server_.port(); }
-  degradation::Level level() const { return level_.level(); }
+  degradation::Level level() const { return degradation_.level(); }
   lifecycle::State state() const { return lifecycle_.state(); }
   // None: there is no console, or it could not be bound yet.
   std::optional<std::uint16_t> consolePort() const;
@@ -152,7 +152,7 @@
   op::File::Membership followed_;  // by the source that counts
   op::File::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
-  DegradationManager level_;
+  DegradationManager degradation_;
   SheddingNote shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
--- a/tests/degradation/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -31,7 +31,7 @@
   RandomStream random(seed);
   LoadMonitor monitor(defaultSettings(), 2, 0);
   std::string lines;
-  Micros now = 0, processor = 0, episodeEnd = 0;
+  Micros now = 0, cpuTime = 0, episodeEnd = 0;
   double load = 0;
   for (int tick = 0; tick < 12'000; ++tick) {
     now += static_cast<Micros>(40'000 + 20'000 * random.next());
@@ -41,25 +41,25 @@
       load = random.next() < 0.6 ? 0.3 * random.next() : 1.3 * random.next();
     }
     const auto noisy = [&](double scale) { return scale * load * (0.8 + 0.4 * random.next()); };
-    processor += static_cast<Micros>(noisy(100'000));
-    Measurements gauges;
-    gauges.processor = processor;
-    gauges.late = static_cast<Micros>(noisy(100'000) * load * load);
-    gauges.openShare = noisy(0.9);
-    gauges.busyPlaces = noisy(0.8);
-    gauges.beyondShare = noisy(0.3);
-    gauges.listAge = static_cast<Micros>(noisy(5e6));
+    cpuTime += static_cast<Micros>(noisy(100'000));
+    Measurements measurements;
+    measurements.cpuTime = cpuTime;
+    measurements.eventLoopLag = static_cast<Micros>(noisy(100'000) * load * load);
+    measurements.openRequestFraction = noisy(0.9);
+    measurements.busyConnectionFraction = noisy(0.8);
+    measurements.overQuotaFraction = noisy(0.3);
+    measurements.endpointListAge = static_cast<Micros>(noisy(5e6));
     for (int event = 0; event < 4; ++event) {
-      monitor.requestCame(random.next() < 0.3 * load, now);
-      monitor.attemptEnded(random.next() < 0.25 * load, now);
+      monitor.onRequest(random.next() < 0.3 * load, now);
+      monitor.onAttemptEnd(random.next() < 0.25 * load, now);
     }
     if (tick == 6'000) {
       Settings quick = defaultSettings();
-      quick.calm = 500'000;
-      quick.stepDown = 100'000;
-      monitor.adopt(quick, now);
+      quick.recoveryDelay = 500'000;
+      quick.escalationInterval = 100'000;
+      monitor.apply(quick, now);
     }
-    if (const auto change = monitor.tick(gauges, now))
+    if (const auto change = monitor.tick(measurements, now))
       lines += std::to_string(change->at) + " " + describe(*change) + "\n";
   }
   return lines;
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -14,8 +14,8 @@
   static op::File leadingTo(Level level) {
     op::File file;
     file.degradation.on = file.admission.queue = file.status.level = true;
-    file.degradation.settings.stepDown = 1000;
-    for (std::size_t n = 0; n < degradation::kLevels - 1; ++n) {
+    file.degradation.settings.escalationInterval = 1000;
+    for (std::size_t n = 0; n < degradation::kLevelCount - 1; ++n) {
       auto& thresholds = file.degradation.settings.thresholds.at(n);
       thresholds.fill(std::nullopt);
       if (n < static_cast<std::size_t>(level)) thresholds[0] = degradation::Threshold{1e-12, 0};
@@ -68,7 +68,7 @@
 // A reread that fails changes nothing, at each level; one that succeeds takes effect, and its end is normal.
 TEST_F(DegradationManagerTest, ABadFileAtSighupChangesNothingAtAnyLevel) {
   start(leadingTo(Level::Normal));
-  for (std::size_t n = 0; n < degradation::kLevels; ++n) {
+  for (std::size_t n = 0; n < degradation::kLevelCount; ++n) {
     const auto level = static_cast<Level>(n);
     sidecar->reload(config, leadingTo(level));
     ASSERT_TRUE(wait([&] { return sidecar->level() == level; })) << n;
@@ -99,7 +99,7 @@
   EXPECT_EQ(seen["name"], "n1");
   EXPECT_EQ(seen["on"], true);
   EXPECT_GE(seen["for_ms"], 0);
-  EXPECT_EQ(seen["signals"].size(), degradation::kSignals);
+  EXPECT_EQ(seen["signals"].size(), degradation::kSignalCount);
   EXPECT_EQ(seen["queue"]["handed on"], 1);
   EXPECT_EQ(seen["waiting"], 0);
 }
--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -19,47 +19,48 @@
 constexpr Micros kSecond = 1'000'000;
 
 // Plays a signal as a function of time, a sample a tick, and gives the changes.
-std::vector<Transition> play(LevelController& ladder, Micros from, Micros until,
+std::vector<Transition> play(LevelController& controller, Micros from, Micros until,
                              const std::function<void(LevelController&, Micros)>& feed) {
   std::vector<Transition> changes;
-  for (Micros now = from; now < until; now += LevelController::kTick) {
-    feed(ladder, now);
-    if (const auto change = ladder.judge(now)) changes.push_back(*change);
+  for (Micros now = from; now < until; now += LevelController::kEvaluationInterval) {
+    feed(controller, now);
+    if (const auto change = controller.evaluate(now)) changes.push_back(*change);
   }
   return changes;
 }
 
 std::function<void(LevelController&, Micros)> steady(Signal signal, double value) {
-  return [=](LevelController& ladder, Micros now) { ladder.sample(signal, value, now); };
+  return [=](LevelController& controller, Micros now) { controller.observe(signal, value, now); };
 }
 
 TEST(LevelController, StaysNormalWhenCalm) {
-  LevelController ladder(defaultSettings(), 0);
-  EXPECT_TRUE(play(ladder, 0, 60 * kSecond, steady(Signal::CpuShare, 0.5)).empty());
-  EXPECT_EQ(ladder.level(), Level::Normal);
+  LevelController controller(defaultSettings(), 0);
+  EXPECT_TRUE(play(controller, 0, 60 * kSecond, steady(Signal::CpuUtilization, 0.5)).empty());
+  EXPECT_EQ(controller.level(), Level::Normal);
 }
 
 TEST(LevelController, GoesDownStepByStepAndNamesTheCause) {
-  LevelController ladder(defaultSettings(), 0);
-  const auto changes = play(ladder, 0, 5 * kSecond, steady(Signal::LoopLag, 1e6));
+  LevelController controller(defaultSettings(), 0);
+  const auto changes = play(controller, 0, 5 * kSecond, steady(Signal::EventLoopLag, 1e6));
   ASSERT_EQ(changes.size(), 4u);
   for (std::size_t n = 0; n < 4; ++n) {
     EXPECT_EQ(changes[n].to, static_cast<Level>(n + 1));
-    EXPECT_EQ(changes[n].cause, Signal::LoopLag);
+    EXPECT_EQ(changes[n].cause, Signal::EventLoopLag);
     if (n > 0) {
-      EXPECT_GE(changes[n].at - changes[n - 1].at, defaultSettings().stepDown);
+      EXPECT_GE(changes[n].at - changes[n - 1].at, defaultSettings().escalationInterval);
     }
   }
   EXPECT_EQ(describe(changes[0]), "level thrifty, was normal: loop lag 1e+06 over 2e+04");
 }
 
 TEST(LevelController, ComesBackStepByStepAfterCalm) {
-  LevelController ladder(defaultSettings(), 0);
-  play(ladder, 0, 5 * kSecond, steady(Signal::LoopLag, 1e6));
-  const auto changes = play(ladder, 5 * kSecond, 60 * kSecond, steady(Signal::LoopLag, 0));
+  LevelController controller(defaultSettings(), 0);
+  play(controller, 0, 5 * kSecond, steady(Signal::EventLoopLag, 1e6));
+  const auto changes = play(controller, 5 * kSecond, 60 * kSecond, steady(Signal::EventLoopLag, 0));
   ASSERT_EQ(changes.size(), 4u);
-  EXPECT_EQ(ladder.level(), Level::Normal);
-  for (std::size_t n = 1; n < 4; ++n) EXPECT_GE(changes[n].at - changes[n - 1].at, defaultSettings().calm);
+  EXPECT_EQ(controller.level(), Level::Normal);
+  for (std::size_t n = 1; n < 4; ++n)
+    EXPECT_GE(changes[n].at - changes[n - 1].at, defaultSettings().recoveryDelay);
   EXPECT_EQ(describe(changes[3]), "level normal, was thrifty: calm");
 }
 
@@ -67,30 +68,30 @@
 TEST(LevelController, ASlowSineChangesTheLevelOnceASwing) {
   const Settings settings = defaultSettings();
   int thresholds = 0;
-  for (std::size_t level = 0; level < kLevels - 1; ++level) {
-    for (std::size_t n = 0; n < kSignals; ++n) {
+  for (std::size_t level = 0; level < kLevelCount - 1; ++level) {
+    for (std::size_t n = 0; n < kSignalCount; ++n) {
       const auto& one = settings.thresholds[level][n];
       if (!one) continue;
       ++thresholds;
       // As far as the neighbours' thresholds allow: one that is crossed too has a change of its own.
       double most = 0.2;
-      if (level + 2 < kLevels && settings.thresholds[level + 1][n])
+      if (level + 2 < kLevelCount && settings.thresholds[level + 1][n])
         most = std::min(most, 0.9 * (settings.thresholds[level + 1][n]->enter / one->enter - 1));
       if (level > 0) most = std::min(most, 0.9 * (1 - settings.thresholds[level - 1][n]->exit / one->enter));
       for (const Micros period : {20 * kSecond, 60 * kSecond, 300 * kSecond}) {
         for (const double swing : {most / 10, most}) {
-          LevelController ladder(settings, 0);
+          LevelController controller(settings, 0);
           const auto signal = static_cast<Signal>(n);
           // To the level below first, as the ladder knows no jump.
-          play(ladder, 0, 5 * kSecond, steady(signal, one->enter * 0.999));
-          ASSERT_EQ(ladder.level(), static_cast<Level>(level)) << nameOf(signal);
+          play(controller, 0, 5 * kSecond, steady(signal, one->enter * 0.999));
+          ASSERT_EQ(controller.level(), static_cast<Level>(level)) << nameOf(signal);
           // Noise on top, by a fixed pattern.
           const auto changes =
-              play(ladder, 5 * kSecond, 5 * kSecond + 10 * period, [&](LevelController& l, Micros now) {
+              play(controller, 5 * kSecond, 5 * kSecond + 10 * period, [&](LevelController& l, Micros now) {
                 const double phase = 2 * std::numbers::pi * static_cast<double>(now - 5 * kSecond) /
                                      static_cast<double>(period);
                 const double noise = most / 20 * std::sin(static_cast<double>(now) * 0.37);
-                l.sample(signal, one->enter * (1 + swing * std::sin(phase) + noise), now);
+                l.observe(signal, one->enter * (1 + swing * std::sin(phase) + noise), now);
               });
           // It begins in the middle of a swing: 21 of them.
           EXPECT_LE(changes.size(), 21u) << nameOf(static_cast<Level>(level + 1)) << ", " << nameOf(signal)
@@ -105,11 +106,11 @@
 
 // A load that hovers right at a threshold, with noise to both sides, changes the level once.
 TEST(LevelController, HoveringAtAThresholdDoesNotFlap) {
-  LevelController ladder(defaultSettings(), 0);
+  LevelController controller(defaultSettings(), 0);
   std::uint64_t random = 1;
-  const auto changes = play(ladder, 0, 600 * kSecond, [&](LevelController& l, Micros now) {
+  const auto changes = play(controller, 0, 600 * kSecond, [&](LevelController& l, Micros now) {
     random = random * 6364136223846793005u + 1442695040888963407u;
-    l.sample(Signal::CpuShare, 0.75 + (static_cast<double>(random >> 40) * 0x1p-24 - 0.5) * 0.1, now);
+    l.observe(Signal::CpuUtilization, 0.75 + (static_cast<double>(random >> 40) * 0x1p-24 - 0.5) * 0.1, now);
   });
   EXPECT_EQ(changes.size(), 1u);
 }
@@ -118,9 +119,9 @@
 // changes become rare, whatever the bursts' length.
 TEST(LevelController, ARecoveryInBurstsDoesNotFlap) {
   for (const Micros burst : {kSecond / 10, kSecond, 10 * kSecond}) {
-    LevelController ladder(defaultSettings(), 0);
-    const auto changes = play(ladder, 0, 300 * kSecond, [&](LevelController& l, Micros now) {
-      l.sample(Signal::LoopLag, now / burst % 2 == 0 ? 100e3 : 0, now);
+    LevelController controller(defaultSettings(), 0);
+    const auto changes = play(controller, 0, 300 * kSecond, [&](LevelController& l, Micros now) {
+      l.observe(Signal::EventLoopLag, now / burst % 2 == 0 ? 100e3 : 0, now);
     });
     const auto late = std::count_if(changes.begin(), changes.end(),
                                     [](const Transition& c) { return c.at > 200 * kSecond; });
@@ -130,113 +131,115 @@
 }
 
 TEST(LevelController, AStepUpAndBackIsFollowedAndForgotten) {
-  LevelController ladder(defaultSettings(), 0);
-  play(ladder, 0, 10 * kSecond, steady(Signal::OpenShare, 0.18));
-  const auto up = play(ladder, 10 * kSecond, 20 * kSecond, steady(Signal::OpenShare, 0.9));
-  EXPECT_EQ(ladder.level(), Level::Shed);
+  LevelController controller(defaultSettings(), 0);
+  play(controller, 0, 10 * kSecond, steady(Signal::OpenRequestFraction, 0.18));
+  const auto up = play(controller, 10 * kSecond, 20 * kSecond, steady(Signal::OpenRequestFraction, 0.9));
+  EXPECT_EQ(controller.level(), Level::Shed);
   EXPECT_LE(up.back().at, 13 * kSecond);
-  play(ladder, 20 * kSecond, 35 * kSecond, steady(Signal::OpenShare, 0.18));
-  EXPECT_EQ(ladder.level(), Level::Normal);
+  play(controller, 20 * kSecond, 35 * kSecond, steady(Signal::OpenRequestFraction, 0.18));
+  EXPECT_EQ(controller.level(), Level::Normal);
 }
 
 // Two signals that ask for different levels: the stricter one leads, and its exit is the one that counts.
 TEST(LevelController, TheStricterOfTwoSignalsLeads) {
-  LevelController ladder(defaultSettings(), 0);
+  LevelController controller(defaultSettings(), 0);
   const auto both = [](double cpu, double lag) {
     return [=](LevelController& l, Micros now) {
-      l.sample(Signal::CpuShare, cpu, now);
-      l.sample(Signal::LoopLag, lag, now);
+      l.observe(Signal::CpuUtilization, cpu, now);
+      l.observe(Signal::EventLoopLag, lag, now);
     };
   };
-  play(ladder, 0, 10 * kSecond, both(0.80, 200e3));
-  EXPECT_EQ(ladder.level(), Level::Shed);
+  play(controller, 0, 10 * kSecond, both(0.80, 200e3));
+  EXPECT_EQ(controller.level(), Level::Shed);
   // They cross: one falls while the other rises.
-  play(ladder, 10 * kSecond, 40 * kSecond, both(0.90, 0));
-  EXPECT_EQ(ladder.level(), Level::Protect);
-  play(ladder, 40 * kSecond, 70 * kSecond, both(0.1, 0));
-  EXPECT_EQ(ladder.level(), Level::Normal);
+  play(controller, 10 * kSecond, 40 * kSecond, both(0.90, 0));
+  EXPECT_EQ(controller.level(), Level::Protect);
+  play(controller, 40 * kSecond, 70 * kSecond, both(0.1, 0));
+  EXPECT_EQ(controller.level(), Level::Normal);
 }
 
 TEST(LevelController, PassesOverNonsenseAndTimeThatGoesBack) {
-  LevelController ladder(defaultSettings(), 10 * kSecond);
+  LevelController controller(defaultSettings(), 10 * kSecond);
   for (const double value : {std::nan(""), HUGE_VAL, -1.0}) {
-    ladder.sample(Signal::CpuShare, value, 11 * kSecond);
-    EXPECT_EQ(ladder.smoothed(Signal::CpuShare), 0);
+    controller.observe(Signal::CpuUtilization, value, 11 * kSecond);
+    EXPECT_EQ(controller.smoothedValue(Signal::CpuUtilization), 0);
   }
-  ladder.sample(Signal::CpuShare, 0.5, 12 * kSecond);
-  ladder.sample(Signal::CpuShare, 0.9, 3 * kSecond);  // the clock jumped back
-  EXPECT_EQ(ladder.smoothed(Signal::CpuShare), 0.5);
-  EXPECT_FALSE(ladder.judge(4 * kSecond));
+  controller.observe(Signal::CpuUtilization, 0.5, 12 * kSecond);
+  controller.observe(Signal::CpuUtilization, 0.9, 3 * kSecond);  // the clock jumped back
+  EXPECT_EQ(controller.smoothedValue(Signal::CpuUtilization), 0.5);
+  EXPECT_FALSE(controller.evaluate(4 * kSecond));
   // And far ahead: one change at the most, by what is known.
-  ladder.sample(Signal::CpuShare, 0.9, 100'000 * kSecond);
-  EXPECT_TRUE(ladder.judge(100'000 * kSecond));
-  EXPECT_EQ(ladder.level(), Level::Thrifty);
+  controller.observe(Signal::CpuUtilization, 0.9, 100'000 * kSecond);
+  EXPECT_TRUE(controller.evaluate(100'000 * kSecond));
+  EXPECT_EQ(controller.level(), Level::Thrifty);
 }
 
 TEST(LevelController, EffectsOnlyGrowStricter) {
-  for (std::size_t n = 1; n < kLevels; ++n) {
-    const Restrictions before = effectOf(static_cast<Level>(n - 1)), after = effectOf(static_cast<Level>(n));
-    EXPECT_LE(after.secondCopies, before.secondCopies);
-    EXPECT_LE(after.probeShare, before.probeShare);
-    EXPECT_GE(after.worthFirst, before.worthFirst);
-    EXPECT_GE(after.refuseFromHead, before.refuseFromHead);
-    EXPECT_GE(after.leastWorth, before.leastWorth);
+  for (std::size_t n = 1; n < kLevelCount; ++n) {
+    const Restrictions before = restrictionsAt(static_cast<Level>(n - 1)),
+                       after = restrictionsAt(static_cast<Level>(n));
+    EXPECT_LE(after.allowsHedging, before.allowsHedging);
+    EXPECT_LE(after.healthCheckFraction, before.healthCheckFraction);
+    EXPECT_GE(after.admitsByPriority, before.admitsByPriority);
+    EXPECT_GE(after.rejectsBeforeBody, before.rejectsBeforeBody);
+    EXPECT_GE(after.minPriorityWeight, before.minPriorityWeight);
   }
-  EXPECT_TRUE(effectOf(Level::Normal).secondCopies);
+  EXPECT_TRUE(restrictionsAt(Level::Normal).allowsHedging);
 }
 
 TEST(LevelControllerSettings, FlawsAreNamed) {
-  EXPECT_EQ(flawOf(defaultSettings()), std::nullopt);
+  EXPECT_EQ(findFlaw(defaultSettings()), std::nullopt);
   Settings settings = defaultSettings();
   settings.thresholds[0][0]->exit = settings.thresholds[0][0]->enter;
-  EXPECT_EQ(flawOf(settings), "thrifty, cpu share: the exit has to lie under the entry, and neither under 0");
+  EXPECT_EQ(findFlaw(settings),
+            "thrifty, cpu share: the exit has to lie under the entry, and neither under 0");
   settings = defaultSettings();
   settings.thresholds[1][0]->enter = 0.5;
   settings.thresholds[1][0]->exit = 0.4;
-  EXPECT_EQ(flawOf(settings), "protect, cpu share: lies under the threshold of the level below");
+  EXPECT_EQ(findFlaw(settings), "protect, cpu share: lies under the threshold of the level below");
   settings = defaultSettings();
   settings.thresholds[2][7] = Threshold{9e6, 8e6};
-  EXPECT_EQ(flawOf(settings), "shed, list age: the level below has none for it");
+  EXPECT_EQ(findFlaw(settings), "shed, list age: the level below has none for it");
   settings = defaultSettings();
-  settings.maxCalm = 1;
-  EXPECT_NE(flawOf(settings), std::nullopt);
+  settings.maxRecoveryDelay = 1;
+  EXPECT_NE(findFlaw(settings), std::nullopt);
   settings = defaultSettings();
-  settings.smoothing[0] = -1;
-  EXPECT_EQ(flawOf(settings), "a smoothing time under 0");
+  settings.smoothingTimes[0] = -1;
+  EXPECT_EQ(findFlaw(settings), "a smoothing time under 0");
 }
 
 // Whatever the signals do: no step is skipped, changes a minute are bounded, and calm leads back to normal.
 TEST(LevelControllerProperty, AnySeries) {
   EXPECT_TRUE(rc::check("bounded changes, no skipped step, never stuck", [] {
     const Settings settings = defaultSettings();
-    LevelController ladder(settings, 0);
+    LevelController controller(settings, 0);
     const auto series = *rc::gen::container<std::vector<std::tuple<int, double, int>>>(
-        rc::gen::tuple(rc::gen::inRange(0, static_cast<int>(kSignals)),
+        rc::gen::tuple(rc::gen::inRange(0, static_cast<int>(kSignalCount)),
                        rc::gen::map(rc::gen::inRange(0, 3000), [](int part) { return part / 1000.0; }),
                        rc::gen::inRange(1, 400)));
     Micros now = 0;
     std::vector<Transition> changes;
     Level last = Level::Normal;
     const auto judge = [&] {
-      if (const auto change = ladder.judge(now)) {
+      if (const auto change = controller.evaluate(now)) {
         RC_ASSERT(change->from == last);
         RC_ASSERT(std::abs(static_cast<int>(change->to) - static_cast<int>(change->from)) == 1);
         last = change->to;
         changes.push_back(*change);
       }
-      RC_ASSERT(ladder.level() == last);
+      RC_ASSERT(controller.level() == last);
     };
     for (const auto& [signal, value, ticks] : series) {
       // Values relative to the signal's first threshold, up to three times it.
       const auto& one = settings.thresholds[0][static_cast<std::size_t>(signal)];
       for (int n = 0; n < ticks; ++n) {
-        now += LevelController::kTick;
-        ladder.sample(static_cast<Signal>(signal), value * one->enter, now);
+        now += LevelController::kEvaluationInterval;
+        controller.observe(static_cast<Signal>(signal), value * one->enter, now);
         judge();
       }
     }
-    // In any minute: reductions are stepDown apart, and each restoration needs a calm of its own, so that
-    // both together are bounded by twice the restorations and the levels there are.
+    // In any minute: reductions are escalationInterval apart, and each restoration needs a calm of its own,
+    // so that both together are bounded by twice the restorations and the levels there are.
     for (std::size_t first = 0; first < changes.size(); ++first) {
       std::size_t restored = 0, all = 0;
       for (std::size_t n = first; n < changes.size() && changes[n].at < changes[first].at + 60 * kSecond;
@@ -245,14 +248,15 @@
         ++all;
       }
       RC_ASSERT(restored <= 30u);
-      RC_ASSERT(all <= 2 * restored + kLevels);
+      RC_ASSERT(all <= 2 * restored + kLevelCount);
     }
     // Calm: all signals at zero.
-    for (Micros end = now + 5 * settings.maxCalm; now < end; now += LevelController::kTick) {
-      for (std::size_t n = 0; n < kSignals; ++n) ladder.sample(static_cast<Signal>(n), 0, now);
+    for (Micros end = now + 5 * settings.maxRecoveryDelay; now < end;
+         now += LevelController::kEvaluationInterval) {
+      for (std::size_t n = 0; n < kSignalCount; ++n) controller.observe(static_cast<Signal>(n), 0, now);
       judge();
     }
-    RC_ASSERT(ladder.level() == Level::Normal);
+    RC_ASSERT(controller.level() == Level::Normal);
   }));
 }
 
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -10,15 +10,15 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-// Ticks from one time to another with these gauges; `each` runs ahead of every tick.
+// Ticks from one time to another with these measurements; `each` runs ahead of every tick.
 Level play(LoadMonitor& monitor, Micros from, Micros to,
            const std::function<void(Measurements&, Micros)>& each) {
-  for (Micros now = from; now <= to; now += LevelController::kTick) {
-    Measurements gauges;
-    each(gauges, now);
-    monitor.tick(gauges, now);
+  for (Micros now = from; now <= to; now += LevelController::kEvaluationInterval) {
+    Measurements measurements;
+    each(measurements, now);
+    monitor.tick(measurements, now);
   }
-  return monitor.ladder().level();
+  return monitor.controller().level();
 }
 
 // Each gauge and count by itself leads as far as its thresholds do, and no further.
@@ -35,22 +35,24 @@
   };
   const Row rows[] = {
       {"half of two cores", Level::Normal,
-       [](LoadMonitor&, Measurements& g, Micros now) { g.processor = now; }},
+       [](LoadMonitor&, Measurements& g, Micros now) { g.cpuTime = now; }},
       {"all of two cores", Level::Shed,
-       [](LoadMonitor&, Measurements& g, Micros now) { g.processor = 2 * now; }},
-      {"late ticks", Level::Cutoff, [](LoadMonitor&, Measurements& g, Micros) { g.late = kSecond; }},
-      {"open requests", Level::Protect, [](LoadMonitor&, Measurements& g, Micros) { g.openShare = 0.8; }},
-      {"busy places", Level::Cutoff, [](LoadMonitor&, Measurements& g, Micros) { g.busyPlaces = 1; }},
-      {"schools", Level::Thrifty, [](LoadMonitor&, Measurements& g, Micros) { g.beyondShare = 0.3; }},
+       [](LoadMonitor&, Measurements& g, Micros now) { g.cpuTime = 2 * now; }},
+      {"late ticks", Level::Cutoff, [](LoadMonitor&, Measurements& g, Micros) { g.eventLoopLag = kSecond; }},
+      {"open requests", Level::Protect,
+       [](LoadMonitor&, Measurements& g, Micros) { g.openRequestFraction = 0.8; }},
+      {"busy places", Level::Cutoff,
+       [](LoadMonitor&, Measurements& g, Micros) { g.busyConnectionFraction = 1; }},
+      {"schools", Level::Thrifty, [](LoadMonitor&, Measurements& g, Micros) { g.overQuotaFraction = 0.3; }},
       {"an old list", Level::Thrifty,
-       [](LoadMonitor&, Measurements& g, Micros) { g.listAge = 24 * kSecond; }},
-      {"a fifth of attempts bad", Level::Thrifty, events(2, 10, &LoadMonitor::attemptEnded)},
-      {"half of them", Level::Protect, events(5, 10, &LoadMonitor::attemptEnded)},
+       [](LoadMonitor&, Measurements& g, Micros) { g.endpointListAge = 24 * kSecond; }},
+      {"a fifth of attempts bad", Level::Thrifty, events(2, 10, &LoadMonitor::onAttemptEnd)},
+      {"half of them", Level::Protect, events(5, 10, &LoadMonitor::onAttemptEnd)},
       {"few of them say nothing", Level::Normal,
        [](LoadMonitor& m, Measurements&, Micros now) {
-         if (now % (500'000) == 0) m.attemptEnded(true, now);
+         if (now % (500'000) == 0) m.onAttemptEnd(true, now);
        }},
-      {"retries", Level::Protect, events(4, 10, &LoadMonitor::requestCame)},
+      {"retries", Level::Protect, events(4, 10, &LoadMonitor::onRequest)},
   };
   for (const Row& row : rows) {
     LoadMonitor monitor(defaultSettings(), 2, 0);
@@ -58,9 +60,9 @@
               row.level)
         << row.name;
     // And calm leads back.
-    EXPECT_EQ(play(monitor, 21 * kSecond, 60 * kSecond,
-                   [](Measurements& g, Micros) { g.processor = 40 * kSecond; }),
-              Level::Normal)
+    EXPECT_EQ(
+        play(monitor, 21 * kSecond, 60 * kSecond, [](Measurements& g, Micros) { g.cpuTime = 40 * kSecond; }),
+        Level::Normal)
         << row.name;
   }
 }
@@ -69,29 +71,29 @@
 TEST(LoadMonitor, AClockThatJumps) {
   LoadMonitor monitor(defaultSettings(), 1, 0);
   Micros used = 0;
-  play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.processor = used += 10'000; });
+  play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.cpuTime = used += 10'000; });
   EXPECT_EQ(play(monitor, 10'000 * kSecond, 10'001 * kSecond,
-                 [&](Measurements& g, Micros) { g.processor = used += 10'000; }),
+                 [&](Measurements& g, Micros) { g.cpuTime = used += 10'000; }),
             Level::Normal);
-  EXPECT_EQ(play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.processor = used += 10'000; }),
+  EXPECT_EQ(play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.cpuTime = used += 10'000; }),
             Level::Normal);
-  EXPECT_LT(monitor.ladder().smoothed(Signal::CpuShare), 0.3);
+  EXPECT_LT(monitor.controller().smoothedValue(Signal::CpuUtilization), 0.3);
 }
 
 // Other settings, at each level: the level stays, and what it asks for from then on decides.
 TEST(LoadMonitor, AdoptsOtherSettingsAtEachLevel) {
   const double busy[] = {0, 0.8, 0.9, 0.96, 1};
-  for (std::size_t n = 0; n < kLevels; ++n) {
+  for (std::size_t n = 0; n < kLevelCount; ++n) {
     LoadMonitor monitor(defaultSettings(), 1, 0);
-    const auto gauges = [&](Measurements& g, Micros) { g.busyPlaces = busy[n]; };
-    ASSERT_EQ(play(monitor, 0, 10 * kSecond, gauges), static_cast<Level>(n));
+    const auto measurements = [&](Measurements& g, Micros) { g.busyConnectionFraction = busy[n]; };
+    ASSERT_EQ(play(monitor, 0, 10 * kSecond, measurements), static_cast<Level>(n));
     Settings never = defaultSettings();
     for (auto& level : never.thresholds) level.fill(std::nullopt);
-    monitor.adopt(never, 10 * kSecond);
-    EXPECT_EQ(monitor.ladder().level(), static_cast<Level>(n));
-    EXPECT_EQ(play(monitor, 10 * kSecond, 40 * kSecond, gauges), Level::Normal);
-    monitor.adopt(defaultSettings(), 40 * kSecond);
-    EXPECT_EQ(play(monitor, 41 * kSecond, 50 * kSecond, gauges), static_cast<Level>(n));
+    monitor.apply(never, 10 * kSecond);
+    EXPECT_EQ(monitor.controller().level(), static_cast<Level>(n));
+    EXPECT_EQ(play(monitor, 10 * kSecond, 40 * kSecond, measurements), Level::Normal);
+    monitor.apply(defaultSettings(), 40 * kSecond);
+    EXPECT_EQ(play(monitor, 41 * kSecond, 50 * kSecond, measurements), static_cast<Level>(n));
   }
 }
 
--- a/tests/operator/file_test.cpp
+++ b/tests/operator/file_test.cpp
@@ -72,9 +72,9 @@
       "list_age = \"never\"\n",
       "op.toml");
   const auto& thrifty = file.degradation.settings.thresholds[0];
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::LoopLag)]->enter, 30'000);
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::LoopLag)]->exit, 10'000);
-  EXPECT_FALSE(thrifty[static_cast<std::size_t>(degradation::Signal::ListAge)]);
+  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::EventLoopLag)]->enter, 30'000);
+  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::EventLoopLag)]->exit, 10'000);
+  EXPECT_FALSE(thrifty[static_cast<std::size_t>(degradation::Signal::EndpointListAge)]);
 }
 
 TEST(OperatorFile, ReadsTheRegion) {
