--- /dev/null
+++ b/src/degradation/level.h
@@ -0,0 +1,45 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_DEGRADATION_LEVEL_H_
+#define IVYPOST_DEGRADATION_LEVEL_H_
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <string_view>
+
+namespace ivypost::degradation {
+
+/// How far service is reduced. Each level adds to the restrictions of the one before, so that a greater level
+/// is a stricter one. What each restricts: restrictionsAt().
+enum class Level : std::uint8_t {
+  Normal,   ///< Full service.
+  Thrifty,  ///< No hedged requests, fewer health checks.
+  Protect,  ///< Admission in the order of priority weight; tenants over their quota last.
+  Shed,     ///< Requests that can't be served in time are rejected before their body is read.
+  Cutoff,   ///< Only the class of the greatest priority weight is admitted.
+};
+
+/// All levels, the mildest first.
+inline constexpr std::array kLevels = {Level::Normal, Level::Thrifty, Level::Protect, Level::Shed,
+                                       Level::Cutoff};
+inline constexpr std::size_t kLevelCount = kLevels.size();
+
+/// The level's position in kLevels: 0 is Normal.
+[[nodiscard]] constexpr std::size_t indexOf(Level level) {
+  return static_cast<std::size_t>(level);
+}
+
+/// The level as the operator's file, `GET /status/level` and the log name it. Part of those interfaces.
+[[nodiscard]] std::string_view nameOf(Level level);
+
+/// The level that is one step stricter.
+/// @pre `level` is not Cutoff; std::out_of_range otherwise.
+[[nodiscard]] Level nextStricter(Level level);
+
+/// The level that is one step milder.
+/// @pre `level` is not Normal; std::out_of_range otherwise.
+[[nodiscard]] Level nextMilder(Level level);
+
+}  // namespace ivypost::degradation
+
+#endif  // IVYPOST_DEGRADATION_LEVEL_H_
--- a/src/degradation/load_monitor.cpp
+++ b/src/degradation/load_monitor.cpp
@@ -2,60 +2,46 @@
 #include "degradation/load_monitor.h"
 
 #include <algorithm>
-#include <cmath>
 
 namespace ivypost::degradation {
 
-void LoadMonitor::DecayingFraction::decay(Micros now) {
-  if (now <= at) return;
-  const double kept = std::exp(-static_cast<double>(now - at) / kDecayTime);
-  at = now;
-  some *= kept;
-  all *= kept;
-}
-
-void LoadMonitor::DecayingFraction::count(bool one, Micros now) {
-  decay(now);
-  all += 1;
-  if (one) some += 1;
-}
-
-double LoadMonitor::DecayingFraction::value(Micros now) {
-  decay(now);
-  return all < kMinEvents ? 0 : std::min(1.0, some / all);
-}
-
-LoadMonitor::LoadMonitor(const Settings& settings, double cores, Micros now)
+LoadMonitor::LoadMonitor(const Settings& settings, double cores, TimePoint now)
     : cores_(cores), controller_(settings, now), lastTickAt_(now) {}
 
-void LoadMonitor::onRequest(bool isRetry, Micros now) {
-  retries_.count(isRetry, now);
+void LoadMonitor::onRequest(bool isRetry, TimePoint now) {
+  retries_.add(isRetry, now);
 }
 
-void LoadMonitor::onAttemptEnd(bool failed, Micros now) {
-  failedAttempts_.count(failed, now);
+void LoadMonitor::onAttemptEnd(bool failed, TimePoint now) {
+  failedAttempts_.add(failed, now);
 }
 
-std::optional<Transition> LoadMonitor::tick(const Measurements& measurements, Micros now) {
-  const Micros passed = now - lastTickAt_;
-  if (cpuTime_ && passed > 0) {
-    const auto used = static_cast<double>(measurements.cpuTime - *cpuTime_);
-    controller_.observe(Signal::CpuUtilization, used / static_cast<double>(passed) / cores_, now);
-  }
-  cpuTime_ = measurements.cpuTime;
-  lastTickAt_ = std::max(now, lastTickAt_);
-  controller_.observe(Signal::EventLoopLag, static_cast<double>(measurements.eventLoopLag), now);
+std::optional<Transition> LoadMonitor::tick(const Measurements& measurements, TimePoint now) {
+  observeCpu(measurements.cpuTime, now);
+  controller_.observe(Signal::EventLoopLag, toMicroseconds(measurements.eventLoopLag), now);
   controller_.observe(Signal::OpenRequestFraction, measurements.openRequestFraction, now);
   controller_.observe(Signal::BusyConnectionFraction, measurements.busyConnectionFraction, now);
   controller_.observe(Signal::FailedAttemptFraction, failedAttempts_.value(now), now);
   controller_.observe(Signal::OverQuotaFraction, measurements.overQuotaFraction, now);
   controller_.observe(Signal::RetryFraction, retries_.value(now), now);
-  controller_.observe(Signal::EndpointListAge, static_cast<double>(measurements.endpointListAge), now);
+  controller_.observe(Signal::EndpointListAge, toMicroseconds(measurements.endpointListAge), now);
   return controller_.evaluate(now);
 }
 
-void LoadMonitor::apply(const Settings& settings, Micros now) {
+void LoadMonitor::apply(const Settings& settings, TimePoint now) {
   controller_.apply(settings, now);
 }
 
+// Over the time that has passed, so that a clock that jumps ahead makes no peak; one that jumped back says
+// nothing.
+void LoadMonitor::observeCpu(Duration cpuTime, TimePoint now) {
+  const Duration elapsed = now - lastTickAt_;
+  if (lastCpuTime_ && elapsed > Duration::zero()) {
+    const Duration used = cpuTime - *lastCpuTime_;
+    controller_.observe(Signal::CpuUtilization, toMicroseconds(used) / toMicroseconds(elapsed) / cores_, now);
+  }
+  lastCpuTime_ = cpuTime;
+  lastTickAt_ = std::max(now, lastTickAt_);
+}
+
 }  // namespace ivypost::degradation
--- a/src/degradation/load_monitor.h
+++ b/src/degradation/load_monitor.h
@@ -1,61 +1,61 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Turns what the sidecar counts into the ladder's signals. No I/O and no clock: the program tells what
-// happens, and at each tick what its measurements show.
 #ifndef IVYPOST_DEGRADATION_LOAD_MONITOR_H_
 #define IVYPOST_DEGRADATION_LOAD_MONITOR_H_
 
-#include <cstdint>
 #include <optional>
 
+#include "degradation/decaying_fraction.h"
 #include "degradation/level_controller.h"
+#include "degradation/settings.h"
+#include "degradation/time.h"
+#include "degradation/transition.h"
 
 namespace ivypost::degradation {
 
-// What the program measures at a tick. Times in microseconds.
+/// What the sidecar measures at each tick. Fractions are 0 to 1.
 struct Measurements {
-  Micros cpuTime = 0;       // used by the process since its start
-  Micros eventLoopLag = 0;  // from when the tick was due to when it ran
-  double openRequestFraction =
-      0;  // requests that are open, of the most that may be; 0 where there is no limit
-  double busyConnectionFraction = 0;  // places for connections at work, of all; the fuller of the two sides
-  double overQuotaFraction = 0;       // requests of schools beyond their share, of all
-  Micros endpointListAge = 0;         // since the list of upstreams was last known to be right
+  Duration cpuTime{};                 ///< Used by the process since its start.
+  Duration eventLoopLag{};            ///< From when the tick was due to when it ran.
+  double openRequestFraction = 0;     ///< Open requests, of the most that may be; 0 where there is no limit.
+  double busyConnectionFraction = 0;  ///< Connections at work, of the limit; the fuller of the two sides.
+  double overQuotaFraction = 0;       ///< Requests of tenants over their quota, of all.
+  Duration endpointListAge{};         ///< Since the endpoint list was last known to be right.
 };
 
+/// Turns what the sidecar counts and measures into signals, and has a LevelController decide by them. No I/O,
+/// no clock.
 class LoadMonitor {
  public:
-  // `cores`: of cpuTime that the process may use; over 0.
-  LoadMonitor(const Settings& settings, double cores, Micros now);
+  /// @param settings valid by validate().
+  /// @param cores of processor that the process may use; over 0, may be a part of one.
+  LoadMonitor(const Settings& settings, double cores, TimePoint now);
 
-  void onRequest(bool isRetry, Micros now);
-  // `bad`: it hung, failed or was turned away. One that its sidecar gave up by itself is not meant.
-  void onAttemptEnd(bool failed, Micros now);
-  std::optional<Transition> tick(const Measurements& measurements, Micros now);
+  /// A client's request has arrived.
+  /// @param isRetry whether its client marked it as a retry.
+  void onRequest(bool isRetry, TimePoint now);
 
-  // Takes over other settings; the level stays, and is judged by them from now on.
-  void apply(const Settings& settings, Micros now);
+  /// An attempt on an upstream has ended.
+  /// @param failed it timed out, failed or was rejected. One that the sidecar itself cancelled is not
+  /// reported.
+  void onAttemptEnd(bool failed, TimePoint now);
 
-  const LevelController& controller() const { return controller_; }
+  /// To be called every LevelController::kEvaluationInterval or so; evaluates once.
+  [[nodiscard]] std::optional<Transition> tick(const Measurements& measurements, TimePoint now);
 
-  // A part of fewer events than so many, lately, says nothing.
-  static constexpr double kMinEvents = 10;
-  static constexpr double kDecayTime = 1e6;  // of the counts' decay, microseconds
+  /// As LevelController::apply().
+  void apply(const Settings& settings, TimePoint now);
+
+  [[nodiscard]] const LevelController& controller() const { return controller_; }
 
  private:
-  struct DecayingFraction {
-    double some = 0, all = 0;
-    Micros at = 0;
-    void count(bool one, Micros now);
-    void decay(Micros now);
-    double value(Micros now);
-  };
-
-  const double cores_;
+  void observeCpu(Duration cpuTime, TimePoint now);
+
+  double cores_;
   LevelController controller_;
-  DecayingFraction failedAttempts_, retries_;
-  std::optional<Micros> cpuTime_;  // at the last tick
-  Micros lastTickAt_;
+  DecayingFraction failedAttempts_;
+  DecayingFraction retries_;
+  std::optional<Duration> lastCpuTime_;  // none ahead of the first tick
+  TimePoint lastTickAt_;
 };
 
 }  // namespace ivypost::degradation
--- a/src/operator/file.cpp
+++ b/src/operator/file.cpp
@@ -52,7 +52,8 @@
     if (auto& table = sections.at(section)) table->fail("", why);
     document.root().fail("", why);
   };
-  if (const auto flaw = degradation::findFlaw(file.degradation.settings)) fail("levels", *flaw);
+  if (const auto error = degradation::validate(file.degradation.settings))
+    fail("levels", degradation::describe(*error));
   if (file.membership.source == File::Membership::Source::Etcd) {
     if (const auto flaw = etcd::flawOf(file.membership.etcd)) fail("membership", "etcd." + *flaw);
   }
--- a/src/operator/file.h
+++ b/src/operator/file.h
@@ -12,7 +12,7 @@
 
 #include "admission/door.h"
 #include "admission/queue.h"
-#include "degradation/level_controller.h"
+#include "degradation/settings.h"
 #include "etcd/options.h"
 #include "peers/options.h"
 
--- a/src/operator/keys.cpp
+++ b/src/operator/keys.cpp
@@ -3,6 +3,7 @@
 
 #include <algorithm>
 #include <array>
+#include <chrono>
 #include <cstdio>
 
 #include "configfile/units.h"
@@ -84,29 +85,39 @@
           [field](const File& file) { return shownTime(valueOf(field, file)); }};
 }
 
+Key time(std::string path, std::string text, std::int64_t low, Field<std::chrono::microseconds> field) {
+  return {std::move(path), std::move(text),
+          [field, low](File& file, Table& table, std::string_view leaf) {
+            if (table.has(leaf)) field(file) = std::chrono::microseconds(readTime(table, leaf, low));
+          },
+          [field](const File& file) { return shownTime(valueOf(field, file).count()); }};
+}
+
 bool isTime(Signal signal) {
-  return signal == Signal::EventLoopLag || signal == Signal::EndpointListAge;
+  return degradation::unitOf(signal) == degradation::Unit::Microseconds;
 }
 
 std::string keyOf(Signal signal) {
-  std::string name = nameOf(signal);
+  std::string name(nameOf(signal));
   std::replace(name.begin(), name.end(), ' ', '_');
   return name;
 }
 
 Key smoothing(Signal signal) {
-  const auto n = static_cast<std::size_t>(signal);
   return {"levels.smoothing." + keyOf(signal), "",
-          [n](File& file, Table& table, std::string_view leaf) {
-            if (table.has(leaf)) file.degradation.settings.smoothingTimes.at(n) = readTime(table, leaf, 0);
+          [signal](File& file, Table& table, std::string_view leaf) {
+            if (table.has(leaf))
+              file.degradation.settings.smoothingTimes[signal] =
+                  std::chrono::microseconds(readTime(table, leaf, 0));
           },
-          [n](const File& file) { return shownTime(file.degradation.settings.smoothingTimes.at(n)); }};
+          [signal](const File& file) {
+            return shownTime(file.degradation.settings.smoothingTimes[signal].count());
+          }};
 }
 
 Key threshold(degradation::Level level, Signal signal) {
   const auto at = [=](auto& file) -> auto& {
-    return file.degradation.settings.thresholds.at(static_cast<std::size_t>(level) - 1)
-        .at(static_cast<std::size_t>(signal));
+    return file.degradation.settings.thresholds.at(level, signal);
   };
   return {"levels." + std::string(nameOf(level)) + "." + keyOf(signal), "",
           [=](File& file, Table& table, std::string_view leaf) {
@@ -327,22 +338,21 @@
       flag("levels.on", "The ladder of reduced service: normal, thrifty, protect, shed, cutoff.",
            [](File& f) -> bool& { return f.degradation.on; }),
       time("levels.step_down", "Between two reductions of service.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.escalationInterval; }),
+           [](File& f) -> std::chrono::microseconds& { return f.degradation.settings.escalationInterval; }),
       time("levels.calm",
            "All signals below their exits for so long, before service is restored by one level.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.recoveryDelay; }),
+           [](File& f) -> std::chrono::microseconds& { return f.degradation.settings.recoveryDelay; }),
       time("levels.max_calm", "The calm doubles up to this with each restoration that did not hold ...", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.maxRecoveryDelay; }),
+           [](File& f) -> std::chrono::microseconds& { return f.degradation.settings.maxRecoveryDelay; }),
       time("levels.probation", "... for so long.", 1000,
-           [](File& f) -> std::int64_t& { return f.degradation.settings.probationPeriod; }),
+           [](File& f) -> std::chrono::microseconds& { return f.degradation.settings.probationPeriod; }),
   };
   addMembership(all);
   addPeers(all);
-  for (std::size_t n = 0; n < degradation::kSignalCount; ++n)
-    all.push_back(smoothing(static_cast<Signal>(n)));
-  for (std::size_t level = 1; level < degradation::kLevelCount; ++level) {
-    for (std::size_t n = 0; n < degradation::kSignalCount; ++n)
-      all.push_back(threshold(static_cast<degradation::Level>(level), static_cast<Signal>(n)));
+  for (const Signal signal : degradation::kSignals) all.push_back(smoothing(signal));
+  for (const degradation::Level level : degradation::kLevels) {
+    if (level == degradation::Level::Normal) continue;
+    for (const Signal signal : degradation::kSignals) all.push_back(threshold(level, signal));
   }
   return all;
 }
--- a/src/sidecar/degradation_manager.cpp
+++ b/src/sidecar/degradation_manager.cpp
@@ -9,15 +9,28 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "clock.h"
+
 namespace ivypost {
 namespace {
 
-using degradation::Micros;
+using degradation::Duration;
+using degradation::TimePoint;
+
+TimePoint toTimePoint(Clock::time_point time) {
+  return std::chrono::time_point_cast<Duration>(time);
+}
+
+TimePoint monotonicNow() {
+  return toTimePoint(Clock::now());
+}
 
-Micros processCpuTime() {
+// Zero where the system doesn't tell.
+Duration processCpuTime() {
   timespec used{};
-  if (clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used) != 0) return 0;
-  return static_cast<Micros>(used.tv_sec) * 1'000'000 + used.tv_nsec / 1000;
+  if (clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used) != 0) return Duration::zero();
+  return std::chrono::seconds(used.tv_sec) +
+         std::chrono::duration_cast<Duration>(std::chrono::nanoseconds(used.tv_nsec));
 }
 
 }  // namespace
@@ -25,21 +38,33 @@
 DegradationManager::DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks)
     : cores_(cores), callbacks_(std::move(callbacks)), timer_(io) {}
 
-void DegradationManager::apply(const op::File::Degradation& settings) {
-  if (!settings.on) {
-    const bool reduced = level() != degradation::Level::Normal;
+void DegradationManager::apply(const op::File::Degradation& options) {
+  if (!options.on) {
+    const bool wasDegraded = level() != degradation::Level::Normal;
     timer_.cancel();
     monitor_.reset();
-    if (reduced) callbacks_.levelChanged(degradation::Level::Normal);
+    if (wasDegraded) callbacks_.levelChanged(degradation::Level::Normal);
     return;
   }
-  if (monitor_) return monitor_->apply(settings.settings, now());
-  monitor_.emplace(settings.settings, cores_, now());
+  if (monitor_) return monitor_->apply(options.settings, monotonicNow());
+  monitor_.emplace(options.settings, cores_, monotonicNow());
   scheduleTick();
 }
 
+void DegradationManager::onRequest(bool isRetry) {
+  if (monitor_) monitor_->onRequest(isRetry, monotonicNow());
+}
+
+void DegradationManager::onAttemptEnd(bool failed) {
+  if (monitor_) monitor_->onAttemptEnd(failed, monotonicNow());
+}
+
+degradation::Level DegradationManager::level() const {
+  return monitor_ ? monitor_->controller().level() : degradation::Level::Normal;
+}
+
 void DegradationManager::scheduleTick() {
-  timer_.expires_after(std::chrono::microseconds(degradation::LevelController::kEvaluationInterval));
+  timer_.expires_after(degradation::LevelController::kEvaluationInterval);
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled && monitor_) tick();
   });
@@ -48,24 +73,23 @@
 void DegradationManager::tick() {
   degradation::Measurements measurements = callbacks_.measure();
   measurements.cpuTime = processCpuTime();
-  measurements.eventLoopLag = std::max<Micros>(0, now() - microsOf(timer_.expiry()));
-  const auto change = monitor_->tick(measurements, now());
+  measurements.eventLoopLag = std::max(Duration::zero(), monotonicNow() - toTimePoint(timer_.expiry()));
+  const auto transition = monitor_->tick(measurements, monotonicNow());
   scheduleTick();
-  if (!change) return;
-  std::fprintf(stderr, "%s\n", degradation::describe(*change).c_str());
-  callbacks_.levelChanged(change->to);
+  if (!transition) return;
+  std::fprintf(stderr, "%s\n", degradation::describe(*transition).c_str());
+  callbacks_.levelChanged(transition->to);
 }
 
 nlohmann::json DegradationManager::status() const {
   nlohmann::json status = {{"level", degradation::nameOf(level())}, {"on", monitor_.has_value()}};
   if (!monitor_) return status;
-  const auto& controller = monitor_->controller();
-  status["for_ms"] = (now() - controller.lastTransitionAt()) / 1000;
+  const degradation::LevelController& controller = monitor_->controller();
+  const Duration inLevel = monotonicNow() - controller.lastTransitionAt();
+  status["for_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(inLevel).count();
   auto& signals = status["signals"];
-  for (std::size_t n = 0; n < degradation::kSignalCount; ++n) {
-    const auto signal = static_cast<degradation::Signal>(n);
-    signals[degradation::nameOf(signal)] = controller.smoothedValue(signal);
-  }
+  for (const degradation::Signal signal : degradation::kSignals)
+    signals[std::string(nameOf(signal))] = controller.smoothedValue(signal);
   return status;
 }
 
--- a/src/sidecar/degradation_manager.h
+++ b/src/sidecar/degradation_manager.h
@@ -1,7 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Carries the controller of reduced service out: ticks, reads the measurements, logs each change and tells
-// it. Off, it has no timer and counts nothing.
 #ifndef IVYPOST_DEGRADATION_MANAGER_H_
 #define IVYPOST_DEGRADATION_MANAGER_H_
 
@@ -11,37 +8,42 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 
-#include "clock.h"
 #include "degradation/load_monitor.h"
 #include "operator/file.h"
 
 namespace ivypost {
 
+/// Runs the degradation module on the event loop: ticks, measures, logs each transition to standard error and
+/// reports it. Switched off, it has no timer and counts nothing. Not thread-safe: all calls are made on the
+/// loop.
 class DegradationManager {
  public:
+  /// Called on the event loop. They outlive the manager.
   struct Callbacks {
-    // All but processor and lateness, which are looked up here.
+    /// All measurements but the processor time and the event loop's lag, which the manager takes itself.
     std::function<degradation::Measurements()> measure;
+    /// After each change of the level, also to Normal when it is switched off.
     std::function<void(degradation::Level)> levelChanged;
   };
 
+  /// Begins switched off.
+  /// @param cores of processor that the process may use; over 0.
   DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks);
 
-  // Begins, goes on with other figures at the level that it has, or ends at normal.
-  void apply(const op::File::Degradation& settings);
-
-  void onRequest(bool isRetry) {
-    if (monitor_) monitor_->onRequest(isRetry, now());
-  }
-  void onAttemptEnd(bool failed) {
-    if (monitor_) monitor_->onAttemptEnd(failed, now());
-  }
-
-  degradation::Level level() const {
-    return monitor_ ? monitor_->controller().level() : degradation::Level::Normal;
-  }
-  // For whoever is awake: level, since when, and each signal.
-  nlohmann::json status() const;
+  /// Switches on, goes on with other settings at the present level, or switches off, which ends at Normal.
+  /// @param options their settings are valid, as reading the file has made sure.
+  void apply(const op::File::Degradation& options);
+
+  /// As degradation::LoadMonitor's, now; nothing while switched off.
+  void onRequest(bool isRetry);
+  void onAttemptEnd(bool failed);
+
+  /// Normal while switched off.
+  [[nodiscard]] degradation::Level level() const;
+
+  /// For `GET /status/level`: the level, whether it is on, since when (milliseconds) and each smoothed
+  /// signal.
+  [[nodiscard]] nlohmann::json status() const;
 
  private:
   void scheduleTick();
--- a/src/sidecar/gate.h
+++ b/src/sidecar/gate.h
@@ -18,7 +18,7 @@
 #include "admission/queue.h"
 #include "admission/shares.h"
 #include "client_request.h"
-#include "degradation/level_controller.h"
+#include "degradation/restrictions.h"
 #include "operator/file.h"
 
 namespace ivypost {
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -460,7 +460,7 @@
   measurements.busyConnectionFraction =
       std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
   measurements.overQuotaFraction = server_.gate().beyondShare();
-  measurements.endpointListAge = membership_.freshness().age;
+  measurements.endpointListAge = microseconds(membership_.freshness().age);
   return measurements;
 }
 
--- a/tests/degradation/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -13,6 +13,11 @@
 namespace ivypost::degradation {
 namespace {
 
+using Micros = std::int64_t;
+TimePoint at(Micros time) {
+  return TimePoint(Duration(time));
+}
+
 class RandomStream {
  public:
   explicit RandomStream(std::uint64_t seed) : state_(seed) {}
@@ -29,7 +34,7 @@
 // Load that stays at a height of its own for 0.5 to 20 s, with noise; the clock jumps now and then.
 std::string transitionsOf(std::uint64_t seed) {
   RandomStream random(seed);
-  LoadMonitor monitor(defaultSettings(), 2, 0);
+  LoadMonitor monitor(defaultSettings(), 2, at(0));
   std::string lines;
   Micros now = 0, cpuTime = 0, episodeEnd = 0;
   double load = 0;
@@ -43,24 +48,24 @@
     const auto noisy = [&](double scale) { return scale * load * (0.8 + 0.4 * random.next()); };
     cpuTime += static_cast<Micros>(noisy(100'000));
     Measurements measurements;
-    measurements.cpuTime = cpuTime;
-    measurements.eventLoopLag = static_cast<Micros>(noisy(100'000) * load * load);
+    measurements.cpuTime = Duration(cpuTime);
+    measurements.eventLoopLag = Duration(static_cast<Micros>(noisy(100'000) * load * load));
     measurements.openRequestFraction = noisy(0.9);
     measurements.busyConnectionFraction = noisy(0.8);
     measurements.overQuotaFraction = noisy(0.3);
-    measurements.endpointListAge = static_cast<Micros>(noisy(5e6));
+    measurements.endpointListAge = Duration(static_cast<Micros>(noisy(5e6)));
     for (int event = 0; event < 4; ++event) {
-      monitor.onRequest(random.next() < 0.3 * load, now);
-      monitor.onAttemptEnd(random.next() < 0.25 * load, now);
+      monitor.onRequest(random.next() < 0.3 * load, at(now));
+      monitor.onAttemptEnd(random.next() < 0.25 * load, at(now));
     }
     if (tick == 6'000) {
       Settings quick = defaultSettings();
-      quick.recoveryDelay = 500'000;
-      quick.escalationInterval = 100'000;
-      monitor.apply(quick, now);
+      quick.recoveryDelay = Duration(500'000);
+      quick.escalationInterval = Duration(100'000);
+      monitor.apply(quick, at(now));
     }
-    if (const auto change = monitor.tick(measurements, now))
-      lines += std::to_string(change->at) + " " + describe(*change) + "\n";
+    if (const auto change = monitor.tick(measurements, at(now)))
+      lines += std::to_string(change->at.time_since_epoch().count()) + " " + describe(*change) + "\n";
   }
   return lines;
 }
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -14,11 +14,12 @@
   static op::File leadingTo(Level level) {
     op::File file;
     file.degradation.on = file.admission.queue = file.status.level = true;
-    file.degradation.settings.escalationInterval = 1000;
-    for (std::size_t n = 0; n < degradation::kLevelCount - 1; ++n) {
-      auto& thresholds = file.degradation.settings.thresholds.at(n);
-      thresholds.fill(std::nullopt);
-      if (n < static_cast<std::size_t>(level)) thresholds[0] = degradation::Threshold{1e-12, 0};
+    file.degradation.settings.escalationInterval = std::chrono::milliseconds(1);
+    auto& thresholds = file.degradation.settings.thresholds;
+    thresholds = degradation::Thresholds{};
+    for (const Level each : degradation::kLevels) {
+      if (each == Level::Normal || each > level) continue;
+      thresholds.at(each, degradation::Signal::CpuUtilization) = degradation::Threshold{1e-12, 0};
     }
     return file;
   }
--- a/tests/operator/file_test.cpp
+++ b/tests/operator/file_test.cpp
@@ -71,10 +71,10 @@
       "[levels.thrifty]\nloop_lag = { enter = \"30ms\", exit = \"10ms\" }\n"
       "list_age = \"never\"\n",
       "op.toml");
-  const auto& thrifty = file.degradation.settings.thresholds[0];
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::EventLoopLag)]->enter, 30'000);
-  EXPECT_EQ(thrifty[static_cast<std::size_t>(degradation::Signal::EventLoopLag)]->exit, 10'000);
-  EXPECT_FALSE(thrifty[static_cast<std::size_t>(degradation::Signal::EndpointListAge)]);
+  const auto& thresholds = file.degradation.settings.thresholds;
+  EXPECT_EQ(thresholds.at(degradation::Level::Thrifty, degradation::Signal::EventLoopLag)->enter, 30'000);
+  EXPECT_EQ(thresholds.at(degradation::Level::Thrifty, degradation::Signal::EventLoopLag)->exit, 10'000);
+  EXPECT_FALSE(thresholds.at(degradation::Level::Thrifty, degradation::Signal::EndpointListAge));
 }
 
 TEST(OperatorFile, ReadsTheRegion) {
