--- a/src/rotation/rotation_file.cpp
+++ b/src/exclusion/exclusion_file.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "rotation/rotation_file.h"
+#include "exclusion/exclusion_file.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -8,24 +8,24 @@
 #include <stdexcept>
 #include <string_view>
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 namespace {
 
 // No set that parse() takes is larger.
-constexpr std::size_t kMaxText = 2 * Rotation::kMost * (6 * Rotation::kMaxId + 32);
+constexpr std::size_t kMaxText = 2 * ExclusionSet::kMaxEntries * (6 * ExclusionSet::kMaxIdLength + 32);
 // Files written for one change. A failed sync may be a matter of that file's pages, so one more is written;
 // if that fails too the disk is at fault, and the event loop has waited for it long enough.
 constexpr int kWritesPerChange = 2;
 constexpr mode_t kOwnerOnly = 0600;
 
-class FileErrorCategory : public std::error_category {
+class ExclusionErrorCategory : public std::error_category {
  public:
-  const char* name() const noexcept override { return "ivypost.rotation"; }
+  const char* name() const noexcept override { return "ivypost.exclusion"; }
   std::string message(int value) const override {
-    switch (static_cast<FileError>(value)) {
-      case FileError::NoFolder:
+    switch (static_cast<ExclusionError>(value)) {
+      case ExclusionError::NoFolder:
         return "there is no folder for it";
-      case FileError::Busy:
+      case ExclusionError::Busy:
         return "the other process holds the file";
     }
     return "unknown error";
@@ -63,10 +63,10 @@
 }
 
 // Throws std::runtime_error, one line, for content that is none of ours.
-Rotation parsed(const std::string& text) {
+ExclusionSet parsed(const std::string& text) {
   if (text.empty()) throw std::runtime_error("empty");
   if (text.size() > kMaxText) throw std::runtime_error("too large");
-  return Rotation::parse(text);
+  return ExclusionSet::parse(text);
 }
 
 bool sameTime(const timespec& a, const timespec& b) {
@@ -81,13 +81,13 @@
 
 }  // namespace
 
-std::error_code make_error_code(FileError error) {
-  static const FileErrorCategory category;
+std::error_code make_error_code(ExclusionError error) {
+  static const ExclusionErrorCategory category;
   return {static_cast<int>(error), category};
 }
 
-RotationFile::RotationFile(std::string folder, std::function<void(const std::string&)> log,
-                           FileOperations& files)
+ExclusionFile::ExclusionFile(std::string folder, std::function<void(const std::string&)> log,
+                             FileOperations& files)
     : folder_(std::move(folder)), log_(std::move(log)), files_(files) {
   if (folder_.empty()) return;
   path_ = folder_ + "/ivypost-excluded.json";
@@ -97,30 +97,30 @@
 }
 
 // Closing the descriptor unlocks.
-RotationFile::Lock RotationFile::tryLock(int operation) {
+ExclusionFile::Lock ExclusionFile::tryLock(int operation) {
   const int flags = operation == LOCK_EX ? O_RDWR | O_CREAT : O_RDONLY;
   Lock lock{{files_, files_.open((path_ + ".lock").c_str(), flags | O_CLOEXEC, kOwnerOnly)}, {}};
   if (!lock.file.open()) {
     lock.error = lastError();
   } else if (files_.tryLock(lock.file.number(), operation) != 0) {
-    lock.error = errno == EWOULDBLOCK || errno == EINTR ? make_error_code(FileError::Busy) : lastError();
+    lock.error = errno == EWOULDBLOCK || errno == EINTR ? make_error_code(ExclusionError::Busy) : lastError();
   }
   return lock;
 }
 
-std::error_code RotationFile::openVersion(std::optional<Version>& version) {
+std::error_code ExclusionFile::openVersion(std::optional<Version>& version) {
   Version found{{files_, files_.open(path_.c_str(), O_RDONLY | O_CLOEXEC, 0)}, {}};
   if (!found.file.open() || ::fstat(found.file.number(), &found.status) != 0) return lastError();
   version = std::move(found);
   return {};
 }
 
-bool RotationFile::isSeen() const {
+bool ExclusionFile::isSeen() const {
   struct stat now {};
   return seen_ && ::stat(path_.c_str(), &now) == 0 && sameVersion(now, seen_->status);
 }
 
-std::optional<Rotation> RotationFile::read() {
+std::optional<ExclusionSet> ExclusionFile::read() {
   const bool first = !std::exchange(hasRead_, true);
   struct stat found {};
   if (path_.empty() || isSeen() || (::stat(path_.c_str(), &found) != 0 && errno == ENOENT))
@@ -128,7 +128,7 @@
   const Lock lock = tryLock(LOCK_SH);
   // What another process is writing may yet be taken back. A process that starts takes what there is: an
   // earlier change must be in force from the first request on.
-  if (!first && lock.error == FileError::Busy) return std::nullopt;
+  if (!first && lock.error == ExclusionError::Busy) return std::nullopt;
   std::optional<Version> version;
   std::string text;
   std::error_code error = openVersion(version);
@@ -149,27 +149,28 @@
   }
 }
 
-std::error_code RotationFile::change(Rotation& current, const std::function<bool(Rotation&)>& change) {
-  if (path_.empty()) return FileError::NoFolder;
+std::error_code ExclusionFile::change(ExclusionSet& current,
+                                      const std::function<bool(ExclusionSet&)>& change) {
+  if (path_.empty()) return ExclusionError::NoFolder;
   const Lock lock = tryLock(LOCK_EX);
   if (lock.error) return lock.error;
   Content before;
   if (const auto error = content(before)) return error;
-  Rotation next = current;
+  ExclusionSet next = current;
   try {
     if (before) next = parsed(*before);
   } catch (const std::runtime_error& bad) {
     log_("the file of excluded upstreams is replaced: " + std::string(bad.what()));
   }
   if (change(next)) {
-    if (const auto error = replace(next.text(), before)) return error;
+    if (const auto error = replace(next.serialize(), before)) return error;
   }
   current = std::move(next);
   return {};
 }
 
 // What the file holds; none if there is no file.
-std::error_code RotationFile::content(Content& text) {
+std::error_code ExclusionFile::content(Content& text) {
   if (restoreTo_ && isSeen()) {
     text = *restoreTo_;
     return {};
@@ -181,7 +182,7 @@
   return error;
 }
 
-std::error_code RotationFile::replace(const std::string& text, const Content& before) {
+std::error_code ExclusionFile::replace(const std::string& text, const Content& before) {
   bool renamed = false;
   Written written;
   for (int n = 0; n < kWritesPerChange; ++n) {
@@ -199,7 +200,7 @@
 }
 
 // Writes a file of its own, syncs it and puts it in the place of the one there is.
-RotationFile::Written RotationFile::write(const std::string& text) {
+ExclusionFile::Written ExclusionFile::write(const std::string& text) {
   const std::string fresh = path_ + ".new";
   files_.unlink(fresh.c_str());  // of a process that was killed
   // Opened first: what can't be opened can't be synced, and then nothing should be renamed.
@@ -222,7 +223,7 @@
 }
 
 // The file holds a change that is going to be reported as failed: the earlier content is put back.
-void RotationFile::restore(const Content& before, const std::error_code& cause) {
+void ExclusionFile::restore(const Content& before, const std::error_code& cause) {
   std::error_code error;
   if (before) {
     const Written written = write(*before);
@@ -241,9 +242,9 @@
 }
 
 // The file as it is now holds nothing that this process has to read.
-void RotationFile::rememberVersion() {
+void ExclusionFile::rememberVersion() {
   seen_.reset();
   openVersion(seen_);
 }
 
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
--- a/src/rotation/rotation_file.h
+++ b/src/exclusion/exclusion_file.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ROTATION_ROTATION_FILE_H_
-#define IVYPOST_ROTATION_ROTATION_FILE_H_
+#ifndef IVYPOST_EXCLUSION_EXCLUSION_FILE_H_
+#define IVYPOST_EXCLUSION_EXCLUSION_FILE_H_
 
 #include <sys/stat.h>
 
@@ -10,18 +10,18 @@
 #include <system_error>
 #include <utility>
 
-#include "rotation/file_operations.h"
-#include "rotation/rotation.h"
+#include "exclusion/exclusion_set.h"
+#include "exclusion/file_operations.h"
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 
 /// Why a change was not made, beside errors of the operating system (std::generic_category()).
-enum class FileError {
+enum class ExclusionError {
   NoFolder = 1,  ///< there is no folder to keep the file in
   Busy,          ///< the other process holds the lock; try again later
 };
 
-std::error_code make_error_code(FileError error);
+std::error_code make_error_code(ExclusionError error);
 
 /// A file descriptor, closed with its owner.
 class Descriptor {
@@ -59,23 +59,24 @@
 /// second sync of the descriptor succeeds, so the set is written once more into another file instead.
 ///
 /// No call waits for the lock. Syncs and writes do wait for the disk.
-class RotationFile {
+class ExclusionFile {
  public:
   /// `folder`: empty if there is none, and then nothing can be kept. `log` gets one line for each trouble,
   /// the first here if the folder can't be written to. `files` must outlive this object.
-  RotationFile(std::string folder, std::function<void(const std::string&)> log,
-               FileOperations& files = systemFiles());
+  ExclusionFile(std::string folder, std::function<void(const std::string&)> log,
+                FileOperations& files = systemFiles());
 
   /// What it says now, if that may differ from what was read or written last. None: nothing new, another
   /// process is writing, or it can't be read. The last is logged once for each such file; a file whose read
   /// failed is read again by the next call, one with bad content is not.
-  std::optional<Rotation> read();
+  std::optional<ExclusionSet> read();
 
   /// Reads, lets `change` change it, and writes it durably before it returns. `change` returns whether there
   /// is anything to write, and is not called after a failure to lock or read. `current` stands for a file
-  /// whose content is bad, and gets what was written. After an error `current` is as it was; FileError::Busy
-  /// means that nothing was tried.
-  [[nodiscard]] std::error_code change(Rotation& current, const std::function<bool(Rotation&)>& change);
+  /// whose content is bad, and gets what was written. After an error `current` is as it was;
+  /// ExclusionError::Busy means that nothing was tried.
+  [[nodiscard]] std::error_code change(ExclusionSet& current,
+                                       const std::function<bool(ExclusionSet&)>& change);
 
  private:
   struct Lock {
@@ -114,9 +115,9 @@
   bool hasLoggedFailure_ = false;
 };
 
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
 
 template <>
-struct std::is_error_code_enum<ivypost::rotation::FileError> : std::true_type {};
+struct std::is_error_code_enum<ivypost::exclusion::ExclusionError> : std::true_type {};
 
-#endif  // IVYPOST_ROTATION_ROTATION_FILE_H_
+#endif  // IVYPOST_EXCLUSION_EXCLUSION_FILE_H_
--- a/src/rotation/file_operations.cpp
+++ b/src/exclusion/file_operations.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "rotation/file_operations.h"
+#include "exclusion/file_operations.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -7,7 +7,7 @@
 
 #include <cstdio>
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 
 int FileOperations::open(const char* path, int flags, mode_t mode) {
   return ::open(path, flags, mode);
@@ -50,4 +50,4 @@
   return files;
 }
 
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
--- a/src/rotation/file_operations.h
+++ b/src/exclusion/file_operations.h
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ROTATION_FILE_OPERATIONS_H_
-#define IVYPOST_ROTATION_FILE_OPERATIONS_H_
+#ifndef IVYPOST_EXCLUSION_FILE_OPERATIONS_H_
+#define IVYPOST_EXCLUSION_FILE_OPERATIONS_H_
 
 #include <sys/types.h>
 
 #include <cstddef>
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 
 /// The system calls that change or read the stored file, with POSIX's results and errno. The defaults make
 /// the calls; a test overrides them to fail one, or to end the process behind one.
@@ -34,6 +34,6 @@
 /// The operating system's calls. Never destroyed.
 FileOperations& systemFiles();
 
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
 
-#endif  // IVYPOST_ROTATION_FILE_OPERATIONS_H_
+#endif  // IVYPOST_EXCLUSION_FILE_OPERATIONS_H_
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -22,7 +22,7 @@
 // A repeat is written this long before its window ends at the latest: it has to arrive within it.
 constexpr microseconds kWindowMargin{10'000};
 // How soon this process hears of what operators have told the other one, while one replaces the other.
-constexpr std::chrono::milliseconds kRotationEvery{100};
+constexpr std::chrono::milliseconds kExclusionFilePollInterval{100};
 // The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
 // disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
 constexpr std::chrono::milliseconds kLockRetryEvery{5};
@@ -79,8 +79,8 @@
              {[this] { return gauges(); }, [this](levels::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty()}, now()),
       lifecycleTimer_(io),
-      rotationFile_(config_.console ? config_.tempFolder : std::string(), log),
-      rotationTimer_(io),
+      exclusionFile_(config_.console ? config_.tempFolder : std::string(), log),
+      exclusionFileTimer_(io),
       changeTimer_(io),
       consoleTimer_(io) {
   level_.adopt(file.levels);
@@ -88,8 +88,8 @@
   fleet_ = viewOf(peersAs_);
   follow(file.membership, config_.discovery);
   if (config_.console) {
-    if (auto kept = rotationFile_.read()) rotation_ = std::move(*kept);
-    watchRotation();
+    if (auto kept = exclusionFile_.read()) exclusions_ = std::move(*kept);
+    pollExclusionFile();
   }
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
@@ -269,9 +269,9 @@
     for (Known& known : known_) known.listed = false;  // whoever is missing has gone
   }
   for (const Instance& told : list.instances) {
-    Instance laid;
-    if (!rotation_.empty()) laid = laidOver(told);
-    const Instance& instance = rotation_.empty() ? told : laid;
+    Instance overlaid;
+    if (!exclusions_.empty()) overlaid = overlay(told);
+    const Instance& instance = exclusions_.empty() ? told : overlaid;
     if (instance.state == orchiddrum::UpstreamState::Gone && ids_.count(instance.id) == 0) continue;
     orchiddrum::UpstreamEntry entry;
     entry.upstream = intern(instance.id);
@@ -305,7 +305,7 @@
   for (const auto& entry : update.entries) {
     if (entry.state != orchiddrum::UpstreamState::Draining) continue;
     upstreams_.takeBack(entry.upstream);
-    if (rotation_.isOut(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
+    if (exclusions_.isExcluded(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
   }
   for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
     if (known_[upstream].listed || known_[upstream].id.empty()) continue;
@@ -340,17 +340,17 @@
 }
 
 // An entry as the module hears of it: out by hand is a drain, back by hand a start.
-Instance Sidecar::laidOver(const Instance& told) const {
-  Instance laid = told;
-  if (laid.state == orchiddrum::UpstreamState::Serving && rotation_.isOut(laid.id))
-    laid.state = orchiddrum::UpstreamState::Draining;
-  laid.startedAtMs = rotation_.startedAtMs(laid.id, laid.startedAtMs);
-  return laid;
+Instance Sidecar::overlay(const Instance& told) const {
+  Instance overlaid = told;
+  if (overlaid.state == orchiddrum::UpstreamState::Serving && exclusions_.isExcluded(overlaid.id))
+    overlaid.state = orchiddrum::UpstreamState::Draining;
+  overlaid.startedAtMs = exclusions_.startedAtMs(overlaid.id, overlaid.startedAtMs);
+  return overlaid;
 }
 
-void Sidecar::onRotation(rotation::Rotation next) {
-  const std::vector<std::string> ids = rotation_.differences(next);
-  rotation_ = std::move(next);
+void Sidecar::applyExclusions(exclusion::ExclusionSet next) {
+  const std::vector<std::string> ids = exclusions_.differences(next);
+  exclusions_ = std::move(next);
   InstanceList changed;
   for (const std::string& id : ids) {
     const auto found = ids_.find(id);
@@ -361,12 +361,12 @@
 }
 
 // Either process may be called while one replaces the other.
-void Sidecar::watchRotation() {
-  rotationTimer_.expires_after(kRotationEvery);
-  rotationTimer_.async_wait([this](const boost::system::error_code& cancelled) {
+void Sidecar::pollExclusionFile() {
+  exclusionFileTimer_.expires_after(kExclusionFilePollInterval);
+  exclusionFileTimer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
-    if (auto next = rotationFile_.read()) onRotation(std::move(*next));
-    watchRotation();
+    if (auto next = exclusionFile_.read()) applyExclusions(std::move(*next));
+    pollExclusionFile();
   });
 }
 
@@ -411,7 +411,7 @@
 
 // One change a turn: each waits for the disk.
 void Sidecar::tryNextChange() {
-  const auto reply = changeRotation(pendingChanges_.front().call);
+  const auto reply = changeExclusions(pendingChanges_.front().call);
   if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryEvery);
   const PendingChange done = std::move(pendingChanges_.front());
   pendingChanges_.pop_front();
@@ -427,31 +427,31 @@
 }
 
 // None: the other process holds the lock.
-std::optional<console::Reply> Sidecar::changeRotation(const console::Call& call) {
-  using Change = rotation::Rotation::Change;
+std::optional<console::Reply> Sidecar::changeExclusions(const console::Call& call) {
+  using Change = exclusion::ExclusionSet::Change;
   const bool exclude = call.what == console::Call::What::Exclude;
   const auto named = ids_.find(call.upstream);
   const bool listed = named != ids_.end() && known_[named->second].listed;
-  rotation::Rotation next = rotation_;
+  exclusion::ExclusionSet next = exclusions_;
   Change change = Change::None;
   bool unknown = false;
-  const auto apply = [&](rotation::Rotation& current) {
-    unknown = !listed && !current.isOut(call.upstream);
+  const auto apply = [&](exclusion::ExclusionSet& current) {
+    unknown = !listed && !current.isExcluded(call.upstream);
     if (unknown) return false;
     change = exclude ? current.exclude(call.upstream) : current.include(call.upstream, unixNow() / 1000);
     return change != Change::Full;
   };
-  if (const auto error = rotationFile_.change(next, apply)) {
-    if (error == rotation::FileError::Busy) return std::nullopt;
-    if (error == rotation::FileError::NoFolder)
+  if (const auto error = exclusionFile_.change(next, apply)) {
+    if (error == exclusion::ExclusionError::Busy) return std::nullopt;
+    if (error == exclusion::ExclusionError::NoFolder)
       return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
     return console::Reply{503, "it can't be kept: " + error.message()};
   }
-  onRotation(std::move(next));
+  applyExclusions(std::move(next));
   if (unknown) return console::Reply{404, "no upstream has this id"};
   if (change == Change::Full) return console::Reply{503, "too many upstreams are out, or the id is too long"};
   if (change == Change::Done) log((exclude ? "excluded by hand: " : "included by hand: ") + call.upstream);
-  const bool out = rotation_.isOut(call.upstream);
+  const bool out = exclusions_.isExcluded(call.upstream);
   return console::Reply{
       200, std::string(change == Change::None ? "already " : "") + (out ? "excluded" : "included")};
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -19,11 +19,11 @@
 
 #include "config.h"
 #include "console/console_io.h"
+#include "exclusion/exclusion_file.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
 #include "membership/membership.h"
 #include "membership/platform.h"
-#include "rotation/rotation_file.h"
 #include "server.h"
 #include "service_level.h"
 #include "shedding_note.h"
@@ -82,7 +82,7 @@
     std::string id;  // empty: the number is free
     Endpoint address;
     std::int64_t startedAtMs = 0;
-    Instance told;  // as the list has it, without what operators have laid over it
+    Instance told;  // as the list has it, without what operators have overlaid over it
     bool listed = false;
     std::uint32_t uses = 0;  // attempts of requests not forgotten yet, and probes out
   };
@@ -104,14 +104,14 @@
   void onTimer();
   void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
-  void onRotation(rotation::Rotation next);
+  void applyExclusions(exclusion::ExclusionSet next);
   void onCall(const console::Call& call, console::Console::Answer answer);
   void queueChange(PendingChange change);
   void tryNextChange();
   void scheduleNextChange(Clock::duration after);
-  std::optional<console::Reply> changeRotation(const console::Call& call);
+  std::optional<console::Reply> changeExclusions(const console::Call& call);
   void openConsole();
-  void watchRotation();
+  void pollExclusionFile();
   void onLevel(levels::Level level);
   levels::Gauges gauges();
   std::string status() const;
@@ -142,7 +142,7 @@
   void freeUnused(UpstreamId upstream);
   Micros launchedAt(std::int64_t startedAtMs) const;
   shared::Life lifeOf(const Known& known) const;
-  Instance laidOver(const Instance& told) const;
+  Instance overlay(const Instance& told) const;
 
   boost::asio::io_context& io_;
   const Config config_;
@@ -168,10 +168,10 @@
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
-  rotation::Rotation rotation_;
-  rotation::RotationFile rotationFile_;
+  exclusion::ExclusionSet exclusions_;
+  exclusion::ExclusionFile exclusionFile_;
   std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
-  boost::asio::steady_timer rotationTimer_, changeTimer_, consoleTimer_;
+  boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
   peers::Options peersAs_;            // as the operator has set them
   std::unique_ptr<FleetView> fleet_;  // none: off
   bool consoleFailed_ = false;
--- a/tests/rotation/rotation_file_test.cpp
+++ b/tests/exclusion/exclusion_file_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // The file of excluded upstreams: two processes, and all that can be wrong with a file.
-#include "rotation/rotation_file.h"
+#include "exclusion/exclusion_file.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 #include <string_view>
 #include <vector>
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 namespace {
 
 // The system's calls, one line for each that changes something, and some of them made to fail. A path is told
@@ -105,16 +105,16 @@
   std::map<int, std::string> names_;
 };
 
-class RotationFileTest : public testing::Test {
+class ExclusionFileTest : public testing::Test {
  protected:
-  RotationFileTest() {
-    std::string name = testing::TempDir() + "rotation-XXXXXX";
+  ExclusionFileTest() {
+    std::string name = testing::TempDir() + "exclusion-XXXXXX";
     EXPECT_NE(mkdtemp(name.data()), nullptr);
     folder = name;
   }
-  ~RotationFileTest() override { std::filesystem::remove_all(folder); }
+  ~ExclusionFileTest() override { std::filesystem::remove_all(folder); }
 
-  RotationFile file(FileOperations& files = systemFiles()) {
+  ExclusionFile file(FileOperations& files = systemFiles()) {
     return {folder, [this](const std::string& line) { lines.push_back(line); }, files};
   }
   std::string path() const { return folder + "/ivypost-excluded.json"; }
@@ -125,58 +125,59 @@
     return text.str();
   }
   // What a process that starts now takes as excluded.
-  bool isOutAfterAStart(const std::string& id) {
+  bool isExcludedAfterAStart(const std::string& id) {
     const auto read = file().read();
-    return read && read->isOut(id);
+    return read && read->isExcluded(id);
   }
-  static std::error_code exclude(RotationFile& file, Rotation& rotation, const std::string& id) {
-    return file.change(rotation, [&](Rotation& one) { return one.exclude(id) != Rotation::Change::Full; });
+  static std::error_code exclude(ExclusionFile& file, ExclusionSet& exclusions, const std::string& id) {
+    return file.change(exclusions,
+                       [&](ExclusionSet& one) { return one.exclude(id) != ExclusionSet::Change::Full; });
   }
 
   std::string folder;
   std::vector<std::string> lines;
 };
 
-TEST_F(RotationFileTest, TheOtherProcessHearsOfAChange) {
-  RotationFile mine = file();
-  RotationFile yours = file();
+TEST_F(ExclusionFileTest, TheOtherProcessHearsOfAChange) {
+  ExclusionFile mine = file();
+  ExclusionFile yours = file();
   EXPECT_FALSE(yours.read());
-  Rotation rotation;
-  ASSERT_FALSE(exclude(mine, rotation, "a"));
+  ExclusionSet exclusions;
+  ASSERT_FALSE(exclude(mine, exclusions, "a"));
   EXPECT_FALSE(mine.read()) << "its own change is no news";
   const auto heard = yours.read();
   ASSERT_TRUE(heard);
-  EXPECT_TRUE(heard->isOut("a"));
+  EXPECT_TRUE(heard->isExcluded("a"));
   EXPECT_FALSE(yours.read());
 }
 
 // Each changes what the other has written, and not what it remembers.
-TEST_F(RotationFileTest, ChangesOfTwoProcessesAddUp) {
-  RotationFile mine = file();
-  RotationFile yours = file();
-  Rotation a, b;
+TEST_F(ExclusionFileTest, ChangesOfTwoProcessesAddUp) {
+  ExclusionFile mine = file();
+  ExclusionFile yours = file();
+  ExclusionSet a, b;
   ASSERT_FALSE(exclude(mine, a, "a"));
   ASSERT_FALSE(exclude(yours, b, "b"));
-  EXPECT_TRUE(b.isOut("a"));
-  EXPECT_TRUE(mine.read()->isOut("b"));
+  EXPECT_TRUE(b.isExcluded("a"));
+  EXPECT_TRUE(mine.read()->isExcluded("b"));
 }
 
-TEST_F(RotationFileTest, BadFilesAreLoggedOnceAndReplacedByTheNextChange) {
+TEST_F(ExclusionFileTest, BadFilesAreLoggedOnceAndReplacedByTheNextChange) {
   for (const char* text :
        {"", "{\"version\":1,\"out\":[\"a\"", "garbage", "{\"version\":9,\"out\":[],\"back\":{}}"}) {
     lines.clear();
     write(text);
-    RotationFile mine = file();
+    ExclusionFile mine = file();
     EXPECT_FALSE(mine.read());
     EXPECT_FALSE(mine.read());
     EXPECT_EQ(lines.size(), 1U) << text;
-    Rotation rotation;
-    rotation.exclude("kept");
-    ASSERT_FALSE(exclude(mine, rotation, "b"));
+    ExclusionSet exclusions;
+    exclusions.exclude("kept");
+    ASSERT_FALSE(exclude(mine, exclusions, "b"));
     const auto read = file().read();
     ASSERT_TRUE(read);
-    EXPECT_TRUE(read->isOut("kept")) << "what the process had stays";
-    EXPECT_TRUE(read->isOut("b"));
+    EXPECT_TRUE(read->isExcluded("kept")) << "what the process had stays";
+    EXPECT_TRUE(read->isExcluded("b"));
   }
   lines.clear();
   write(std::string(3'000'000, ' '));
@@ -184,53 +185,53 @@
   EXPECT_EQ(lines.size(), 1U);
 }
 
-TEST_F(RotationFileTest, WhatCannotBeKeptIsANo) {
-  Rotation rotation;
-  RotationFile nowhere(folder + "/missing", [](const std::string&) {});
-  EXPECT_EQ(exclude(nowhere, rotation, "a"), std::errc::no_such_file_or_directory);
-  RotationFile none("", [](const std::string&) {});
-  EXPECT_EQ(exclude(none, rotation, "a"), FileError::NoFolder);
+TEST_F(ExclusionFileTest, WhatCannotBeKeptIsANo) {
+  ExclusionSet exclusions;
+  ExclusionFile nowhere(folder + "/missing", [](const std::string&) {});
+  EXPECT_EQ(exclude(nowhere, exclusions, "a"), std::errc::no_such_file_or_directory);
+  ExclusionFile none("", [](const std::string&) {});
+  EXPECT_EQ(exclude(none, exclusions, "a"), ExclusionError::NoFolder);
   EXPECT_FALSE(none.read());
   std::filesystem::create_directory(path() + ".new");
-  RotationFile full = file();
-  const std::error_code error = exclude(full, rotation, "a");
+  ExclusionFile full = file();
+  const std::error_code error = exclude(full, exclusions, "a");
   EXPECT_EQ(error, std::errc::file_exists);
   EXPECT_EQ(error.message().find('\n'), std::string::npos);
-  EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_FALSE(exclusions.isExcluded("a"));
   EXPECT_FALSE(std::filesystem::exists(path()));
 }
 
 // A process that stands still with the lock held must not hold up this one's loop: nothing waits, and the
 // caller is told to come again.
-TEST_F(RotationFileTest, ALockThatIsHeldIsBusyAtOnce) {
+TEST_F(ExclusionFileTest, ALockThatIsHeldIsBusyAtOnce) {
   const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
   ASSERT_GE(held, 0);
   ASSERT_EQ(flock(held, LOCK_EX), 0);
   TestFiles files;
-  RotationFile mine = file(files);
-  Rotation rotation;
-  EXPECT_EQ(exclude(mine, rotation, "a"), FileError::Busy);
+  ExclusionFile mine = file(files);
+  ExclusionSet exclusions;
+  EXPECT_EQ(exclude(mine, exclusions, "a"), ExclusionError::Busy);
   EXPECT_EQ(files.calls, (std::vector<std::string>{"open .lock", "lock", "close .lock"})) << "one try";
-  EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_FALSE(exclusions.isExcluded("a"));
   close(held);
-  EXPECT_FALSE(exclude(mine, rotation, "a"));
+  EXPECT_FALSE(exclude(mine, exclusions, "a"));
 }
 
 // What the other process is writing may yet be taken back; but a process that starts waits for nobody.
-TEST_F(RotationFileTest, AChangeInTheMakingIsReadAtAStartOnly) {
-  RotationFile running = file();
+TEST_F(ExclusionFileTest, AChangeInTheMakingIsReadAtAStartOnly) {
+  ExclusionFile running = file();
   EXPECT_FALSE(running.read());
-  Rotation rotation;
-  RotationFile writer = file();
-  ASSERT_FALSE(exclude(writer, rotation, "a"));
+  ExclusionSet exclusions;
+  ExclusionFile writer = file();
+  ASSERT_FALSE(exclude(writer, exclusions, "a"));
   const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
   ASSERT_EQ(flock(held, LOCK_EX), 0);
   EXPECT_FALSE(running.read());
-  EXPECT_TRUE(isOutAfterAStart("a"));
+  EXPECT_TRUE(isExcludedAfterAStart("a"));
   close(held);
   const auto read = running.read();
   ASSERT_TRUE(read);
-  EXPECT_TRUE(read->isOut("a"));
+  EXPECT_TRUE(read->isExcluded("a"));
 }
 
 // ---- A disk that fails ------------------------------------------------------------------------------------
@@ -243,7 +244,7 @@
   friend void PrintTo(const DiskFault& fault, std::ostream* out) { *out << fault.name; }
 };
 
-class FailingDiskTest : public RotationFileTest, public testing::WithParamInterface<DiskFault> {};
+class FailingDiskTest : public ExclusionFileTest, public testing::WithParamInterface<DiskFault> {};
 
 // Answered as not made: not in this process, not in the other one, not after a start, and nothing is left
 // over.
@@ -251,37 +252,37 @@
   for (const bool hasFile : {true, false}) {
     std::filesystem::remove(path());
     TestFiles files;
-    RotationFile mine = file(files);
-    RotationFile other = file();
-    Rotation rotation;
+    ExclusionFile mine = file(files);
+    ExclusionFile other = file();
+    ExclusionSet exclusions;
     if (hasFile) {
-      ASSERT_FALSE(exclude(mine, rotation, "kept"));
+      ASSERT_FALSE(exclude(mine, exclusions, "kept"));
     }
     const std::string before = content();
     EXPECT_EQ(other.read().has_value(), hasFile);
     files.faults = GetParam().faults;
     if (hasFile || GetParam().faults[0].call != "read .json") {
-      EXPECT_EQ(exclude(mine, rotation, "a"), GetParam().error);
+      EXPECT_EQ(exclude(mine, exclusions, "a"), GetParam().error);
     }
     files.faults.clear();
-    EXPECT_FALSE(rotation.isOut("a"));
-    EXPECT_EQ(rotation.isOut("kept"), hasFile);
+    EXPECT_FALSE(exclusions.isExcluded("a"));
+    EXPECT_EQ(exclusions.isExcluded("kept"), hasFile);
     EXPECT_EQ(content(), before);
     EXPECT_EQ(std::filesystem::exists(path()), hasFile);
     EXPECT_FALSE(std::filesystem::exists(path() + ".new"));
     const auto read = other.read();
-    EXPECT_FALSE(read && read->isOut("a"));
-    EXPECT_FALSE(isOutAfterAStart("a"));
-    EXPECT_EQ(isOutAfterAStart("kept"), hasFile);
+    EXPECT_FALSE(read && read->isExcluded("a"));
+    EXPECT_FALSE(isExcludedAfterAStart("a"));
+    EXPECT_EQ(isExcludedAfterAStart("kept"), hasFile);
     // And the next one is made.
-    EXPECT_FALSE(exclude(mine, rotation, "b"));
-    EXPECT_TRUE(isOutAfterAStart("b"));
-    EXPECT_FALSE(isOutAfterAStart("a"));
+    EXPECT_FALSE(exclude(mine, exclusions, "b"));
+    EXPECT_TRUE(isExcludedAfterAStart("b"));
+    EXPECT_FALSE(isExcludedAfterAStart("a"));
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    RotationFile, FailingDiskTest,
+    ExclusionFile, FailingDiskTest,
     testing::Values(
         DiskFault{"NoSpaceAtOpen", {{"open .new", ENOSPC}}, std::errc::no_space_on_device},
         DiskFault{"NoSpaceAtWrite", {{"write .new", ENOSPC}}, std::errc::no_space_on_device},
@@ -301,11 +302,11 @@
             "FolderThenFile", {{"sync folder", EIO, 1}, {"sync .new", EIO, 1, 1}}, std::errc::io_error}),
     [](const auto& one) { return one.param.name; });
 
-TEST_F(RotationFileTest, AChangeIsSyncedBeforeAndBehindItsRename) {
+TEST_F(ExclusionFileTest, AChangeIsSyncedBeforeAndBehindItsRename) {
   TestFiles files;
-  RotationFile mine = file(files);
-  Rotation rotation;
-  ASSERT_FALSE(exclude(mine, rotation, "a"));
+  ExclusionFile mine = file(files);
+  ExclusionSet exclusions;
+  ASSERT_FALSE(exclude(mine, exclusions, "a"));
   std::vector<std::string> order;
   for (const std::string& call : files.calls) {
     const bool counts = call == "write .new" || call == "rename .json" || call.substr(0, 4) == "sync";
@@ -315,84 +316,84 @@
 }
 
 // The pages may be lost with the first failure, and then a second sync says that all is well.
-TEST_F(RotationFileTest, AfterAFailedSyncTheSetIsWrittenIntoAnotherFile) {
+TEST_F(ExclusionFileTest, AfterAFailedSyncTheSetIsWrittenIntoAnotherFile) {
   for (const char* call : {"sync .new", "sync folder"}) {
     TestFiles files;
-    RotationFile mine = file(files);
-    Rotation rotation;
+    ExclusionFile mine = file(files);
+    ExclusionSet exclusions;
     files.faults = {{call, EIO, 1}};
-    ASSERT_FALSE(exclude(mine, rotation, "a")) << call;
+    ASSERT_FALSE(exclude(mine, exclusions, "a")) << call;
     EXPECT_EQ(std::count(files.calls.begin(), files.calls.end(), "open .new"), 2) << call;
-    EXPECT_TRUE(isOutAfterAStart("a"));
+    EXPECT_TRUE(isExcludedAfterAStart("a"));
   }
 }
 
-TEST_F(RotationFileTest, AFileSystemWithoutSyncOfFoldersKeepsChangesAsItCan) {
+TEST_F(ExclusionFileTest, AFileSystemWithoutSyncOfFoldersKeepsChangesAsItCan) {
   TestFiles files;
-  RotationFile mine = file(files);
-  Rotation rotation;
+  ExclusionFile mine = file(files);
+  ExclusionSet exclusions;
   files.faults = {{"sync folder", EINVAL, 9}};
-  EXPECT_FALSE(exclude(mine, rotation, "a"));
-  EXPECT_TRUE(isOutAfterAStart("a"));
+  EXPECT_FALSE(exclude(mine, exclusions, "a"));
+  EXPECT_TRUE(isExcludedAfterAStart("a"));
 }
 
 // The folder's sync fails, and the disk is full when the earlier set is to be put back: the file holds what
 // was answered as not made. This process leaves it out, and the next change that is kept mends it.
-TEST_F(RotationFileTest, AFileThatCannotBeRestoredIsLoggedAndLeftOut) {
+TEST_F(ExclusionFileTest, AFileThatCannotBeRestoredIsLoggedAndLeftOut) {
   TestFiles files;
-  RotationFile mine = file(files);
-  Rotation rotation;
-  ASSERT_FALSE(exclude(mine, rotation, "kept"));
+  ExclusionFile mine = file(files);
+  ExclusionSet exclusions;
+  ASSERT_FALSE(exclude(mine, exclusions, "kept"));
   const auto writes = std::count(files.calls.begin(), files.calls.end(), "write .new");
   files.calls.clear();
   files.faults = {{"sync folder", EIO, 2}, {"rename .json", EIO, 1, 2}};
-  EXPECT_TRUE(exclude(mine, rotation, "a"));
+  EXPECT_TRUE(exclude(mine, exclusions, "a"));
   EXPECT_GT(std::count(files.calls.begin(), files.calls.end(), "write .new"), 2 * writes) << "it was tried";
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_NE(lines[0].find("can't be restored"), std::string::npos);
-  EXPECT_FALSE(rotation.isOut("a"));
+  EXPECT_FALSE(exclusions.isExcluded("a"));
   EXPECT_FALSE(mine.read()) << "it would bring the change into force";
-  ASSERT_FALSE(exclude(mine, rotation, "b"));
-  EXPECT_FALSE(rotation.isOut("a"));
-  EXPECT_TRUE(isOutAfterAStart("kept"));
-  EXPECT_TRUE(isOutAfterAStart("b"));
-  EXPECT_FALSE(isOutAfterAStart("a"));
+  ASSERT_FALSE(exclude(mine, exclusions, "b"));
+  EXPECT_FALSE(exclusions.isExcluded("a"));
+  EXPECT_TRUE(isExcludedAfterAStart("kept"));
+  EXPECT_TRUE(isExcludedAfterAStart("b"));
+  EXPECT_FALSE(isExcludedAfterAStart("a"));
 }
 
-TEST_F(RotationFileTest, AFolderThatCannotBeWrittenToIsNamedAtTheStartAndItsFileCounts) {
-  RotationFile writer = file();
-  Rotation rotation;
-  ASSERT_FALSE(exclude(writer, rotation, "a"));
+TEST_F(ExclusionFileTest, AFolderThatCannotBeWrittenToIsNamedAtTheStartAndItsFileCounts) {
+  ExclusionFile writer = file();
+  ExclusionSet exclusions;
+  ASSERT_FALSE(exclude(writer, exclusions, "a"));
   TestFiles files;
   files.faults = {{"writable", EROFS, 9}, {"open .lock", EROFS, 9}};
-  RotationFile mine = file(files);
+  ExclusionFile mine = file(files);
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_NE(lines[0].find(folder), std::string::npos);
   EXPECT_NE(lines[0].find("Read-only"), std::string::npos);
   EXPECT_EQ(lines[0].find('\n'), std::string::npos);
   const auto read = mine.read();
   ASSERT_TRUE(read);
-  EXPECT_TRUE(read->isOut("a"));
-  EXPECT_EQ(exclude(mine, rotation, "b"), std::errc::read_only_file_system);
+  EXPECT_TRUE(read->isExcluded("a"));
+  EXPECT_EQ(exclude(mine, exclusions, "b"), std::errc::read_only_file_system);
   EXPECT_EQ(lines.size(), 1U);
 }
 
 // A read that fails says nothing of the file: it is tried until it goes well.
-TEST_F(RotationFileTest, AReadThatFailsIsLoggedOnceAndTriedAgain) {
-  RotationFile writer = file();
-  Rotation rotation;
-  ASSERT_FALSE(exclude(writer, rotation, "a"));
+TEST_F(ExclusionFileTest, AReadThatFailsIsLoggedOnceAndTriedAgain) {
+  ExclusionFile writer = file();
+  ExclusionSet exclusions;
+  ASSERT_FALSE(exclude(writer, exclusions, "a"));
   for (const char* call : {"open .json", "read .json"}) {
     lines.clear();
     TestFiles files;
     files.faults = {{call, EIO, 2}};
-    RotationFile mine = file(files);
+    ExclusionFile mine = file(files);
     EXPECT_FALSE(mine.read());
     EXPECT_FALSE(mine.read());
     EXPECT_EQ(lines.size(), 1U) << call;
     const auto read = mine.read();
     ASSERT_TRUE(read) << call;
-    EXPECT_TRUE(read->isOut("a"));
+    EXPECT_TRUE(read->isExcluded("a"));
   }
 }
 
@@ -404,7 +405,7 @@
 }
 
 // The clock is stepped back between two changes of one size, so that both bear one time.
-TEST_F(RotationFileTest, AStepOfTheClockHidesNoChange) {
+TEST_F(ExclusionFileTest, AStepOfTheClockHidesNoChange) {
   const timespec once{1'700'000'000, 0};
   const auto text = [](char id) {
     return std::string("{\"version\":1,\"out\":[\"") + id + "\"],\"back\":{}}";
@@ -414,7 +415,7 @@
     stepBack(path() + ".new", once);
     std::filesystem::rename(path() + ".new", path());
   };
-  RotationFile mine = file();
+  ExclusionFile mine = file();
   publish('a');
   ASSERT_TRUE(mine.read());
   for (const char id : {'b', 'c', 'd', 'e'}) {
@@ -424,14 +425,14 @@
     publish(id);
     const auto read = mine.read();
     ASSERT_TRUE(read) << id;
-    EXPECT_TRUE(read->isOut(std::string(1, id)));
+    EXPECT_TRUE(read->isExcluded(std::string(1, id)));
   }
   // In place, by an editor.
   write(text('f'));
   stepBack(path(), once);
   const auto read = mine.read();
   ASSERT_TRUE(read);
-  EXPECT_TRUE(read->isOut("f"));
+  EXPECT_TRUE(read->isExcluded("f"));
 }
 
 // ---- Processes that are killed ----------------------------------------------------------------------------
@@ -450,11 +451,11 @@
     files.onCall = [&] {
       if (++calls == nth) ::raise(SIGKILL);
     };
-    RotationFile file(
+    ExclusionFile file(
         folder, [](const std::string&) {}, files);
-    Rotation rotation;
-    if (auto read = file.read()) rotation = std::move(*read);
-    const auto error = file.change(rotation, [](Rotation& one) {
+    ExclusionSet exclusions;
+    if (auto read = file.read()) exclusions = std::move(*read);
+    const auto error = file.change(exclusions, [](ExclusionSet& one) {
       one.exclude("new");
       return true;
     });
@@ -470,7 +471,7 @@
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-TEST_F(RotationFileTest, AKillBehindAnyCallLeavesTheOldSetOrTheNewOne) {
+TEST_F(ExclusionFileTest, AKillBehindAnyCallLeavesTheOldSetOrTheNewOne) {
   const std::vector<std::vector<TestFiles::Fault>> disks = {
       {}, {{"sync .new", EIO, 1}}, {{"sync folder", EIO, 1}}, {{"sync folder", EIO, 2}}};
   for (const auto& faults : disks) {
@@ -478,19 +479,19 @@
     int nth = 0;
     while (!ended) {
       std::filesystem::remove(path());
-      RotationFile mine = file();
-      Rotation rotation;
-      ASSERT_FALSE(exclude(mine, rotation, "old"));
+      ExclusionFile mine = file();
+      ExclusionSet exclusions;
+      ASSERT_FALSE(exclude(mine, exclusions, "old"));
       bool kept = false;
       ended = changeAndBeKilled(folder, faults, ++nth, kept);
       ASSERT_LT(nth, 200);
-      Rotation found;
-      ASSERT_NO_THROW(found = Rotation::parse(content())) << "half a file behind call " << nth;
-      EXPECT_TRUE(found.isOut("old")) << nth;
-      EXPECT_TRUE(!kept || found.isOut("new")) << "answered as made, and gone behind call " << nth;
+      ExclusionSet found;
+      ASSERT_NO_THROW(found = ExclusionSet::parse(content())) << "half a file behind call " << nth;
+      EXPECT_TRUE(found.isExcluded("old")) << nth;
+      EXPECT_TRUE(!kept || found.isExcluded("new")) << "answered as made, and gone behind call " << nth;
       // Its lock went with it, and what it left over is in nobody's way.
-      ASSERT_FALSE(exclude(mine, rotation, "next")) << nth;
-      EXPECT_TRUE(isOutAfterAStart("old") && isOutAfterAStart("next"));
+      ASSERT_FALSE(exclude(mine, exclusions, "next")) << nth;
+      EXPECT_TRUE(isExcludedAfterAStart("old") && isExcludedAfterAStart("next"));
     }
     EXPECT_GT(nth, 10) << "calls of a change";
   }
@@ -498,12 +499,12 @@
 
 // The machine stops behind each call. Of a file that was not synced nothing is on the disk, and of a rename
 // whose folder was not synced it is anybody's guess.
-TEST_F(RotationFileTest, AStopOfTheMachineLeavesTheOldSetOrTheNewOne) {
+TEST_F(ExclusionFileTest, AStopOfTheMachineLeavesTheOldSetOrTheNewOne) {
   for (int nth = 1;; ++nth) {
     std::filesystem::remove(path());
-    RotationFile before = file();
-    Rotation rotation;
-    ASSERT_FALSE(exclude(before, rotation, "old"));
+    ExclusionFile before = file();
+    ExclusionSet exclusions;
+    ASSERT_FALSE(exclude(before, exclusions, "old"));
     TestFiles files;
     std::string disk = content();  // what the name surely stands for
     std::string fresh;             // what has been synced of the file to be renamed
@@ -522,19 +523,19 @@
       if (call == "sync folder") mayBe.assign(1, mayBe.back());
       if (++calls == nth) atStop = mayBe;
     };
-    RotationFile mine = file(files);
-    ASSERT_FALSE(exclude(mine, rotation, "new"));
+    ExclusionFile mine = file(files);
+    ASSERT_FALSE(exclude(mine, exclusions, "new"));
     const bool answered = atStop.empty();
     if (answered) atStop = mayBe;
     for (const std::string& text : atStop) {
-      Rotation found;
-      ASSERT_NO_THROW(found = Rotation::parse(text)) << "nothing is left behind call " << nth;
-      EXPECT_TRUE(found.isOut("old"));
-      EXPECT_TRUE(!answered || found.isOut("new")) << "answered as made, and lost";
+      ExclusionSet found;
+      ASSERT_NO_THROW(found = ExclusionSet::parse(text)) << "nothing is left behind call " << nth;
+      EXPECT_TRUE(found.isExcluded("old"));
+      EXPECT_TRUE(!answered || found.isExcluded("new")) << "answered as made, and lost";
     }
     if (answered) break;
   }
 }
 
 }  // namespace
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
