--- a/src/rotation/file_operations.cpp
+++ b/src/exclusion/file_operations.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "rotation/file_operations.h"
+#include "exclusion/file_operations.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -7,7 +7,7 @@
 
 #include <cstdio>
 
-namespace ivypost::rotation {
+namespace ivypost::exclusion {
 
 int FileOperations::open(const char* path, int flags, mode_t mode) {
   return ::open(path, flags, mode);
@@ -37,11 +37,11 @@
   return ::unlink(path);
 }
 
-int FileOperations::tryLock(int file, int operation) {
-  return ::flock(file, operation | LOCK_NB);
+int FileOperations::tryLock(int file, LockMode mode) {
+  return ::flock(file, (mode == LockMode::Exclusive ? LOCK_EX : LOCK_SH) | LOCK_NB);
 }
 
-int FileOperations::writable(const char* path) {
+int FileOperations::checkWritable(const char* path) {
   return ::access(path, W_OK);
 }
 
@@ -50,4 +50,4 @@
   return files;
 }
 
-}  // namespace ivypost::rotation
+}  // namespace ivypost::exclusion
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -22,7 +22,7 @@
 // A repeat is written this long before its window ends at the latest: it has to arrive within it.
 constexpr microseconds kWindowMargin{10'000};
 // How soon this process hears of what operators have told the other one, while one replaces the other.
-constexpr std::chrono::milliseconds kRotationEvery{100};
+constexpr std::chrono::milliseconds kExclusionFilePollInterval{100};
 // The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
 // disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
 constexpr std::chrono::milliseconds kLockRetryEvery{5};
@@ -35,6 +35,10 @@
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
+exclusion::WallTime wallTime(std::int64_t unixMs) {
+  return exclusion::WallTime(std::chrono::milliseconds(unixMs));
+}
+
 bool provesNeverRan(Outcome outcome) {
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
@@ -46,6 +50,14 @@
   return longest;
 }
 
+// To an operator's call that failed. None: it has to be tried again.
+std::optional<console::Reply> replyTo(const std::error_code& error) {
+  if (error == exclusion::Error::Locked) return std::nullopt;
+  if (error == exclusion::Error::NoFolder)
+    return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
+  return console::Reply{503, "it can't be kept: " + error.message()};
+}
+
 }  // namespace
 
 Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
@@ -85,8 +97,8 @@
                   longestDeadline(config_.site.settings)},
                  now()),
       lifecycleTimer_(io),
-      rotationFile_(config_.console ? config_.tempFolder : std::string(), log),
-      rotationTimer_(io),
+      exclusionFile_(config_.console ? config_.tempFolder : std::string(), log),
+      exclusionFileTimer_(io),
       changeTimer_(io),
       consoleTimer_(io) {
   if (unixNow() < 0)
@@ -96,8 +108,8 @@
   fleet_ = viewOf(peersAs_);
   follow(file.membership, config_.discovery);
   if (config_.console) {
-    if (auto kept = rotationFile_.read()) rotation_ = std::move(*kept);
-    watchRotation();
+    if (auto kept = exclusionFile_.readIfChanged()) exclusions_ = std::move(*kept);
+    pollExclusionFile();
   }
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
@@ -278,9 +290,9 @@
     for (Known& known : known_) known.listed = false;  // whoever is missing has gone
   }
   for (const Instance& told : list.instances) {
-    Instance laid;
-    if (!rotation_.empty()) laid = laidOver(told);
-    const Instance& instance = rotation_.empty() ? told : laid;
+    Instance overlaid;
+    if (!exclusions_.isEmpty()) overlaid = overlay(told);
+    const Instance& instance = exclusions_.isEmpty() ? told : overlaid;
     if (instance.state == orchiddrum::UpstreamState::Gone && ids_.count(instance.id) == 0) continue;
     orchiddrum::UpstreamEntry entry;
     entry.upstream = intern(instance.id);
@@ -316,7 +328,7 @@
   for (const auto& entry : update.entries) {
     if (entry.state != orchiddrum::UpstreamState::Draining) continue;
     upstreams_.takeBack(entry.upstream);
-    if (rotation_.isOut(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
+    if (exclusions_.isExcluded(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
   }
   for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
     if (known_[upstream].listed || known_[upstream].id.empty()) continue;
@@ -351,17 +363,18 @@
 }
 
 // An entry as the module hears of it: out by hand is a drain, back by hand a start.
-Instance Sidecar::laidOver(const Instance& told) const {
-  Instance laid = told;
-  if (laid.state == orchiddrum::UpstreamState::Serving && rotation_.isOut(laid.id))
-    laid.state = orchiddrum::UpstreamState::Draining;
-  laid.startedAtMs = rotation_.startedAtMs(laid.id, laid.startedAtMs);
-  return laid;
-}
-
-void Sidecar::onRotation(rotation::Rotation next) {
-  const std::vector<std::string> ids = rotation_.differences(next);
-  rotation_ = std::move(next);
+Instance Sidecar::overlay(const Instance& told) const {
+  Instance overlaid = told;
+  if (overlaid.state == orchiddrum::UpstreamState::Serving && exclusions_.isExcluded(overlaid.id))
+    overlaid.state = orchiddrum::UpstreamState::Draining;
+  const auto start = exclusions_.effectiveStart(overlaid.id, wallTime(overlaid.startedAtMs));
+  overlaid.startedAtMs = start.time_since_epoch().count();
+  return overlaid;
+}
+
+void Sidecar::applyExclusions(exclusion::ExclusionSet next) {
+  const std::vector<std::string> ids = exclusions_.differingEndpoints(next);
+  exclusions_ = std::move(next);
   InstanceList changed;
   for (const std::string& id : ids) {
     const auto found = ids_.find(id);
@@ -373,12 +386,12 @@
 }
 
 // Either process may be called while one replaces the other.
-void Sidecar::watchRotation() {
-  rotationTimer_.expires_after(kRotationEvery);
-  rotationTimer_.async_wait([this](const boost::system::error_code& cancelled) {
+void Sidecar::pollExclusionFile() {
+  exclusionFileTimer_.expires_after(kExclusionFilePollInterval);
+  exclusionFileTimer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
-    if (auto next = rotationFile_.read()) onRotation(std::move(*next));
-    watchRotation();
+    if (auto next = exclusionFile_.readIfChanged()) applyExclusions(std::move(*next));
+    pollExclusionFile();
   });
 }
 
@@ -423,7 +436,7 @@
 
 // One change a turn: each waits for the disk.
 void Sidecar::tryNextChange() {
-  const auto reply = changeRotation(pendingChanges_.front().call);
+  const auto reply = changeExclusions(pendingChanges_.front().call);
   if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryEvery);
   const PendingChange done = std::move(pendingChanges_.front());
   pendingChanges_.pop_front();
@@ -439,36 +452,33 @@
 }
 
 // None: the other process holds the lock.
-std::optional<console::Reply> Sidecar::changeRotation(const console::Call& call) {
-  using Change = rotation::Rotation::Change;
-  const bool exclude = call.what == console::Call::What::Exclude;
-  const auto named = ids_.find(call.upstream);
-  const bool listed = named != ids_.end() && known_[named->second].listed;
-  // Later than the start that is known, also where the wall clock is behind: what comes back is cold.
-  const std::int64_t knownMs = listed ? known_[named->second].startedAtMs : 0;
-  const std::int64_t backAtMs = std::max(unixNow() / 1000, knownMs + 1);
-  rotation::Rotation next = rotation_;
-  Change change = Change::None;
-  bool unknown = false;
-  const auto apply = [&](rotation::Rotation& current) {
-    unknown = !listed && !current.isOut(call.upstream);
-    if (unknown) return false;
-    change = exclude ? current.exclude(call.upstream) : current.include(call.upstream, backAtMs);
-    return change != Change::Full;
-  };
-  if (const auto error = rotationFile_.change(next, apply)) {
-    if (error == rotation::FileError::Busy) return std::nullopt;
-    if (error == rotation::FileError::NoFolder)
-      return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
-    return console::Reply{503, "it can't be kept: " + error.message()};
+std::optional<console::Reply> Sidecar::changeExclusions(const console::Call& call) {
+  using Kind = exclusion::Change::Kind;
+  exclusion::Change change;
+  change.kind = call.what == console::Call::What::Exclude ? Kind::Exclude : Kind::Include;
+  change.endpoint = call.upstream;
+  change.now = wallTime(unixNow() / 1000);
+  if (const auto named = ids_.find(call.upstream); named != ids_.end()) {
+    change.isListed = known_[named->second].listed;
+    change.listedStart = wallTime(known_[named->second].startedAtMs);
+  }
+  exclusion::ExclusionSet next = exclusions_;
+  const auto outcome = exclusionFile_.apply(next, change);
+  if (!outcome) return replyTo(outcome.error());
+  applyExclusions(std::move(next));
+  const bool isExcluded = exclusions_.isExcluded(call.upstream);
+  switch (outcome.value()) {
+    case exclusion::Outcome::UnknownEndpoint:
+      return console::Reply{404, "no upstream has this id"};
+    case exclusion::Outcome::Full:
+      return console::Reply{503, "too many upstreams are out, or the id is too long"};
+    case exclusion::Outcome::Unchanged:
+      return console::Reply{200, isExcluded ? "already excluded" : "already included"};
+    case exclusion::Outcome::Changed:
+      log((isExcluded ? "excluded by hand: " : "included by hand: ") + call.upstream);
+      return console::Reply{200, isExcluded ? "excluded" : "included"};
   }
-  onRotation(std::move(next));
-  if (unknown) return console::Reply{404, "no upstream has this id"};
-  if (change == Change::Full) return console::Reply{503, "too many upstreams are out, or the id is too long"};
-  if (change == Change::Done) log((exclude ? "excluded by hand: " : "included by hand: ") + call.upstream);
-  const bool out = rotation_.isOut(call.upstream);
-  return console::Reply{
-      200, std::string(change == Change::None ? "already " : "") + (out ? "excluded" : "included")};
+  return std::nullopt;
 }
 
 // ---- Peers
