--- a/bench/added_latency.cpp
+++ b/bench/added_latency.cpp
@@ -12,6 +12,10 @@
 // Control: processor time, memory and bytes with no traffic at all: at rest, at one change of the list a
 // second, at a whole list a second.
 //
+// Growth: the same traffic of one sidecar against each length of list, with probes and with upstreams that
+// restart cold, as many of a hundred a second at each length. From the second length on the figures stand
+// beside the bounds that the first one's give.
+//
 // Nodes and discovery are threads of this process, ivypost is a process of its own. Everything on loopback.
 #include <sys/resource.h>
 #include <unistd.h>
@@ -19,6 +23,7 @@
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <array>
+#include <atomic>
 #include <boost/asio.hpp>
 #include <charconv>
 #include <chrono>
@@ -38,6 +43,7 @@
 #include <sstream>
 #include <stdexcept>
 #include <string>
+#include <string_view>
 #include <thread>
 #include <utility>
 #include <vector>
@@ -77,7 +83,8 @@
   std::int64_t workUs = 1000;
   std::uint32_t sidecars = 660;  // that the module is told of
   std::uint64_t seed = 1;
-  bool control = false, relay = false, asJson = false;
+  bool control = false, growth = false, relay = false, asJson = false;
+  double restarts = 1;  // growth: of a hundred upstreams, a second
 };
 
 // Nodes that answer every GET after a fixed time, on one thread, each at a port of its own; and discovery,
@@ -135,6 +142,34 @@
       return 0;
     });
   }
+  // As many of them, one after the other, restart and are cold from now on; told in one change.
+  void restart(std::size_t count) {
+    call([this, count] {
+      const auto now = std::chrono::system_clock::now().time_since_epoch();
+      for (std::size_t n = 0; n < count; ++n) {
+        auto& entry = entries_.at(changed_++ % entries_.size());
+        entry.startedAtMs = duration_cast<milliseconds>(now).count();
+        discovery_.put(entry);
+      }
+      return 0;
+    });
+  }
+  // Counts the bytes of lists from now on.
+  void countLists() {
+    call([this] {
+      discovery_.tamper = [this](const std::string& text) {
+        listBytes_ += text.size();
+        return text;
+      };
+      return 0;
+    });
+  }
+  struct Counts {
+    std::uint64_t listBytes = 0, connections = 0;
+  };
+  Counts counts() {
+    return call([this] { return Counts{listBytes_, connections_}; });
+  }
   std::uint64_t wholeTold() {
     return call([this] { return wholeTold_; });
   }
@@ -146,16 +181,22 @@
       asio::async_read_until(socket, buffer, "\r\n\r\n",
                              [self = shared_from_this()](error_code error, std::size_t size) {
                                if (error) return;
+                               static const std::string kProbe = "GET /status/load ";
+                               const auto* const head = static_cast<const char*>(self->buffer.data().data());
+                               const bool probe = std::string_view(head, size).starts_with(kProbe);
                                self->buffer.consume(size);
+                               if (probe) return self->answer(true);
                                if (self->work <= 0) return self->answer();
                                self->timer.expires_after(microseconds(self->work));
                                self->timer.async_wait([self](error_code) { self->answer(); });
                              });
     }
-    void answer() {
+    void answer(bool probe = false) {
+      static const std::string kLoad =
+          "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 24\r\n\r\nTEXT inflight=1, qps=400";
       static const std::string kAnswer =
           "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok";
-      asio::async_write(socket, asio::buffer(kAnswer),
+      asio::async_write(socket, asio::buffer(probe ? kLoad : kAnswer),
                         [self = shared_from_this()](error_code failed, std::size_t) {
                           if (!failed) self->run();
                         });
@@ -170,6 +211,7 @@
     acceptor.async_accept([this, &acceptor](error_code error, tcp::socket socket) {
       if (error) return;
       socket.set_option(tcp::no_delay(true));
+      ++connections_;
       std::make_shared<Line>(std::move(socket), work_)->run();
       accept(acceptor);
     });
@@ -191,7 +233,7 @@
   tcp::endpoint discoveryAt_;
   json whole_;
   std::size_t changed_ = 0;
-  std::uint64_t wholeTold_ = 0;
+  std::uint64_t wholeTold_ = 0, listBytes_ = 0, connections_ = 0;
   std::thread thread_;
 };
 
@@ -223,7 +265,10 @@
             {"idleClose", 30'000'000},
             {"maxStreams", 1},
             {"maxAttempts", 3},
+            {"probing", options.growth},
             {"mayCancel", true}}},
+          {"prices", {{"probe", 0.004}}},
+          {"report", {{"how", "probe"}, {"columns", {"inflight", "qps"}}}},
           {"contract",
            {{"stopSendingWithin", 2'000'000},
             {"startCapacity", 0.3},
@@ -252,6 +297,10 @@
 
   tcp::endpoint address() const { return {asio::ip::address_v4::loopback(), port_}; }
   double processorUs() const { return static_cast<double>(process_->processor()); }
+  std::size_t descriptors() const {
+    const std::filesystem::directory_iterator open("/proc/" + std::to_string(process_->id()) + "/fd");
+    return static_cast<std::size_t>(std::distance(begin(open), end(open)));
+  }
   double peakMb() { return static_cast<double>(process_->usage().peakBytes) / 1e6; }
   double residentMb() const {
     std::ifstream status("/proc/" + std::to_string(process_->id()) + "/status");
@@ -678,6 +727,66 @@
               r["peak_mb"].get<double>());
 }
 
+// What a sidecar needs over one course, its start with it.
+json growth(const Options& options, std::uint32_t count) {
+  Upstreams upstreams(count, options.workUs);
+  upstreams.countLists();
+  asio::io_context io(1);
+  Sidecar sidecar(io, options, upstreams);
+  std::size_t descriptors = 0;
+  std::atomic<bool> over = false;
+  std::thread beside([&] {
+    double due = 0;
+    for (int tick = 0; !over; ++tick) {
+      std::this_thread::sleep_for(milliseconds(100));
+      descriptors = std::max(descriptors, sidecar.descriptors());
+      if (tick % 10 != 9) continue;
+      due += options.restarts / 100 * count;
+      upstreams.restart(static_cast<std::size_t>(due));
+      due -= std::floor(due);
+    }
+  });
+  Client client(io, {sidecar.address()});
+  const Client::Result result = client.play(options.rate, options.seconds, options.seed);
+  over = true;
+  beside.join();
+  const Upstreams::Counts counts = upstreams.counts();
+  const auto calls = static_cast<double>(result.lateMs.size());
+  return {{"upstreams", count},
+          {"calls", calls},
+          {"cpu_seconds", sidecar.processorUs() / 1e6},
+          {"peak_mb", sidecar.peakMb()},
+          {"descriptors", descriptors},
+          {"connections", counts.connections},
+          {"list_bytes", counts.listBytes},
+          {"served", static_cast<double>(result.tookMs.size()) / calls}};
+}
+
+// The page's bounds: so many times the usual size's figure, so much more, and so much for each thousand.
+struct Bound {
+  const char* name;
+  double times, more, eachThousand;
+};
+constexpr std::array<Bound, 5> kBounds = {{{"cpu_seconds", 1.4, 0.02, 0.03},
+                                           {"peak_mb", 1.5, 8, 4},
+                                           {"descriptors", 2, 40, 0},
+                                           {"connections", 2.5, 40, 0},
+                                           {"list_bytes", 2, 64e3, 500e3}}};
+
+void showGrowth(const json& r, const json& usual) {
+  const double thousands = r["upstreams"].get<double>() / 1000;
+  std::printf("%u upstreams, %.0f calls\n", r["upstreams"].get<unsigned>(), r["calls"].get<double>());
+  for (const Bound& bound : kBounds) {
+    const double found = r[bound.name].get<double>();
+    const double most =
+        bound.times * usual[bound.name].get<double>() + bound.more + bound.eachThousand * thousands;
+    std::printf("  %-12s %12.3f  at most %12.3f%s\n", bound.name, found, most, found > most ? "  OVER" : "");
+  }
+  const double served = r["served"].get<double>(), least = 0.85 * usual["served"].get<double>();
+  std::printf("  %-12s %12.3f  at least %11.3f%s\n", "served", served, least,
+              served < least ? "  UNDER" : "");
+}
+
 // Each upstream has a listener here, and some of them connections.
 void raiseDescriptorLimit() {
   rlimit limit{};
@@ -707,15 +816,23 @@
       ->check(CLI::Range(1, 1'000'000));
   app.add_option("--seed", options.seed, "of the arrivals");
   app.add_flag("--control", options.control, "measures the control part, with no traffic, in place of calls");
+  app.add_flag("--growth", options.growth, "measures one course at each length, beside the bounds of growth");
+  app.add_option("--restarts", options.restarts, "with --growth: of a hundred upstreams, a second")
+      ->check(CLI::Range(0.0, 100.0));
   app.add_flag("--relay", options.relay, "a third turn, through a bare relay");
   app.add_flag("--json", options.asJson, "prints all figures as JSON");
   CLI11_PARSE(app, argc, argv);
   try {
     json all = json::array();
     for (const std::uint32_t count : options.upstreams) {
-      all.push_back(options.control ? control(options, count) : latency(options, count));
+      all.push_back(options.growth    ? growth(options, count)
+                    : options.control ? control(options, count)
+                                      : latency(options, count));
       if (options.asJson) continue;
-      (options.control ? showControl : showLatency)(all.back());
+      if (options.growth)
+        showGrowth(all.back(), all.front());
+      else
+        (options.control ? showControl : showLatency)(all.back());
       std::fflush(stdout);
     }
     if (options.asJson) std::printf("%s\n", all.dump(1).c_str());
