--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -387,6 +387,7 @@
   // How an upstream's answers have compared with the usual, forgotten over kSlownessMemory, so that one that
   // was slow once is tried again.
   double slowness(const Upstream& upstream) const {
+    if (upstream.logSlowness == 0) return 1;  // nothing learned: most of a long list
     return std::exp(upstream.logSlowness * kept(upstream.slownessAt, kSlownessMemory));
   }
 
@@ -409,7 +410,7 @@
   double suits(const Request& request, UpstreamId id) {
     const Upstream& upstream = upstreams_[id];
     const double speed = upstream.size / meanSize_ / std::sqrt(slowness(upstream));
-    double bend = std::pow(speed, std::sqrt(request.heaviness));
+    double bend = request.heaviness == 1 ? speed : std::pow(speed, std::sqrt(request.heaviness));
     bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
     return bend * zoneOdds(upstream);
   }
@@ -845,6 +846,7 @@
     if (!may.send || isHeldUp(request)) return eligible_;
     for (const UpstreamId id : listed_)
       if (isReady(upstreams_[id], now_) && mayGoTo(id, request, may)) eligible_.push_back(id);
+    if (request.attempts.empty()) return eligible_;
     // A repeat goes to an upstream that this request has not met, as long as there is one.
     const auto met = [&](UpstreamId id) {
       return std::any_of(request.attempts.begin(), request.attempts.end(),
