--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -5,7 +5,7 @@
 packages="g++ cmake make libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev libsodium-dev"
 case "${1:-build}" in
   build) ;;
-  tests) packages="$packages git ccache libgtest-dev librapidcheck-dev libgrpc++-dev protobuf-compiler protobuf-compiler-grpc libprotobuf-dev clang-format clang-tidy" ;;
+  tests) packages="$packages git ccache libgtest-dev librapidcheck-dev libgrpc++-dev protobuf-compiler protobuf-compiler-grpc libprotobuf-dev clang-format clang-tidy doxygen shellcheck shfmt" ;;
   *)
     echo "packages.sh: '$1' is neither build nor tests" >&2
     exit 2
