--- a/bench/etcd.sh
+++ b/bench/etcd.sh
@@ -24,13 +24,19 @@
   read -r answer <&"${ETCD[0]}"
   printf '%s' "$answer"
 }
-joined=$(IFS=,; printf '%s' "${endpoints[*]}")
+joined=$(
+  IFS=,
+  printf '%s' "${endpoints[*]}"
+)
 
 printf '%s' '{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"5","settings":{"classes":[{"name":"a",
 "aim":100000,"deadline":200000,"semantics":"free"}],"zones":["a"],"locality":"a"}}' >"$dir/config.json"
 printf '[membership]\nsource = "etcd"\n[membership.etcd]\nendpoints = [%s]\n' "$joined" >"$dir/op.toml"
 
-memory() { awk '/^VmRSS|^Threads/ { printf "%s %s  ", $1, $2 }' "/proc/$1/status"; awk '/^Pss:/ { print "Pss: " $2 " kB" }' "/proc/$1/smaps_rollup"; }
+memory() {
+  awk '/^VmRSS|^Threads/ { printf "%s %s  ", $1, $2 }' "/proc/$1/status"
+  awk '/^Pss:/ { print "Pss: " $2 " kB" }' "/proc/$1/smaps_rollup"
+}
 ticks() { awk '{ print $14 + $15 }' "/proc/$1/stat"; }
 # start LABEL PROGRAM ARGUMENTS...: leaves its id in $sidecar.
 start() {
--- a/tests/fleet_test.sh
+++ b/tests/fleet_test.sh
@@ -5,7 +5,10 @@
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 failures=0
-fail() { echo "FAILED: $1"; failures=$((failures + 1)); }
+fail() {
+  echo "FAILED: $1"
+  failures=$((failures + 1))
+}
 export TMPDIR=$dir
 
 head='sidecars = 2
@@ -24,8 +27,7 @@
 work = "1ms"
 deadline = "800ms"'
 printf 'name = "calm"\nlength = "2s"\n%s\n[[event]]\nat = "500ms"\ndo = "drain"\nnode = 1\n' "$head" >"$dir/calm.toml"
-"$fleet" --ivypost "$ivypost" "$dir/calm.toml" >"$dir/out" 2>&1
-[ $? -eq 0 ] || fail "a calm play: $(cat "$dir/out")"
+"$fleet" --ivypost "$ivypost" "$dir/calm.toml" >"$dir/out" 2>&1 || fail "a calm play: $(cat "$dir/out")"
 grep -q '^all rules kept$' "$dir/out" || fail "no judgement: $(cat "$dir/out")"
 grep -q -- '-- drain n1' "$dir/out" || fail "no word of the event: $(cat "$dir/out")"
 grep -q $'\r' "$dir/out" && fail 'lines are rewritten where there is no terminal'
--- a/tests/ivyfault_test.sh
+++ b/tests/ivyfault_test.sh
@@ -4,8 +4,17 @@
 dir=$(mktemp -d)
 failures=0
 pids=""
-trap 'for p in $pids; do kill "$p" 2>/dev/null; done; rm -rf "$dir"' EXIT
-fail() { echo "FAILED: $1"; failures=$((failures + 1)); }
+# shellcheck disable=SC2317  # the trap calls it
+cleanUp() {
+  local one
+  for one in $pids; do kill "$one" 2>/dev/null; done
+  rm -rf "$dir"
+}
+trap cleanUp EXIT
+fail() {
+  echo "FAILED: $1"
+  failures=$((failures + 1))
+}
 
 rejects() {
   local what=$1 message=$2
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -14,7 +14,10 @@
 # shellcheck disable=SC2086
 awk 'length($0) > 110 { print FILENAME ":" FNR ": over 110 characters"; bad = 1 } END { exit bad }' $sources
 lines=$(grep -c '[^[:space:]]' src/balancer.cpp)
-if [ "$lines" -gt 1200 ]; then echo "src/balancer.cpp has $lines lines, 1200 at most"; exit 1; fi
+if [ "$lines" -gt 1200 ]; then
+  echo "src/balancer.cpp has $lines lines, 1200 at most"
+  exit 1
+fi
 
 known_red=
 if [ -f KNOWN-RED.txt ]; then
@@ -25,6 +28,11 @@
   known_red=$(sed 's/ |.*//; s/\./\\./g' KNOWN-RED.txt | paste -sd'|')
 fi
 
+stage "names, docs, shell"
+scripts/check_names.sh
+scripts/check_docs.sh
+scripts/check_shell.sh
+
 # What was compiled before with the same flags and text is taken from the cache, also from another folder.
 export CCACHE_BASEDIR=$PWD CCACHE_NOHASHDIR=1 CCACHE_SLOPPINESS=pch_defines,time_macros,include_file_mtime,include_file_ctime
 # Little optimisation and few debug symbols or none: the tests don't wait for the processor, the compiler does.
@@ -55,12 +63,18 @@
 # All of src and tools, each room's sources as one. The linter reads the headers as they are: clang can't use g++'s
 # precompiled ones.
 stage "lint"
-if git grep -nE '#include ".*\.cpp"' -- '*.cpp' '*.h'; then echo "a source is included"; exit 1; fi
+if git grep -nE '#include ".*\.cpp"' -- '*.cpp' '*.h'; then
+  echo "a source is included"
+  exit 1
+fi
 cmake -S . -B build-lint "${common[@]}" -DIVYPOST_PCH=OFF -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
 cmake --build build-lint --target ivypost_etcd_generated -- --no-print-directory -s
 sed -n 's/^  "file": "\(.*\)"$/\1/p' build-lint/compile_commands.json | grep -v -e '/tests/' -e '/cmake/' -e '/generated/' |
   xargs -n1 -P"$jobs" clang-tidy -p build-lint --quiet --checks=-bugprone-suspicious-include --warnings-as-errors='*' >build-lint/lint.log 2>&1 ||
-  { grep -v 'warnings generated' build-lint/lint.log; exit 1; }
+  {
+    grep -v 'warnings generated' build-lint/lint.log
+    exit 1
+  }
 
 stage "embedding"
 cmake --install build-tests-OFF --prefix build-tests-OFF/prefix >/dev/null
--- a/tests/scale/ivyscale_test.sh
+++ b/tests/scale/ivyscale_test.sh
@@ -7,7 +7,10 @@
 failures=0
 pid=""
 trap '[ -n "$pid" ] && kill "$pid" 2>/dev/null; rm -rf "$dir"' EXIT
-fail() { echo "FAILED: $1"; failures=$((failures + 1)); }
+fail() {
+  echo "FAILED: $1"
+  failures=$((failures + 1))
+}
 # Whether one of these still runs; one that nobody has waited for yet does not.
 running() {
   local p
@@ -79,6 +82,7 @@
   wait "$pid" 2>/dev/null
   code=$?
   pid=""
+  # shellcheck disable=SC2086
   gone $workers || fail "$signal: a worker is left running"
   [ "$signal" = KILL ] && continue
   [ "$code" -eq 2 ] || fail "$signal ended it with $code"
--- a/tests/start_test.sh
+++ b/tests/start_test.sh
@@ -4,7 +4,10 @@
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 failures=0
-fail() { echo "FAILED: $1"; failures=$((failures + 1)); }
+fail() {
+  echo "FAILED: $1"
+  failures=$((failures + 1))
+}
 unset GW_NAME GW_LISTEN GW_DISCOVERY GW_CONFIG
 
 settings='"settings":{"classes":[{"name":"a","aim":100000,"deadline":200000,"semantics":"free"}]}'
