--- a/src/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,13 +15,16 @@
 #include <stdexcept>
 #include <unordered_map>
 
+#include "balancer/deadline.h"
+#include "balancer/endpoint_registry.h"
+#include "balancer/random_source.h"
+#include "balancer/request.h"
 #include "figures.h"
 
 namespace orchiddrum {
+using namespace internal;
 namespace {
 
-constexpr UpstreamId kNone = static_cast<UpstreamId>(-1);
-
 // Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
 constexpr double kMaxColdCredit = 1;
 // A cold upstream may get so many times the load that a warm one has while all are warm.
@@ -75,10 +78,10 @@
 constexpr int kMaxEjectionDoublings = 3;
 // At most this share of the listed may be ejected at once: beyond it suspect load, the network or us.
 // Hearsay adds to them up to the second share alone. So many others have to agree, one less where few are
-// heard; an own answer counts for more than they do for so long.
+// heard.
 constexpr double kMaxEjected = 0.5, kMaxHearsay = 0.25;
 constexpr std::uint32_t kWitnesses = 3, kFewHeard = 6;
-constexpr Micros kOwnWord = 1'000'000, kLongestHearsay = 2'000'000;
+constexpr Micros kLongestHearsay = 2'000'000;
 
 // A request is never taken for worth less than this part of the worthiest.
 constexpr double kLeastWorth = 0.01;
@@ -139,68 +142,6 @@
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
 
-struct Upstream {
-  bool known = false;   // some list has named it
-  bool listed = false;  // it is in the current list and serving
-  std::uint32_t zone = 0;
-  std::optional<std::uint32_t> cell;
-  double size = 1;
-  Micros launchedAt = 0;
-  std::uint64_t identity = 0;
-  std::uint32_t inFlight = 0;  // this sidecar's own attempts that have no outcome yet
-  double coldCredit = 0;
-  double logSlowness = 0;  // smoothed, of answer times against the usual of their class
-  Micros slownessAt = 0;
-  bool reported = false;                                    // ever, what it has in hand
-  std::optional<double> cpuShare;                           // as it last reported
-  Micros shortestLag = std::numeric_limits<Micros>::max();  // of its answers
-  double limit = kStartLimit;                               // of inFlight
-  Micros heardAt = 0;      // its last outcome, or when it had nothing in flight
-  double failureRate = 0;  // smoothed, of answers and failures
-  Micros ejectedUntil = 0;
-  int ejections = 0;              // in a row
-  std::uint32_t connections = 0;  // that stand open, as far as attempts have told
-  bool unreached = false;         // the last outcome was a failed connect
-  bool home = false;              // a connection to it is worth keeping
-  bool halfOpen = false;          // ejected, or back on trial: one attempt at a time
-  bool answers = true;            // the last outcome was an answer, good or bad
-  Micros servedAt = -kOwnWord;    // its last own answer
-  Micros toldUntil = 0;           // others have said something of it: a trial is one sidecar's turn ...
-  bool turn = false;              // ... this one's
-  Micros pausedUntil = 0;         // resting, by a refusal or a limit under one
-  int refusals = 0;               // in a row
-  Micros limitCutAt = 0;          // attempts sent before this do not cut the limit again
-};
-
-struct Attempt {
-  UpstreamId upstream = kNone;
-  std::uint32_t zone = 0;
-  std::optional<std::uint32_t> cell;
-  Micros sentAt = 0;
-  bool out = true;
-  bool counted = true;     // among those in flight
-  bool connects = false;   // needs a new connection
-  bool mayHaveRun = true;  // until an outcome proves otherwise
-};
-
-struct Request {
-  std::uint32_t requestClass = 0;
-  std::optional<std::uint32_t> tenant;
-  double timeliness = 1;  // part of its worth that an answer may still earn, as far as can be told
-  double heaviness = 1;   // its expected work against the usual of its class
-  Micros aim = 0;
-  Micros deadline = 0;
-  Micros holdUntil = 0;       // not worth holding any longer
-  UpstreamId lookAt = kNone;  // waits for a look at this upstream
-  Micros lookUntil = 0;
-  int looks = 0, crowdedLooks = 0;
-  std::vector<Attempt> attempts;
-  std::uint32_t out = 0;
-  bool over = false;                      // it has its final answer, or the client has left
-  bool streaming = false, spent = false;  // an attempt is the client's now; the body can't be sent again
-  bool earned = false;                    // cold upstreams have had their credit for it
-};
-
 // The retry budget: an exact sliding window over requests taken and further attempts. It looks back from each
 // further attempt, which counts the oldest moment for attempts but not for requests.
 class RetryBudget {
@@ -279,9 +220,11 @@
     armTimer();
   }
 
-  std::uint32_t inFlight(UpstreamId id) const { return id < upstreams_.size() ? upstreams_[id].inFlight : 0; }
+  std::uint32_t inFlight(UpstreamId id) const {
+    return endpoints_.contains(id) ? endpoints_[id].inFlight : 0;
+  }
   bool ready(UpstreamId id, Micros now) const {
-    return id < upstreams_.size() && isReady(upstreams_[id], now);
+    return endpoints_.contains(id) && isReady(endpoints_[id], now);
   }
   std::optional<UpstreamId> remembered() const {
     return slot_ == kNone ? std::nullopt : std::optional<UpstreamId>(slot_);
@@ -290,13 +233,6 @@
   std::size_t heldRequests() const { return held_.size(); }
 
  private:
-  struct Wake {
-    Micros at = 0;
-    RequestId request = 0;  // or the upstream, to hang up
-    enum class What { Deadline, Hold, Look, Ready, Discovery, HangUp } what = What::Deadline;
-    bool operator>(const Wake& other) const { return at > other.at; }
-  };
-
   void validate(const Event& event) const {
     if (const auto* update = std::get_if<MembershipUpdate>(&event)) {
       for (const UpstreamEntry& entry : update->entries) {
@@ -328,8 +264,6 @@
   // The part that a memory keeps of what was learned at that time.
   double kept(Micros at, double memory) const { return std::exp(-static_cast<double>(now_ - at) / memory); }
 
-  double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-
   // ---- Repeat rules and budget ----------------------------------------------------------------------------
 
   // What the rules still allow for a request. Every Send, Refuse and Fail asks here first.
@@ -376,7 +310,7 @@
   // The rules on where it may go: no draining or gone upstream, no cold one beyond its credit, no other
   // group.
   bool mayGoTo(UpstreamId id, const Request& request, const Permission& may) const {
-    const Upstream& upstream = upstreams_[id];
+    const Upstream& upstream = endpoints_[id];
     return may.send && upstream.listed && hasColdCredit(upstream, now_) &&
            (may.anchor == nullptr ||
             inGroup(settings_.classes[request.requestClass].group, *may.anchor, upstream, id));
@@ -407,8 +341,8 @@
   // decides alone, and a blind uniform draw overloads the small. Heavy requests bend it further and light
   // ones less: on a slow upstream the heavy cannot be in time. Bounded, as the paper asks of odds.
   double suits(const Request& request, UpstreamId id) {
-    const Upstream& upstream = upstreams_[id];
-    const double speed = upstream.size / meanSize_ / std::sqrt(slowness(upstream));
+    const Upstream& upstream = endpoints_[id];
+    const double speed = upstream.size / endpoints_.meanSize() / std::sqrt(slowness(upstream));
     double bend = std::pow(speed, std::sqrt(request.heaviness));
     bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
     return bend * zoneOdds(upstream);
@@ -419,7 +353,7 @@
     double home = 0, away = 0;
     for (const UpstreamId id : eligible) {
       odds_.push_back(suits(request, id));
-      if (warmth(upstreams_[id], now_) >= 1) (upstreams_[id].home ? home : away) += odds_.back();
+      if (warmth(endpoints_[id], now_) >= 1) (endpoints_[id].home ? home : away) += odds_.back();
     }
     // Upstreams away from home keep a share of the draws, so that better ones are found.
     const bool apart = home > 0 && away > 0 && hasHome();
@@ -427,12 +361,12 @@
     const double cold = kColdOdds * (home + away * cut);
     double sum = 0;
     for (std::size_t n = 0; n < eligible.size(); ++n) {
-      const Upstream& upstream = upstreams_[eligible[n]];
+      const Upstream& upstream = endpoints_[eligible[n]];
       const bool due = warmth(upstream, now_) < 1 || (upstream.halfOpen && now_ < upstream.toldUntil);
       odds_[n] = sum +=
           due ? std::max(odds_[n], cold * zoneOdds(upstream)) : odds_[n] * (upstream.home ? 1 : cut);
     }
-    const auto at = std::upper_bound(odds_.begin(), odds_.end(), uniform() * sum) - odds_.begin();
+    const auto at = std::upper_bound(odds_.begin(), odds_.end(), random_.uniform() * sum) - odds_.begin();
     return eligible[std::min<std::size_t>(static_cast<std::size_t>(at), eligible.size() - 1)];
   }
 
@@ -441,8 +375,8 @@
   UpstreamId pick(const std::vector<UpstreamId>& eligible, const Request& request) {
     const UpstreamId drawn = draw(eligible, request);
     const bool comparable = std::find(eligible.begin(), eligible.end(), slot_) != eligible.end();
-    const bool slotLighter = comparable && upstreams_[slot_].inFlight < upstreams_[drawn].inFlight;
-    const bool drawnLighter = slot_ == kNone || upstreams_[drawn].inFlight < upstreams_[slot_].inFlight;
+    const bool slotLighter = comparable && endpoints_[slot_].inFlight < endpoints_[drawn].inFlight;
+    const bool drawnLighter = slot_ == kNone || endpoints_[drawn].inFlight < endpoints_[slot_].inFlight;
     const UpstreamId picked = slotLighter ? slot_ : drawn;
     if (drawnLighter) slot_ = drawn;
     return picked;
@@ -471,14 +405,14 @@
     if (request.earned) return;
     request.earned = true;
     double present = 0, total = 0;
-    for (const UpstreamId id : listed_) {
-      present += upstreams_[id].size * warmth(upstreams_[id], now_);
-      total += upstreams_[id].size;
+    for (const UpstreamId id : endpoints_.listed()) {
+      present += endpoints_[id].size * warmth(endpoints_[id], now_);
+      total += endpoints_[id].size;
     }
     if (present == total) return;  // the usual case: all are warm
     const double share = std::min(1 / present, kMaxColdShare / total);
-    for (const UpstreamId id : listed_) {
-      Upstream& upstream = upstreams_[id];
+    for (const UpstreamId id : endpoints_.listed()) {
+      Upstream& upstream = endpoints_[id];
       const double part = warmth(upstream, now_);
       if (part < 1 && now_ >= std::max(upstream.ejectedUntil, upstream.pausedUntil))
         upstream.coldCredit = std::min(kMaxColdCredit, upstream.coldCredit + part * upstream.size * share);
@@ -510,7 +444,7 @@
   }
 
   bool isSlow(const Upstream& upstream, const Request& request, Micros lag) const {
-    const double stretch = std::clamp(meanSize_ / upstream.size, 1.0, kMaxSlowStretch);
+    const double stretch = std::clamp(endpoints_.meanSize() / upstream.size, 1.0, kMaxSlowStretch);
     const double line = kSlowPart * static_cast<double>(request.aim) * stretch * (1 + request.heaviness) / 2;
     return static_cast<double>(lag - upstream.shortestLag) > line;
   }
@@ -522,12 +456,12 @@
   void pause(Upstream& upstream, Micros serviceTime) {
     const double wait = static_cast<double>(std::max(serviceTime, settings_.resolution)) *
                         std::exp2(std::min(upstream.refusals++, kMaxEjectionDoublings));
-    rest(upstream, std::min(wait * (0.5 + uniform()), 1.0 * kEjection));
+    rest(upstream, std::min(wait * (0.5 + random_.uniform()), 1.0 * kEjection));
   }
 
   void rest(Upstream& upstream, double span) {
     upstream.pausedUntil = std::max(upstream.pausedUntil, now_ + static_cast<Micros>(span));
-    wakes_.push({upstream.pausedUntil, 0, Wake::What::Ready});
+    deadlines_.push({upstream.pausedUntil, 0, Wake::What::Ready});
   }
 
   // Guards against storms when everybody is full: pauses and limits of single upstreams do not bind a blind
@@ -545,8 +479,8 @@
     wholeLimit_ = std::max(1.0, wholeLimit_ * kLimitBackoff);
     const int doublings = std::min(crowdedInRow_ - kCrowdedBeforeRest, kMaxEjectionDoublings + 2) - 3;
     restFrom_ = now_;
-    restFor_ = overallLag_ * std::exp2(doublings) * (0.5 + uniform());
-    for (const RequestId id : held_) wakes_.push({restEnd(requests_.at(id)), 0, Wake::What::Ready});
+    restFor_ = overallLag_ * std::exp2(doublings) * (0.5 + random_.uniform());
+    for (const RequestId id : held_) deadlines_.push({restEnd(requests_.at(id)), 0, Wake::What::Ready});
   }
 
   // The less a request is worth against the worthiest, the longer it rests.
@@ -556,11 +490,11 @@
 
   // Guards against upstreams that fail what they get (errors, resets, no connection, silence).
   void observeHealth(UpstreamId id, Outcome outcome) {
-    Upstream& upstream = upstreams_[id];
+    Upstream& upstream = endpoints_[id];
     if (outcome == Outcome::Cancelled || outcome == Outcome::Moot || outcome == Outcome::Full) return;
     const double failed = outcome == Outcome::Ok ? 0 : 1;
     upstream.answers = outcome == Outcome::Ok || outcome == Outcome::Error;
-    const auto listed = static_cast<double>(std::max<std::size_t>(1, listed_.size()));
+    const auto listed = static_cast<double>(std::max<std::size_t>(1, endpoints_.listed().size()));
     smooth(fleetFailureRate_, failed, kFailureGain / listed);
     smooth(upstream.failureRate, failed, kFailureGain);
     if (failed == 0) upstream.refusals = 0, upstream.servedAt = now_;
@@ -583,8 +517,8 @@
   // Own fresh evidence beats hearsay. What enough others have found is an ejection like one's own, but of
   // fewer upstreams and never of the last ready; that one of them was served since only permits a trial.
   void on(const Hearsay& event) {
-    if (event.upstream >= upstreams_.size()) return;
-    Upstream& upstream = upstreams_[event.upstream];
+    if (!endpoints_.contains(event.upstream)) return;
+    Upstream& upstream = endpoints_[event.upstream];
     if (!upstream.listed || event.launchedAt != upstream.launchedAt) return;
     upstream.toldUntil = now_ + std::clamp<Micros>(event.holds, 0, kLongestHearsay);
     upstream.turn = event.turn || event.well;
@@ -592,23 +526,25 @@
     if (event.well || upstream.halfOpen || now_ - upstream.servedAt < kOwnWord ||
         event.witnesses < (event.sidecars < kFewHeard ? kWitnesses - 1 : kWitnesses))
       return;
-    const auto another = [&](UpstreamId id) { return id != event.upstream && isReady(upstreams_[id], now_); };
-    if (std::any_of(listed_.begin(), listed_.end(), another)) eject(event.upstream, kMaxHearsay);
+    const auto another = [&](UpstreamId id) { return id != event.upstream && isReady(endpoints_[id], now_); };
+    if (std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(), another))
+      eject(event.upstream, kMaxHearsay);
   }
 
   // False if so many are out already that this one has to stay.
   bool eject(UpstreamId id, double most = kMaxEjected) {
-    const auto out = std::count_if(listed_.begin(), listed_.end(), [this](UpstreamId other) {
-      return upstreams_[other].halfOpen || now_ < upstreams_[other].ejectedUntil;
-    });
-    Upstream& upstream = upstreams_[id];
+    const auto out =
+        std::count_if(endpoints_.listed().begin(), endpoints_.listed().end(), [this](UpstreamId other) {
+          return endpoints_[other].halfOpen || now_ < endpoints_[other].ejectedUntil;
+        });
+    Upstream& upstream = endpoints_[id];
     const double others = static_cast<double>(out) - (upstream.halfOpen ? 1 : 0);
-    if (others + 1 > most * static_cast<double>(listed_.size())) return false;
+    if (others + 1 > most * static_cast<double>(endpoints_.listed().size())) return false;
     const double wait =
         static_cast<double>(kEjection) * std::exp2(std::min(upstream.ejections, kMaxEjectionDoublings));
     // Jittered, so that sidecars which saw the same failure do not come back together.
-    upstream.ejectedUntil = now_ + static_cast<Micros>(wait * (0.75 + uniform() / 2));
-    wakes_.push({upstream.ejectedUntil, 0, Wake::What::Ready});
+    upstream.ejectedUntil = now_ + static_cast<Micros>(wait * (0.75 + random_.uniform() / 2));
+    deadlines_.push({upstream.ejectedUntil, 0, Wake::What::Ready});
     if (!upstream.halfOpen) act(Log{"upstream ejected: " + std::to_string(id)});
     ++upstream.ejections;
     upstream.halfOpen = true;
@@ -639,59 +575,25 @@
       const double base = std::max(asked * kDiscoveryRetry, discoverySpread() * kSpreadRetry);
       const double longest = std::max(asked * kDiscoveryLongest, discoverySpread() * kSpreadLongest);
       if (!discoveryWait_.waits()) act(Log{"discovery lost: deciding on the last list"});
-      askLater(discoveryWait_.next(base, std::max(base, longest), uniform()));
+      askLater(discoveryWait_.next(base, std::max(base, longest), random_.uniform()));
       return;
     }
     if (discoveryWait_.waits()) act(Log{"discovery is back"});
     discoveryWait_.reset();
-    const std::vector<UpstreamId> before = listed_;
-    if (update.kind != MembershipUpdate::Kind::Changes) {
-      // Whoever is missing from a full list is gone.
-      for (const UpstreamId id : listed_) upstreams_[id].listed = false;
-      listed_.clear();
-    }
-    for (const UpstreamEntry& entry : update.entries) apply(entry);
-    for (const UpstreamId id : before)
-      if (!upstreams_[id].listed) hangUp(id);
-    meanSize_ = 0;
-    for (const UpstreamId id : listed_)
-      meanSize_ += upstreams_[id].size / static_cast<double>(listed_.size());
-    if (slot_ != kNone && !upstreams_[slot_].listed) slot_ = kNone;
+    for (const UpstreamId id : endpoints_.apply(update, startLimit_, random_)) hangUp(id);
+    if (slot_ != kNone && !endpoints_[slot_].listed) slot_ = kNone;
     if (!first && update.kind != MembershipUpdate::Kind::Saved) return;
     const double phase = static_cast<double>(settings_.sidecar % settings_.sidecars) / settings_.sidecars;
     phase* discoverySpread() > 0 ? askLater(phase * discoverySpread()) : askDiscovery();  // it may be stale
   }
 
-  void apply(const UpstreamEntry& entry) {
-    if (entry.upstream >= upstreams_.size()) upstreams_.resize(entry.upstream + 1);
-    Upstream& upstream = upstreams_[entry.upstream];
-    const bool was = upstream.listed;
-    const bool restarted = entry.launchedAt != upstream.launchedAt || entry.identity != upstream.identity;
-    if (!upstream.known || restarted) {
-      const std::uint32_t inFlight = upstream.inFlight;
-      upstream = Upstream{};  // a restarted process, or another one, has no history
-      upstream.inFlight = inFlight;
-      upstream.launchedAt = entry.launchedAt;
-      upstream.identity = entry.identity;
-      upstream.limit = startLimit_;
-      upstream.coldCredit = uniform();  // sidecars that hear of a start together must not all send at once
-    }
-    upstream.known = true;
-    upstream.zone = entry.zone;
-    upstream.cell = entry.cell;
-    upstream.size = entry.size > 0 ? entry.size : 1;
-    upstream.listed = entry.state == UpstreamState::Serving;
-    if (upstream.listed && !was) listed_.push_back(entry.upstream);
-    if (!upstream.listed && was) std::erase(listed_, entry.upstream);
-  }
-
   // Guards against idle connections that hold up a drain: they are closed at the notice, at each outcome
   // there, and once more shortly before the time is up: some become idle without an outcome.
   void hangUp(UpstreamId id) {
     if (settings_.hangUpWithin <= 0) return;
     act(CloseIdle{id});
     const Micros again = settings_.hangUpWithin - 2 * settings_.resolution;
-    if (again > 0) wakes_.push({now_ + again, id, Wake::What::HangUp});
+    if (again > 0) deadlines_.push({now_ + again, id, Wake::What::HangUp});
   }
 
   double discoverySpread() const {
@@ -700,7 +602,9 @@
                     kFleetCallGap * settings_.sidecars);
   }
 
-  void askLater(double delay) { wakes_.push({now_ + static_cast<Micros>(delay), 0, Wake::What::Discovery}); }
+  void askLater(double delay) {
+    deadlines_.push({now_ + static_cast<Micros>(delay), 0, Wake::What::Discovery});
+  }
 
   void askDiscovery() { settings_.mustSubscribe ? act(Subscribe{}) : act(Fetch{}); }
 
@@ -728,7 +632,9 @@
   }
 
   // Traffic too little to use every upstream's connection: the home is smaller than the list.
-  bool hasHome() const { return settings_.idleClose > 0 && homeSize() < static_cast<double>(listed_.size()); }
+  bool hasHome() const {
+    return settings_.idleClose > 0 && homeSize() < static_cast<double>(endpoints_.listed().size());
+  }
 
   bool isConnected(const Upstream& upstream) const {
     return upstream.connections > 0 && static_cast<double>(now_ - upstream.heardAt) < idleTime_;
@@ -754,14 +660,14 @@
   // How many more the home has room for.
   double homeRoom() const {
     return homeSize() -
-           static_cast<double>(std::count_if(listed_.begin(), listed_.end(),
-                                             [this](UpstreamId id) { return upstreams_[id].home; }));
+           static_cast<double>(std::count_if(endpoints_.listed().begin(), endpoints_.listed().end(),
+                                             [this](UpstreamId id) { return endpoints_[id].home; }));
   }
 
   // One that was sent to joins the home while there is room; one that did not answer well leaves it.
   void settle(UpstreamId id, const Request& request, Outcome outcome, Micros lag) {
     if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
-    Upstream& upstream = upstreams_[id];
+    Upstream& upstream = endpoints_[id];
     const double usual = typicalLag_[request.requestClass] * request.heaviness;
     const bool late = usual > 0 && static_cast<double>(lag) > kSilence * usual;
     if (outcome != Outcome::Ok || late || !upstream.listed || homeRoom() < 0) upstream.home = false;
@@ -770,8 +676,8 @@
   // Guards against connections that many sidecars with little traffic keep open to no use: they fill the
   // upstreams' tables. One that will idle out before its next use is closed at once.
   void closeUnused(UpstreamId id) {
-    if (upstreams_[id].inFlight > 0 || upstreams_[id].home || !hasHome()) return;
-    upstreams_[id].connections = 0;
+    if (endpoints_[id].inFlight > 0 || endpoints_[id].home || !hasHome()) return;
+    endpoints_[id].connections = 0;
     act(CloseIdle{id});
   }
 
@@ -788,7 +694,7 @@
     Request& stored = requests_.emplace(event.request, std::move(request)).first->second;
     ++open_;
     budget_.take(settings_, now_);
-    wakes_.push({stored.deadline, event.request, Wake::What::Deadline});
+    deadlines_.push({stored.deadline, event.request, Wake::What::Deadline});
     // Held no longer than leaves time to be served: work for a client that has gone is wasted.
     stored.holdUntil =
         std::min(stored.deadline, now_ + stored.aim) - static_cast<Micros>(typicalLag_[event.requestClass]);
@@ -830,8 +736,8 @@
   bool isWholeOut() const {
     if (!blind_ || out_ + 1 <= wholeLimit_) return false;
     double working = out_;
-    for (const UpstreamId id : listed_)
-      if (isSilent(upstreams_[id], now_)) working -= upstreams_[id].inFlight;
+    for (const UpstreamId id : endpoints_.listed())
+      if (isSilent(endpoints_[id], now_)) working -= endpoints_[id].inFlight;
     return working > 0 && working + 1 > wholeLimit_;
   }
 
@@ -843,8 +749,8 @@
   std::vector<UpstreamId>& eligible(const Request& request, const Permission& may) {
     eligible_.clear();
     if (!may.send || isHeldUp(request)) return eligible_;
-    for (const UpstreamId id : listed_)
-      if (isReady(upstreams_[id], now_) && mayGoTo(id, request, may)) eligible_.push_back(id);
+    for (const UpstreamId id : endpoints_.listed())
+      if (isReady(endpoints_[id], now_) && mayGoTo(id, request, may)) eligible_.push_back(id);
     // A repeat goes to an upstream that this request has not met, as long as there is one.
     const auto met = [&](UpstreamId id) {
       return std::any_of(request.attempts.begin(), request.attempts.end(),
@@ -867,8 +773,8 @@
     } else if (request.out == 0) {
       if (may.send && now_ < request.holdUntil) {
         held_.push_back(id);
-        wakes_.push({restEnd(request), 0, Wake::What::Ready});
-        wakes_.push({request.holdUntil, id, Wake::What::Hold});
+        deadlines_.push({restEnd(request), 0, Wake::What::Ready});
+        deadlines_.push({request.holdUntil, id, Wake::What::Hold});
       } else {
         giveUp(id, request);
       }
@@ -880,8 +786,8 @@
   void giveUp(RequestId id, Request& request) {
     const Permission may = permission(request);
     eligible_.clear();
-    for (const UpstreamId to : listed_) {
-      const Upstream& upstream = upstreams_[to];
+    for (const UpstreamId to : endpoints_.listed()) {
+      const Upstream& upstream = endpoints_[to];
       const bool free =
           upstream.halfOpen && upstream.answers && upstream.inFlight == 0 && mayTry(upstream, now_);
       if (free && mayGoTo(to, request, may)) eligible_.push_back(to);
@@ -889,7 +795,8 @@
     if (eligible_.empty()) return answer(id, request);
     std::erase(held_, id);
     std::erase(looking_, id);
-    send(id, request, eligible_[static_cast<std::size_t>(uniform() * static_cast<double>(eligible_.size()))]);
+    send(id, request,
+         eligible_[static_cast<std::size_t>(random_.uniform() * static_cast<double>(eligible_.size()))]);
   }
 
   void send(RequestId id, Request& request, UpstreamId to) {
@@ -897,7 +804,7 @@
     if (!mayGoTo(to, request, permission(request))) return answer(id, request);
     if (isCharged(request)) budget_.spend(now_);
     earnColdCredit(request);
-    Upstream& upstream = upstreams_[to];
+    Upstream& upstream = endpoints_[to];
     if (warmth(upstream, now_) < 1) upstream.coldCredit -= std::max(1.0, request.heaviness);
     const bool connects = !reuses(upstream);
     if (connects && upstream.inFlight == 0) upstream.connections = 0;  // what was open has idled out
@@ -923,7 +830,7 @@
   Micros comeBack() {
     const auto most = static_cast<double>(settings_.retryAfter ? settings_.maxRetryAfter : 0);
     const double wait = overallLag_ * (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, out_));
-    return most < 1 ? 0 : static_cast<Micros>(within(wait * (0.5 + uniform()), 1, most));
+    return most < 1 ? 0 : static_cast<Micros>(within(wait * (0.5 + random_.uniform()), 1, most));
   }
 
   // The request is over: what is still out for it serves nobody.
@@ -944,7 +851,7 @@
 
   // Any outcome leaves the count; so does an answer that begins to stream: the rest is its client's pace.
   void leaveCount(Attempt& attempt) {
-    if (attempt.counted) --out_, --upstreams_[attempt.upstream].inFlight;
+    if (attempt.counted) --out_, --endpoints_[attempt.upstream].inFlight;
     attempt.counted = false;
   }
 
@@ -958,7 +865,7 @@
     attempt.mayHaveRun = !provesNeverRan(event.outcome);
     --request.out;
     leaveCount(attempt);
-    Upstream& upstream = upstreams_[attempt.upstream];
+    Upstream& upstream = endpoints_[attempt.upstream];
     upstream.heardAt = now_;
     request.spent = request.spent || event.spent;
     const Micros lag = now_ - attempt.sentAt - event.transfer;
@@ -1037,7 +944,7 @@
   bool seesLittle() const {
     if (settings_.sidecars <= kFewSidecars) return false;
     if (answers_ == 0) return true;
-    return usualInFlight(calmLag_) < kBlindCount * static_cast<double>(listed_.size());
+    return usualInFlight(calmLag_) < kBlindCount * static_cast<double>(endpoints_.listed().size());
   }
 
   // How long a look at this upstream is waited for, by the usual time of one into its zone: another data
@@ -1051,17 +958,17 @@
   // Guards against blind picks of many sidecars with little traffic each: own counts are nearly all zero and
   // tell nothing of what the others send. The pick stands unless the upstream proves not to be ready.
   void look(RequestId id, Request& request, UpstreamId to) {
-    if (request.looks++ == 0) wakes_.push({request.holdUntil, id, Wake::What::Hold});
+    if (request.looks++ == 0) deadlines_.push({request.holdUntil, id, Wake::What::Hold});
     request.lookAt = to;
-    request.lookUntil = now_ + lookPatience(upstreams_[to]);
-    wakes_.push({request.lookUntil, id, Wake::What::Look});
+    request.lookUntil = now_ + lookPatience(endpoints_[to]);
+    deadlines_.push({request.lookUntil, id, Wake::What::Look});
     looking_.push_back(id);
     act(Probe{to});
   }
 
   void on(const ProbeResult& event) {
-    if (event.upstream >= upstreams_.size()) return;
-    Upstream& upstream = upstreams_[event.upstream];
+    if (!endpoints_.contains(event.upstream)) return;
+    Upstream& upstream = endpoints_[event.upstream];
     double& lookLag = lookLag_[upstream.zone];
     smooth(lookLag, static_cast<double>(event.lag), lookLag > 0 ? kLagGain : 1);
     if (event.report) learnReport(upstream, *event.report);
@@ -1140,8 +1047,8 @@
         continue;
       }
       // One that is only busier than usual is left out of this request's other looks.
-      if (verdict == Verdict::Busier) rest(upstreams_[at], kMaxLooks * lookLag_[upstreams_[at].zone]);
-      if (verdict == Verdict::Crowded) rest(upstreams_[at], typicalLag_[request.requestClass]);
+      if (verdict == Verdict::Busier) rest(endpoints_[at], kMaxLooks * lookLag_[endpoints_[at].zone]);
+      if (verdict == Verdict::Crowded) rest(endpoints_[at], typicalLag_[request.requestClass]);
       // Guards against refusing for one crowded upstream a request whose other looks have met room.
       request.crowdedLooks += verdict == Verdict::Crowded;
       request.crowdedLooks >= looksFor(request, 0) ? answer(id, request) : dispatch(id, request);
@@ -1188,8 +1095,8 @@
   }
 
   bool anyReady() const {
-    return std::any_of(listed_.begin(), listed_.end(),
-                       [this](UpstreamId id) { return isReady(upstreams_[id], now_); });
+    return std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(),
+                       [this](UpstreamId id) { return isReady(endpoints_[id], now_); });
   }
 
   // Gives held requests another look, the worthiest first, for as long as somebody is ready for one of them.
@@ -1214,17 +1121,16 @@
   // ---- Timers ---------------------------------------------------------------------------------------------
 
   void on(const TimerDue&) {
-    if (armedFor_ <= now_) armedFor_ = 0;
-    while (!wakes_.empty() && wakes_.top().at <= now_) {
-      const Wake wake = wakes_.top();
-      wakes_.pop();
+    deadlines_.timerFired(now_);
+    while (const auto due = deadlines_.popDue(now_)) {
+      const Wake wake = *due;
       if (wake.what == Wake::What::Discovery) {
         askDiscovery();
         continue;
       }
       if (wake.what == Wake::What::HangUp) {
         const auto id = static_cast<UpstreamId>(wake.request);
-        if (!upstreams_[id].listed) act(CloseIdle{id});
+        if (!endpoints_[id].listed) act(CloseIdle{id});
         continue;
       }
       if (wake.what == Wake::What::Ready) continue;  // held requests get their look after every event
@@ -1248,21 +1154,19 @@
   }
 
   void armTimer() {
-    if (wakes_.empty() || (armedFor_ != 0 && armedFor_ <= wakes_.top().at)) return;
-    armedFor_ = std::max(wakes_.top().at, now_ + 1);
-    act(SetTimer{armedFor_ - now_});
+    if (const auto timer = deadlines_.arm(now_)) act(*timer);
   }
 
   Settings settings_;
   ReducedService reduced_;
   double lookCredit_ = 0;
-  std::mt19937_64 random_;
+  RandomSource random_;
   Micros now_ = 0;
   bool started_ = false;
   std::vector<Action>* actions_ = nullptr;
 
-  std::vector<Upstream> upstreams_;  // by id
-  std::vector<UpstreamId> listed_;   // serving, in the order they were listed
+  EndpointRegistry endpoints_;
+  Deadlines deadlines_;
   double overallLag_ = 1e6;          // smoothed time to an answer, over all classes
   double calmLag_ = 1e6;             // a low, slow average of it
   bool blind_ = false;               // own counts tell nothing, as of this event
@@ -1274,7 +1178,6 @@
   double answers_ = 0;               // that it was learned from
   double startLimit_ = kStartLimit;  // of an upstream just named
   double limitGrowth_ = 1;           // of a limit, for each limit's worth of timely answers
-  double meanSize_ = 0;              // of the listed
   double fleetFailureRate_ = 0;
   double ownZoneCpu_ = 0;    // smoothed, as upstreams of the own zone report it
   UpstreamId slot_ = kNone;  // the remembered upstream
@@ -1303,8 +1206,6 @@
   std::vector<double> typicalWork_;   // smoothed hint of work, by class
   std::vector<UpstreamId> eligible_;
   std::vector<double> odds_;  // running sums, for the draw
-  std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
-  Micros armedFor_ = 0;  // 0: no timer is out
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now)
--- /dev/null
+++ b/src/balancer/deadline.h
@@ -0,0 +1,65 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_DEADLINE_H_
+#define ORCHIDDRUM_BALANCER_DEADLINE_H_
+
+#include <functional>
+#include <optional>
+#include <queue>
+#include <vector>
+
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// A moment at which the balancer has something to do without an event from outside.
+struct Wake {
+  enum class What {
+    Deadline,   ///< a request's deadline passes
+    Hold,       ///< a request is no longer worth holding
+    Look,       ///< the answer of a health check is overdue
+    Ready,      ///< an endpoint may be ready again: held requests are served after every event
+    Discovery,  ///< the endpoint list is asked for
+    HangUp,     ///< connections to a draining endpoint are closed once more
+  };
+  Micros at = 0;
+  RequestId request = 0;  ///< or the upstream's id, for HangUp; 0 where there is none
+  What what = What::Deadline;
+  bool operator>(const Wake& other) const { return at > other.at; }
+};
+
+/// All deadlines of the balancer, and the one timer that the caller keeps for them.
+///
+/// Its size is bounded by the requests and endpoints that wait: each pushes a constant number of them for
+/// each event that concerns it, and all are taken off as they fall due.
+class Deadlines {
+ public:
+  void push(const Wake& wake) { wakes_.push(wake); }
+
+  /// Takes off the earliest deadline that has passed; none if there is no such.
+  std::optional<Wake> popDue(Micros now) {
+    if (wakes_.empty() || wakes_.top().at > now) return std::nullopt;
+    const Wake wake = wakes_.top();
+    wakes_.pop();
+    return wake;
+  }
+
+  /// The caller's timer has fired; one that fires early stays armed.
+  void timerFired(Micros now) {
+    if (armedFor_ <= now) armedFor_ = 0;
+  }
+
+  /// The timer to set, at least a microsecond ahead; none if the one that is set comes early enough.
+  std::optional<SetTimer> arm(Micros now) {
+    if (wakes_.empty() || (armedFor_ != 0 && armedFor_ <= wakes_.top().at)) return std::nullopt;
+    armedFor_ = std::max(wakes_.top().at, now + 1);
+    return SetTimer{armedFor_ - now};
+  }
+
+ private:
+  std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
+  Micros armedFor_ = 0;  // 0: no timer is out
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_DEADLINE_H_
--- /dev/null
+++ b/src/balancer/endpoint_registry.h
@@ -0,0 +1,103 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
+#define ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
+
+#include <cstdint>
+#include <limits>
+#include <optional>
+#include <vector>
+
+#include "balancer/random_source.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// No endpoint: the value of an id that names none.
+constexpr UpstreamId kNone = static_cast<UpstreamId>(-1);
+
+/// An answer of this sidecar's own counts for more than what others say of an endpoint for so long, in
+/// microseconds: about as long as it takes others to meet the endpoint too.
+constexpr Micros kOwnWord = 1'000'000;
+
+/// All that is known of an upstream. Each group of fields is written by the part that is named above it.
+/// Times are microseconds.
+struct Upstream {
+  // EndpointRegistry
+  bool known = false;   ///< some list has named it
+  bool listed = false;  ///< it is in the current list and serving
+  std::uint32_t zone = 0;
+  std::optional<std::uint32_t> cell;
+  double size = 1;  ///< registered capacity against others, above 0
+  Micros launchedAt = 0;
+  std::uint64_t identity = 0;
+
+  // RequestLifecycle
+  std::uint32_t inFlight = 0;  ///< this sidecar's own attempts that have no outcome yet
+  Micros heardAt = 0;          ///< its last outcome, or when it had nothing in flight
+
+  // SlowStart
+  double coldCredit = 0;  ///< attempts it may get while it is cold; at most kMaxColdCredit
+
+  // LatencyStatistics
+  double logSlowness = 0;  ///< smoothed, of answer times against the usual of their class
+  Micros slownessAt = 0;
+  Micros shortestLag = std::numeric_limits<Micros>::max();  ///< of its answers
+
+  // LoadReports
+  bool reported = false;           ///< ever, what it has in hand
+  std::optional<double> cpuShare;  ///< as it last reported, 0 to 1
+
+  // ConcurrencyLimit and endpoint_backoff.h
+  double limit = 1;        ///< of inFlight
+  Micros limitCutAt = 0;   ///< attempts sent before this do not cut the limit again
+  Micros pausedUntil = 0;  ///< resting, by a refusal or a limit under one
+  int refusals = 0;        ///< in a row
+
+  // OutlierDetection
+  double failureRate = 0;  ///< smoothed, of answers and failures, 0 to 1
+  Micros ejectedUntil = 0;
+  int ejections = 0;            ///< in a row
+  bool halfOpen = false;        ///< ejected, or back on trial: one attempt at a time
+  bool answers = true;          ///< the last outcome was an answer, good or bad
+  Micros servedAt = -kOwnWord;  ///< its last own answer
+  Micros toldUntil = 0;         ///< others have said something of it: a trial is one sidecar's turn ...
+  bool turn = false;            ///< ... this one's
+
+  // ConnectionSubset
+  std::uint32_t connections = 0;  ///< that stand open, as far as attempts have told
+  bool unreached = false;         ///< the last outcome was a failed connect
+  bool home = false;              ///< a connection to it is worth keeping
+};
+
+/// The upstreams by id, and those of the current list that serve.
+///
+/// Grows with the highest id that the caller has given; ids are never taken away.
+class EndpointRegistry {
+ public:
+  [[nodiscard]] bool contains(UpstreamId id) const { return id < upstreams_.size(); }
+  /// `id` must be contained.
+  Upstream& operator[](UpstreamId id) { return upstreams_[id]; }
+  const Upstream& operator[](UpstreamId id) const { return upstreams_[id]; }
+
+  /// Those that serve, in the order they were listed.
+  [[nodiscard]] const std::vector<UpstreamId>& listed() const { return listed_; }
+  /// The mean size of those listed; 0 while there are none.
+  [[nodiscard]] double meanSize() const { return meanSize_; }
+
+  /// Takes a list or changes of one (not Kind::Failed). An endpoint that is new, restarted or another process
+  /// starts without a history: with `startLimit`, and a random part of a slow-start credit, since sidecars
+  /// that hear of a start together must not all send at once.
+  /// @return those that were listed and are no more, in the order they were listed
+  std::vector<UpstreamId> apply(const MembershipUpdate& update, double startLimit, RandomSource& random);
+
+ private:
+  void apply(const UpstreamEntry& entry, double startLimit, RandomSource& random);
+
+  std::vector<Upstream> upstreams_;  // by id
+  std::vector<UpstreamId> listed_;
+  double meanSize_ = 0;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
--- /dev/null
+++ b/src/balancer/request.h
@@ -0,0 +1,50 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_REQUEST_H_
+#define ORCHIDDRUM_BALANCER_REQUEST_H_
+
+#include <cstdint>
+#include <optional>
+#include <vector>
+
+#include "balancer/endpoint_registry.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// One attempt of a request at an upstream. Times are microseconds.
+struct Attempt {
+  UpstreamId upstream = kNone;
+  std::uint32_t zone = 0;             ///< the upstream's, at the time
+  std::optional<std::uint32_t> cell;  ///< the upstream's, at the time
+  Micros sentAt = 0;
+  bool out = true;
+  bool counted = true;     ///< among those in flight
+  bool connects = false;   ///< needs a new connection
+  bool mayHaveRun = true;  ///< until an outcome proves otherwise
+};
+
+/// A request from its arrival until it has its final answer and none of its attempts is out. Times are
+/// microseconds.
+struct Request {
+  std::uint32_t requestClass = 0;
+  std::optional<std::uint32_t> tenant;
+  double timeliness = 1;  ///< part of its worth that an answer may still earn, as far as can be told
+  double heaviness = 1;   ///< its expected work against the usual of its class
+  Micros aim = 0;
+  Micros deadline = 0;
+  Micros holdUntil = 0;       ///< not worth holding any longer
+  UpstreamId lookAt = kNone;  ///< waits for a look at this upstream
+  Micros lookUntil = 0;
+  int looks = 0;
+  int crowdedLooks = 0;
+  std::vector<Attempt> attempts;
+  std::uint32_t out = 0;   ///< attempts without an outcome
+  bool over = false;       ///< it has its final answer, or the client has left
+  bool streaming = false;  ///< an attempt is the client's now
+  bool spent = false;      ///< the body can't be sent again
+  bool earned = false;     ///< cold upstreams have had their credit for it
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_REQUEST_H_
