--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,20 +15,24 @@
 #include <stdexcept>
 #include <unordered_map>
 
+#include "balancer/bounded_settings.h"
 #include "balancer/deadline.h"
 #include "balancer/endpoint_registry.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/load_information.h"
+#include "balancer/priority.h"
 #include "balancer/random_source.h"
 #include "balancer/request.h"
+#include "balancer/request_estimates.h"
+#include "balancer/retry_policy.h"
+#include "balancer/send_rate.h"
+#include "balancer/slow_start.h"
 #include "figures.h"
 
 namespace orchiddrum {
 using namespace internal;
 namespace {
 
-// Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
-constexpr double kMaxColdCredit = 1;
-// A cold upstream may get so many times the load that a warm one has while all are warm.
-constexpr double kMaxColdShare = 1.5;
 // Odds of a cold upstream that has its credit, and of a trial that is this sidecar's turn, against all warm
 // ones together: its turn has come already.
 constexpr double kColdOdds = 0.125;
@@ -43,9 +47,6 @@
 constexpr double kStartLimit = 1;
 constexpr double kMinLimit = 0.1;
 constexpr double kMaxLimit = 1e6;
-// For so many sidecars or fewer a limit grows by one. It settles at about the root of its growth, and those
-// of all sidecars add up, so for more of them growth falls with the square of their number.
-constexpr double kFewSidecars = 4;
 // It falls by this factor, once a round trip, at a refusal, a time-out or a slow answer.
 constexpr double kLimitBackoff = 0.7;
 // An answer is slow that took more than this part of its aim beyond the shortest from that upstream; half of
@@ -53,14 +54,6 @@
 constexpr double kSlowPart = 0.15;
 constexpr double kMaxSlowStretch = 2;
 
-// Weight of one answer in the smoothed time to an answer, and of one that is longer than in calm times.
-constexpr double kLagGain = 0.05;
-constexpr double kCalmForgets = 0.003;
-
-// The retry budget where none is stated: so many repeats, and so many for each request taken, in this span.
-constexpr double kRetryFloor = 10, kRetryRatio = 0.2;
-constexpr Micros kRetryLookBack = 5'000'000;
-
 // So many attempts in a row that meet crowding (a refusal, a time-out, or an answer that took more than this
 // part of its aim), at whatever upstreams, are chance; more rest the whole sidecar.
 constexpr int kCrowdedBeforeRest = 2;
@@ -83,12 +76,6 @@
 constexpr std::uint32_t kWitnesses = 3, kFewHeard = 6;
 constexpr Micros kLongestHearsay = 2'000'000;
 
-// A request is never taken for worth less than this part of the worthiest.
-constexpr double kLeastWorth = 0.01;
-
-// What a tenant has sent is remembered about this long, in microseconds.
-constexpr double kUsageMemory = 5e6;
-
 // An upstream with attempts out is silent after this many times the usual time to an answer.
 constexpr double kSilence = 4;
 
@@ -106,17 +93,6 @@
 // An upstream that reports less of its CPU busy than this is not crowded, however slow an answer was.
 constexpr double kSpareCpu = 0.8;
 
-// A request is never taken for this many times heavier or lighter than its class: hints of work are rough.
-constexpr double kMaxHeaviness = 4;
-
-// A try this much shorter than its class's usual one was cut short by what the client has waited already.
-constexpr double kCutTry = 0.9;
-
-// Draw odds stay within this factor of the mean, either way.
-constexpr double kMaxBias = 8;
-// Answer times bend the odds too: weight of one answer, and how long they are remembered, in microseconds.
-constexpr double kSlownessGain = 0.1;
-constexpr double kSlownessMemory = 1e7;
 // Where crossing zones has a price, an upstream in another zone is drawn at this part of its odds.
 constexpr double kCrossZoneOdds = 0.25;
 
@@ -131,90 +107,29 @@
 // Where probes tell the requests in hand, a sidecar with fewer own requests in flight than this for each
 // upstream looks at the picked one before it sends: so many looks a request at most, none beyond what costs
 // this part of its worth, and one is given up after so many times the usual time of a look.
-constexpr double kBlindCount = 0.1;
 constexpr double kMaxLookPrice = 0.016;
 constexpr double kMaxLooks = 4;
 constexpr double kLookPatience = 4;
 
-constexpr double kMaxAimStretch = 1e6;  // far above any sensible setting
-
-bool provesNeverRan(Outcome outcome) {
-  return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
-}
-
-// The retry budget: an exact sliding window over requests taken and further attempts. It looks back from each
-// further attempt, which counts the oldest moment for attempts but not for requests.
-class RetryBudget {
- public:
-  void take(const Settings& settings, Micros now) {
-    while (!taken_.empty() && taken_.front() <= now - settings.lookBack) taken_.pop_front();
-    taken_.push_back(now);
-  }
-  void spend(Micros now) { further_.push_back(now); }
-  bool left(const Settings& settings, Micros now) {
-    while (!taken_.empty() && taken_.front() <= now - settings.lookBack) taken_.pop_front();
-    while (!further_.empty() && further_.front() < now - settings.lookBack) further_.pop_front();
-    const auto taken = static_cast<double>(taken_.size());
-    return static_cast<double>(further_.size()) + 1 <= settings.extraFloor + settings.furtherRatio * taken;
-  }
-
- private:
-  std::deque<Micros> taken_, further_;
-};
-
-bool inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id) {
-  switch (group) {
-    case RepeatGroup::All:
-      return true;
-    case RepeatGroup::Zone:
-      return anchor.zone == upstream.zone;
-    case RepeatGroup::Cell:
-      return anchor.cell ? anchor.cell == upstream.cell : anchor.upstream == id;
-  }
-  return false;
-}
-
 }  // namespace
 
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Micros now)
-      : settings_(settings), random_(seed), now_(now), startedAt_(now), sendsAt_(now) {
-    if (settings_.classes.empty()) throw std::invalid_argument("settings without classes");
-    if (settings_.zone >= settings_.zones) throw std::invalid_argument("own zone out of range");
-    for (auto* usual : {&typicalLag_, &classAnswers_, &typicalTry_, &typicalWork_})
-      usual->resize(settings_.classes.size());
+      : settings_(boundedSettings(settings)), random_(seed), now_(now), sendRate_(settings_, now) {
     looks_ = settings_.mayProbe && settings_.reportsBusy && settings_.probePrice <= kMaxLookPrice;
     lookLag_.resize(std::max<std::uint32_t>(1, settings_.zones));
-    tenantUsage_.assign(settings_.tenants.size(), 0);
-    settings_.resolution = std::max<Micros>(settings_.resolution, 1);
-    settings_.startCapacity = within(settings_.startCapacity, 0.01, 1);
-    for (RequestClass& cls : settings_.classes) {
-      for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) bound(*span);
-      cls.aimStretch = within(cls.aimStretch, 0, kMaxAimStretch);
-    }
-    for (Micros* span : {&settings_.askWithin, &settings_.coldFor, &settings_.idleClose, &settings_.lookBack,
-                         &settings_.hangUpWithin}) {
-      bound(*span);
-    }
-    statedBudget_ = settings_.lookBack > 0;
-    if (!statedBudget_) settings_.lookBack = kRetryLookBack;
-    settings_.extraFloor = statedBudget_ ? within(settings_.extraFloor, 0, kMaxLimit) : kRetryFloor;
-    settings_.furtherRatio = statedBudget_ ? within(settings_.furtherRatio, 0, kMaxLimit) : kRetryRatio;
-    if (settings_.idleClose > 0) idleTime_ = static_cast<double>(settings_.idleClose);
-    settings_.sidecars = std::max<std::uint32_t>(settings_.sidecars, 1);
     // Limits bind only sidecars that are not blind, and of these there can only be so many.
     const double part = std::min(1.0, kFewSidecars / std::min(1 / kBlindCount, 1.0 * settings_.sidecars));
     startLimit_ = kStartLimit * part;
     limitGrowth_ = std::pow(part, 2);
-    settings_.maxAttempts = std::max<std::uint32_t>(settings_.maxAttempts, 1);
   }
 
   void handle(const Event& event, Micros now, std::vector<Action>& actions) {
     validate(event);
     now_ = std::max(now_, now);
     actions_ = &actions;
-    blind_ = seesLittle();
+    blind_ = seesLittle(settings_, latency_, sendRate_, endpoints_.listed().size(), now_);
     std::visit([this](const auto& e) { on(e); }, event);
     serveHeld();
     armTimer();
@@ -261,75 +176,14 @@
     actions_->emplace_back(std::move(action));
   }
 
-  // The part that a memory keeps of what was learned at that time.
-  double kept(Micros at, double memory) const { return std::exp(-static_cast<double>(now_ - at) / memory); }
-
-  // ---- Repeat rules and budget ----------------------------------------------------------------------------
-
-  // What the rules still allow for a request. Every Send, Refuse and Fail asks here first.
-  struct Permission {
-    bool send = false;
-    const Attempt* anchor = nullptr;  // if set, only upstreams of this attempt's repeat group
-    bool refuse = false;
-    bool fail = false;
-  };
-
-  Permission permission(const Request& request) {
-    Permission may;
-    if (request.over || request.streaming) return may;
-    const RequestClass& cls = settings_.classes[request.requestClass];
-    const auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
-                                    [](const Attempt& attempt) { return attempt.mayHaveRun; });
-    may.fail = true;
-    may.send = now_ < request.deadline && !request.spent && request.attempts.size() < settings_.maxAttempts &&
-               (request.out == 0 || (settings_.secondCopies && reduced_.secondCopies)) &&
-               (!isCharged(request) || budget_.left(settings_, now_));
-    if (first == request.attempts.end() || cls.semantics == Semantics::Idempotent) {
-      may.refuse = true;
-    } else if (cls.semantics == Semantics::Unsafe) {
-      may.send = false;
-    } else {
-      // Strictly inside the window, one step of the clock early: the upstream's clock starts with our send.
-      const bool inWindow = now_ + settings_.resolution < first->sentAt + cls.repeatWindow;
-      may.send = may.send && inWindow;
-      may.anchor = &*first;
-      // A refusal invites the client to send again to any upstream, so it needs the widest group, and time.
-      may.refuse = cls.group == RepeatGroup::All && inWindow;
-    }
-    return may;
-  }
-
-  // Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
-  // lets those go freely that follow attempts which never ran, since refusals cost little.
-  bool isCharged(const Request& request) const {
-    return statedBudget_ ? !request.attempts.empty()
-                         : std::any_of(request.attempts.begin(), request.attempts.end(),
-                                       [](const Attempt& attempt) { return attempt.mayHaveRun; });
-  }
+  Permission permission(const Request& request) { return retryPolicy_.permission(request, reduced_, now_); }
 
-  // The rules on where it may go: no draining or gone upstream, no cold one beyond its credit, no other
-  // group.
   bool mayGoTo(UpstreamId id, const Request& request, const Permission& may) const {
-    const Upstream& upstream = endpoints_[id];
-    return may.send && upstream.listed && hasColdCredit(upstream, now_) &&
-           (may.anchor == nullptr ||
-            inGroup(settings_.classes[request.requestClass].group, *may.anchor, upstream, id));
+    return retryPolicy_.mayGoTo(id, endpoints_[id], request, may, now_);
   }
 
   // ---- Draw odds and the pick -----------------------------------------------------------------------------
 
-  // How an upstream's answers have compared with the usual, forgotten over kSlownessMemory, so that one that
-  // was slow once is tried again.
-  double slowness(const Upstream& upstream) const {
-    return std::exp(upstream.logSlowness * kept(upstream.slownessAt, kSlownessMemory));
-  }
-
-  void learnSlowness(Upstream& upstream, double ratio) {
-    upstream.logSlowness = std::log(slowness(upstream));  // what is not forgotten yet
-    smooth(upstream.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
-    upstream.slownessAt = now_;
-  }
-
   // Guards against an own zone that has more traffic than it can carry: the less CPU its upstreams report
   // spare, the less it is preferred.
   double zoneOdds(const Upstream& upstream) const {
@@ -342,7 +196,7 @@
   // ones less: on a slow upstream the heavy cannot be in time. Bounded, as the paper asks of odds.
   double suits(const Request& request, UpstreamId id) {
     const Upstream& upstream = endpoints_[id];
-    const double speed = upstream.size / endpoints_.meanSize() / std::sqrt(slowness(upstream));
+    const double speed = upstream.size / endpoints_.meanSize() / std::sqrt(slowness(upstream, now_));
     double bend = std::pow(speed, std::sqrt(request.heaviness));
     bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
     return bend * zoneOdds(upstream);
@@ -353,7 +207,7 @@
     double home = 0, away = 0;
     for (const UpstreamId id : eligible) {
       odds_.push_back(suits(request, id));
-      if (warmth(endpoints_[id], now_) >= 1) (endpoints_[id].home ? home : away) += odds_.back();
+      if (slowStart_.warmth(endpoints_[id], now_) >= 1) (endpoints_[id].home ? home : away) += odds_.back();
     }
     // Upstreams away from home keep a share of the draws, so that better ones are found.
     const bool apart = home > 0 && away > 0 && hasHome();
@@ -362,7 +216,8 @@
     double sum = 0;
     for (std::size_t n = 0; n < eligible.size(); ++n) {
       const Upstream& upstream = endpoints_[eligible[n]];
-      const bool due = warmth(upstream, now_) < 1 || (upstream.halfOpen && now_ < upstream.toldUntil);
+      const bool due =
+          slowStart_.warmth(upstream, now_) < 1 || (upstream.halfOpen && now_ < upstream.toldUntil);
       odds_[n] = sum +=
           due ? std::max(odds_[n], cold * zoneOdds(upstream)) : odds_[n] * (upstream.home ? 1 : cut);
     }
@@ -382,43 +237,6 @@
     return picked;
   }
 
-  // ---- Slow start -----------------------------------------------------------------------------------------
-
-  // The part of its capacity that an upstream surely has: it grows no slower than evenly over coldFor.
-  double warmth(const Upstream& upstream, Micros now) const {
-    if (settings_.fallMultiple <= 0 || settings_.coldFor <= 0 || upstream.launchedAt <= 0) return 1;
-    const Micros age = std::max<Micros>(0, now - upstream.launchedAt);
-    if (age >= settings_.coldFor) return 1;
-    const double part = static_cast<double>(age) / static_cast<double>(settings_.coldFor);
-    return settings_.startCapacity + (1 - settings_.startCapacity) * part;
-  }
-
-  bool hasColdCredit(const Upstream& upstream, Micros now) const {
-    return warmth(upstream, now) >= 1 || upstream.coldCredit >= 1;
-  }
-
-  // Guards against pushing a cold upstream over. With every request that may go out (what is refused loads
-  // nobody) it earns its part of what all listed ones can do now, up to kMaxColdShare times its part if all
-  // were warm; each attempt, retries too, costs it one, or more if it is heavy. If all sidecars do so, it is
-  // loaded like a warm one for what it can do. One that rests earns nothing: it would come all at once.
-  void earnColdCredit(Request& request) {
-    if (request.earned) return;
-    request.earned = true;
-    double present = 0, total = 0;
-    for (const UpstreamId id : endpoints_.listed()) {
-      present += endpoints_[id].size * warmth(endpoints_[id], now_);
-      total += endpoints_[id].size;
-    }
-    if (present == total) return;  // the usual case: all are warm
-    const double share = std::min(1 / present, kMaxColdShare / total);
-    for (const UpstreamId id : endpoints_.listed()) {
-      Upstream& upstream = endpoints_[id];
-      const double part = warmth(upstream, now_);
-      if (part < 1 && now_ >= std::max(upstream.ejectedUntil, upstream.pausedUntil))
-        upstream.coldCredit = std::min(kMaxColdCredit, upstream.coldCredit + part * upstream.size * share);
-    }
-  }
-
   // ---- Concurrency limits ---------------------------------------------------------------------------------
 
   // Guards against crowding: each sidecar sees only its own part of an upstream's queue, but refusals and
@@ -473,19 +291,20 @@
     if (outcome == Outcome::Ok && !crowded) {
       crowdedInRow_ = 0;
       if (out_ + 2 > wholeLimit_) wholeLimit_ += 1 / wholeLimit_;
-      wholeLimit_ = std::clamp(kWholeRoom * usualInFlight(calmLag_) + kWholeSpare, 1.0, wholeLimit_);
+      wholeLimit_ = std::clamp(kWholeRoom * sendRate_.usualInFlight(latency_.calmLag(), now_) + kWholeSpare,
+                               1.0, wholeLimit_);
     }
     if (!crowded || ++crowdedInRow_ <= kCrowdedBeforeRest || !blind_) return;
     wholeLimit_ = std::max(1.0, wholeLimit_ * kLimitBackoff);
     const int doublings = std::min(crowdedInRow_ - kCrowdedBeforeRest, kMaxEjectionDoublings + 2) - 3;
     restFrom_ = now_;
-    restFor_ = overallLag_ * std::exp2(doublings) * (0.5 + random_.uniform());
+    restFor_ = latency_.overallLag() * std::exp2(doublings) * (0.5 + random_.uniform());
     for (const RequestId id : held_) deadlines_.push({restEnd(requests_.at(id)), 0, Wake::What::Ready});
   }
 
   // The less a request is worth against the worthiest, the longer it rests.
   Micros restEnd(const Request& request) const {
-    return restFrom_ + static_cast<Micros>(restFor_ / (2 * relativeWorth(request)));
+    return restFrom_ + static_cast<Micros>(restFor_ / (2 * priority_.relativeWorth(request)));
   }
 
   // Guards against upstreams that fail what they get (errors, resets, no connection, silence).
@@ -506,7 +325,7 @@
     }
     const bool bad = upstream.failureRate > kFailureExcess + fleetFailureRate_;
     if (failed > 0 && now_ >= upstream.ejectedUntil && (upstream.halfOpen || bad) && !eject(id))
-      pause(upstream, static_cast<Micros>(overallLag_));
+      pause(upstream, static_cast<Micros>(latency_.overallLag()));
   }
 
   // Guards against trials by all sidecars: where others say something of one that is out, each is one's turn.
@@ -556,11 +375,12 @@
 
   // It takes requests and answers none: no time-out has come yet, but the others would have answered by now.
   bool isSilent(const Upstream& upstream, Micros now) const {
-    return upstream.inFlight > 0 && static_cast<double>(now - upstream.heardAt) > kSilence * overallLag_;
+    return upstream.inFlight > 0 &&
+           static_cast<double>(now - upstream.heardAt) > kSilence * latency_.overallLag();
   }
 
   bool isReady(const Upstream& upstream, Micros now) const {
-    if (!upstream.listed || !hasColdCredit(upstream, now)) return false;
+    if (!upstream.listed || !slowStart_.hasColdCredit(upstream, now)) return false;
     if (now < upstream.ejectedUntil || now < upstream.pausedUntil) return false;
     if (upstream.halfOpen && (upstream.inFlight > 0 || !mayTry(upstream, now))) return false;
     if (isSilent(upstream, now)) return false;
@@ -610,25 +430,11 @@
 
   // ---- Connections and home -------------------------------------------------------------------------------
 
-  // How many sends this sidecar makes in the time that an idle connection is kept.
-  double sendsInIdleTime() const {
-    const double seen =
-        1 - std::exp(-static_cast<double>(now_ - startedAt_ + settings_.resolution) / idleTime_);
-    return sends_ * kept(sendsAt_, idleTime_) / seen;
-  }
-
-  // How many requests this sidecar has in flight when answers take so long.
-  double usualInFlight(double lag) const { return sendsInIdleTime() * lag / idleTime_; }
-
-  void countSend() {
-    sends_ = 1 + sends_ * kept(sendsAt_, idleTime_);
-    sendsAt_ = now_;
-  }
-
   // How many upstreams are worth a connection kept.
   double homeSize() const {
-    const double used = sendsInIdleTime() / kUsesPerConnection;
-    return std::max(kMinHome, std::min(used, kHomePerInFlight * usualInFlight(calmLag_)));
+    const double used = sendRate_.sendsInIdleTime(now_) / kUsesPerConnection;
+    return std::max(kMinHome,
+                    std::min(used, kHomePerInFlight * sendRate_.usualInFlight(latency_.calmLag(), now_)));
   }
 
   // Traffic too little to use every upstream's connection: the home is smaller than the list.
@@ -637,7 +443,7 @@
   }
 
   bool isConnected(const Upstream& upstream) const {
-    return upstream.connections > 0 && static_cast<double>(now_ - upstream.heardAt) < idleTime_;
+    return upstream.connections > 0 && static_cast<double>(now_ - upstream.heardAt) < sendRate_.idleTime();
   }
 
   // Whether a send finds room on an open connection; where nothing is known of them it counts as found.
@@ -668,7 +474,7 @@
   void settle(UpstreamId id, const Request& request, Outcome outcome, Micros lag) {
     if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
     Upstream& upstream = endpoints_[id];
-    const double usual = typicalLag_[request.requestClass] * request.heaviness;
+    const double usual = latency_.typicalLag(request.requestClass) * request.heaviness;
     const bool late = usual > 0 && static_cast<double>(lag) > kSilence * usual;
     if (outcome != Outcome::Ok || late || !upstream.listed || homeRoom() < 0) upstream.home = false;
   }
@@ -684,54 +490,18 @@
   // ---- Attempts and answers -------------------------------------------------------------------------------
 
   void on(const NewRequest& event) {
-    Request request;
-    request.requestClass = event.requestClass;
-    request.tenant = event.tenant;
-    request.aim = aimOf(event);
-    request.heaviness = heaviness(event);
-    request.timeliness = timeliness(event, request.aim);
-    request.deadline = now_ + std::clamp<Micros>(event.expiresIn, 0, kLongest);
+    Request request = estimates_.arrive(event, now_);
     Request& stored = requests_.emplace(event.request, std::move(request)).first->second;
     ++open_;
-    budget_.take(settings_, now_);
+    retryPolicy_.countRequest(now_);
     deadlines_.push({stored.deadline, event.request, Wake::What::Deadline});
     // Held no longer than leaves time to be served: work for a client that has gone is wasted.
-    stored.holdUntil =
-        std::min(stored.deadline, now_ + stored.aim) - static_cast<Micros>(typicalLag_[event.requestClass]);
-    if (!isHeldUp(stored)) earnColdCredit(stored);
+    stored.holdUntil = std::min(stored.deadline, now_ + stored.aim) -
+                       static_cast<Micros>(latency_.typicalLag(event.requestClass));
+    if (!isHeldUp(stored)) slowStart_.earnCredit(stored, endpoints_, now_);
     dispatch(event.request, stored);
   }
 
-  Micros aimOf(const NewRequest& event) const {
-    const RequestClass& cls = settings_.classes[event.requestClass];
-    const double stretch = cls.aimStretch * static_cast<double>(std::max<Micros>(0, event.work.value_or(0)));
-    const auto room = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.aim));
-    return cls.aim + static_cast<Micros>(std::min(stretch, room));
-  }
-
-  // How heavy a request is within its class, where it brings a hint of its work.
-  double heaviness(const NewRequest& event) {
-    if (!event.work || *event.work <= 0) return 1;
-    const auto work = static_cast<double>(*event.work);
-    double& usual = typicalWork_[event.requestClass];
-    smooth(usual, work, usual > 0 ? kLagGain : 1);
-    return std::clamp(work / usual, 1 / kMaxHeaviness, kMaxHeaviness);
-  }
-
-  // Guards against repeats of clients that take the place of fresh requests though their aim is gone. A try
-  // cut short by the client's deadline tells how much has passed; of one that is only marked as a repeat
-  // nobody knows, so it counts half way between in time and late.
-  double timeliness(const NewRequest& event, Micros aim) {
-    const RequestClass& cls = settings_.classes[event.requestClass];
-    const auto span = static_cast<double>(event.expiresIn);
-    double& usual = typicalTry_[event.requestClass];
-    smooth(usual, span, kLagGain);
-    usual = std::max(span, usual);
-    const bool cut = span < kCutTry * usual;
-    if (cut && cls.deadline - event.expiresIn >= aim) return cls.lateWorth;
-    return cut || event.resent ? (1 + cls.lateWorth) / 2 : 1;
-  }
-
   // Whether a blind sidecar has all out that it may. What is out at silent ones tells nothing of the others.
   bool isWholeOut() const {
     if (!blind_ || out_ + 1 <= wholeLimit_) return false;
@@ -802,16 +572,16 @@
   void send(RequestId id, Request& request, UpstreamId to) {
     // Guards the rules against every other part of this module: they have the last word.
     if (!mayGoTo(to, request, permission(request))) return answer(id, request);
-    if (isCharged(request)) budget_.spend(now_);
-    earnColdCredit(request);
+    retryPolicy_.countAttempt(request, now_);
+    slowStart_.earnCredit(request, endpoints_, now_);
     Upstream& upstream = endpoints_[to];
-    if (warmth(upstream, now_) < 1) upstream.coldCredit -= std::max(1.0, request.heaviness);
+    slowStart_.spendCredit(upstream, request, now_);
     const bool connects = !reuses(upstream);
     if (connects && upstream.inFlight == 0) upstream.connections = 0;  // what was open has idled out
     if (upstream.inFlight++ == 0) upstream.heardAt = now_;
     if (settings_.idleClose > 0 && homeRoom() >= 1) upstream.home = true;
-    countUsage(request);
-    countSend();
+    priority_.countUsage(request, now_);
+    sendRate_.count(now_);
     request.attempts.push_back({to, upstream.zone, upstream.cell, now_, true, true, connects});
     ++request.out;
     ++out_;
@@ -829,7 +599,8 @@
   // When what is out and what is held will be answered at the pace of now (Little's law), spread in time.
   Micros comeBack() {
     const auto most = static_cast<double>(settings_.retryAfter ? settings_.maxRetryAfter : 0);
-    const double wait = overallLag_ * (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, out_));
+    const double wait =
+        latency_.overallLag() * (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, out_));
     return most < 1 ? 0 : static_cast<Micros>(within(wait * (0.5 + random_.uniform()), 1, most));
   }
 
@@ -882,11 +653,11 @@
       learnReport(upstream, *event.report);
       // Guards against crowding that an upstream reports before answers are slow.
       if (event.report->busyRequests && isCrowded(request, upstream, *event.report))
-        rest(upstream, typicalLag_[request.requestClass]);
+        rest(upstream, latency_.typicalLag(request.requestClass));
     }
-    if (event.outcome == Outcome::Ok) learnLag(upstream, request, lag);
+    if (event.outcome == Outcome::Ok) latency_.learn(upstream, request, lag, now_);
     if (event.outcome == Outcome::Full || (event.outcome == Outcome::ConnectFailed && !reached))
-      pause(upstream, static_cast<Micros>(typicalLag_[request.requestClass]));
+      pause(upstream, static_cast<Micros>(latency_.typicalLag(request.requestClass)));
     restIfCrowded(request, event.outcome, lag);
     if (!reached) observeHealth(attempt.upstream, event.outcome);
     adjustLimit(upstream, request, attempt.sentAt, lag, event.outcome);
@@ -899,17 +670,6 @@
     }
   }
 
-  void learnLag(Upstream& upstream, const Request& request, Micros lag) {
-    const auto span = static_cast<double>(lag);
-    double& usual = typicalLag_[request.requestClass];
-    if (usual > 0) learnSlowness(upstream, span / usual / request.heaviness);
-    upstream.shortestLag = std::min(upstream.shortestLag, lag);
-    ++answers_;
-    smooth(usual, span, std::max(kLagGain, 1.0 / ++classAnswers_[request.requestClass]));
-    smooth(overallLag_, span, std::max(kLagGain, 1.0 / answers_));
-    smooth(calmLag_, overallLag_, overallLag_ < calmLag_ ? std::max(kLagGain, 1.0 / answers_) : kCalmForgets);
-  }
-
   void on(const AttemptStarted& event) {
     const auto found = requests_.find(event.request);
     if (found == requests_.end() || found->second.over) return;
@@ -939,14 +699,6 @@
     return true;
   }
 
-  // Own counts tell nothing when others send too and hardly any upstream has an own request in flight. Those
-  // that a jam keeps there do not count: they tell no more of the others.
-  bool seesLittle() const {
-    if (settings_.sidecars <= kFewSidecars) return false;
-    if (answers_ == 0) return true;
-    return usualInFlight(calmLag_) < kBlindCount * static_cast<double>(endpoints_.listed().size());
-  }
-
   // How long a look at this upstream is waited for, by the usual time of one into its zone: another data
   // centre is far. Before one was answered from there it is what a connection may take.
   Micros lookPatience(const Upstream& upstream) const {
@@ -999,7 +751,8 @@
     if (report.queued && *report.queued >= 1) {
       atOnce = *report.busyRequests - *report.queued;
     } else if (report.cpuShare && *report.cpuShare >= kSpareCpu) {
-      atOnce = std::min(*report.busyRequests * calmLag_ / overallLag_, atOnce_ * upstream.size);
+      atOnce = std::min(*report.busyRequests * latency_.calmLag() / latency_.overallLag(),
+                        atOnce_ * upstream.size);
     } else if (report.cpuShare && *report.cpuShare > kTellingCpu) {
       atOnce = *report.busyRequests / *report.cpuShare;
     }
@@ -1012,7 +765,7 @@
   // nothing find crowding, it gives way: fewer, where they are dear, prove nothing of the others.
   int looksFor(const Request& request, double price) const {
     const double looks = std::min(kMaxLooks, kMaxLookPrice / std::max(1e-9, price));
-    return std::max(1, static_cast<int>(std::ceil(std::floor(looks) * relativeWorth(request))));
+    return std::max(1, static_cast<int>(std::ceil(std::floor(looks) * priority_.relativeWorth(request))));
   }
 
   // Crowded, if what is in hand takes it too long; busier, if it has more in hand for its size than those
@@ -1048,7 +801,7 @@
       }
       // One that is only busier than usual is left out of this request's other looks.
       if (verdict == Verdict::Busier) rest(endpoints_[at], kMaxLooks * lookLag_[endpoints_[at].zone]);
-      if (verdict == Verdict::Crowded) rest(endpoints_[at], typicalLag_[request.requestClass]);
+      if (verdict == Verdict::Crowded) rest(endpoints_[at], latency_.typicalLag(request.requestClass));
       // Guards against refusing for one crowded upstream a request whose other looks have met room.
       request.crowdedLooks += verdict == Verdict::Crowded;
       request.crowdedLooks >= looksFor(request, 0) ? answer(id, request) : dispatch(id, request);
@@ -1057,43 +810,6 @@
 
   // ---- Admission and fairness -----------------------------------------------------------------------------
 
-  // Requests are only ever held when nobody is ready, so this order acts only in scarcity: by the worth of
-  // the class, which falls as far as the tenant has lately sent more than its share through this sidecar,
-  // then the newest: the oldest are the likeliest to be late whatever is done.
-  double heldWorth(const Request& request) const {
-    double worth = classWorth(request.requestClass) * request.timeliness;
-    if (request.tenant) {
-      const double share = settings_.tenants[*request.tenant].share * totalUsage_;
-      const double usage = tenantUsage_[*request.tenant];
-      if (usage > share) worth *= (share + (usage - share) * settings_.overShareWorth) / usage;
-    }
-    return worth;
-  }
-
-  // Against the worthiest class.
-  double relativeWorth(const Request& request) const {
-    double most = 0;
-    for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWorth(cls));
-    return within(heldWorth(request) / most, kLeastWorth, 1);
-  }
-
-  // By the request, or by its time to an answer where worth does not go by work; a class not answered yet
-  // takes the usual time.
-  double classWorth(std::uint32_t cls) const {
-    const double lag = typicalLag_[cls] > 0 ? typicalLag_[cls] : overallLag_;
-    return settings_.classes[cls].value / (settings_.worthByWork ? 1 : std::max(1.0, lag));
-  }
-
-  void countUsage(const Request& request) {
-    const double fade = kept(usageAt_, kUsageMemory);
-    usageAt_ = now_;
-    totalUsage_ *= fade;
-    for (double& usage : tenantUsage_) usage *= fade;
-    if (!request.tenant) return;
-    tenantUsage_[*request.tenant] += 1;
-    totalUsage_ += 1;
-  }
-
   bool anyReady() const {
     return std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(),
                        [this](UpstreamId id) { return isReady(endpoints_[id], now_); });
@@ -1106,7 +822,7 @@
       double bestWorth = -1;
       for (auto at = held_.end(); at-- != held_.begin();) {
         const Request& request = requests_.at(*at);
-        const double worth = heldWorth(request);
+        const double worth = priority_.heldWorth(request);
         if (worth <= bestWorth || eligible(request, permission(request)).empty()) continue;
         next = at;
         bestWorth = worth;
@@ -1162,20 +878,23 @@
   double lookCredit_ = 0;
   RandomSource random_;
   Micros now_ = 0;
+  SendRate sendRate_;
+  LatencyStatistics latency_{settings_.classes.size()};
+  SlowStart slowStart_{settings_};
+  RetryPolicy retryPolicy_{settings_, slowStart_};
+  RequestEstimates estimates_{settings_};
+  Priority priority_{settings_, latency_};
   bool started_ = false;
   std::vector<Action>* actions_ = nullptr;
 
   EndpointRegistry endpoints_;
   Deadlines deadlines_;
-  double overallLag_ = 1e6;          // smoothed time to an answer, over all classes
-  double calmLag_ = 1e6;             // a low, slow average of it
   bool blind_ = false;               // own counts tell nothing, as of this event
   double wholeLimit_ = kStartLimit;  // of out_, for a blind sidecar
   double out_ = 0;                   // attempts without an outcome
   int crowdedInRow_ = 0;             // outcomes that tell of crowding, of any upstreams
   Micros restFrom_ = 0;              // the whole sidecar rests
   double restFor_ = 0;               // for this long, a request of half the greatest worth
-  double answers_ = 0;               // that it was learned from
   double startLimit_ = kStartLimit;  // of an upstream just named
   double limitGrowth_ = 1;           // of a limit, for each limit's worth of timely answers
   double fleetFailureRate_ = 0;
@@ -1189,21 +908,8 @@
   std::vector<RequestId> looking_;  // wait for a look
   std::vector<double> lookLag_;     // smoothed time of a look, by zone; 0: none was answered yet
   double usualBusy_ = -1;           // smoothed, of requests in hand for the size, as reported
-  bool statedBudget_ = false;       // the settings state a retry budget
-  RetryBudget budget_;
-  std::vector<RequestId> held_;      // in the order they came to be held
-  std::vector<double> tenantUsage_;  // attempts sent lately, faded by kUsageMemory
-  double totalUsage_ = 0;
-  Micros startedAt_ = 0;
-  double idleTime_ = kUsageMemory;  // of a connection, where it is known
-  double sends_ = 0;                // lately, faded over idleTime_
-  Micros sendsAt_ = 0;
-  Micros usageAt_ = 0;
-  std::vector<double> typicalLag_;    // smoothed time to an answer, by class
-  std::vector<double> classAnswers_;  // that it was learned from
-  double atOnce_ = 0;                 // smoothed, of requests that an upstream works on at once, for its size
-  std::vector<double> typicalTry_;    // time that clients give a try, by class: the longest, slowly forgotten
-  std::vector<double> typicalWork_;   // smoothed hint of work, by class
+  std::vector<RequestId> held_;     // in the order they came to be held
+  double atOnce_ = 0;               // smoothed, of requests that an upstream works on at once, for its size
   std::vector<UpstreamId> eligible_;
   std::vector<double> odds_;  // running sums, for the draw
 };
--- /dev/null
+++ b/src/balancer/bounded_settings.cpp
@@ -0,0 +1,36 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/bounded_settings.h"
+
+#include <algorithm>
+#include <stdexcept>
+
+#include "figures.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+constexpr double kMaxAimStretch = 1e6;  // far above any sensible setting
+// A cold upstream that could do nothing at all would never become warm by credits.
+constexpr double kLeastStartCapacity = 0.01;
+
+}  // namespace
+
+Settings boundedSettings(Settings settings) {
+  if (settings.classes.empty()) throw std::invalid_argument("settings without classes");
+  if (settings.zone >= settings.zones) throw std::invalid_argument("own zone out of range");
+  settings.resolution = std::max<Micros>(settings.resolution, 1);
+  settings.startCapacity = within(settings.startCapacity, kLeastStartCapacity, 1);
+  for (RequestClass& cls : settings.classes) {
+    for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) bound(*span);
+    cls.aimStretch = within(cls.aimStretch, 0, kMaxAimStretch);
+  }
+  for (Micros* span : {&settings.askWithin, &settings.coldFor, &settings.idleClose, &settings.lookBack,
+                       &settings.hangUpWithin}) {
+    bound(*span);
+  }
+  settings.sidecars = std::max<std::uint32_t>(settings.sidecars, 1);
+  settings.maxAttempts = std::max<std::uint32_t>(settings.maxAttempts, 1);
+  return settings;
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/latency_statistics.cpp
@@ -0,0 +1,35 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/latency_statistics.h"
+
+#include <algorithm>
+
+#include "figures.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+// Weight in the calm average of an answer that is longer than it: a busy minute hardly moves it.
+constexpr double kCalmForgets = 0.003;
+// Weight of one answer in an endpoint's slowness.
+constexpr double kSlownessGain = 0.1;
+
+void learnSlowness(Upstream& upstream, double ratio, Micros now) {
+  upstream.logSlowness = std::log(slowness(upstream, now));  // what is not forgotten yet
+  smooth(upstream.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
+  upstream.slownessAt = now;
+}
+
+}  // namespace
+
+void LatencyStatistics::learn(Upstream& upstream, const Request& request, Micros lag, Micros now) {
+  const auto span = static_cast<double>(lag);
+  double& usual = typicalLag_[request.requestClass];
+  if (usual > 0) learnSlowness(upstream, span / usual / request.heaviness, now);
+  upstream.shortestLag = std::min(upstream.shortestLag, lag);
+  ++answers_;
+  smooth(usual, span, std::max(kLagGain, 1.0 / ++classAnswers_[request.requestClass]));
+  smooth(overallLag_, span, std::max(kLagGain, 1.0 / answers_));
+  smooth(calmLag_, overallLag_, overallLag_ < calmLag_ ? std::max(kLagGain, 1.0 / answers_) : kCalmForgets);
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/load_information.h
@@ -0,0 +1,31 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
+#define ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
+
+#include <cstddef>
+
+#include "balancer/latency_statistics.h"
+#include "balancer/send_rate.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// For so many sidecars or fewer each sees enough of the load: own requests in flight tell of the endpoints,
+/// a limit grows by one, and nobody needs to spread calls to discovery.
+constexpr double kFewSidecars = 4;
+
+/// A sidecar with fewer own requests in flight than this for each endpoint is without load information.
+constexpr double kBlindCount = 0.1;
+
+/// Whether own counts tell nothing: others send too and hardly any endpoint has an own request in flight.
+/// Those that a jam keeps there do not count: they tell no more of the others.
+[[nodiscard]] inline bool seesLittle(const Settings& settings, const LatencyStatistics& latency,
+                                     const SendRate& sendRate, std::size_t listed, Micros now) {
+  if (settings.sidecars <= kFewSidecars) return false;
+  if (latency.answers() == 0) return true;
+  return sendRate.usualInFlight(latency.calmLag(), now) < kBlindCount * static_cast<double>(listed);
+}
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
--- /dev/null
+++ b/src/balancer/priority.h
@@ -0,0 +1,42 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_PRIORITY_H_
+#define ORCHIDDRUM_BALANCER_PRIORITY_H_
+
+#include <cstdint>
+#include <vector>
+
+#include "balancer/latency_statistics.h"
+#include "balancer/request.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// What a request is worth against others when not all can be served: by the worth of its class, which falls
+/// as far as its tenant has lately sent more than its share through this sidecar.
+class Priority {
+ public:
+  /// Both must outlive it.
+  Priority(const Settings& settings, const LatencyStatistics& latency)
+      : settings_(settings), latency_(latency), tenantUsage_(settings.tenants.size()) {}
+
+  /// An attempt of the request is sent.
+  void countUsage(const Request& request, Micros now);
+
+  /// In the unit of RequestClass::value, or that by microsecond of work (Settings::worthByWork).
+  [[nodiscard]] double heldWorth(const Request& request) const;
+  /// Against the worthiest class, from kLeastWorth to 1.
+  [[nodiscard]] double relativeWorth(const Request& request) const;
+
+ private:
+  [[nodiscard]] double classWorth(std::uint32_t cls) const;
+
+  const Settings& settings_;
+  const LatencyStatistics& latency_;
+  std::vector<double> tenantUsage_;  // attempts sent lately, faded
+  double totalUsage_ = 0;
+  Micros usageAt_ = 0;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_PRIORITY_H_
--- /dev/null
+++ b/src/balancer/request_estimates.h
@@ -0,0 +1,34 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
+#define ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
+
+#include <vector>
+
+#include "balancer/request.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// What can be told of a request as it arrives, by its hints and by those of its class before it.
+class RequestEstimates {
+ public:
+  /// `settings` must outlive it.
+  explicit RequestEstimates(const Settings& settings)
+      : settings_(settings), typicalTry_(settings.classes.size()), typicalWork_(settings.classes.size()) {}
+
+  /// The record of a request that arrives at `now`, with its deadline, and learns from it.
+  Request arrive(const NewRequest& event, Micros now);
+
+ private:
+  [[nodiscard]] Micros aimOf(const NewRequest& event) const;
+  double heaviness(const NewRequest& event);
+  double timeliness(const NewRequest& event, Micros aim);
+
+  const Settings& settings_;
+  std::vector<double> typicalTry_;   // time that clients give a try, by class: the longest, slowly forgotten
+  std::vector<double> typicalWork_;  // smoothed hint of work, by class
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
--- /dev/null
+++ b/src/balancer/retry_policy.cpp
@@ -0,0 +1,87 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/retry_policy.h"
+
+#include <algorithm>
+
+#include "figures.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+// The retry budget where none is stated: so many repeats, and so many for each request taken, in this span.
+constexpr double kRetryFloor = 10;
+constexpr double kRetryRatio = 0.2;
+constexpr Micros kRetryLookBack = 5'000'000;
+// Far above any sensible budget.
+constexpr double kMaxBudget = 1e6;
+
+}  // namespace
+
+RetryBudget::RetryBudget(const Settings& settings)
+    : stated_(settings.lookBack > 0),
+      lookBack_(stated_ ? settings.lookBack : kRetryLookBack),
+      extraFloor_(stated_ ? within(settings.extraFloor, 0, kMaxBudget) : kRetryFloor),
+      furtherRatio_(stated_ ? within(settings.furtherRatio, 0, kMaxBudget) : kRetryRatio) {}
+
+void RetryBudget::forgetTaken(Micros now) {
+  while (!taken_.empty() && taken_.front() <= now - lookBack_) taken_.pop_front();
+}
+
+void RetryBudget::take(Micros now) {
+  forgetTaken(now);
+  taken_.push_back(now);
+}
+
+bool RetryBudget::left(Micros now) {
+  forgetTaken(now);
+  while (!further_.empty() && further_.front() < now - lookBack_) further_.pop_front();
+  const auto taken = static_cast<double>(taken_.size());
+  return static_cast<double>(further_.size()) + 1 <= extraFloor_ + furtherRatio_ * taken;
+}
+
+Permission RetryPolicy::permission(const Request& request, const ReducedService& reduced, Micros now) {
+  Permission may;
+  if (request.over || request.streaming) return may;
+  const RequestClass& cls = settings_.classes[request.requestClass];
+  const auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
+                                  [](const Attempt& attempt) { return attempt.mayHaveRun; });
+  may.fail = true;
+  may.send = now < request.deadline && !request.spent && request.attempts.size() < settings_.maxAttempts &&
+             (request.out == 0 || (settings_.secondCopies && reduced.secondCopies)) &&
+             (!isCharged(request) || budget_.left(now));
+  if (first == request.attempts.end() || cls.semantics == Semantics::Idempotent) {
+    may.refuse = true;
+  } else if (cls.semantics == Semantics::Unsafe) {
+    may.send = false;
+  } else {
+    // Strictly inside the window, one step of the clock early: the upstream's clock starts with our send.
+    const bool inWindow = now + settings_.resolution < first->sentAt + cls.repeatWindow;
+    may.send = may.send && inWindow;
+    may.anchor = &*first;
+    // A refusal invites the client to send again to any upstream, so it needs the widest group, and time.
+    may.refuse = cls.group == RepeatGroup::All && inWindow;
+  }
+  return may;
+}
+
+// Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
+// lets those go freely that follow attempts which never ran, since refusals cost little.
+bool RetryPolicy::isCharged(const Request& request) const {
+  return budget_.isStated() ? !request.attempts.empty()
+                            : std::any_of(request.attempts.begin(), request.attempts.end(),
+                                          [](const Attempt& attempt) { return attempt.mayHaveRun; });
+}
+
+bool RetryPolicy::inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id) {
+  switch (group) {
+    case RepeatGroup::All:
+      return true;
+    case RepeatGroup::Zone:
+      return anchor.zone == upstream.zone;
+    case RepeatGroup::Cell:
+      return anchor.cell ? anchor.cell == upstream.cell : anchor.upstream == id;
+  }
+  return false;
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/retry_policy.h
@@ -0,0 +1,96 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
+#define ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
+
+#include <deque>
+
+#include "balancer/endpoint_registry.h"
+#include "balancer/request.h"
+#include "balancer/slow_start.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// Whether the outcome proves that the attempt never ran.
+[[nodiscard]] inline bool provesNeverRan(Outcome outcome) {
+  return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
+}
+
+/// The retry budget: an exact sliding window over requests taken and further attempts. It looks back from
+/// each further attempt, which counts the oldest moment for attempts but not for requests.
+///
+/// Grows with the requests of the last Settings::lookBack.
+class RetryBudget {
+ public:
+  /// Where the settings state no budget (lookBack 0) it is one of the module's own.
+  explicit RetryBudget(const Settings& settings);
+
+  /// Whether the settings state it. A stated one counts every attempt beyond a request's first.
+  [[nodiscard]] bool isStated() const { return stated_; }
+  /// A request was taken.
+  void take(Micros now);
+  /// A further attempt was sent.
+  void spend(Micros now) { further_.push_back(now); }
+  /// Whether a further attempt may be sent now.
+  bool left(Micros now);
+
+ private:
+  void forgetTaken(Micros now);
+
+  bool stated_;
+  Micros lookBack_;      // microseconds, above 0
+  double extraFloor_;    // attempts that are always allowed in a window
+  double furtherRatio_;  // and so many for each request taken in it
+  std::deque<Micros> taken_, further_;
+};
+
+/// What the rules still allow for a request.
+struct Permission {
+  bool send = false;
+  const Attempt* anchor = nullptr;  ///< if set, only upstreams of this attempt's repeat group
+  bool refuse = false;
+  bool fail = false;
+};
+
+/// The rules on attempts and final answers. Every Send, Refuse and Fail asks here first: the rules have the
+/// last word against every other part of the module.
+///
+/// Invariant: no effect twice. An unsafe request is sent again or refused only when every earlier attempt is
+/// known never to have run; a keyed one that may have run only within its group and window, counted by this
+/// sidecar's clock from the first attempt that may have run.
+class RetryPolicy {
+ public:
+  /// Both must outlive it.
+  RetryPolicy(const Settings& settings, const SlowStart& slowStart)
+      : settings_(settings), slowStart_(slowStart), budget_(settings) {}
+
+  Permission permission(const Request& request, const ReducedService& reduced, Micros now);
+
+  /// The rules on where it may go: no draining or gone upstream, no cold one beyond its credit, no other
+  /// repeat group.
+  [[nodiscard]] bool mayGoTo(UpstreamId id, const Upstream& upstream, const Request& request,
+                             const Permission& may, Micros now) const {
+    return may.send && upstream.listed && slowStart_.hasColdCredit(upstream, now) &&
+           (may.anchor == nullptr ||
+            inGroup(settings_.classes[request.requestClass].group, *may.anchor, upstream, id));
+  }
+
+  /// A request was taken.
+  void countRequest(Micros now) { budget_.take(now); }
+  /// The request's next attempt is about to be sent.
+  void countAttempt(const Request& request, Micros now) {
+    if (isCharged(request)) budget_.spend(now);
+  }
+
+ private:
+  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id);
+  [[nodiscard]] bool isCharged(const Request& request) const;
+
+  const Settings& settings_;
+  const SlowStart& slowStart_;
+  RetryBudget budget_;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
--- /dev/null
+++ b/src/balancer/send_rate.h
@@ -0,0 +1,53 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_SEND_RATE_H_
+#define ORCHIDDRUM_BALANCER_SEND_RATE_H_
+
+#include "balancer/decay.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// How many attempts this sidecar has lately sent, faded exponentially over the time for which an idle
+/// connection is kept (Settings::idleClose; kDefaultIdleTime where that is unknown).
+class SendRate {
+ public:
+  SendRate(const Settings& settings, Micros startedAt)
+      : resolution_(settings.resolution),
+        idleTime_(settings.idleClose > 0 ? static_cast<double>(settings.idleClose) : kDefaultIdleTime),
+        startedAt_(startedAt),
+        sendsAt_(startedAt) {}
+
+  void count(Micros now) {
+    sends_ = 1 + sends_ * kept(sendsAt_, idleTime_, now);
+    sendsAt_ = now;
+  }
+
+  /// How many sends this sidecar makes in the time that an idle connection is kept. What was seen since the
+  /// start is scaled up to the whole of that time.
+  [[nodiscard]] double sendsInIdleTime(Micros now) const {
+    const double seen = 1 - std::exp(-static_cast<double>(now - startedAt_ + resolution_) / idleTime_);
+    return sends_ * kept(sendsAt_, idleTime_, now) / seen;
+  }
+
+  /// How many requests this sidecar has in flight when answers take `lag` microseconds (Little's law).
+  [[nodiscard]] double usualInFlight(double lag, Micros now) const {
+    return sendsInIdleTime(now) * lag / idleTime_;
+  }
+
+  /// In microseconds, above 0.
+  [[nodiscard]] double idleTime() const { return idleTime_; }
+
+ private:
+  /// Microseconds: long enough for a steady figure at a few requests a second.
+  static constexpr double kDefaultIdleTime = 5e6;
+
+  Micros resolution_;
+  double idleTime_;
+  Micros startedAt_;
+  double sends_ = 0;  // lately, faded over idleTime_
+  Micros sendsAt_;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_SEND_RATE_H_
--- /dev/null
+++ b/src/balancer/slow_start.h
@@ -0,0 +1,54 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_SLOW_START_H_
+#define ORCHIDDRUM_BALANCER_SLOW_START_H_
+
+#include <algorithm>
+
+#include "balancer/endpoint_registry.h"
+#include "balancer/request.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// Keeps a cold endpoint, one that was launched less than Settings::coldFor ago, from being pushed over by
+/// all sidecars together.
+///
+/// Invariant: an attempt goes to a cold endpoint only for a credit of one. With every request that may go out
+/// it earns its part of what all listed ones can do now, so if all sidecars do so it is loaded like a warm
+/// one for what it can do. Times by this sidecar's clock and the endpoint's launchedAt; a sidecar that hears
+/// nothing of a restart sends as to a warm one.
+class SlowStart {
+ public:
+  /// `settings` must outlive it.
+  explicit SlowStart(const Settings& settings) : settings_(settings) {}
+
+  /// The part of its capacity that an upstream surely has, from Settings::startCapacity to 1 (warm): it grows
+  /// no slower than evenly over coldFor.
+  [[nodiscard]] double warmth(const Upstream& upstream, Micros now) const {
+    if (settings_.fallMultiple <= 0 || settings_.coldFor <= 0 || upstream.launchedAt <= 0) return 1;
+    const Micros age = std::max<Micros>(0, now - upstream.launchedAt);
+    if (age >= settings_.coldFor) return 1;
+    const double part = static_cast<double>(age) / static_cast<double>(settings_.coldFor);
+    return settings_.startCapacity + (1 - settings_.startCapacity) * part;
+  }
+
+  /// Whether it is warm or has a credit for an attempt.
+  [[nodiscard]] bool hasColdCredit(const Upstream& upstream, Micros now) const {
+    return warmth(upstream, now) >= 1 || upstream.coldCredit >= 1;
+  }
+
+  /// Gives the listed cold ones their credit for a request, once.
+  void earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const;
+
+  /// An attempt goes to the upstream: each, retries too, costs a cold one a credit, or more if it is heavy.
+  void spendCredit(Upstream& upstream, const Request& request, Micros now) const {
+    if (warmth(upstream, now) < 1) upstream.coldCredit -= std::max(1.0, request.heaviness);
+  }
+
+ private:
+  const Settings& settings_;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_SLOW_START_H_
