--- /dev/null
+++ b/src/balancer/balancer.cpp
@@ -0,0 +1,149 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+//
+// Routes events to the parts that decide. The interface (settings, events, actions) is
+// include/orchiddrum/balancer.h.
+#include "orchiddrum/balancer.h"
+
+#include <algorithm>
+#include <cmath>
+#include <stdexcept>
+
+#include "balancer/deadline.h"
+#include "balancer/decisions.h"
+#include "balancer/discovery_polling.h"
+#include "balancer/event_context.h"
+#include "balancer/load_information.h"
+#include "balancer/random_source.h"
+#include "balancer/request_lifecycle.h"
+#include "figures.h"
+
+namespace orchiddrum {
+
+using internal::Decisions;
+using internal::EventContext;
+using internal::Wake;
+
+/// Checks each event, gives it to the parts that it concerns, lets held requests have another look, and arms
+/// the timer.
+class Balancer::Impl {
+ public:
+  Impl(const Settings& settings, std::uint64_t seed, Micros now)
+      : d_(settings, now), random_(seed), now_(now) {}
+
+  void handle(const Event& event, Micros now, std::vector<Action>& actions) {
+    validate(event);
+    now_ = std::max(now_, now);
+    const bool blind =
+        internal::seesLittle(d_.settings, d_.latency, d_.sendRate, d_.endpoints.listed().size(), now_);
+    const EventContext context{now_, blind, actions, random_, deadlines_};
+    std::visit([&](const auto& e) { on(e, context); }, event);
+    lifecycle_.serveHeld(context);
+    if (const auto timer = deadlines_.arm(now_)) context.act(*timer);
+  }
+
+  [[nodiscard]] std::uint32_t inFlight(UpstreamId id) const {
+    return d_.endpoints.contains(id) ? d_.endpoints[id].inFlight : 0;
+  }
+  [[nodiscard]] bool ready(UpstreamId id, Micros now) const {
+    return d_.endpoints.contains(id) && d_.readiness.isReady(d_.endpoints[id], now);
+  }
+  [[nodiscard]] std::optional<UpstreamId> remembered() const { return d_.selection.remembered(); }
+  [[nodiscard]] std::size_t openRequests() const { return lifecycle_.open(); }
+  [[nodiscard]] std::size_t heldRequests() const { return d_.loadShedding.size(); }
+
+ private:
+  void validate(const Event& event) const {
+    if (const auto* update = std::get_if<MembershipUpdate>(&event)) return validate(*update);
+    if (!started_) throw std::invalid_argument("event before the first list");
+    if (const auto* request = std::get_if<NewRequest>(&event)) lifecycle_.validate(*request);
+    if (const auto* outcome = std::get_if<AttemptOutcome>(&event)) lifecycle_.validate(*outcome);
+  }
+
+  void validate(const MembershipUpdate& update) const {
+    for (const UpstreamEntry& entry : update.entries) {
+      if (entry.zone >= d_.settings.zones || entry.kind >= d_.settings.kinds || entry.size < 0 ||
+          !std::isfinite(entry.size))
+        throw std::invalid_argument("list entry outside the settings");
+    }
+  }
+
+  void on(const MembershipUpdate& update, const EventContext& context) {
+    const bool first = !started_;
+    started_ = true;
+    if (update.kind == MembershipUpdate::Kind::Failed) return discovery_.callFailed(context);
+    discovery_.listCame(context);
+    for (const UpstreamId id : d_.endpoints.apply(update, d_.concurrencyLimit.startLimit(), random_))
+      d_.subset.hangUp(id, context);
+    d_.selection.forgetUnlisted();
+    if (first || update.kind == MembershipUpdate::Kind::Saved) discovery_.start(context);
+  }
+
+  void on(const ReducedService& event, const EventContext&) {
+    d_.reduced = event;
+    d_.reduced.probes = within(event.probes, 0, 1);
+  }
+
+  void on(const Hearsay& event, const EventContext& context) { d_.outlierDetection.apply(event, context); }
+
+  void on(const TimerDue&, const EventContext& context) {
+    deadlines_.timerFired(now_);
+    while (const auto wake = deadlines_.popDue(now_)) {
+      switch (wake->what) {
+        case Wake::What::Discovery:
+          discovery_.ask(context);
+          break;
+        case Wake::What::HangUp:
+          d_.subset.hangUpAgain(static_cast<UpstreamId>(wake->request), context);
+          break;
+        case Wake::What::Ready:
+          break;  // held requests get their look after every event
+        case Wake::What::Look:
+        case Wake::What::Hold:
+        case Wake::What::Deadline:
+          lifecycle_.onDeadline(*wake, context);
+          break;
+      }
+    }
+  }
+
+  /// Events of a request, or of a probe that one waits for.
+  template <class RequestEvent>
+  void on(const RequestEvent& event, const EventContext& context) {
+    lifecycle_.on(event, context);
+  }
+
+  Decisions d_;
+  internal::RandomSource random_;
+  internal::Deadlines deadlines_;
+  internal::DiscoveryPolling discovery_{d_.settings};
+  internal::RequestLifecycle lifecycle_{d_};
+  Micros now_;
+  bool started_ = false;  // a list has come
+};
+
+Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now)
+    : impl_(std::make_unique<Impl>(settings, seed, now)) {}
+Balancer::~Balancer() = default;
+Balancer::Balancer(Balancer&&) noexcept = default;
+Balancer& Balancer::operator=(Balancer&&) noexcept = default;
+
+void Balancer::handle(const Event& event, Micros now, std::vector<Action>& actions) {
+  impl_->handle(event, now, actions);
+}
+std::uint32_t Balancer::inFlight(UpstreamId upstream) const {
+  return impl_->inFlight(upstream);
+}
+bool Balancer::ready(UpstreamId upstream, Micros now) const {
+  return impl_->ready(upstream, now);
+}
+std::optional<UpstreamId> Balancer::remembered() const {
+  return impl_->remembered();
+}
+std::size_t Balancer::openRequests() const {
+  return impl_->openRequests();
+}
+std::size_t Balancer::heldRequests() const {
+  return impl_->heldRequests();
+}
+
+}  // namespace orchiddrum
