--- a/tests/compatibility/operator_file_test.cpp
+++ b/tests/compatibility/operator_file_test.cpp
@@ -40,11 +40,12 @@
   put("admission.interval", file.admission.figures.interval);
   put("admission.answer_time", file.admission.figures.answerTime);
   put("admission.per_turn", file.admission.perTurn);
-  put("levels.on", file.levels.on);
-  put("levels.step_down", file.levels.ladder.stepDown);
-  put("levels.calm", file.levels.ladder.calm);
-  put("levels.max_calm", file.levels.ladder.maxCalm);
-  put("levels.probation", file.levels.ladder.probation);
+  const auto& degradation = file.degradation.settings;
+  put("levels.on", file.degradation.on);
+  put("levels.step_down", degradation.escalationInterval.count());
+  put("levels.calm", degradation.recoveryDelay.count());
+  put("levels.max_calm", degradation.maxRecoveryDelay.count());
+  put("levels.probation", degradation.probationPeriod.count());
   const auto& etcd = file.membership.etcd;
   put("membership.source",
       file.membership.source == ivypost::op::File::Membership::Source::Etcd ? "etcd" : "platform");
@@ -80,10 +81,12 @@
   put("peers.deaf_after", peers.deafAfter);
   put("peers.deaf_part", peers.deafPart);
   for (std::size_t n = 0; n < kSignals.size(); ++n)
-    put((std::string("levels.smoothing.") + kSignals.at(n)).c_str(), file.levels.ladder.smoothing.at(n));
+    put((std::string("levels.smoothing.") + kSignals.at(n)).c_str(),
+        degradation.smoothingTimes[ivypost::degradation::kSignals.at(n)].count());
   for (std::size_t level = 0; level < kLevels.size(); ++level) {
     for (std::size_t n = 0; n < kSignals.size(); ++n) {
-      const auto& threshold = file.levels.ladder.thresholds.at(level).at(n);
+      const auto& threshold = degradation.thresholds.at(static_cast<ivypost::degradation::Level>(level + 1),
+                                                        ivypost::degradation::kSignals.at(n));
       out << "levels." << kLevels.at(level) << "." << kSignals.at(n) << " = ";
       if (threshold) out << threshold->enter << " / " << threshold->exit << "\n";
       if (!threshold) out << "never\n";
