--- a/src/exclusion/exclusion_file.cpp
+++ b/src/exclusion/exclusion_file.cpp
@@ -3,8 +3,8 @@
 
 #include <fcntl.h>
 
+#include <array>
 #include <cerrno>
-#include <span>
 #include <string_view>
 #include <utility>
 
@@ -17,6 +17,8 @@
 constexpr std::size_t kMaxEntryText = 6 * ExclusionSet::kMaxIdLength + 32;
 // Of the excluded and of the included ids.
 constexpr std::size_t kMaxText = 2 * ExclusionSet::kMaxEntries * kMaxEntryText;
+// As a rule the whole file; memory for the largest would be a tenth of a small sidecar's.
+constexpr std::size_t kReadSize = 4096;
 // Files written for one change. A failed sync may be a matter of that file's pages, so one more is written;
 // if that fails too the disk is at fault, and the event loop has waited for it long enough.
 constexpr int kWritesPerChange = 2;
@@ -37,19 +39,17 @@
   return {};
 }
 
-// At most kMaxText + 1 bytes: one more than a valid file has.
+// Stops behind kMaxText: the rest of a file that is too large makes no difference.
 Result<std::string> readAll(FileOperations& files, int file) {
-  std::string text(kMaxText + 1, '\0');
-  std::size_t size = 0;
-  while (size < text.size()) {
-    const auto rest = std::span(text).subspan(size);
-    const ssize_t got = files.read(file, rest.data(), rest.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return lastError();
-    if (got == 0) break;
-    size += static_cast<std::size_t>(got);
+  std::string text;
+  std::array<char, kReadSize> piece{};
+  while (text.size() <= kMaxText) {
+    const ssize_t size = files.read(file, piece.data(), piece.size());
+    if (size < 0 && errno == EINTR) continue;
+    if (size < 0) return lastError();
+    if (size == 0) break;
+    text.append(piece.data(), static_cast<std::size_t>(size));
   }
-  text.resize(size);
   return text;
 }
 
--- a/tests/exclusion/exclusion_file_test.cpp
+++ b/tests/exclusion/exclusion_file_test.cpp
@@ -46,11 +46,11 @@
     if (file >= 0) names_[file] = ending(path);
     return done("open " + ending(path), file);
   }
+  // Reads and writes in pieces, as a system may.
   ssize_t read(int file, void* bytes, std::size_t size) override {
     if (fails("read " + names_[file])) return -1;
-    return done("read " + names_[file], FileOperations::read(file, bytes, size));
+    return done("read " + names_[file], FileOperations::read(file, bytes, std::min<std::size_t>(size, 16)));
   }
-  // In pieces, as a system may.
   ssize_t write(int file, const void* bytes, std::size_t size) override {
     if (fails("write " + names_[file])) return -1;
     return done("write " + names_[file], FileOperations::write(file, bytes, std::min<std::size_t>(size, 16)));
