--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxAimStretch = 1e6;  // far above any sensible setting
-// A cold upstream that could do nothing at all would never become warm by credits.
+// A cold endpoint that could do nothing at all would never become warm by credits.
 constexpr double kLeastStartCapacity = 0.01;
 
 }  // namespace
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -31,32 +31,32 @@
   limitGrowth_ = std::pow(part, 2);
 }
 
-void ConcurrencyLimit::adjust(Upstream& upstream, const Request& request, const FinishedAttempt& attempt,
+void ConcurrencyLimit::adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
                               const EventContext& context) const {
   const bool answered = attempt.outcome == Outcome::Ok || attempt.outcome == Outcome::Error;
   if (!answered && attempt.outcome != Outcome::Full && attempt.outcome != Outcome::Timeout) return;
-  if (answered && !isSlow(upstream, request, attempt.lag)) {
+  if (answered && !isSlow(endpoint, request, attempt.lag)) {
     // Guards against limits that grow in quiet times and let the next burst crowd everybody.
-    if (upstream.inFlight + 2 > upstream.limit)
-      upstream.limit = std::min(kMaxLimit, upstream.limit + std::min(1.0, limitGrowth_ / upstream.limit));
-  } else if (answered && upstream.cpuShare && *upstream.cpuShare < kSpareCpu) {
+    if (endpoint.inFlight + 2 > endpoint.limit)
+      endpoint.limit = std::min(kMaxLimit, endpoint.limit + std::min(1.0, limitGrowth_ / endpoint.limit));
+  } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kSpareCpu) {
     return;  // slow, but not crowded
-  } else if (attempt.sentAt >= upstream.limitCutAt) {
-    upstream.limit = std::max(kMinLimit, upstream.limit * kLimitBackoff);
-    upstream.limitCutAt = context.now;
+  } else if (attempt.sentAt >= endpoint.limitCutAt) {
+    endpoint.limit = std::max(kMinLimit, endpoint.limit * kLimitBackoff);
+    endpoint.limitCutAt = context.now;
   }
-  if (upstream.limit < 1 && !context.blind) {
+  if (endpoint.limit < 1 && !context.blind) {
     // Guards against crowding by many sidecars at once, when one attempt from each is already too much.
     const auto busy = static_cast<double>(std::max(attempt.lag, settings_.resolution));
-    rest(upstream, std::min(busy * (1 / upstream.limit - 1), 1.0 * kEjection), context);
+    rest(endpoint, std::min(busy * (1 / endpoint.limit - 1), 1.0 * kEjection), context);
   }
 }
 
 // Half of what is allowed scales with the request's hint of work.
-bool ConcurrencyLimit::isSlow(const Upstream& upstream, const Request& request, Micros lag) const {
-  const double stretch = std::clamp(endpoints_.meanSize() / upstream.size, 1.0, kMaxSlowStretch);
+bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros lag) const {
+  const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
   const double line = kSlowPart * static_cast<double>(request.aim) * stretch * (1 + request.heaviness) / 2;
-  return static_cast<double>(lag - upstream.shortestLag) > line;
+  return static_cast<double>(lag - endpoint.shortestLag) > line;
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -31,11 +31,11 @@
   [[nodiscard]] double startLimit() const { return startLimit_; }
 
   /// Takes an outcome into the endpoint's limit. A limit under one is kept by rests.
-  void adjust(Upstream& upstream, const Request& request, const FinishedAttempt& attempt,
+  void adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
               const EventContext& context) const;
 
  private:
-  [[nodiscard]] bool isSlow(const Upstream& upstream, const Request& request, Micros lag) const;
+  [[nodiscard]] bool isSlow(const Endpoint& endpoint, const Request& request, Micros lag) const;
 
   const Settings& settings_;
   const EndpointRegistry& endpoints_;
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -27,35 +27,35 @@
   return settings_.idleClose > 0 && homeSize(now) < static_cast<double>(endpoints_.listed().size());
 }
 
-bool ConnectionSubset::isConnected(const Upstream& upstream, Micros now) const {
-  return upstream.connections > 0 && static_cast<double>(now - upstream.heardAt) < sendRate_.idleTime();
+bool ConnectionSubset::isConnected(const Endpoint& endpoint, Micros now) const {
+  return endpoint.connections > 0 && static_cast<double>(now - endpoint.lastOutcomeAt) < sendRate_.idleTime();
 }
 
 // Whether a send finds room on an open connection; where nothing is known of them it counts as found.
-bool ConnectionSubset::reuses(const Upstream& upstream, Micros now) const {
+bool ConnectionSubset::reuses(const Endpoint& endpoint, Micros now) const {
   if (settings_.idleClose <= 0 || settings_.maxStreams == 0) return true;
-  return isConnected(upstream, now) && upstream.inFlight / settings_.maxStreams < upstream.connections;
+  return isConnected(endpoint, now) && endpoint.inFlight / settings_.maxStreams < endpoint.connections;
 }
 
-bool ConnectionSubset::connect(Upstream& upstream, Micros now) const {
-  const bool connects = !reuses(upstream, now);
-  if (connects && upstream.inFlight == 0) upstream.connections = 0;  // what was open has idled out
+bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
+  const bool connects = !reuses(endpoint, now);
+  if (connects && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
   return connects;
 }
 
-void ConnectionSubset::join(Upstream& upstream, Micros now) const {
-  if (settings_.idleClose > 0 && homeRoom(now) >= 1) upstream.home = true;
+void ConnectionSubset::join(Endpoint& endpoint, Micros now) const {
+  if (settings_.idleClose > 0 && homeRoom(now) >= 1) endpoint.home = true;
 }
 
 // Guards against what died with all its connections: a reset, or the second failed connect in a row.
-void ConnectionSubset::learnConnection(Upstream& upstream, const Attempt& attempt, Outcome outcome) {
+void ConnectionSubset::learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome) {
   const bool failed = outcome == Outcome::ConnectFailed;
-  if (outcome == Outcome::Reset || (failed && upstream.unreached)) upstream.connections = 0;
-  upstream.unreached = failed;
+  if (outcome == Outcome::Reset || (failed && endpoint.unreached)) endpoint.connections = 0;
+  endpoint.unreached = failed;
   if (!attempt.connects || outcome == Outcome::Cancelled || outcome == Outcome::Timeout ||
       outcome == Outcome::Moot)
     return;
-  if (!failed) ++upstream.connections;
+  if (!failed) ++endpoint.connections;
 }
 
 // How many more the home has room for.
@@ -66,12 +66,12 @@
                                            [this](UpstreamId id) { return endpoints_[id].home; }));
 }
 
-void ConnectionSubset::settle(Upstream& upstream, const Request& request, Outcome outcome, Micros lag,
+void ConnectionSubset::settle(Endpoint& endpoint, const Request& request, Outcome outcome, Micros lag,
                               Micros now) const {
   if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
   const double usual = latency_.typicalLag(request.requestClass) * request.heaviness;
-  const bool late = usual > 0 && static_cast<double>(lag) > kSilence * usual;
-  if (outcome != Outcome::Ok || late || !upstream.listed || homeRoom(now) < 0) upstream.home = false;
+  const bool late = usual > 0 && static_cast<double>(lag) > kSilenceMultiple * usual;
+  if (outcome != Outcome::Ok || late || !endpoint.isListed || homeRoom(now) < 0) endpoint.home = false;
 }
 
 void ConnectionSubset::closeUnused(UpstreamId id, const EventContext& context) const {
@@ -88,7 +88,7 @@
 }
 
 void ConnectionSubset::hangUpAgain(UpstreamId id, const EventContext& context) const {
-  if (!endpoints_[id].listed) context.act(CloseIdle{id});
+  if (!endpoints_[id].isListed) context.act(CloseIdle{id});
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -25,17 +25,17 @@
   /// Whether traffic is too little to use every endpoint's connection: the home is smaller than the list.
   [[nodiscard]] bool hasHome(Micros now) const;
   /// Whether a connection to it stands open, as far as attempts have told.
-  [[nodiscard]] bool isConnected(const Upstream& upstream, Micros now) const;
+  [[nodiscard]] bool isConnected(const Endpoint& endpoint, Micros now) const;
 
   /// An attempt is about to be sent, not yet in flight.
   /// @return whether it needs a new connection; where nothing is known of them it does not
-  bool connect(Upstream& upstream, Micros now) const;
+  bool connect(Endpoint& endpoint, Micros now) const;
   /// An attempt was sent: the endpoint joins the home while there is room.
-  void join(Upstream& upstream, Micros now) const;
+  void join(Endpoint& endpoint, Micros now) const;
   /// Learns from the outcome of an attempt which connections are open.
-  static void learnConnection(Upstream& upstream, const Attempt& attempt, Outcome outcome);
+  static void learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome);
   /// An endpoint that did not answer well, after `lag` microseconds, leaves the home.
-  void settle(Upstream& upstream, const Request& request, Outcome outcome, Micros lag, Micros now) const;
+  void settle(Endpoint& endpoint, const Request& request, Outcome outcome, Micros lag, Micros now) const;
 
   /// Guards against connections that many sidecars with little traffic keep open to no use: they fill the
   /// endpoints' tables. One that will idle out before its next use is closed at once.
@@ -48,7 +48,7 @@
   void hangUpAgain(UpstreamId id, const EventContext& context) const;
 
  private:
-  [[nodiscard]] bool reuses(const Upstream& upstream, Micros now) const;
+  [[nodiscard]] bool reuses(const Endpoint& endpoint, Micros now) const;
   [[nodiscard]] double homeSize(Micros now) const;
   [[nodiscard]] double homeRoom(Micros now) const;
 
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -22,7 +22,7 @@
     HangUp,     ///< connections to a draining endpoint are closed once more
   };
   Micros at = 0;
-  RequestId request = 0;  ///< or the upstream's id, for HangUp; 0 where there is none
+  RequestId request = 0;  ///< or the endpoint's id, for HangUp; 0 where there is none
   What what = What::Deadline;
   bool operator>(const Wake& other) const { return at > other.at; }
 };
--- a/src/balancer/endpoint_backoff.cpp
+++ b/src/balancer/endpoint_backoff.cpp
@@ -6,15 +6,15 @@
 
 namespace orchiddrum::internal {
 
-void rest(Upstream& upstream, double span, const EventContext& context) {
-  upstream.pausedUntil = std::max(upstream.pausedUntil, context.now + static_cast<Micros>(span));
-  context.deadlines.push({upstream.pausedUntil, 0, Wake::What::Ready});
+void rest(Endpoint& endpoint, double span, const EventContext& context) {
+  endpoint.pausedUntil = std::max(endpoint.pausedUntil, context.now + static_cast<Micros>(span));
+  context.deadlines.push({endpoint.pausedUntil, 0, Wake::What::Ready});
 }
 
-void pause(Upstream& upstream, Micros serviceTime, Micros resolution, const EventContext& context) {
+void pause(Endpoint& endpoint, Micros serviceTime, Micros resolution, const EventContext& context) {
   const double wait = static_cast<double>(std::max(serviceTime, resolution)) *
-                      std::exp2(std::min(upstream.refusals++, kMaxEjectionDoublings));
-  rest(upstream, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kEjection), context);
+                      std::exp2(std::min(endpoint.refusals++, kMaxEjectionDoublings));
+  rest(endpoint, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kEjection), context);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -15,12 +15,12 @@
 constexpr int kMaxEjectionDoublings = 3;
 
 /// Leaves the endpoint alone for `span` microseconds from now, or longer if it rests already.
-void rest(Upstream& upstream, double span, const EventContext& context);
+void rest(Endpoint& endpoint, double span, const EventContext& context);
 
 /// Guards against an endpoint whose quick refusals or failed connects keep its count lowest. It is left alone
 /// for about one service time (microseconds), twice as long at each further refusal in a row, jittered by
 /// half either way. `resolution` is the shortest span that means anything.
-void pause(Upstream& upstream, Micros serviceTime, Micros resolution, const EventContext& context);
+void pause(Endpoint& endpoint, Micros serviceTime, Micros resolution, const EventContext& context);
 
 }  // namespace orchiddrum::internal
 
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -12,7 +12,7 @@
 namespace orchiddrum::internal {
 
 /// An endpoint with attempts out is silent after this many times the usual time to an answer.
-constexpr double kSilence = 4;
+constexpr double kSilenceMultiple = 4;
 
 /// Whether an endpoint may get an attempt now, by all that is known of it: listed and serving, not too cold,
 /// not ejected, not resting, not silent, and below its concurrency limit.
@@ -22,24 +22,24 @@
   EndpointReadiness(const SlowStart& slowStart, const LatencyStatistics& latency)
       : slowStart_(slowStart), latency_(latency) {}
 
-  [[nodiscard]] bool isReady(const Upstream& upstream, Micros now) const {
-    if (!upstream.listed || !slowStart_.hasColdCredit(upstream, now)) return false;
-    if (now < upstream.ejectedUntil || now < upstream.pausedUntil) return false;
-    if (upstream.halfOpen && (upstream.inFlight > 0 || !mayTry(upstream, now))) return false;
-    if (isSilent(upstream, now)) return false;
-    return upstream.inFlight == 0 || static_cast<double>(upstream.inFlight) + 1 <= upstream.limit;
+  [[nodiscard]] bool isReady(const Endpoint& endpoint, Micros now) const {
+    if (!endpoint.isListed || !slowStart_.hasCredit(endpoint, now)) return false;
+    if (now < endpoint.ejectedUntil || now < endpoint.pausedUntil) return false;
+    if (endpoint.isHalfOpen && (endpoint.inFlight > 0 || !mayBeTried(endpoint, now))) return false;
+    if (isSilent(endpoint, now)) return false;
+    return endpoint.inFlight == 0 || static_cast<double>(endpoint.inFlight) + 1 <= endpoint.limit;
   }
 
   /// It takes requests and answers none: no time-out has come yet, but the others would have answered by now.
-  [[nodiscard]] bool isSilent(const Upstream& upstream, Micros now) const {
-    return upstream.inFlight > 0 &&
-           static_cast<double>(now - upstream.heardAt) > kSilence * latency_.overallLag();
+  [[nodiscard]] bool isSilent(const Endpoint& endpoint, Micros now) const {
+    return endpoint.inFlight > 0 &&
+           static_cast<double>(now - endpoint.lastOutcomeAt) > kSilenceMultiple * latency_.overallLag();
   }
 
   /// Whether one that is out may get a trial of this sidecar. Guards against trials by all sidecars at once:
   /// where others say something of it, each trial is one sidecar's turn.
-  [[nodiscard]] static bool mayTry(const Upstream& upstream, Micros now) {
-    return now >= upstream.toldUntil || upstream.turn;
+  [[nodiscard]] static bool mayBeTried(const Endpoint& endpoint, Micros now) {
+    return now >= endpoint.notifiedUntil || endpoint.isOwnTurn;
   }
 
   [[nodiscard]] bool anyReady(const EndpointRegistry& endpoints, Micros now) const {
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -8,37 +8,37 @@
   std::vector<UpstreamId> before = listed_;
   if (update.kind != MembershipUpdate::Kind::Changes) {
     // Whoever is missing from a full list is gone.
-    for (const UpstreamId id : listed_) upstreams_[id].listed = false;
+    for (const UpstreamId id : listed_) endpoints_[id].isListed = false;
     listed_.clear();
   }
   for (const UpstreamEntry& entry : update.entries) apply(entry, startLimit, random);
   meanSize_ = 0;
-  for (const UpstreamId id : listed_) meanSize_ += upstreams_[id].size / static_cast<double>(listed_.size());
-  std::erase_if(before, [this](UpstreamId id) { return upstreams_[id].listed; });
+  for (const UpstreamId id : listed_) meanSize_ += endpoints_[id].size / static_cast<double>(listed_.size());
+  std::erase_if(before, [this](UpstreamId id) { return endpoints_[id].isListed; });
   return before;
 }
 
 void EndpointRegistry::apply(const UpstreamEntry& entry, double startLimit, RandomSource& random) {
-  if (!contains(entry.upstream)) upstreams_.resize(entry.upstream + 1);
-  Upstream& upstream = upstreams_[entry.upstream];
-  const bool was = upstream.listed;
-  const bool restarted = entry.launchedAt != upstream.launchedAt || entry.identity != upstream.identity;
-  if (!upstream.known || restarted) {
-    const std::uint32_t inFlight = upstream.inFlight;
-    upstream = Upstream{};  // a restarted process, or another one, has no history
-    upstream.inFlight = inFlight;
-    upstream.launchedAt = entry.launchedAt;
-    upstream.identity = entry.identity;
-    upstream.limit = startLimit;
-    upstream.coldCredit = random.uniform();
+  if (!contains(entry.upstream)) endpoints_.resize(entry.upstream + 1);
+  Endpoint& endpoint = endpoints_[entry.upstream];
+  const bool was = endpoint.isListed;
+  const bool restarted = entry.launchedAt != endpoint.launchedAt || entry.identity != endpoint.identity;
+  if (!endpoint.isKnown || restarted) {
+    const std::uint32_t inFlight = endpoint.inFlight;
+    endpoint = Endpoint{};  // a restarted process, or another one, has no history
+    endpoint.inFlight = inFlight;
+    endpoint.launchedAt = entry.launchedAt;
+    endpoint.identity = entry.identity;
+    endpoint.limit = startLimit;
+    endpoint.slowStartCredit = random.uniform();
   }
-  upstream.known = true;
-  upstream.zone = entry.zone;
-  upstream.cell = entry.cell;
-  upstream.size = entry.size > 0 ? entry.size : 1;
-  upstream.listed = entry.state == UpstreamState::Serving;
-  if (upstream.listed && !was) listed_.push_back(entry.upstream);
-  if (!upstream.listed && was) std::erase(listed_, entry.upstream);
+  endpoint.isKnown = true;
+  endpoint.zone = entry.zone;
+  endpoint.cell = entry.cell;
+  endpoint.size = entry.size > 0 ? entry.size : 1;
+  endpoint.isListed = entry.state == UpstreamState::Serving;
+  if (endpoint.isListed && !was) listed_.push_back(entry.upstream);
+  if (!endpoint.isListed && was) std::erase(listed_, entry.upstream);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -13,18 +13,18 @@
 namespace orchiddrum::internal {
 
 /// No endpoint: the value of an id that names none.
-constexpr UpstreamId kNone = static_cast<UpstreamId>(-1);
+constexpr UpstreamId kNoEndpoint = static_cast<UpstreamId>(-1);
 
 /// An answer of this sidecar's own counts for more than what others say of an endpoint for so long, in
 /// microseconds: about as long as it takes others to meet the endpoint too.
-constexpr Micros kOwnWord = 1'000'000;
+constexpr Micros kOwnEvidenceLasts = 1'000'000;
 
-/// All that is known of an upstream. Each group of fields is written by the part that is named above it.
+/// All that is known of an endpoint. Each group of fields is written by the part that is named above it.
 /// Times are microseconds.
-struct Upstream {
+struct Endpoint {
   // EndpointRegistry
-  bool known = false;   ///< some list has named it
-  bool listed = false;  ///< it is in the current list and serving
+  bool isKnown = false;   ///< some list has named it
+  bool isListed = false;  ///< it is in the current list and serving
   std::uint32_t zone = 0;
   std::optional<std::uint32_t> cell;
   double size = 1;  ///< registered capacity against others, above 0
@@ -33,10 +33,10 @@
 
   // RequestLifecycle
   std::uint32_t inFlight = 0;  ///< this sidecar's own attempts that have no outcome yet
-  Micros heardAt = 0;          ///< its last outcome, or when it had nothing in flight
+  Micros lastOutcomeAt = 0;    ///< its last outcome, or when it had nothing in flight
 
   // SlowStart
-  double coldCredit = 0;  ///< attempts it may get while it is cold; at most kMaxColdCredit
+  double slowStartCredit = 0;  ///< attempts it may get while it is cold; at most kMaxCredit
 
   // LatencyStatistics
   double logSlowness = 0;  ///< smoothed, of answer times against the usual of their class
@@ -56,12 +56,12 @@
   // OutlierDetection
   double failureRate = 0;  ///< smoothed, of answers and failures, 0 to 1
   Micros ejectedUntil = 0;
-  int ejections = 0;            ///< in a row
-  bool halfOpen = false;        ///< ejected, or back on trial: one attempt at a time
-  bool answers = true;          ///< the last outcome was an answer, good or bad
-  Micros servedAt = -kOwnWord;  ///< its last own answer
-  Micros toldUntil = 0;         ///< others have said something of it: a trial is one sidecar's turn ...
-  bool turn = false;            ///< ... this one's
+  int ejections = 0;                         ///< in a row
+  bool isHalfOpen = false;                   ///< ejected, or back on trial: one attempt at a time
+  bool isAnswering = true;                   ///< the last outcome was an answer, good or bad
+  Micros lastServedAt = -kOwnEvidenceLasts;  ///< its last own answer
+  Micros notifiedUntil = 0;  ///< others have said something of it: a trial is one sidecar's turn ...
+  bool isOwnTurn = false;    ///< ... this one's
 
   // ConnectionSubset
   std::uint32_t connections = 0;  ///< that stand open, as far as attempts have told
@@ -69,15 +69,15 @@
   bool home = false;              ///< a connection to it is worth keeping
 };
 
-/// The upstreams by id, and those of the current list that serve.
+/// The endpoints by id, and those of the current list that serve.
 ///
 /// Grows with the highest id that the caller has given; ids are never taken away.
 class EndpointRegistry {
  public:
-  [[nodiscard]] bool contains(UpstreamId id) const { return id < upstreams_.size(); }
+  [[nodiscard]] bool contains(UpstreamId id) const { return id < endpoints_.size(); }
   /// `id` must be contained.
-  Upstream& operator[](UpstreamId id) { return upstreams_[id]; }
-  const Upstream& operator[](UpstreamId id) const { return upstreams_[id]; }
+  Endpoint& operator[](UpstreamId id) { return endpoints_[id]; }
+  const Endpoint& operator[](UpstreamId id) const { return endpoints_[id]; }
 
   /// Those that serve, in the order they were listed.
   [[nodiscard]] const std::vector<UpstreamId>& listed() const { return listed_; }
@@ -93,7 +93,7 @@
  private:
   void apply(const UpstreamEntry& entry, double startLimit, RandomSource& random);
 
-  std::vector<Upstream> upstreams_;  // by id
+  std::vector<Endpoint> endpoints_;  // by id
   std::vector<UpstreamId> listed_;
   double meanSize_ = 0;
 };
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -10,7 +10,7 @@
 
 // Odds of a cold endpoint that has its credit, and of a trial that is this sidecar's turn, against all warm
 // ones together: its turn has come already.
-constexpr double kColdOdds = 0.125;
+constexpr double kWarmingOdds = 0.125;
 // Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
 constexpr double kCrossZoneOdds = 0.25;
 // All endpoints away from home together keep this share of the draws, so that better ones are found.
@@ -23,14 +23,14 @@
   eligible_.clear();
   if (!may.send) return eligible_;
   for (const UpstreamId id : endpoints_.listed()) {
-    const Upstream& upstream = endpoints_[id];
-    if (readiness_.isReady(upstream, now) && retryPolicy_.mayGoTo(id, upstream, request, may, now))
+    const Endpoint& endpoint = endpoints_[id];
+    if (readiness_.isReady(endpoint, now) && retryPolicy_.mayGoTo(id, endpoint, request, may, now))
       eligible_.push_back(id);
   }
   // A repeat goes to an endpoint that this request has not met, as long as there is one.
   const auto met = [&](UpstreamId id) {
     return std::any_of(request.attempts.begin(), request.attempts.end(),
-                       [id](const Attempt& attempt) { return attempt.upstream == id; });
+                       [id](const Attempt& attempt) { return attempt.endpoint == id; });
   };
   const auto fresh = std::stable_partition(eligible_.begin(), eligible_.end(), std::not_fn(met));
   if (fresh != eligible_.begin()) eligible_.erase(fresh, eligible_.end());
@@ -41,29 +41,29 @@
                                                              Micros now) {
   eligible_.clear();
   for (const UpstreamId id : endpoints_.listed()) {
-    const Upstream& upstream = endpoints_[id];
-    const bool free = upstream.halfOpen && upstream.answers && upstream.inFlight == 0 &&
-                      EndpointReadiness::mayTry(upstream, now);
-    if (free && retryPolicy_.mayGoTo(id, upstream, request, may, now)) eligible_.push_back(id);
+    const Endpoint& endpoint = endpoints_[id];
+    const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
+                      EndpointReadiness::mayBeTried(endpoint, now);
+    if (free && retryPolicy_.mayGoTo(id, endpoint, request, may, now)) eligible_.push_back(id);
   }
   return eligible_;
 }
 
 // Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
 // spare, the less it is preferred.
-double EndpointSelection::zoneOdds(const Upstream& upstream) const {
-  if (settings_.crossZonePrice <= 0 || upstream.zone == settings_.zone) return 1;
+double EndpointSelection::zoneOdds(const Endpoint& endpoint) const {
+  if (settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone) return 1;
   return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpu)));
 }
 
-// How well an endpoint suits a request, around one. It follows the registered size: at zero counts the draw
-// decides alone, and a blind uniform draw overloads the small. Heavy requests bend it further and light
+// How well an endpoint suits a request, around one. It follows the registered size: at zero counts the
+// draw decides alone, and a blind uniform draw overloads the small. Heavy requests bend it further and light
 // ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
-double EndpointSelection::suits(const Request& request, const Upstream& upstream, Micros now) const {
-  const double speed = upstream.size / endpoints_.meanSize() / std::sqrt(slowness(upstream, now));
+double EndpointSelection::suitability(const Request& request, const Endpoint& endpoint, Micros now) const {
+  const double speed = endpoint.size / endpoints_.meanSize() / std::sqrt(slowness(endpoint, now));
   double bend = std::pow(speed, std::sqrt(request.heaviness));
   bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
-  return bend * zoneOdds(upstream);
+  return bend * zoneOdds(endpoint);
 }
 
 UpstreamId EndpointSelection::draw(const std::vector<UpstreamId>& eligible, const Request& request,
@@ -73,18 +73,19 @@
   double home = 0;
   double away = 0;
   for (const UpstreamId id : eligible) {
-    const Upstream& upstream = endpoints_[id];
-    odds_.push_back(suits(request, upstream, now));
-    if (slowStart_.warmth(upstream, now) >= 1) (upstream.home ? home : away) += odds_.back();
+    const Endpoint& endpoint = endpoints_[id];
+    odds_.push_back(suitability(request, endpoint, now));
+    if (slowStart_.capacityFraction(endpoint, now) >= 1) (endpoint.home ? home : away) += odds_.back();
   }
   const bool apart = home > 0 && away > 0 && subset_.hasHome(now);
   const double cut = apart ? std::min(1.0, kAwayShare / (1 - kAwayShare) * home / away) : 1;
-  const double cold = kColdOdds * (home + away * cut);
+  const double warming = kWarmingOdds * (home + away * cut);
   double sum = 0;
   for (std::size_t n = 0; n < eligible.size(); ++n) {
-    const Upstream& upstream = endpoints_[eligible[n]];
-    const bool due = slowStart_.warmth(upstream, now) < 1 || (upstream.halfOpen && now < upstream.toldUntil);
-    sum += due ? std::max(odds_[n], cold * zoneOdds(upstream)) : odds_[n] * (upstream.home ? 1 : cut);
+    const Endpoint& endpoint = endpoints_[eligible[n]];
+    const bool isDue = slowStart_.capacityFraction(endpoint, now) < 1 ||
+                       (endpoint.isHalfOpen && now < endpoint.notifiedUntil);
+    sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint)) : odds_[n] * (endpoint.home ? 1 : cut);
     odds_[n] = sum;
   }
   const auto at =
@@ -95,11 +96,12 @@
 UpstreamId EndpointSelection::pick(const std::vector<UpstreamId>& eligible, const Request& request,
                                    const EventContext& context) {
   const UpstreamId drawn = draw(eligible, request, context);
-  const bool comparable = std::find(eligible.begin(), eligible.end(), slot_) != eligible.end();
-  const bool slotLighter = comparable && endpoints_[slot_].inFlight < endpoints_[drawn].inFlight;
-  const bool drawnLighter = slot_ == kNone || endpoints_[drawn].inFlight < endpoints_[slot_].inFlight;
-  const UpstreamId picked = slotLighter ? slot_ : drawn;
-  if (drawnLighter) slot_ = drawn;
+  const bool comparable = std::find(eligible.begin(), eligible.end(), remembered_) != eligible.end();
+  const bool rememberedLighter = comparable && endpoints_[remembered_].inFlight < endpoints_[drawn].inFlight;
+  const bool drawnLighter =
+      remembered_ == kNoEndpoint || endpoints_[drawn].inFlight < endpoints_[remembered_].inFlight;
+  const UpstreamId picked = rememberedLighter ? remembered_ : drawn;
+  if (drawnLighter) remembered_ = drawn;
   return picked;
 }
 
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -48,16 +48,16 @@
 
   /// The remembered endpoint, if there is one.
   [[nodiscard]] std::optional<UpstreamId> remembered() const {
-    return slot_ == kNone ? std::nullopt : std::optional<UpstreamId>(slot_);
+    return remembered_ == kNoEndpoint ? std::nullopt : std::optional<UpstreamId>(remembered_);
   }
   /// The list has changed: one that left it is remembered no more.
   void forgetUnlisted() {
-    if (slot_ != kNone && !endpoints_[slot_].listed) slot_ = kNone;
+    if (remembered_ != kNoEndpoint && !endpoints_[remembered_].isListed) remembered_ = kNoEndpoint;
   }
 
  private:
-  [[nodiscard]] double zoneOdds(const Upstream& upstream) const;
-  [[nodiscard]] double suits(const Request& request, const Upstream& upstream, Micros now) const;
+  [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const;
+  [[nodiscard]] double suitability(const Request& request, const Endpoint& endpoint, Micros now) const;
   UpstreamId draw(const std::vector<UpstreamId>& eligible, const Request& request,
                   const EventContext& context);
 
@@ -68,7 +68,7 @@
   const RetryPolicy& retryPolicy_;
   const LoadReports& loadReports_;
   const ConnectionSubset& subset_;
-  UpstreamId slot_ = kNone;  // the remembered endpoint
+  UpstreamId remembered_ = kNoEndpoint;  // the remembered endpoint
   std::vector<UpstreamId> eligible_;
   std::vector<double> odds_;  // running sums, for the draw
 };
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -20,8 +20,8 @@
 constexpr double kLeastPrice = 1e-9;
 
 // Requests in hand for the endpoint's size; -1 where the result tells none.
-double busyOf(const ProbeResult& event, const Upstream& upstream) {
-  return event.report ? event.report->busyRequests.value_or(-1) / upstream.size : -1;
+double busyOf(const ProbeResult& event, const Endpoint& endpoint) {
+  return event.report ? event.report->busyRequests.value_or(-1) / endpoint.size : -1;
 }
 
 }  // namespace
@@ -46,8 +46,8 @@
 
 // How long a look at this endpoint is waited for, by the usual time of one into its zone: another data
 // centre is far. Before one was answered from there it is what a connection may take.
-Micros HealthCheck::lookPatience(const Upstream& upstream) const {
-  const double usual = lookLag_[upstream.zone];
+Micros HealthCheck::lookPatience(const Endpoint& endpoint) const {
+  const double usual = lookLag_[endpoint.zone];
   const auto patience = usual > 0 ? static_cast<Micros>(kLookPatience * usual) : settings_.connectTimeout;
   return std::max(patience, 2 * settings_.resolution);
 }
@@ -62,21 +62,21 @@
 }
 
 void HealthCheck::learn(const ProbeResult& event) {
-  Upstream& upstream = endpoints_[event.upstream];
-  double& lookLag = lookLag_[upstream.zone];
+  Endpoint& endpoint = endpoints_[event.upstream];
+  double& lookLag = lookLag_[endpoint.zone];
   smooth(lookLag, static_cast<double>(event.lag), lookLag > 0 ? kLagGain : 1);
-  if (event.report) loadReports_.learn(upstream, *event.report);
+  if (event.report) loadReports_.learn(endpoint, *event.report);
   usualBefore_ = usualBusy_;
-  const double busy = busyOf(event, upstream);
+  const double busy = busyOf(event, endpoint);
   if (busy >= 0) smooth(usualBusy_, busy, usualBusy_ < 0 ? 1 : kLagGain);
 }
 
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
-  const Upstream& upstream = endpoints_[event.upstream];
-  const double busy = busyOf(event, upstream);
+  const Endpoint& endpoint = endpoints_[event.upstream];
+  const double busy = busyOf(event, endpoint);
   // One that has no figures yet is not crowded for that: reports may be far between.
-  if (event.ok && !upstream.reported) return Verdict::Room;
-  if (!event.ok || busy < 0 || loadReports_.isCrowded(request, upstream, *event.report))
+  if (event.ok && !endpoint.reported) return Verdict::Room;
+  if (!event.ok || busy < 0 || loadReports_.isCrowded(request, endpoint, *event.report))
     return Verdict::Crowded;
   return usualBefore_ >= 0 && busy > usualBefore_ ? Verdict::Busier : Verdict::Room;
 }
@@ -90,10 +90,10 @@
 // only busier than usual is left out of this request's other looks.
 bool HealthCheck::passOver(Request& request, Verdict verdict, double typicalLag,
                            const EventContext& context) {
-  Upstream& upstream = endpoints_[request.lookAt];
-  if (verdict == Verdict::Busier) rest(upstream, kMaxLooks * lookLag_[upstream.zone], context);
+  Endpoint& endpoint = endpoints_[request.lookAt];
+  if (verdict == Verdict::Busier) rest(endpoint, kMaxLooks * lookLag_[endpoint.zone], context);
   if (verdict == Verdict::Crowded) {
-    rest(upstream, typicalLag, context);
+    rest(endpoint, typicalLag, context);
     ++request.crowdedLooks;
   }
   return request.crowdedLooks >= looksFor(request, 0);
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -53,7 +53,7 @@
 
  private:
   [[nodiscard]] int looksFor(const Request& request, double price) const;
-  [[nodiscard]] Micros lookPatience(const Upstream& upstream) const;
+  [[nodiscard]] Micros lookPatience(const Endpoint& endpoint) const;
 
   const Settings& settings_;
   EndpointRegistry& endpoints_;
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -13,19 +13,19 @@
 // Weight of one answer in an endpoint's slowness.
 constexpr double kSlownessGain = 0.1;
 
-void learnSlowness(Upstream& upstream, double ratio, Micros now) {
-  upstream.logSlowness = std::log(slowness(upstream, now));  // what is not forgotten yet
-  smooth(upstream.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
-  upstream.slownessAt = now;
+void learnSlowness(Endpoint& endpoint, double ratio, Micros now) {
+  endpoint.logSlowness = std::log(slowness(endpoint, now));  // what is not forgotten yet
+  smooth(endpoint.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
+  endpoint.slownessAt = now;
 }
 
 }  // namespace
 
-void LatencyStatistics::learn(Upstream& upstream, const Request& request, Micros lag, Micros now) {
+void LatencyStatistics::learn(Endpoint& endpoint, const Request& request, Micros lag, Micros now) {
   const auto span = static_cast<double>(lag);
   double& usual = typicalLag_[request.requestClass];
-  if (usual > 0) learnSlowness(upstream, span / usual / request.heaviness, now);
-  upstream.shortestLag = std::min(upstream.shortestLag, lag);
+  if (usual > 0) learnSlowness(endpoint, span / usual / request.heaviness, now);
+  endpoint.shortestLag = std::min(endpoint.shortestLag, lag);
   ++answers_;
   smooth(usual, span, std::max(kLagGain, 1.0 / ++classAnswers_[request.requestClass]));
   smooth(overallLag_, span, std::max(kLagGain, 1.0 / answers_));
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -22,8 +22,8 @@
 constexpr double kSlownessMemory = 1e7;
 
 /// How an endpoint's answers have compared with the usual of their class, around 1.
-[[nodiscard]] inline double slowness(const Upstream& upstream, Micros now) {
-  return std::exp(upstream.logSlowness * kept(upstream.slownessAt, kSlownessMemory, now));
+[[nodiscard]] inline double slowness(const Endpoint& endpoint, Micros now) {
+  return std::exp(endpoint.logSlowness * kept(endpoint.slownessAt, kSlownessMemory, now));
 }
 
 /// Smoothed times to an answer, in microseconds, of good answers alone: over all, by class and by endpoint.
@@ -31,8 +31,8 @@
  public:
   explicit LatencyStatistics(std::size_t classes) : typicalLag_(classes), classAnswers_(classes) {}
 
-  /// A good answer of the upstream came after `lag` microseconds.
-  void learn(Upstream& upstream, const Request& request, Micros lag, Micros now);
+  /// A good answer of the endpoint came after `lag` microseconds.
+  void learn(Endpoint& endpoint, const Request& request, Micros lag, Micros now);
 
   /// Of the class; 0 before its first answer.
   [[nodiscard]] double typicalLag(std::uint32_t requestClass) const { return typicalLag_[requestClass]; }
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -26,29 +26,29 @@
 // An endpoint works on as many requests at once as it has in hand less those waiting; or as it would have in
 // hand if its CPU had nothing to spare; or, when it has none, as the time to an answer leaves of them against
 // that of calm times (Little's law).
-void LoadReports::learn(Upstream& upstream, const LoadReport& report) {
+void LoadReports::learn(Endpoint& endpoint, const LoadReport& report) {
   if (report.cpuShare) {
-    upstream.cpuShare = within(*report.cpuShare, 0, 1);
-    if (upstream.zone == settings_.zone) smooth(ownZoneCpu_, *upstream.cpuShare, kZoneCpuGain);
+    endpoint.cpuShare = within(*report.cpuShare, 0, 1);
+    if (endpoint.zone == settings_.zone) smooth(ownZoneCpu_, *endpoint.cpuShare, kZoneCpuGain);
   }
   if (!report.busyRequests) return;
-  upstream.reported = true;
+  endpoint.reported = true;
   double atOnce = 0;
   if (report.queued && *report.queued >= 1) {
     atOnce = *report.busyRequests - *report.queued;
   } else if (report.cpuShare && *report.cpuShare >= kSpareCpu) {
     atOnce =
-        std::min(*report.busyRequests * latency_.calmLag() / latency_.overallLag(), atOnce_ * upstream.size);
+        std::min(*report.busyRequests * latency_.calmLag() / latency_.overallLag(), atOnce_ * endpoint.size);
   } else if (report.cpuShare && *report.cpuShare > kTellingCpu) {
     atOnce = *report.busyRequests / *report.cpuShare;
   }
-  atOnce /= upstream.size;
+  atOnce /= endpoint.size;
   if (!(atOnce > 0)) return;  // nothing, or not a number
   const double known = atOnce < atOnce_ ? kAtOnceFalls : kAtOnceRises;
   smooth(atOnce_, atOnce, atOnce_ <= 0 ? 1 : known);
 }
 
-bool LoadReports::isCrowded(const Request& request, const Upstream& upstream,
+bool LoadReports::isCrowded(const Request& request, const Endpoint& endpoint,
                             const LoadReport& report) const {
   const double busy = *report.busyRequests;
   // Little's law: what is in hand over what is served a second is the time that a request spends there.
@@ -56,7 +56,7 @@
     return busy >= 2 &&
            busy * kMicrosPerSecond > *report.servedPerSecond * kSlowPart * static_cast<double>(request.aim);
   }
-  const double atOnce = atOnce_ * upstream.size;
+  const double atOnce = atOnce_ * endpoint.size;
   return atOnce > 0 && busy + 1 > atOnce + kQueueing * std::sqrt(atOnce);
 }
 
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -23,11 +23,11 @@
   LoadReports(const Settings& settings, const LatencyStatistics& latency)
       : settings_(settings), latency_(latency) {}
 
-  void learn(Upstream& upstream, const LoadReport& report);
+  void learn(Endpoint& endpoint, const LoadReport& report);
 
   /// Whether what the endpoint has in hand would take the request too long. The report must have
   /// busyRequests.
-  [[nodiscard]] bool isCrowded(const Request& request, const Upstream& upstream,
+  [[nodiscard]] bool isCrowded(const Request& request, const Endpoint& endpoint,
                                const LoadReport& report) const;
 
   /// Smoothed CPU share that endpoints of the own zone report, 0 to 1; 0 before the first.
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -19,77 +19,77 @@
 // What others say adds to them up to the second share alone. So many others have to agree, one less where few
 // are heard.
 constexpr double kMaxEjected = 0.5;
-constexpr double kMaxHearsay = 0.25;
-constexpr std::uint32_t kWitnesses = 3;
-constexpr std::uint32_t kFewHeard = 6;
-constexpr Micros kLongestHearsay = 2'000'000;
+constexpr double kMaxEjectedByReports = 0.25;
+constexpr std::uint32_t kRequiredWitnesses = 3;
+constexpr std::uint32_t kFewReachable = 6;
+constexpr Micros kMaxReportValidity = 2'000'000;
 // Jitter of an ejection's length, from this part of it to as much above it.
 constexpr double kShortestEjection = 0.75;
 
 }  // namespace
 
 void OutlierDetection::observe(UpstreamId id, Outcome outcome, const EventContext& context) {
-  Upstream& upstream = endpoints_[id];
+  Endpoint& endpoint = endpoints_[id];
   if (outcome == Outcome::Cancelled || outcome == Outcome::Moot || outcome == Outcome::Full) return;
   const double failed = outcome == Outcome::Ok ? 0 : 1;
-  upstream.answers = outcome == Outcome::Ok || outcome == Outcome::Error;
+  endpoint.isAnswering = outcome == Outcome::Ok || outcome == Outcome::Error;
   const auto listed = static_cast<double>(std::max<std::size_t>(1, endpoints_.listed().size()));
   smooth(fleetFailureRate_, failed, kFailureGain / listed);
-  smooth(upstream.failureRate, failed, kFailureGain);
+  smooth(endpoint.failureRate, failed, kFailureGain);
   if (failed == 0) {
-    upstream.refusals = 0;
-    upstream.servedAt = context.now;
+    endpoint.refusals = 0;
+    endpoint.lastServedAt = context.now;
   }
-  if (upstream.halfOpen && upstream.failureRate < kFailureExcess / 2) {
-    upstream.halfOpen = false;
-    upstream.ejections = 0;
-    upstream.ejectedUntil = context.now;
+  if (endpoint.isHalfOpen && endpoint.failureRate < kFailureExcess / 2) {
+    endpoint.isHalfOpen = false;
+    endpoint.ejections = 0;
+    endpoint.ejectedUntil = context.now;
     context.act(Log{"upstream readmitted: " + std::to_string(id)});
   }
-  const bool bad = upstream.failureRate > kFailureExcess + fleetFailureRate_;
-  if (failed > 0 && context.now >= upstream.ejectedUntil && (upstream.halfOpen || bad) &&
+  const bool bad = endpoint.failureRate > kFailureExcess + fleetFailureRate_;
+  if (failed > 0 && context.now >= endpoint.ejectedUntil && (endpoint.isHalfOpen || bad) &&
       !eject(id, kMaxEjected, context)) {
-    pause(upstream, static_cast<Micros>(latency_.overallLag()), settings_.resolution, context);
+    pause(endpoint, static_cast<Micros>(latency_.overallLag()), settings_.resolution, context);
   }
 }
 
 void OutlierDetection::apply(const Hearsay& event, const EventContext& context) {
   if (!endpoints_.contains(event.upstream)) return;
-  Upstream& upstream = endpoints_[event.upstream];
-  if (!upstream.listed || event.launchedAt != upstream.launchedAt) return;
-  upstream.toldUntil = context.now + std::clamp<Micros>(event.holds, 0, kLongestHearsay);
-  upstream.turn = event.turn || event.well;
-  if (event.well && upstream.halfOpen) upstream.ejectedUntil = std::min(upstream.ejectedUntil, context.now);
-  const std::uint32_t enough = event.sidecars < kFewHeard ? kWitnesses - 1 : kWitnesses;
-  if (event.well || upstream.halfOpen || context.now - upstream.servedAt < kOwnWord ||
+  Endpoint& endpoint = endpoints_[event.upstream];
+  if (!endpoint.isListed || event.launchedAt != endpoint.launchedAt) return;
+  endpoint.notifiedUntil = context.now + std::clamp<Micros>(event.holds, 0, kMaxReportValidity);
+  endpoint.isOwnTurn = event.turn || event.well;
+  if (event.well && endpoint.isHalfOpen) endpoint.ejectedUntil = std::min(endpoint.ejectedUntil, context.now);
+  const std::uint32_t enough = event.sidecars < kFewReachable ? kRequiredWitnesses - 1 : kRequiredWitnesses;
+  if (event.well || endpoint.isHalfOpen || context.now - endpoint.lastServedAt < kOwnEvidenceLasts ||
       event.witnesses < enough)
     return;
   const auto another = [&](UpstreamId id) {
     return id != event.upstream && readiness_.isReady(endpoints_[id], context.now);
   };
   if (std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(), another))
-    eject(event.upstream, kMaxHearsay, context);
+    eject(event.upstream, kMaxEjectedByReports, context);
 }
 
 // False if so many are out already, of `most` of the listed, that this one has to stay.
 bool OutlierDetection::eject(UpstreamId id, double most, const EventContext& context) {
   const auto& listed = endpoints_.listed();
   const auto out = std::count_if(listed.begin(), listed.end(), [&](UpstreamId other) {
-    return endpoints_[other].halfOpen || context.now < endpoints_[other].ejectedUntil;
+    return endpoints_[other].isHalfOpen || context.now < endpoints_[other].ejectedUntil;
   });
-  Upstream& upstream = endpoints_[id];
-  const double others = static_cast<double>(out) - (upstream.halfOpen ? 1 : 0);
+  Endpoint& endpoint = endpoints_[id];
+  const double others = static_cast<double>(out) - (endpoint.isHalfOpen ? 1 : 0);
   if (others + 1 > most * static_cast<double>(listed.size())) return false;
   const double wait =
-      static_cast<double>(kEjection) * std::exp2(std::min(upstream.ejections, kMaxEjectionDoublings));
+      static_cast<double>(kEjection) * std::exp2(std::min(endpoint.ejections, kMaxEjectionDoublings));
   // Jittered, so that sidecars which saw the same failure do not come back together.
-  upstream.ejectedUntil =
+  endpoint.ejectedUntil =
       context.now + static_cast<Micros>(wait * (kShortestEjection + context.random.uniform() / 2));
-  context.deadlines.push({upstream.ejectedUntil, 0, Wake::What::Ready});
-  if (!upstream.halfOpen) context.act(Log{"upstream ejected: " + std::to_string(id)});
-  ++upstream.ejections;
-  upstream.halfOpen = true;
-  upstream.failureRate = kFailureExcess;
+  context.deadlines.push({endpoint.ejectedUntil, 0, Wake::What::Ready});
+  if (!endpoint.isHalfOpen) context.act(Log{"upstream ejected: " + std::to_string(id)});
+  ++endpoint.ejections;
+  endpoint.isHalfOpen = true;
+  endpoint.failureRate = kFailureExcess;
   return true;
 }
 
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -12,11 +12,11 @@
 
 namespace orchiddrum::internal {
 
-/// One attempt of a request at an upstream. Times are microseconds.
+/// One attempt of a request at an endpoint. Times are microseconds.
 struct Attempt {
-  UpstreamId upstream = kNone;
-  std::uint32_t zone = 0;             ///< the upstream's, at the time
-  std::optional<std::uint32_t> cell;  ///< the upstream's, at the time
+  UpstreamId endpoint = kNoEndpoint;
+  std::uint32_t zone = 0;             ///< the endpoint's, at the time
+  std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
   Micros sentAt = 0;
   bool out = true;
   bool counted = true;     ///< among those in flight
@@ -33,8 +33,8 @@
   double heaviness = 1;   ///< its expected work against the usual of its class
   Micros aim = 0;
   Micros deadline = 0;
-  Micros holdUntil = 0;       ///< not worth holding any longer
-  UpstreamId lookAt = kNone;  ///< waits for a look at this upstream
+  Micros holdUntil = 0;             ///< not worth holding any longer
+  UpstreamId lookAt = kNoEndpoint;  ///< waits for a look at this endpoint
   Micros lookUntil = 0;
   int looks = 0;
   int crowdedLooks = 0;
@@ -43,7 +43,7 @@
   bool over = false;       ///< it has its final answer, or the client has left
   bool streaming = false;  ///< an attempt is the client's now
   bool spent = false;      ///< the body can't be sent again
-  bool earned = false;     ///< cold upstreams have had their credit for it
+  bool earned = false;     ///< cold endpoints have had their credit for it
 };
 
 /// The requests that are open or have an attempt out, by id: looked up only, never iterated, so their order
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -87,19 +87,19 @@
 
 void RequestLifecycle::send(RequestId id, Request& request, UpstreamId to, const EventContext& context) {
   const Micros now = context.now;
-  Upstream& upstream = d_.endpoints[to];
+  Endpoint& endpoint = d_.endpoints[to];
   // Guards the rules against every other part of this module: they have the last word.
-  if (!d_.retryPolicy.mayGoTo(to, upstream, request, permission(request, context), now))
+  if (!d_.retryPolicy.mayGoTo(to, endpoint, request, permission(request, context), now))
     return answer(id, request, context);
   d_.retryPolicy.countAttempt(request, now);
   d_.slowStart.earnCredit(request, d_.endpoints, now);
-  d_.slowStart.spendCredit(upstream, request, now);
-  const bool connects = d_.subset.connect(upstream, now);
-  if (upstream.inFlight++ == 0) upstream.heardAt = now;
-  d_.subset.join(upstream, now);
+  d_.slowStart.spendCredit(endpoint, request, now);
+  const bool connects = d_.subset.connect(endpoint, now);
+  if (endpoint.inFlight++ == 0) endpoint.lastOutcomeAt = now;
+  d_.subset.join(endpoint, now);
   d_.priority.countUsage(request, now);
   d_.sendRate.count(now);
-  request.attempts.push_back({to, upstream.zone, upstream.cell, now, true, true, connects});
+  request.attempts.push_back({to, endpoint.zone, endpoint.cell, now, true, true, connects});
   ++request.out;
   d_.sidecarLimit.countSend();
   context.act(Send{id, to, 0});
@@ -139,7 +139,7 @@
 void RequestLifecycle::leaveCount(Attempt& attempt) {
   if (attempt.counted) {
     d_.sidecarLimit.countEnd();
-    --d_.endpoints[attempt.upstream].inFlight;
+    --d_.endpoints[attempt.endpoint].inFlight;
   }
   attempt.counted = false;
 }
@@ -168,41 +168,41 @@
 // Tells every part what the outcome says of the endpoint, in this order: each may rest it.
 void RequestLifecycle::learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
                              const EventContext& context) {
-  Upstream& upstream = d_.endpoints[attempt.upstream];
-  upstream.heardAt = context.now;
+  Endpoint& endpoint = d_.endpoints[attempt.endpoint];
+  endpoint.lastOutcomeAt = context.now;
   const FinishedAttempt finished{attempt.sentAt, context.now - attempt.sentAt - event.transfer,
                                  event.outcome};
-  ConnectionSubset::learnConnection(upstream, attempt, event.outcome);
+  ConnectionSubset::learnConnection(endpoint, attempt, event.outcome);
   // A connect that failed where other connections stand says nothing of the endpoint.
   const bool isOtherwiseConnected =
-      event.outcome == Outcome::ConnectFailed && d_.subset.isConnected(upstream, context.now);
+      event.outcome == Outcome::ConnectFailed && d_.subset.isConnected(endpoint, context.now);
   learnConnections(request, attempt, finished, isOtherwiseConnected, context);
   const double typicalLag = d_.latency.typicalLag(request.requestClass);
   if (event.report) {
-    d_.loadReports.learn(upstream, *event.report);
+    d_.loadReports.learn(endpoint, *event.report);
     // Guards against crowding that an endpoint reports before answers are slow.
-    if (event.report->busyRequests && d_.loadReports.isCrowded(request, upstream, *event.report))
-      rest(upstream, typicalLag, context);
+    if (event.report->busyRequests && d_.loadReports.isCrowded(request, endpoint, *event.report))
+      rest(endpoint, typicalLag, context);
   }
-  if (event.outcome == Outcome::Ok) d_.latency.learn(upstream, request, finished.lag, context.now);
+  if (event.outcome == Outcome::Ok) d_.latency.learn(endpoint, request, finished.lag, context.now);
   if (event.outcome == Outcome::Full || (event.outcome == Outcome::ConnectFailed && !isOtherwiseConnected)) {
-    pause(upstream, static_cast<Micros>(typicalLag), d_.settings.resolution, context);
+    pause(endpoint, static_cast<Micros>(typicalLag), d_.settings.resolution, context);
   }
   if (d_.sidecarLimit.restIfCrowded(request, event.outcome, finished.lag, context))
     d_.loadShedding.wakeAfterRest(requests_, context);
-  if (!isOtherwiseConnected) d_.outlierDetection.observe(attempt.upstream, event.outcome, context);
-  d_.concurrencyLimit.adjust(upstream, request, finished, context);
+  if (!isOtherwiseConnected) d_.outlierDetection.observe(attempt.endpoint, event.outcome, context);
+  d_.concurrencyLimit.adjust(endpoint, request, finished, context);
 }
 
 void RequestLifecycle::learnConnections(const Request& request, const Attempt& attempt,
                                         const FinishedAttempt& finished, bool isOtherwiseConnected,
                                         const EventContext& context) {
-  Upstream& upstream = d_.endpoints[attempt.upstream];
-  if (!isOtherwiseConnected) d_.subset.settle(upstream, request, finished.outcome, finished.lag, context.now);
-  if (upstream.listed) {
-    d_.subset.closeUnused(attempt.upstream, context);
+  Endpoint& endpoint = d_.endpoints[attempt.endpoint];
+  if (!isOtherwiseConnected) d_.subset.settle(endpoint, request, finished.outcome, finished.lag, context.now);
+  if (endpoint.isListed) {
+    d_.subset.closeUnused(attempt.endpoint, context);
   } else {
-    d_.subset.hangUp(attempt.upstream, context);
+    d_.subset.hangUp(attempt.endpoint, context);
   }
 }
 
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -54,11 +54,11 @@
   } else if (cls.semantics == Semantics::Unsafe) {
     may.send = false;
   } else {
-    // Strictly inside the window, one step of the clock early: the upstream's clock starts with our send.
+    // Strictly inside the window, one step of the clock early: the endpoint's clock starts with our send.
     const bool inWindow = now + settings_.resolution < first->sentAt + cls.repeatWindow;
     may.send = may.send && inWindow;
     may.anchor = &*first;
-    // A refusal invites the client to send again to any upstream, so it needs the widest group, and time.
+    // A refusal invites the client to send again to any endpoint, so it needs the widest group, and time.
     may.refuse = cls.group == RepeatGroup::All && inWindow;
   }
   return may;
@@ -72,14 +72,14 @@
                                           [](const Attempt& attempt) { return attempt.mayHaveRun; });
 }
 
-bool RetryPolicy::inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id) {
+bool RetryPolicy::inGroup(RepeatGroup group, const Attempt& anchor, const Endpoint& endpoint, UpstreamId id) {
   switch (group) {
     case RepeatGroup::All:
       return true;
     case RepeatGroup::Zone:
-      return anchor.zone == upstream.zone;
+      return anchor.zone == endpoint.zone;
     case RepeatGroup::Cell:
-      return anchor.cell ? anchor.cell == upstream.cell : anchor.upstream == id;
+      return anchor.cell ? anchor.cell == endpoint.cell : anchor.endpoint == id;
   }
   return false;
 }
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -47,7 +47,7 @@
 /// What the rules still allow for a request.
 struct Permission {
   bool send = false;
-  const Attempt* anchor = nullptr;  ///< if set, only upstreams of this attempt's repeat group
+  const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's repeat group
   bool refuse = false;
   bool fail = false;
 };
@@ -66,13 +66,13 @@
 
   Permission permission(const Request& request, const ReducedService& reduced, Micros now);
 
-  /// The rules on where it may go: no draining or gone upstream, no cold one beyond its credit, no other
+  /// The rules on where it may go: no draining or gone endpoint, no cold one beyond its credit, no other
   /// repeat group.
-  [[nodiscard]] bool mayGoTo(UpstreamId id, const Upstream& upstream, const Request& request,
+  [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
                              const Permission& may, Micros now) const {
-    return may.send && upstream.listed && slowStart_.hasColdCredit(upstream, now) &&
+    return may.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
            (may.anchor == nullptr ||
-            inGroup(settings_.classes[request.requestClass].group, *may.anchor, upstream, id));
+            inGroup(settings_.classes[request.requestClass].group, *may.anchor, endpoint, id));
   }
 
   /// A request was taken.
@@ -83,7 +83,7 @@
   }
 
  private:
-  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id);
+  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Endpoint& endpoint, UpstreamId id);
   [[nodiscard]] bool isCharged(const Request& request) const;
 
   const Settings& settings_;
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 // Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
-constexpr double kMaxColdCredit = 1;
-// A cold upstream may get so many times the load that a warm one has while all are warm.
-constexpr double kMaxColdShare = 1.5;
+constexpr double kMaxCredit = 1;
+// A cold endpoint may get so many times the load that a warm one has while all are warm.
+constexpr double kMaxLoadShare = 1.5;
 
 }  // namespace
 
@@ -19,17 +19,18 @@
   double present = 0;
   double total = 0;
   for (const UpstreamId id : endpoints.listed()) {
-    const Upstream& upstream = endpoints[id];
-    present += upstream.size * warmth(upstream, now);
-    total += upstream.size;
+    const Endpoint& endpoint = endpoints[id];
+    present += endpoint.size * capacityFraction(endpoint, now);
+    total += endpoint.size;
   }
   if (present == total) return;  // the usual case: all are warm
-  const double share = std::min(1 / present, kMaxColdShare / total);
+  const double share = std::min(1 / present, kMaxLoadShare / total);
   for (const UpstreamId id : endpoints.listed()) {
-    Upstream& upstream = endpoints[id];
-    const double part = warmth(upstream, now);
-    if (part < 1 && now >= std::max(upstream.ejectedUntil, upstream.pausedUntil))
-      upstream.coldCredit = std::min(kMaxColdCredit, upstream.coldCredit + part * upstream.size * share);
+    Endpoint& endpoint = endpoints[id];
+    const double part = capacityFraction(endpoint, now);
+    if (part < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.pausedUntil))
+      endpoint.slowStartCredit =
+          std::min(kMaxCredit, endpoint.slowStartCredit + part * endpoint.size * share);
   }
 }
 
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -22,27 +22,27 @@
   /// `settings` must outlive it.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  /// The part of its capacity that an upstream surely has, from Settings::startCapacity to 1 (warm): it grows
+  /// The part of its capacity that an endpoint surely has, from Settings::startCapacity to 1 (warm): it grows
   /// no slower than evenly over coldFor.
-  [[nodiscard]] double warmth(const Upstream& upstream, Micros now) const {
-    if (settings_.fallMultiple <= 0 || settings_.coldFor <= 0 || upstream.launchedAt <= 0) return 1;
-    const Micros age = std::max<Micros>(0, now - upstream.launchedAt);
+  [[nodiscard]] double capacityFraction(const Endpoint& endpoint, Micros now) const {
+    if (settings_.fallMultiple <= 0 || settings_.coldFor <= 0 || endpoint.launchedAt <= 0) return 1;
+    const Micros age = std::max<Micros>(0, now - endpoint.launchedAt);
     if (age >= settings_.coldFor) return 1;
     const double part = static_cast<double>(age) / static_cast<double>(settings_.coldFor);
     return settings_.startCapacity + (1 - settings_.startCapacity) * part;
   }
 
   /// Whether it is warm or has a credit for an attempt.
-  [[nodiscard]] bool hasColdCredit(const Upstream& upstream, Micros now) const {
-    return warmth(upstream, now) >= 1 || upstream.coldCredit >= 1;
+  [[nodiscard]] bool hasCredit(const Endpoint& endpoint, Micros now) const {
+    return capacityFraction(endpoint, now) >= 1 || endpoint.slowStartCredit >= 1;
   }
 
   /// Gives the listed cold ones their credit for a request, once.
   void earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const;
 
-  /// An attempt goes to the upstream: each, retries too, costs a cold one a credit, or more if it is heavy.
-  void spendCredit(Upstream& upstream, const Request& request, Micros now) const {
-    if (warmth(upstream, now) < 1) upstream.coldCredit -= std::max(1.0, request.heaviness);
+  /// An attempt goes to the endpoint: each, retries too, costs a cold one a credit, or more if it is heavy.
+  void spendCredit(Endpoint& endpoint, const Request& request, Micros now) const {
+    if (capacityFraction(endpoint, now) < 1) endpoint.slowStartCredit -= std::max(1.0, request.heaviness);
   }
 
  private:
