--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -28,28 +28,29 @@
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Micros now)
-      : d_(settings, now), random_(seed), now_(now) {}
+      : decisions_(settings, now), random_(seed), now_(now) {}
 
   void handle(const Event& event, Micros now, std::vector<Action>& actions) {
     validate(event);
     now_ = std::max(now_, now);
-    const bool blind =
-        internal::seesLittle(d_.settings, d_.latency, d_.sendRate, d_.endpoints.listed().size(), now_);
-    const EventContext context{now_, blind, actions, random_, deadlines_};
+    const bool lacksLoadInformation =
+        internal::lacksLoadInformation(decisions_.settings, decisions_.latency, decisions_.sendRate,
+                                       decisions_.endpoints.listed().size(), now_);
+    const EventContext context{now_, lacksLoadInformation, actions, random_, deadlines_};
     std::visit([&](const auto& e) { on(e, context); }, event);
     lifecycle_.serveHeld(context);
     if (const auto timer = deadlines_.arm(now_)) context.act(*timer);
   }
 
   [[nodiscard]] std::uint32_t inFlight(UpstreamId id) const {
-    return d_.endpoints.contains(id) ? d_.endpoints[id].inFlight : 0;
+    return decisions_.endpoints.contains(id) ? decisions_.endpoints[id].inFlight : 0;
   }
   [[nodiscard]] bool ready(UpstreamId id, Micros now) const {
-    return d_.endpoints.contains(id) && d_.readiness.isReady(d_.endpoints[id], now);
+    return decisions_.endpoints.contains(id) && decisions_.readiness.isReady(decisions_.endpoints[id], now);
   }
-  [[nodiscard]] std::optional<UpstreamId> remembered() const { return d_.selection.remembered(); }
+  [[nodiscard]] std::optional<UpstreamId> remembered() const { return decisions_.selection.remembered(); }
   [[nodiscard]] std::size_t openRequests() const { return lifecycle_.open(); }
-  [[nodiscard]] std::size_t heldRequests() const { return d_.loadShedding.size(); }
+  [[nodiscard]] std::size_t heldRequests() const { return decisions_.loadShedding.size(); }
 
  private:
   void validate(const Event& event) const {
@@ -61,8 +62,8 @@
 
   void validate(const MembershipUpdate& update) const {
     for (const UpstreamEntry& entry : update.entries) {
-      if (entry.zone >= d_.settings.zones || entry.kind >= d_.settings.kinds || entry.size < 0 ||
-          !std::isfinite(entry.size))
+      if (entry.zone >= decisions_.settings.zones || entry.kind >= decisions_.settings.kinds ||
+          entry.size < 0 || !std::isfinite(entry.size))
         throw std::invalid_argument("list entry outside the settings");
     }
   }
@@ -71,33 +72,36 @@
     const bool first = !started_;
     started_ = true;
     if (update.kind == MembershipUpdate::Kind::Failed) return discovery_.callFailed(context);
-    discovery_.listCame(context);
-    for (const UpstreamId id : d_.endpoints.apply(update, d_.concurrencyLimit.startLimit(), random_))
-      d_.subset.hangUp(id, context);
-    d_.selection.forgetUnlisted();
+    discovery_.listReceived(context);
+    for (const UpstreamId id :
+         decisions_.endpoints.apply(update, decisions_.concurrencyLimit.startLimit(), random_))
+      decisions_.subset.closeDraining(id, context);
+    decisions_.selection.forgetUnlisted();
     if (first || update.kind == MembershipUpdate::Kind::Saved) discovery_.start(context);
   }
 
   void on(const ReducedService& event, const EventContext&) {
-    d_.reduced = event;
-    d_.reduced.probes = within(event.probes, 0, 1);
+    decisions_.reduced = event;
+    decisions_.reduced.probes = within(event.probes, 0, 1);
   }
 
-  void on(const Hearsay& event, const EventContext& context) { d_.outlierDetection.apply(event, context); }
+  void on(const Hearsay& event, const EventContext& context) {
+    decisions_.outlierDetection.apply(event, context);
+  }
 
   void on(const TimerDue&, const EventContext& context) {
     deadlines_.timerFired(now_);
     while (const auto wake = deadlines_.popDue(now_)) {
       switch (wake->what) {
         case Wake::What::Discovery:
-          discovery_.ask(context);
+          discovery_.poll(context);
           break;
-        case Wake::What::HangUp:
-          d_.subset.hangUpAgain(static_cast<UpstreamId>(wake->request), context);
+        case Wake::What::CloseDraining:
+          decisions_.subset.closeDrainingAgain(static_cast<UpstreamId>(wake->request), context);
           break;
         case Wake::What::Ready:
           break;  // held requests get their look after every event
-        case Wake::What::Look:
+        case Wake::What::ProbeTimeout:
         case Wake::What::Hold:
         case Wake::What::Deadline:
           lifecycle_.onDeadline(*wake, context);
@@ -112,11 +116,11 @@
     lifecycle_.on(event, context);
   }
 
-  Decisions d_;
+  Decisions decisions_;
   internal::RandomSource random_;
   internal::Deadlines deadlines_;
-  internal::DiscoveryPolling discovery_{d_.settings};
-  internal::RequestLifecycle lifecycle_{d_};
+  internal::DiscoveryPolling discovery_{decisions_.settings};
+  internal::RequestLifecycle lifecycle_{decisions_};
   Micros now_;
   bool started_ = false;  // a list has come
 };
--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -9,9 +9,9 @@
 namespace orchiddrum::internal {
 namespace {
 
-constexpr double kMaxAimStretch = 1e6;  // far above any sensible setting
+constexpr double kMaxObjectiveStretch = 1e6;  // far above any sensible setting
 // A cold endpoint that could do nothing at all would never become warm by credits.
-constexpr double kLeastStartCapacity = 0.01;
+constexpr double kMinStartCapacity = 0.01;
 
 }  // namespace
 
@@ -19,10 +19,10 @@
   if (settings.classes.empty()) throw std::invalid_argument("settings without classes");
   if (settings.zone >= settings.zones) throw std::invalid_argument("own zone out of range");
   settings.resolution = std::max<Micros>(settings.resolution, 1);
-  settings.startCapacity = within(settings.startCapacity, kLeastStartCapacity, 1);
+  settings.startCapacity = within(settings.startCapacity, kMinStartCapacity, 1);
   for (RequestClass& cls : settings.classes) {
     for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) bound(*span);
-    cls.aimStretch = within(cls.aimStretch, 0, kMaxAimStretch);
+    cls.aimStretch = within(cls.aimStretch, 0, kMaxObjectiveStretch);
   }
   for (Micros* span : {&settings.askWithin, &settings.coldFor, &settings.idleClose, &settings.lookBack,
                        &settings.hangUpWithin}) {
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -26,7 +26,8 @@
 // these there can only be so many.
 ConcurrencyLimit::ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints)
     : settings_(settings), endpoints_(endpoints) {
-  const double part = std::min(1.0, kFewSidecars / std::min(1 / kBlindCount, 1.0 * settings.sidecars));
+  const double part =
+      std::min(1.0, kSmallFleet / std::min(1 / kMinInFlightPerEndpoint, 1.0 * settings.sidecars));
   startLimit_ = kStartLimit * part;
   limitGrowth_ = std::pow(part, 2);
 }
@@ -35,28 +36,29 @@
                               const EventContext& context) const {
   const bool answered = attempt.outcome == Outcome::Ok || attempt.outcome == Outcome::Error;
   if (!answered && attempt.outcome != Outcome::Full && attempt.outcome != Outcome::Timeout) return;
-  if (answered && !isSlow(endpoint, request, attempt.lag)) {
+  if (answered && !isSlow(endpoint, request, attempt.latency)) {
     // Guards against limits that grow in quiet times and let the next burst crowd everybody.
     if (endpoint.inFlight + 2 > endpoint.limit)
       endpoint.limit = std::min(kMaxLimit, endpoint.limit + std::min(1.0, limitGrowth_ / endpoint.limit));
-  } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kSpareCpu) {
+  } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kSpareCpuThreshold) {
     return;  // slow, but not crowded
   } else if (attempt.sentAt >= endpoint.limitCutAt) {
     endpoint.limit = std::max(kMinLimit, endpoint.limit * kLimitBackoff);
     endpoint.limitCutAt = context.now;
   }
-  if (endpoint.limit < 1 && !context.blind) {
+  if (endpoint.limit < 1 && !context.lacksLoadInformation) {
     // Guards against crowding by many sidecars at once, when one attempt from each is already too much.
-    const auto busy = static_cast<double>(std::max(attempt.lag, settings_.resolution));
-    rest(endpoint, std::min(busy * (1 / endpoint.limit - 1), 1.0 * kEjection), context);
+    const auto busy = static_cast<double>(std::max(attempt.latency, settings_.resolution));
+    backOff(endpoint, std::min(busy * (1 / endpoint.limit - 1), 1.0 * kBaseEjection), context);
   }
 }
 
 // Half of what is allowed scales with the request's hint of work.
-bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros lag) const {
+bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const {
   const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
-  const double line = kSlowPart * static_cast<double>(request.aim) * stretch * (1 + request.heaviness) / 2;
-  return static_cast<double>(lag - endpoint.shortestLag) > line;
+  const double line = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
+                      (1 + request.relativeWork) / 2;
+  return static_cast<double>(latency - endpoint.minLatency) > line;
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -15,13 +15,13 @@
 /// An attempt that has its outcome. Times are microseconds.
 struct FinishedAttempt {
   Micros sentAt = 0;
-  Micros lag = 0;  ///< from its sending to the outcome, less what the client's own pace took
+  Micros latency = 0;  ///< from its sending to the outcome, less what the client's own pace took
   Outcome outcome = Outcome::Ok;
 };
 
 /// How many attempts of this sidecar an endpoint may have in flight. Guards against crowding: each sidecar
-/// sees only its own part of an endpoint's queue, but refusals and slow answers reach them all, and all give
-/// way (additive increase, multiplicative decrease).
+/// sees only its own part of an endpoint's queue, but rejectionsInRow and slow answers reach them all, and
+/// all give way (additive increase, multiplicative decrease).
 class ConcurrencyLimit {
  public:
   /// Both must outlive it.
@@ -35,7 +35,7 @@
               const EventContext& context) const;
 
  private:
-  [[nodiscard]] bool isSlow(const Endpoint& endpoint, const Request& request, Micros lag) const;
+  [[nodiscard]] bool isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const;
 
   const Settings& settings_;
   const EndpointRegistry& endpoints_;
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -11,20 +11,20 @@
 // The home has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
 // least, so many a request out at most.
 constexpr double kUsesPerConnection = 4;
-constexpr double kMinHome = 4;
-constexpr double kHomePerInFlight = 4;
+constexpr double kMinSubsetSize = 4;
+constexpr double kSubsetSizePerInFlight = 4;
 
 }  // namespace
 
 // How many endpoints are worth a connection kept.
-double ConnectionSubset::homeSize(Micros now) const {
+double ConnectionSubset::targetSize(Micros now) const {
   const double used = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
-  const double inFlight = sendRate_.usualInFlight(latency_.calmLag(), now);
-  return std::max(kMinHome, std::min(used, kHomePerInFlight * inFlight));
+  const double inFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), now);
+  return std::max(kMinSubsetSize, std::min(used, kSubsetSizePerInFlight * inFlight));
 }
 
-bool ConnectionSubset::hasHome(Micros now) const {
-  return settings_.idleClose > 0 && homeSize(now) < static_cast<double>(endpoints_.listed().size());
+bool ConnectionSubset::isPartial(Micros now) const {
+  return settings_.idleClose > 0 && targetSize(now) < static_cast<double>(endpoints_.listed().size());
 }
 
 bool ConnectionSubset::isConnected(const Endpoint& endpoint, Micros now) const {
@@ -38,56 +38,56 @@
 }
 
 bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
-  const bool connects = !reuses(endpoint, now);
-  if (connects && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
-  return connects;
+  const bool needsConnection = !reuses(endpoint, now);
+  if (needsConnection && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
+  return needsConnection;
 }
 
 void ConnectionSubset::join(Endpoint& endpoint, Micros now) const {
-  if (settings_.idleClose > 0 && homeRoom(now) >= 1) endpoint.home = true;
+  if (settings_.idleClose > 0 && freeSlots(now) >= 1) endpoint.isInSubset = true;
 }
 
 // Guards against what died with all its connections: a reset, or the second failed connect in a row.
 void ConnectionSubset::learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome) {
   const bool failed = outcome == Outcome::ConnectFailed;
-  if (outcome == Outcome::Reset || (failed && endpoint.unreached)) endpoint.connections = 0;
-  endpoint.unreached = failed;
-  if (!attempt.connects || outcome == Outcome::Cancelled || outcome == Outcome::Timeout ||
+  if (outcome == Outcome::Reset || (failed && endpoint.hasConnectFailed)) endpoint.connections = 0;
+  endpoint.hasConnectFailed = failed;
+  if (!attempt.needsConnection || outcome == Outcome::Cancelled || outcome == Outcome::Timeout ||
       outcome == Outcome::Moot)
     return;
   if (!failed) ++endpoint.connections;
 }
 
 // How many more the home has room for.
-double ConnectionSubset::homeRoom(Micros now) const {
+double ConnectionSubset::freeSlots(Micros now) const {
   const auto& listed = endpoints_.listed();
-  return homeSize(now) -
+  return targetSize(now) -
          static_cast<double>(std::count_if(listed.begin(), listed.end(),
-                                           [this](UpstreamId id) { return endpoints_[id].home; }));
+                                           [this](UpstreamId id) { return endpoints_[id].isInSubset; }));
 }
 
-void ConnectionSubset::settle(Endpoint& endpoint, const Request& request, Outcome outcome, Micros lag,
-                              Micros now) const {
+void ConnectionSubset::leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome,
+                                    Micros latency, Micros now) const {
   if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
-  const double usual = latency_.typicalLag(request.requestClass) * request.heaviness;
-  const bool late = usual > 0 && static_cast<double>(lag) > kSilenceMultiple * usual;
-  if (outcome != Outcome::Ok || late || !endpoint.isListed || homeRoom(now) < 0) endpoint.home = false;
+  const double usual = latency_.typicalLatency(request.requestClass) * request.relativeWork;
+  const bool late = usual > 0 && static_cast<double>(latency) > kSilenceMultiple * usual;
+  if (outcome != Outcome::Ok || late || !endpoint.isListed || freeSlots(now) < 0) endpoint.isInSubset = false;
 }
 
 void ConnectionSubset::closeUnused(UpstreamId id, const EventContext& context) const {
-  if (endpoints_[id].inFlight > 0 || endpoints_[id].home || !hasHome(context.now)) return;
+  if (endpoints_[id].inFlight > 0 || endpoints_[id].isInSubset || !isPartial(context.now)) return;
   endpoints_[id].connections = 0;
   context.act(CloseIdle{id});
 }
 
-void ConnectionSubset::hangUp(UpstreamId id, const EventContext& context) const {
+void ConnectionSubset::closeDraining(UpstreamId id, const EventContext& context) const {
   if (settings_.hangUpWithin <= 0) return;
   context.act(CloseIdle{id});
   const Micros again = settings_.hangUpWithin - 2 * settings_.resolution;
-  if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::HangUp});
+  if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::CloseDraining});
 }
 
-void ConnectionSubset::hangUpAgain(UpstreamId id, const EventContext& context) const {
+void ConnectionSubset::closeDrainingAgain(UpstreamId id, const EventContext& context) const {
   if (!endpoints_[id].isListed) context.act(CloseIdle{id});
 }
 
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -23,7 +23,7 @@
       : settings_(settings), endpoints_(endpoints), sendRate_(sendRate), latency_(latency) {}
 
   /// Whether traffic is too little to use every endpoint's connection: the home is smaller than the list.
-  [[nodiscard]] bool hasHome(Micros now) const;
+  [[nodiscard]] bool isPartial(Micros now) const;
   /// Whether a connection to it stands open, as far as attempts have told.
   [[nodiscard]] bool isConnected(const Endpoint& endpoint, Micros now) const;
 
@@ -34,8 +34,9 @@
   void join(Endpoint& endpoint, Micros now) const;
   /// Learns from the outcome of an attempt which connections are open.
   static void learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome);
-  /// An endpoint that did not answer well, after `lag` microseconds, leaves the home.
-  void settle(Endpoint& endpoint, const Request& request, Outcome outcome, Micros lag, Micros now) const;
+  /// An endpoint that did not answer well, after `latency` microseconds, leaves the home.
+  void leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome, Micros latency,
+                    Micros now) const;
 
   /// Guards against connections that many sidecars with little traffic keep open to no use: they fill the
   /// endpoints' tables. One that will idle out before its next use is closed at once.
@@ -43,14 +44,14 @@
   /// Guards against idle connections that hold up a drain: they are closed at the notice, at each outcome
   /// there, and once more shortly before the time is up (Settings::hangUpWithin): some become idle without an
   /// outcome.
-  void hangUp(UpstreamId id, const EventContext& context) const;
+  void closeDraining(UpstreamId id, const EventContext& context) const;
   /// That time is nearly up.
-  void hangUpAgain(UpstreamId id, const EventContext& context) const;
+  void closeDrainingAgain(UpstreamId id, const EventContext& context) const;
 
  private:
   [[nodiscard]] bool reuses(const Endpoint& endpoint, Micros now) const;
-  [[nodiscard]] double homeSize(Micros now) const;
-  [[nodiscard]] double homeRoom(Micros now) const;
+  [[nodiscard]] double targetSize(Micros now) const;
+  [[nodiscard]] double freeSlots(Micros now) const;
 
   const Settings& settings_;
   EndpointRegistry& endpoints_;
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -14,15 +14,15 @@
 /// A moment at which the balancer has something to do without an event from outside.
 struct Wake {
   enum class What {
-    Deadline,   ///< a request's deadline passes
-    Hold,       ///< a request is no longer worth holding
-    Look,       ///< the answer of a health check is overdue
-    Ready,      ///< an endpoint may be ready again: held requests are served after every event
-    Discovery,  ///< the endpoint list is asked for
-    HangUp,     ///< connections to a draining endpoint are closed once more
+    Deadline,       ///< a request's deadline passes
+    Hold,           ///< a request is no longer worth holding
+    ProbeTimeout,   ///< the answer of a health check is overdue
+    Ready,          ///< an endpoint may be ready again: held requests are served after every event
+    Discovery,      ///< the endpoint list is pollWithin for
+    CloseDraining,  ///< connections to a draining endpoint are closed once more
   };
   Micros at = 0;
-  RequestId request = 0;  ///< or the endpoint's id, for HangUp; 0 where there is none
+  RequestId request = 0;  ///< or the endpoint's id, for CloseDraining; 0 where there is none
   What what = What::Deadline;
   bool operator>(const Wake& other) const { return at > other.at; }
 };
--- a/src/balancer/decay.h
+++ b/src/balancer/decay.h
@@ -10,7 +10,7 @@
 
 /// The part that a memory of `memory` microseconds keeps at `now` of what was learned at `at`: 1 at once, 1/e
 /// after `memory`.
-[[nodiscard]] inline double kept(Micros at, double memory, Micros now) {
+[[nodiscard]] inline double retainedFraction(Micros at, double memory, Micros now) {
   return std::exp(-static_cast<double>(now - at) / memory);
 }
 
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -17,43 +17,44 @@
 constexpr double kDiscoveryLongest = 0.25;
 constexpr double kSpreadLongest = 1.5;
 // askWithin counts for at least so many steps of the clock.
-constexpr Micros kLeastSteps = 32;
+constexpr Micros kMinSteps = 32;
 
 }  // namespace
 
 void DiscoveryPolling::start(const EventContext& context) {
   const double phase = static_cast<double>(settings_.sidecar % settings_.sidecars) / settings_.sidecars;
   if (phase * spread() > 0) {
-    askLater(phase * spread(), context);
+    pollLater(phase * spread(), context);
   } else {
-    ask(context);
+    poll(context);
   }
 }
 
 void DiscoveryPolling::callFailed(const EventContext& context) {
-  const auto asked = static_cast<double>(std::max(settings_.askWithin, kLeastSteps * settings_.resolution));
-  const double base = std::max(asked * kDiscoveryRetry, spread() * kSpreadRetry);
-  const double longest = std::max(asked * kDiscoveryLongest, spread() * kSpreadLongest);
+  const auto pollWithin =
+      static_cast<double>(std::max(settings_.askWithin, kMinSteps * settings_.resolution));
+  const double base = std::max(pollWithin * kDiscoveryRetry, spread() * kSpreadRetry);
+  const double longest = std::max(pollWithin * kDiscoveryLongest, spread() * kSpreadLongest);
   if (!wait_.waits()) context.act(Log{"discovery lost: deciding on the last list"});
-  askLater(wait_.next(base, std::max(base, longest), context.random.uniform()), context);
+  pollLater(wait_.next(base, std::max(base, longest), context.random.uniform()), context);
 }
 
-void DiscoveryPolling::listCame(const EventContext& context) {
+void DiscoveryPolling::listReceived(const EventContext& context) {
   if (wait_.waits()) context.act(Log{"discovery is back"});
   wait_.reset();
 }
 
 double DiscoveryPolling::spread() const {
-  if (!settings_.mustSubscribe || settings_.sidecars <= kFewSidecars) return 0;
+  if (!settings_.mustSubscribe || settings_.sidecars <= kSmallFleet) return 0;
   return std::min(kDiscoverySpread * static_cast<double>(settings_.askWithin),
                   kFleetCallGap * settings_.sidecars);
 }
 
-void DiscoveryPolling::askLater(double delay, const EventContext& context) {
+void DiscoveryPolling::pollLater(double delay, const EventContext& context) {
   context.deadlines.push({context.now + static_cast<Micros>(delay), 0, Wake::What::Discovery});
 }
 
-void DiscoveryPolling::ask(const EventContext& context) const {
+void DiscoveryPolling::poll(const EventContext& context) const {
   if (settings_.mustSubscribe) {
     context.act(Subscribe{});
   } else {
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -8,8 +8,8 @@
 
 namespace orchiddrum::internal {
 
-/// When discovery is asked for the endpoint list: at the start, and again after calls that failed, spread so
-/// that a fleet which starts or loses discovery together does not ask together.
+/// When discovery is pollWithin for the endpoint list: at the start, and again after calls that failed,
+/// spread so that a fleet which starts or loses discovery together does not ask together.
 class DiscoveryPolling {
  public:
   /// `settings` must outlive it.
@@ -20,13 +20,13 @@
   /// A call failed: the next one comes after a backoff with decorrelated jitter.
   void callFailed(const EventContext& context);
   /// A list has come.
-  void listCame(const EventContext& context);
+  void listReceived(const EventContext& context);
   /// Asks now: Subscribe where changes come only so (Settings::mustSubscribe), else Fetch.
-  void ask(const EventContext& context) const;
+  void poll(const EventContext& context) const;
 
  private:
   [[nodiscard]] double spread() const;
-  static void askLater(double delay, const EventContext& context);
+  static void pollLater(double delay, const EventContext& context);
 
   const Settings& settings_;
   DecorrelatedJitter wait_;
--- a/src/balancer/endpoint_backoff.cpp
+++ b/src/balancer/endpoint_backoff.cpp
@@ -6,15 +6,16 @@
 
 namespace orchiddrum::internal {
 
-void rest(Endpoint& endpoint, double span, const EventContext& context) {
-  endpoint.pausedUntil = std::max(endpoint.pausedUntil, context.now + static_cast<Micros>(span));
-  context.deadlines.push({endpoint.pausedUntil, 0, Wake::What::Ready});
+void backOff(Endpoint& endpoint, double span, const EventContext& context) {
+  endpoint.backoffUntil = std::max(endpoint.backoffUntil, context.now + static_cast<Micros>(span));
+  context.deadlines.push({endpoint.backoffUntil, 0, Wake::What::Ready});
 }
 
-void pause(Endpoint& endpoint, Micros serviceTime, Micros resolution, const EventContext& context) {
+void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
+                          const EventContext& context) {
   const double wait = static_cast<double>(std::max(serviceTime, resolution)) *
-                      std::exp2(std::min(endpoint.refusals++, kMaxEjectionDoublings));
-  rest(endpoint, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kEjection), context);
+                      std::exp2(std::min(endpoint.rejectionsInRow++, kMaxEjectionDoublings));
+  backOff(endpoint, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kBaseEjection), context);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -24,7 +24,7 @@
 
   [[nodiscard]] bool isReady(const Endpoint& endpoint, Micros now) const {
     if (!endpoint.isListed || !slowStart_.hasCredit(endpoint, now)) return false;
-    if (now < endpoint.ejectedUntil || now < endpoint.pausedUntil) return false;
+    if (now < endpoint.ejectedUntil || now < endpoint.backoffUntil) return false;
     if (endpoint.isHalfOpen && (endpoint.inFlight > 0 || !mayBeTried(endpoint, now))) return false;
     if (isSilent(endpoint, now)) return false;
     return endpoint.inFlight == 0 || static_cast<double>(endpoint.inFlight) + 1 <= endpoint.limit;
@@ -33,7 +33,7 @@
   /// It takes requests and answers none: no time-out has come yet, but the others would have answered by now.
   [[nodiscard]] bool isSilent(const Endpoint& endpoint, Micros now) const {
     return endpoint.inFlight > 0 &&
-           static_cast<double>(now - endpoint.lastOutcomeAt) > kSilenceMultiple * latency_.overallLag();
+           static_cast<double>(now - endpoint.lastOutcomeAt) > kSilenceMultiple * latency_.overallLatency();
   }
 
   /// Whether one that is out may get a trial of this sidecar. Guards against trials by all sidecars at once:
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -41,17 +41,17 @@
   // LatencyStatistics
   double logSlowness = 0;  ///< smoothed, of answer times against the usual of their class
   Micros slownessAt = 0;
-  Micros shortestLag = std::numeric_limits<Micros>::max();  ///< of its answers
+  Micros minLatency = std::numeric_limits<Micros>::max();  ///< of its answers
 
   // LoadReports
-  bool reported = false;           ///< ever, what it has in hand
+  bool hasReported = false;        ///< ever, what it has in hand
   std::optional<double> cpuShare;  ///< as it last reported, 0 to 1
 
   // ConcurrencyLimit and endpoint_backoff.h
-  double limit = 1;        ///< of inFlight
-  Micros limitCutAt = 0;   ///< attempts sent before this do not cut the limit again
-  Micros pausedUntil = 0;  ///< resting, by a refusal or a limit under one
-  int refusals = 0;        ///< in a row
+  double limit = 1;         ///< of inFlight
+  Micros limitCutAt = 0;    ///< attempts sent before this do not cut the limit again
+  Micros backoffUntil = 0;  ///< resting, by a refusal or a limit under one
+  int rejectionsInRow = 0;  ///< in a row
 
   // OutlierDetection
   double failureRate = 0;  ///< smoothed, of answers and failures, 0 to 1
@@ -65,8 +65,8 @@
 
   // ConnectionSubset
   std::uint32_t connections = 0;  ///< that stand open, as far as attempts have told
-  bool unreached = false;         ///< the last outcome was a failed connect
-  bool home = false;              ///< a connection to it is worth keeping
+  bool hasConnectFailed = false;  ///< the last outcome was a failed connect
+  bool isInSubset = false;        ///< a connection to it is worth keeping
 };
 
 /// The endpoints by id, and those of the current list that serve.
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -14,17 +14,17 @@
 // Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
 constexpr double kCrossZoneOdds = 0.25;
 // All endpoints away from home together keep this share of the draws, so that better ones are found.
-constexpr double kAwayShare = 0.02;
+constexpr double kOutsideShare = 0.02;
 
 }  // namespace
 
-const std::vector<UpstreamId>& EndpointSelection::eligible(const Request& request, const Permission& may,
+const std::vector<UpstreamId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
                                                            Micros now) {
   eligible_.clear();
-  if (!may.send) return eligible_;
+  if (!allowed.send) return eligible_;
   for (const UpstreamId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    if (readiness_.isReady(endpoint, now) && retryPolicy_.mayGoTo(id, endpoint, request, may, now))
+    if (readiness_.isReady(endpoint, now) && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now))
       eligible_.push_back(id);
   }
   // A repeat goes to an endpoint that this request has not met, as long as there is one.
@@ -37,14 +37,14 @@
   return eligible_;
 }
 
-const std::vector<UpstreamId>& EndpointSelection::lastResort(const Request& request, const Permission& may,
-                                                             Micros now) {
+const std::vector<UpstreamId>& EndpointSelection::lastResort(const Request& request,
+                                                             const Permission& allowed, Micros now) {
   eligible_.clear();
   for (const UpstreamId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
                       EndpointReadiness::mayBeTried(endpoint, now);
-    if (free && retryPolicy_.mayGoTo(id, endpoint, request, may, now)) eligible_.push_back(id);
+    if (free && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now)) eligible_.push_back(id);
   }
   return eligible_;
 }
@@ -53,7 +53,7 @@
 // spare, the less it is preferred.
 double EndpointSelection::zoneOdds(const Endpoint& endpoint) const {
   if (settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone) return 1;
-  return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpu)));
+  return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpuThreshold)));
 }
 
 // How well an endpoint suits a request, around one. It follows the registered size: at zero counts the
@@ -61,7 +61,7 @@
 // ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
 double EndpointSelection::suitability(const Request& request, const Endpoint& endpoint, Micros now) const {
   const double speed = endpoint.size / endpoints_.meanSize() / std::sqrt(slowness(endpoint, now));
-  double bend = std::pow(speed, std::sqrt(request.heaviness));
+  double bend = std::pow(speed, std::sqrt(request.relativeWork));
   bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
   return bend * zoneOdds(endpoint);
 }
@@ -70,22 +70,25 @@
                                    const EventContext& context) {
   const Micros now = context.now;
   odds_.clear();
-  double home = 0;
-  double away = 0;
+  double inside = 0;
+  double outside = 0;
   for (const UpstreamId id : eligible) {
     const Endpoint& endpoint = endpoints_[id];
     odds_.push_back(suitability(request, endpoint, now));
-    if (slowStart_.capacityFraction(endpoint, now) >= 1) (endpoint.home ? home : away) += odds_.back();
+    if (slowStart_.capacityFraction(endpoint, now) >= 1)
+      (endpoint.isInSubset ? inside : outside) += odds_.back();
   }
-  const bool apart = home > 0 && away > 0 && subset_.hasHome(now);
-  const double cut = apart ? std::min(1.0, kAwayShare / (1 - kAwayShare) * home / away) : 1;
-  const double warming = kWarmingOdds * (home + away * cut);
+  const bool isDivided = inside > 0 && outside > 0 && subset_.isPartial(now);
+  const double outsideFactor =
+      isDivided ? std::min(1.0, kOutsideShare / (1 - kOutsideShare) * inside / outside) : 1;
+  const double warming = kWarmingOdds * (inside + outside * outsideFactor);
   double sum = 0;
   for (std::size_t n = 0; n < eligible.size(); ++n) {
     const Endpoint& endpoint = endpoints_[eligible[n]];
     const bool isDue = slowStart_.capacityFraction(endpoint, now) < 1 ||
                        (endpoint.isHalfOpen && now < endpoint.notifiedUntil);
-    sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint)) : odds_[n] * (endpoint.home ? 1 : cut);
+    sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint))
+                 : odds_[n] * (endpoint.isInSubset ? 1 : outsideFactor);
     odds_[n] = sum;
   }
   const auto at =
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -36,11 +36,11 @@
 
   /// The ready endpoints that the rules allow the request; those it has not met, as long as there is one.
   /// @return a list that is valid until the next call of eligible() or lastResort()
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may, Micros now);
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
   /// Ejected endpoints that answer at all, are free, and that the rules allow the request.
   /// @return as eligible()
-  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& may, Micros now);
+  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& allowed, Micros now);
 
   /// One of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
   UpstreamId pick(const std::vector<UpstreamId>& eligible, const Request& request,
--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -14,8 +14,8 @@
 /// What every decision about one event shares. No part of the module has a clock or random numbers of its
 /// own.
 struct EventContext {
-  Micros now;  ///< the time of the event, in microseconds
-  bool blind;  ///< own requests in flight tell nothing of the endpoints' load
+  Micros now;                 ///< the time of the event, in microseconds
+  bool lacksLoadInformation;  ///< own requests in flight tell nothing of the endpoints' load
   std::vector<Action>&
       actions;  ///< the caller's buffer; actions are appended in the order they are to be done
   RandomSource& random;
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -13,14 +13,14 @@
 
 // So many looks a request at most, none beyond what costs this part of its worth, and one is given up after
 // so many times the usual time of a look.
-constexpr double kMaxLookPrice = 0.016;
-constexpr double kMaxLooks = 4;
-constexpr double kLookPatience = 4;
+constexpr double kMaxProbePrice = 0.016;
+constexpr double kMaxProbes = 4;
+constexpr double kProbeTimeoutMultiple = 4;
 // A price below it counts as this much.
-constexpr double kLeastPrice = 1e-9;
+constexpr double kMinPrice = 1e-9;
 
 // Requests in hand for the endpoint's size; -1 where the result tells none.
-double busyOf(const ProbeResult& event, const Endpoint& endpoint) {
+double requestsInHand(const ProbeResult& event, const Endpoint& endpoint) {
   return event.report ? event.report->busyRequests.value_or(-1) / endpoint.size : -1;
 }
 
@@ -32,78 +32,83 @@
       endpoints_(endpoints),
       loadReports_(loadReports),
       priority_(priority),
-      looks_(settings.mayProbe && settings.reportsBusy && settings.probePrice <= kMaxLookPrice),
-      lookLag_(std::max<std::uint32_t>(1, settings.zones)) {}
-
-bool HealthCheck::mayLook(const Request& request, const ReducedService& reduced,
-                          const EventContext& context) {
-  if (!looks_ || !context.blind || request.looks >= looksFor(request, settings_.probePrice)) return false;
-  lookCredit_ = std::min(1.0, lookCredit_ + reduced.probes);
-  if (lookCredit_ < 1) return false;
-  lookCredit_ -= reduced.probes < 1 ? 1 : 0;
+      isEnabled_(settings.mayProbe && settings.reportsBusy && settings.probePrice <= kMaxProbePrice),
+      probeLatency_(std::max<std::uint32_t>(1, settings.zones)) {}
+
+bool HealthCheck::shouldProbe(const Request& request, const ReducedService& reduced,
+                              const EventContext& context) {
+  if (!isEnabled_ || !context.lacksLoadInformation ||
+      request.probes >= maxProbes(request, settings_.probePrice))
+    return false;
+  probeCredit_ = std::min(1.0, probeCredit_ + reduced.probes);
+  if (probeCredit_ < 1) return false;
+  probeCredit_ -= reduced.probes < 1 ? 1 : 0;
   return true;
 }
 
 // How long a look at this endpoint is waited for, by the usual time of one into its zone: another data
 // centre is far. Before one was answered from there it is what a connection may take.
-Micros HealthCheck::lookPatience(const Endpoint& endpoint) const {
-  const double usual = lookLag_[endpoint.zone];
-  const auto patience = usual > 0 ? static_cast<Micros>(kLookPatience * usual) : settings_.connectTimeout;
+Micros HealthCheck::probeTimeout(const Endpoint& endpoint) const {
+  const double usual = probeLatency_[endpoint.zone];
+  const auto patience =
+      usual > 0 ? static_cast<Micros>(kProbeTimeoutMultiple * usual) : settings_.connectTimeout;
   return std::max(patience, 2 * settings_.resolution);
 }
 
-void HealthCheck::look(RequestId id, Request& request, UpstreamId to, const EventContext& context) {
-  if (request.looks++ == 0) context.deadlines.push({request.holdUntil, id, Wake::What::Hold});
-  request.lookAt = to;
-  request.lookUntil = context.now + lookPatience(endpoints_[to]);
-  context.deadlines.push({request.lookUntil, id, Wake::What::Look});
-  looking_.push_back(id);
+void HealthCheck::startProbe(RequestId id, Request& request, UpstreamId to, const EventContext& context) {
+  if (request.probes++ == 0) context.deadlines.push({request.holdUntil, id, Wake::What::Hold});
+  request.probedEndpoint = to;
+  request.probeDeadline = context.now + probeTimeout(endpoints_[to]);
+  context.deadlines.push({request.probeDeadline, id, Wake::What::ProbeTimeout});
+  waiting_.push_back(id);
   context.act(Probe{to});
 }
 
 void HealthCheck::learn(const ProbeResult& event) {
   Endpoint& endpoint = endpoints_[event.upstream];
-  double& lookLag = lookLag_[endpoint.zone];
-  smooth(lookLag, static_cast<double>(event.lag), lookLag > 0 ? kLagGain : 1);
+  double& probeLatency = probeLatency_[endpoint.zone];
+  smooth(probeLatency, static_cast<double>(event.lag), probeLatency > 0 ? kLatencyGain : 1);
   if (event.report) loadReports_.learn(endpoint, *event.report);
-  usualBefore_ = usualBusy_;
-  const double busy = busyOf(event, endpoint);
-  if (busy >= 0) smooth(usualBusy_, busy, usualBusy_ < 0 ? 1 : kLagGain);
+  previousUsualInHand_ = usualInHand_;
+  const double inHand = requestsInHand(event, endpoint);
+  if (inHand >= 0) smooth(usualInHand_, inHand, usualInHand_ < 0 ? 1 : kLatencyGain);
 }
 
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
   const Endpoint& endpoint = endpoints_[event.upstream];
-  const double busy = busyOf(event, endpoint);
+  const double inHand = requestsInHand(event, endpoint);
   // One that has no figures yet is not crowded for that: reports may be far between.
-  if (event.ok && !endpoint.reported) return Verdict::Room;
-  if (!event.ok || busy < 0 || loadReports_.isCrowded(request, endpoint, *event.report))
-    return Verdict::Crowded;
-  return usualBefore_ >= 0 && busy > usualBefore_ ? Verdict::Busier : Verdict::Room;
+  if (event.ok && !endpoint.hasReported) return Verdict::HasCapacity;
+  if (!event.ok || inHand < 0 || loadReports_.isOverloaded(request, endpoint, *event.report))
+    return Verdict::Overloaded;
+  return previousUsualInHand_ >= 0 && inHand > previousUsualInHand_ ? Verdict::BusierThanUsual
+                                                                    : Verdict::HasCapacity;
 }
 
-bool HealthCheck::picks(const Request& request, Verdict verdict) const {
-  if (verdict == Verdict::Room) return true;
-  return verdict == Verdict::Busier && request.looks >= looksFor(request, settings_.probePrice);
+bool HealthCheck::acceptsPick(const Request& request, Verdict verdict) const {
+  if (verdict == Verdict::HasCapacity) return true;
+  return verdict == Verdict::BusierThanUsual && request.probes >= maxProbes(request, settings_.probePrice);
 }
 
 // Guards against refusing for one crowded endpoint a request whose other looks have met room. One that is
 // only busier than usual is left out of this request's other looks.
-bool HealthCheck::passOver(Request& request, Verdict verdict, double typicalLag,
+bool HealthCheck::passOver(Request& request, Verdict verdict, double typicalLatency,
                            const EventContext& context) {
-  Endpoint& endpoint = endpoints_[request.lookAt];
-  if (verdict == Verdict::Busier) rest(endpoint, kMaxLooks * lookLag_[endpoint.zone], context);
-  if (verdict == Verdict::Crowded) {
-    rest(endpoint, typicalLag, context);
-    ++request.crowdedLooks;
+  Endpoint& endpoint = endpoints_[request.probedEndpoint];
+  if (verdict == Verdict::BusierThanUsual)
+    backOff(endpoint, kMaxProbes * probeLatency_[endpoint.zone], context);
+  if (verdict == Verdict::Overloaded) {
+    backOff(endpoint, typicalLatency, context);
+    ++request.overloadedProbes;
   }
-  return request.crowdedLooks >= looksFor(request, 0);
+  return request.overloadedProbes >= maxProbes(request, 0);
 }
 
 // The less a request is worth against the worthiest, the fewer looks at this price. When as many as are for
 // nothing find crowding, it gives way: fewer, where they are dear, prove nothing of the others.
-int HealthCheck::looksFor(const Request& request, double price) const {
-  const double looks = std::min(kMaxLooks, kMaxLookPrice / std::max(kLeastPrice, price));
-  return std::max(1, static_cast<int>(std::ceil(std::floor(looks) * priority_.relativeWorth(request))));
+int HealthCheck::maxProbes(const Request& request, double price) const {
+  const double probes = std::min(kMaxProbes, kMaxProbePrice / std::max(kMinPrice, price));
+  return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Weight in the calm average of an answer that is longer than it: a busy minute hardly moves it.
-constexpr double kCalmForgets = 0.003;
+constexpr double kBaselineRiseGain = 0.003;
 // Weight of one answer in an endpoint's slowness.
 constexpr double kSlownessGain = 0.1;
 
@@ -21,15 +21,16 @@
 
 }  // namespace
 
-void LatencyStatistics::learn(Endpoint& endpoint, const Request& request, Micros lag, Micros now) {
-  const auto span = static_cast<double>(lag);
-  double& usual = typicalLag_[request.requestClass];
-  if (usual > 0) learnSlowness(endpoint, span / usual / request.heaviness, now);
-  endpoint.shortestLag = std::min(endpoint.shortestLag, lag);
+void LatencyStatistics::learn(Endpoint& endpoint, const Request& request, Micros latency, Micros now) {
+  const auto span = static_cast<double>(latency);
+  double& usual = typicalLatency_[request.requestClass];
+  if (usual > 0) learnSlowness(endpoint, span / usual / request.relativeWork, now);
+  endpoint.minLatency = std::min(endpoint.minLatency, latency);
   ++answers_;
-  smooth(usual, span, std::max(kLagGain, 1.0 / ++classAnswers_[request.requestClass]));
-  smooth(overallLag_, span, std::max(kLagGain, 1.0 / answers_));
-  smooth(calmLag_, overallLag_, overallLag_ < calmLag_ ? std::max(kLagGain, 1.0 / answers_) : kCalmForgets);
+  smooth(usual, span, std::max(kLatencyGain, 1.0 / ++classAnswers_[request.requestClass]));
+  smooth(overallLatency_, span, std::max(kLatencyGain, 1.0 / answers_));
+  smooth(baselineLatency_, overallLatency_,
+         overallLatency_ < baselineLatency_ ? std::max(kLatencyGain, 1.0 / answers_) : kBaselineRiseGain);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/load_information.h
+++ b/src/balancer/load_information.h
@@ -12,18 +12,19 @@
 
 /// For so many sidecars or fewer each sees enough of the load: own requests in flight tell of the endpoints,
 /// a limit grows by one, and nobody needs to spread calls to discovery.
-constexpr double kFewSidecars = 4;
+constexpr double kSmallFleet = 4;
 
 /// A sidecar with fewer own requests in flight than this for each endpoint is without load information.
-constexpr double kBlindCount = 0.1;
+constexpr double kMinInFlightPerEndpoint = 0.1;
 
 /// Whether own counts tell nothing: others send too and hardly any endpoint has an own request in flight.
 /// Those that a jam keeps there do not count: they tell no more of the others.
-[[nodiscard]] inline bool seesLittle(const Settings& settings, const LatencyStatistics& latency,
-                                     const SendRate& sendRate, std::size_t listed, Micros now) {
-  if (settings.sidecars <= kFewSidecars) return false;
+[[nodiscard]] inline bool lacksLoadInformation(const Settings& settings, const LatencyStatistics& latency,
+                                               const SendRate& sendRate, std::size_t listed, Micros now) {
+  if (settings.sidecars <= kSmallFleet) return false;
   if (latency.answers() == 0) return true;
-  return sendRate.usualInFlight(latency.calmLag(), now) < kBlindCount * static_cast<double>(listed);
+  return sendRate.typicalInFlight(latency.baselineLatency(), now) <
+         kMinInFlightPerEndpoint * static_cast<double>(listed);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 // Crowded is one with more in hand than it works on at once and so many times the root of that, for chance.
-constexpr double kQueueing = 1;
+constexpr double kQueueingTolerance = 1;
 // Weights of a report that tells of fewer, and of more, requests worked on at once than thought: CPU shares
 // trail, so reports tell of far too many while load rises.
-constexpr double kAtOnceFalls = 0.1;
-constexpr double kAtOnceRises = 0.02;
+constexpr double kParallelismFallGain = 0.1;
+constexpr double kParallelismRiseGain = 0.02;
 // A CPU busier than this tells how many requests would fill it.
-constexpr double kTellingCpu = 0.3;
+constexpr double kInformativeCpu = 0.3;
 // Weight of one report in the own zone's CPU share.
 constexpr double kZoneCpuGain = 0.2;
 constexpr double kMicrosPerSecond = 1e6;
@@ -32,32 +32,32 @@
     if (endpoint.zone == settings_.zone) smooth(ownZoneCpu_, *endpoint.cpuShare, kZoneCpuGain);
   }
   if (!report.busyRequests) return;
-  endpoint.reported = true;
-  double atOnce = 0;
+  endpoint.hasReported = true;
+  double parallelism = 0;
   if (report.queued && *report.queued >= 1) {
-    atOnce = *report.busyRequests - *report.queued;
-  } else if (report.cpuShare && *report.cpuShare >= kSpareCpu) {
-    atOnce =
-        std::min(*report.busyRequests * latency_.calmLag() / latency_.overallLag(), atOnce_ * endpoint.size);
-  } else if (report.cpuShare && *report.cpuShare > kTellingCpu) {
-    atOnce = *report.busyRequests / *report.cpuShare;
+    parallelism = *report.busyRequests - *report.queued;
+  } else if (report.cpuShare && *report.cpuShare >= kSpareCpuThreshold) {
+    parallelism = std::min(*report.busyRequests * latency_.baselineLatency() / latency_.overallLatency(),
+                           parallelism_ * endpoint.size);
+  } else if (report.cpuShare && *report.cpuShare > kInformativeCpu) {
+    parallelism = *report.busyRequests / *report.cpuShare;
   }
-  atOnce /= endpoint.size;
-  if (!(atOnce > 0)) return;  // nothing, or not a number
-  const double known = atOnce < atOnce_ ? kAtOnceFalls : kAtOnceRises;
-  smooth(atOnce_, atOnce, atOnce_ <= 0 ? 1 : known);
+  parallelism /= endpoint.size;
+  if (!(parallelism > 0)) return;  // nothing, or not a number
+  const double known = parallelism < parallelism_ ? kParallelismFallGain : kParallelismRiseGain;
+  smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : known);
 }
 
-bool LoadReports::isCrowded(const Request& request, const Endpoint& endpoint,
-                            const LoadReport& report) const {
+bool LoadReports::isOverloaded(const Request& request, const Endpoint& endpoint,
+                               const LoadReport& report) const {
   const double busy = *report.busyRequests;
   // Little's law: what is in hand over what is served a second is the time that a request spends there.
   if (report.servedPerSecond) {
-    return busy >= 2 &&
-           busy * kMicrosPerSecond > *report.servedPerSecond * kSlowPart * static_cast<double>(request.aim);
+    return busy >= 2 && busy * kMicrosPerSecond > *report.servedPerSecond * kSlowFraction *
+                                                      static_cast<double>(request.latencyObjective);
   }
-  const double atOnce = atOnce_ * endpoint.size;
-  return atOnce > 0 && busy + 1 > atOnce + kQueueing * std::sqrt(atOnce);
+  const double parallelism = parallelism_ * endpoint.size;
+  return parallelism > 0 && busy + 1 > parallelism + kQueueingTolerance * std::sqrt(parallelism);
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -11,10 +11,10 @@
 
 /// An answer is slow that took more than this part of its aim beyond the shortest from that endpoint: what is
 /// lost to queueing then begins to cost the objective.
-constexpr double kSlowPart = 0.15;
+constexpr double kSlowFraction = 0.15;
 
 /// An endpoint that reports less of its CPU busy than this is not crowded, however slow an answer was.
-constexpr double kSpareCpu = 0.8;
+constexpr double kSpareCpuThreshold = 0.8;
 
 /// What endpoints report of their load, with answers or with probes.
 class LoadReports {
@@ -27,8 +27,8 @@
 
   /// Whether what the endpoint has in hand would take the request too long. The report must have
   /// busyRequests.
-  [[nodiscard]] bool isCrowded(const Request& request, const Endpoint& endpoint,
-                               const LoadReport& report) const;
+  [[nodiscard]] bool isOverloaded(const Request& request, const Endpoint& endpoint,
+                                  const LoadReport& report) const;
 
   /// Smoothed CPU share that endpoints of the own zone report, 0 to 1; 0 before the first.
   [[nodiscard]] double ownZoneCpu() const { return ownZoneCpu_; }
@@ -36,7 +36,8 @@
  private:
   const Settings& settings_;
   const LatencyStatistics& latency_;
-  double atOnce_ = 0;  // smoothed, of requests that an endpoint works on at once, for its size; 0: unknown
+  double parallelism_ =
+      0;  // smoothed, of requests that an endpoint works on at once, for its size; 0: unknown
   double ownZoneCpu_ = 0;
 };
 
--- a/src/balancer/load_shedding.cpp
+++ b/src/balancer/load_shedding.cpp
@@ -9,20 +9,20 @@
 
 void LoadShedding::hold(RequestId id, const Request& request, const EventContext& context) {
   held_.push_back(id);
-  context.deadlines.push({sidecarLimit_.restEnd(request), 0, Wake::What::Ready});
+  context.deadlines.push({sidecarLimit_.backoffEnd(request), 0, Wake::What::Ready});
   context.deadlines.push({request.holdUntil, id, Wake::What::Hold});
 }
 
-void LoadShedding::wakeAfterRest(const RequestTable& requests, const EventContext& context) const {
+void LoadShedding::wakeAfterBackoff(const RequestTable& requests, const EventContext& context) const {
   for (const RequestId id : held_)
-    context.deadlines.push({sidecarLimit_.restEnd(requests.at(id)), 0, Wake::What::Ready});
+    context.deadlines.push({sidecarLimit_.backoffEnd(requests.at(id)), 0, Wake::What::Ready});
 }
 
 // When what is out and what is held will be answered at the pace of now (Little's law), spread in time.
-Micros LoadShedding::comeBack(const EventContext& context) const {
+Micros LoadShedding::retryAfter(const EventContext& context) const {
   const auto most = static_cast<double>(settings_.retryAfter ? settings_.maxRetryAfter : 0);
-  const double wait = latency_.overallLag() *
-                      (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, sidecarLimit_.out()));
+  const double wait = latency_.overallLatency() *
+                      (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, sidecarLimit_.inFlight()));
   if (most < 1) return 0;
   return static_cast<Micros>(within(wait * (0.5 + context.random.uniform()), 1, most));
 }
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -32,19 +32,19 @@
   [[nodiscard]] std::size_t size() const { return held_.size(); }
 
   /// The sidecar rests: those held are looked at again when that ends for them.
-  void wakeAfterRest(const RequestTable& requests, const EventContext& context) const;
+  void wakeAfterBackoff(const RequestTable& requests, const EventContext& context) const;
 
   /// Takes off the worthiest of those held that `isServable(request)` says can go out now; none if none can.
   template <class IsServable>
   std::optional<RequestId> takeWorthiest(const RequestTable& requests, IsServable isServable) {
     auto next = held_.end();
-    double bestWorth = -1;
+    double bestWeight = -1;
     for (auto at = held_.end(); at-- != held_.begin();) {
       const Request& request = requests.at(*at);
-      const double worth = priority_.heldWorth(request);
-      if (worth <= bestWorth || !isServable(request)) continue;
+      const double weight = priority_.weight(request);
+      if (weight <= bestWeight || !isServable(request)) continue;
       next = at;
-      bestWorth = worth;
+      bestWeight = weight;
     }
     if (next == held_.end()) return std::nullopt;
     const RequestId id = *next;
@@ -54,7 +54,7 @@
 
   /// When a refused client may come back, in microseconds, up to Settings::maxRetryAfter; 0: no advice. Draws
   /// a random number where there is advice.
-  [[nodiscard]] Micros comeBack(const EventContext& context) const;
+  [[nodiscard]] Micros retryAfter(const EventContext& context) const;
 
  private:
   const Settings& settings_;
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -37,7 +37,7 @@
   smooth(fleetFailureRate_, failed, kFailureGain / listed);
   smooth(endpoint.failureRate, failed, kFailureGain);
   if (failed == 0) {
-    endpoint.refusals = 0;
+    endpoint.rejectionsInRow = 0;
     endpoint.lastServedAt = context.now;
   }
   if (endpoint.isHalfOpen && endpoint.failureRate < kFailureExcess / 2) {
@@ -46,10 +46,11 @@
     endpoint.ejectedUntil = context.now;
     context.act(Log{"upstream readmitted: " + std::to_string(id)});
   }
-  const bool bad = endpoint.failureRate > kFailureExcess + fleetFailureRate_;
-  if (failed > 0 && context.now >= endpoint.ejectedUntil && (endpoint.isHalfOpen || bad) &&
+  const bool isOutlier = endpoint.failureRate > kFailureExcess + fleetFailureRate_;
+  if (failed > 0 && context.now >= endpoint.ejectedUntil && (endpoint.isHalfOpen || isOutlier) &&
       !eject(id, kMaxEjected, context)) {
-    pause(endpoint, static_cast<Micros>(latency_.overallLag()), settings_.resolution, context);
+    backOffExponentially(endpoint, static_cast<Micros>(latency_.overallLatency()), settings_.resolution,
+                         context);
   }
 }
 
@@ -81,7 +82,7 @@
   const double others = static_cast<double>(out) - (endpoint.isHalfOpen ? 1 : 0);
   if (others + 1 > most * static_cast<double>(listed.size())) return false;
   const double wait =
-      static_cast<double>(kEjection) * std::exp2(std::min(endpoint.ejections, kMaxEjectionDoublings));
+      static_cast<double>(kBaseEjection) * std::exp2(std::min(endpoint.ejections, kMaxEjectionDoublings));
   // Jittered, so that sidecars which saw the same failure do not come back together.
   endpoint.ejectedUntil =
       context.now + static_cast<Micros>(wait * (kShortestEjection + context.random.uniform() / 2));
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -9,38 +9,38 @@
 namespace {
 
 // A request is never taken for worth less than this part of the worthiest.
-constexpr double kLeastWorth = 0.01;
+constexpr double kMinRelativeWeight = 0.01;
 // What a tenant has sent is remembered about this long, in microseconds.
 constexpr double kUsageMemory = 5e6;
 
 }  // namespace
 
-double Priority::heldWorth(const Request& request) const {
-  double worth = classWorth(request.requestClass) * request.timeliness;
+double Priority::weight(const Request& request) const {
+  double weight = classWeight(request.requestClass) * request.timeliness;
   if (request.tenant) {
     const double share = settings_.tenants[*request.tenant].share * totalUsage_;
     const double usage = tenantUsage_[*request.tenant];
-    if (usage > share) worth *= (share + (usage - share) * settings_.overShareWorth) / usage;
+    if (usage > share) weight *= (share + (usage - share) * settings_.overShareWorth) / usage;
   }
-  return worth;
+  return weight;
 }
 
-double Priority::relativeWorth(const Request& request) const {
+double Priority::relativeWeight(const Request& request) const {
   double most = 0;
-  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWorth(cls));
-  return within(heldWorth(request) / most, kLeastWorth, 1);
+  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWeight(cls));
+  return within(weight(request) / most, kMinRelativeWeight, 1);
 }
 
 // By the request, or by its time to an answer where worth does not go by work; a class not answered yet
 // takes the usual time.
-double Priority::classWorth(std::uint32_t cls) const {
-  const double typical = latency_.typicalLag(cls);
-  const double lag = typical > 0 ? typical : latency_.overallLag();
-  return settings_.classes[cls].value / (settings_.worthByWork ? 1 : std::max(1.0, lag));
+double Priority::classWeight(std::uint32_t cls) const {
+  const double typical = latency_.typicalLatency(cls);
+  const double latency = typical > 0 ? typical : latency_.overallLatency();
+  return settings_.classes[cls].value / (settings_.worthByWork ? 1 : std::max(1.0, latency));
 }
 
 void Priority::countUsage(const Request& request, Micros now) {
-  const double fade = kept(usageAt_, kUsageMemory, now);
+  const double fade = retainedFraction(usageAt_, kUsageMemory, now);
   usageAt_ = now;
   totalUsage_ *= fade;
   for (double& usage : tenantUsage_) usage *= fade;
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -23,12 +23,12 @@
   void countUsage(const Request& request, Micros now);
 
   /// In the unit of RequestClass::value, or that by microsecond of work (Settings::worthByWork).
-  [[nodiscard]] double heldWorth(const Request& request) const;
-  /// Against the worthiest class, from kLeastWorth to 1.
-  [[nodiscard]] double relativeWorth(const Request& request) const;
+  [[nodiscard]] double weight(const Request& request) const;
+  /// Against the worthiest class, from kMinRelativeWeight to 1.
+  [[nodiscard]] double relativeWeight(const Request& request) const;
 
  private:
-  [[nodiscard]] double classWorth(std::uint32_t cls) const;
+  [[nodiscard]] double classWeight(std::uint32_t cls) const;
 
   const Settings& settings_;
   const LatencyStatistics& latency_;
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -18,10 +18,10 @@
   std::uint32_t zone = 0;             ///< the endpoint's, at the time
   std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
   Micros sentAt = 0;
-  bool out = true;
-  bool counted = true;     ///< among those in flight
-  bool connects = false;   ///< needs a new connection
-  bool mayHaveRun = true;  ///< until an outcome proves otherwise
+  bool isPending = true;
+  bool isCounted = true;         ///< among those in flight
+  bool needsConnection = false;  ///< needs a new connection
+  bool mayHaveRun = true;        ///< until an outcome proves otherwise
 };
 
 /// A request from its arrival until it has its final answer and none of its attempts is out. Times are
@@ -29,21 +29,21 @@
 struct Request {
   std::uint32_t requestClass = 0;
   std::optional<std::uint32_t> tenant;
-  double timeliness = 1;  ///< part of its worth that an answer may still earn, as far as can be told
-  double heaviness = 1;   ///< its expected work against the usual of its class
-  Micros aim = 0;
+  double timeliness = 1;    ///< part of its worth that an answer may still earn, as far as can be told
+  double relativeWork = 1;  ///< its expected work against the usual of its class
+  Micros latencyObjective = 0;
   Micros deadline = 0;
-  Micros holdUntil = 0;             ///< not worth holding any longer
-  UpstreamId lookAt = kNoEndpoint;  ///< waits for a look at this endpoint
-  Micros lookUntil = 0;
-  int looks = 0;
-  int crowdedLooks = 0;
+  Micros holdUntil = 0;                     ///< not worth holding any longer
+  UpstreamId probedEndpoint = kNoEndpoint;  ///< waits for a look at this endpoint
+  Micros probeDeadline = 0;
+  int probes = 0;
+  int overloadedProbes = 0;
   std::vector<Attempt> attempts;
-  std::uint32_t out = 0;   ///< attempts without an outcome
-  bool over = false;       ///< it has its final answer, or the client has left
-  bool streaming = false;  ///< an attempt is the client's now
-  bool spent = false;      ///< the body can't be sent again
-  bool earned = false;     ///< cold endpoints have had their credit for it
+  std::uint32_t pendingAttempts = 0;  ///< attempts without an outcome
+  bool isFinished = false;            ///< it has its final answer, or the client has left
+  bool isStreaming = false;           ///< an attempt is the client's now
+  bool isBodySpent = false;           ///< the body can't be sent again
+  bool hasEarnedCredit = false;       ///< cold endpoints have had their credit for it
 };
 
 /// The requests that are open or have an attempt out, by id: looked up only, never iterated, so their order
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 // A request is never taken for this many times heavier or lighter than its class: hints of work are rough.
-constexpr double kMaxHeaviness = 4;
+constexpr double kMaxRelativeWork = 4;
 // A try this much shorter than its class's usual one was cut short by what the client has waited already.
-constexpr double kCutTry = 0.9;
+constexpr double kShortenedAttempt = 0.9;
 
 }  // namespace
 
@@ -20,14 +20,14 @@
   Request request;
   request.requestClass = event.requestClass;
   request.tenant = event.tenant;
-  request.aim = aimOf(event);
-  request.heaviness = heaviness(event);
-  request.timeliness = timeliness(event, request.aim);
+  request.latencyObjective = latencyObjectiveOf(event);
+  request.relativeWork = relativeWork(event);
+  request.timeliness = timeliness(event, request.latencyObjective);
   request.deadline = now + std::clamp<Micros>(event.expiresIn, 0, kLongest);
   return request;
 }
 
-Micros RequestEstimates::aimOf(const NewRequest& event) const {
+Micros RequestEstimates::latencyObjectiveOf(const NewRequest& event) const {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const double stretch = cls.aimStretch * static_cast<double>(std::max<Micros>(0, event.work.value_or(0)));
   const auto room = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.aim));
@@ -35,26 +35,26 @@
 }
 
 // How heavy a request is within its class, where it brings a hint of its work.
-double RequestEstimates::heaviness(const NewRequest& event) {
+double RequestEstimates::relativeWork(const NewRequest& event) {
   if (!event.work || *event.work <= 0) return 1;
   const auto work = static_cast<double>(*event.work);
   double& usual = typicalWork_[event.requestClass];
-  smooth(usual, work, usual > 0 ? kLagGain : 1);
-  return std::clamp(work / usual, 1 / kMaxHeaviness, kMaxHeaviness);
+  smooth(usual, work, usual > 0 ? kLatencyGain : 1);
+  return std::clamp(work / usual, 1 / kMaxRelativeWork, kMaxRelativeWork);
 }
 
 // Guards against repeats of clients that take the place of fresh requests though their aim is gone. A try
 // cut short by the client's deadline tells how much has passed; of one that is only marked as a repeat
 // nobody knows, so it counts half way between in time and late.
-double RequestEstimates::timeliness(const NewRequest& event, Micros aim) {
+double RequestEstimates::timeliness(const NewRequest& event, Micros latencyObjective) {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const auto span = static_cast<double>(event.expiresIn);
-  double& usual = typicalTry_[event.requestClass];
-  smooth(usual, span, kLagGain);
+  double& usual = typicalPatience_[event.requestClass];
+  smooth(usual, span, kLatencyGain);
   usual = std::max(span, usual);
-  const bool cut = span < kCutTry * usual;
-  if (cut && cls.deadline - event.expiresIn >= aim) return cls.lateWorth;
-  return cut || event.resent ? (1 + cls.lateWorth) / 2 : 1;
+  const bool isShortened = span < kShortenedAttempt * usual;
+  if (isShortened && cls.deadline - event.expiresIn >= latencyObjective) return cls.lateWorth;
+  return isShortened || event.resent ? (1 + cls.lateWorth) / 2 : 1;
 }
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/request_estimates.h
+++ b/src/balancer/request_estimates.h
@@ -14,18 +14,21 @@
  public:
   /// `settings` must outlive it.
   explicit RequestEstimates(const Settings& settings)
-      : settings_(settings), typicalTry_(settings.classes.size()), typicalWork_(settings.classes.size()) {}
+      : settings_(settings),
+        typicalPatience_(settings.classes.size()),
+        typicalWork_(settings.classes.size()) {}
 
   /// The record of a request that arrives at `now`, with its deadline, and learns from it.
   Request arrive(const NewRequest& event, Micros now);
 
  private:
-  [[nodiscard]] Micros aimOf(const NewRequest& event) const;
-  double heaviness(const NewRequest& event);
-  double timeliness(const NewRequest& event, Micros aim);
+  [[nodiscard]] Micros latencyObjectiveOf(const NewRequest& event) const;
+  double relativeWork(const NewRequest& event);
+  double timeliness(const NewRequest& event, Micros latencyObjective);
 
   const Settings& settings_;
-  std::vector<double> typicalTry_;   // time that clients give a try, by class: the longest, slowly forgotten
+  std::vector<double>
+      typicalPatience_;              // time that clients give a try, by class: the longest, slowly forgotten
   std::vector<double> typicalWork_;  // smoothed hint of work, by class
 };
 
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -20,7 +20,7 @@
 class RequestLifecycle {
  public:
   /// `decisions` must outlive it.
-  explicit RequestLifecycle(Decisions& decisions) : d_(decisions) {}
+  explicit RequestLifecycle(Decisions& decisions) : decisions_(decisions) {}
 
   /// @throws std::invalid_argument for an event that names what the settings or the open requests do not have
   void validate(const NewRequest& event) const;
@@ -45,15 +45,15 @@
 
  private:
   [[nodiscard]] Permission permission(const Request& request, const EventContext& context);
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may,
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed,
                                           const EventContext& context);
   void dispatch(RequestId id, Request& request, const EventContext& context);
-  void giveUp(RequestId id, Request& request, const EventContext& context);
+  void attemptLastResort(RequestId id, Request& request, const EventContext& context);
   void send(RequestId id, Request& request, UpstreamId to, const EventContext& context);
-  void endLook(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
+  void finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
   void answer(RequestId id, Request& request, const EventContext& context);
   void close(RequestId id, Request& request, const EventContext& context);
-  void cancelAllBut(std::uint32_t kept, RequestId id, const Request& request,
+  void cancelAllBut(std::uint32_t survivor, RequestId id, const Request& request,
                     const EventContext& context) const;
   void leaveCount(Attempt& attempt);
   void learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
@@ -61,7 +61,7 @@
   void learnConnections(const Request& request, const Attempt& attempt, const FinishedAttempt& finished,
                         bool isOtherwiseConnected, const EventContext& context);
 
-  Decisions& d_;
+  Decisions& decisions_;
   RequestTable requests_;
   std::size_t open_ = 0;
 };
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -40,32 +40,33 @@
 }
 
 Permission RetryPolicy::permission(const Request& request, const ReducedService& reduced, Micros now) {
-  Permission may;
-  if (request.over || request.streaming) return may;
+  Permission allowed;
+  if (request.isFinished || request.isStreaming) return allowed;
   const RequestClass& cls = settings_.classes[request.requestClass];
   const auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.mayHaveRun; });
-  may.fail = true;
-  may.send = now < request.deadline && !request.spent && request.attempts.size() < settings_.maxAttempts &&
-             (request.out == 0 || (settings_.secondCopies && reduced.secondCopies)) &&
-             (!isCharged(request) || budget_.left(now));
+  allowed.fail = true;
+  allowed.send = now < request.deadline && !request.isBodySpent &&
+                 request.attempts.size() < settings_.maxAttempts &&
+                 (request.pendingAttempts == 0 || (settings_.secondCopies && reduced.secondCopies)) &&
+                 (!isCharged(request) || budget_.left(now));
   if (first == request.attempts.end() || cls.semantics == Semantics::Idempotent) {
-    may.refuse = true;
+    allowed.refuse = true;
   } else if (cls.semantics == Semantics::Unsafe) {
-    may.send = false;
+    allowed.send = false;
   } else {
     // Strictly inside the window, one step of the clock early: the endpoint's clock starts with our send.
     const bool inWindow = now + settings_.resolution < first->sentAt + cls.repeatWindow;
-    may.send = may.send && inWindow;
-    may.anchor = &*first;
+    allowed.send = allowed.send && inWindow;
+    allowed.anchor = &*first;
     // A refusal invites the client to send again to any endpoint, so it needs the widest group, and time.
-    may.refuse = cls.group == RepeatGroup::All && inWindow;
+    allowed.refuse = cls.group == RepeatGroup::All && inWindow;
   }
-  return may;
+  return allowed;
 }
 
 // Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
-// lets those go freely that follow attempts which never ran, since refusals cost little.
+// lets those go freely that follow attempts which never ran, since rejectionsInRow cost little.
 bool RetryPolicy::isCharged(const Request& request) const {
   return budget_.isStated() ? !request.attempts.empty()
                             : std::any_of(request.attempts.begin(), request.attempts.end(),
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -69,10 +69,10 @@
   /// The rules on where it may go: no draining or gone endpoint, no cold one beyond its credit, no other
   /// repeat group.
   [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
-                             const Permission& may, Micros now) const {
-    return may.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
-           (may.anchor == nullptr ||
-            inGroup(settings_.classes[request.requestClass].group, *may.anchor, endpoint, id));
+                             const Permission& allowed, Micros now) const {
+    return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
+           (allowed.anchor == nullptr ||
+            inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id));
   }
 
   /// A request was taken.
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -18,7 +18,7 @@
         sendsAt_(startedAt) {}
 
   void count(Micros now) {
-    sends_ = 1 + sends_ * kept(sendsAt_, idleTime_, now);
+    sends_ = 1 + sends_ * retainedFraction(sendsAt_, idleTime_, now);
     sendsAt_ = now;
   }
 
@@ -26,12 +26,12 @@
   /// start is scaled up to the whole of that time.
   [[nodiscard]] double sendsInIdleTime(Micros now) const {
     const double seen = 1 - std::exp(-static_cast<double>(now - startedAt_ + resolution_) / idleTime_);
-    return sends_ * kept(sendsAt_, idleTime_, now) / seen;
+    return sends_ * retainedFraction(sendsAt_, idleTime_, now) / seen;
   }
 
-  /// How many requests this sidecar has in flight when answers take `lag` microseconds (Little's law).
-  [[nodiscard]] double usualInFlight(double lag, Micros now) const {
-    return sendsInIdleTime(now) * lag / idleTime_;
+  /// How many requests this sidecar has in flight when answers take `latency` microseconds (Little's law).
+  [[nodiscard]] double typicalInFlight(double latency, Micros now) const {
+    return sendsInIdleTime(now) * latency / idleTime_;
   }
 
   /// In microseconds, above 0.
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -28,27 +28,28 @@
         priority_(priority) {}
 
   /// An attempt went out.
-  void countSend() { ++out_; }
+  void countSend() { ++inFlight_; }
   /// An attempt is no longer in flight.
-  void countEnd() { --out_; }
+  void countEnd() { --inFlight_; }
   /// How many are.
-  [[nodiscard]] double out() const { return out_; }
+  [[nodiscard]] double inFlight() const { return inFlight_; }
 
-  /// Takes an outcome (after `lag` microseconds) into the limit.
+  /// Takes an outcome (after `latency` microseconds) into the limit.
   /// @return whether the whole sidecar rests from now on
-  bool restIfCrowded(const Request& request, Outcome outcome, Micros lag, const EventContext& context);
+  bool backOffIfOverloaded(const Request& request, Outcome outcome, Micros latency,
+                           const EventContext& context);
 
   /// Until when a rest of the sidecar lasts for the request: the less it is worth against the worthiest, the
   /// longer.
-  [[nodiscard]] Micros restEnd(const Request& request) const;
+  [[nodiscard]] Micros backoffEnd(const Request& request) const;
 
   /// Whether no endpoint would get the request now, however many are ready.
-  [[nodiscard]] bool isHeldUp(const Request& request, const EventContext& context) const {
-    return (restFor_ > 0 && context.now < restEnd(request)) || isWholeOut(context);
+  [[nodiscard]] bool mustWait(const Request& request, const EventContext& context) const {
+    return (backoffFor_ > 0 && context.now < backoffEnd(request)) || isAtLimit(context);
   }
 
   /// Whether a sidecar without load information has all out that it may.
-  [[nodiscard]] bool isWholeOut(const EventContext& context) const;
+  [[nodiscard]] bool isAtLimit(const EventContext& context) const;
 
  private:
   const EndpointRegistry& endpoints_;
@@ -56,11 +57,11 @@
   const LatencyStatistics& latency_;
   const SendRate& sendRate_;
   const Priority& priority_;
-  double wholeLimit_ = 1;  // of out_
-  double out_ = 0;         // attempts without an outcome
-  int crowdedInRow_ = 0;   // outcomes that tell of crowding, of any endpoints
-  Micros restFrom_ = 0;    // the whole sidecar rests ...
-  double restFor_ = 0;     // ... for this long, in microseconds, a request of half the greatest worth
+  double limit_ = 1;         // of inFlight_
+  double inFlight_ = 0;      // attempts without an outcome
+  int overloadedInRow_ = 0;  // outcomes that tell of crowding, of any endpoints
+  Micros backoffFrom_ = 0;   // the whole sidecar rests ...
+  double backoffFor_ = 0;    // ... for this long, in microseconds, a request of half the greatest worth
 };
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -14,8 +14,8 @@
 // What is refused loads nobody, so only requests that may go out earn. One that rests earns nothing: it would
 // come all at once.
 void SlowStart::earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const {
-  if (request.earned) return;
-  request.earned = true;
+  if (request.hasEarnedCredit) return;
+  request.hasEarnedCredit = true;
   double present = 0;
   double total = 0;
   for (const UpstreamId id : endpoints.listed()) {
@@ -28,7 +28,7 @@
   for (const UpstreamId id : endpoints.listed()) {
     Endpoint& endpoint = endpoints[id];
     const double part = capacityFraction(endpoint, now);
-    if (part < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.pausedUntil))
+    if (part < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.backoffUntil))
       endpoint.slowStartCredit =
           std::min(kMaxCredit, endpoint.slowStartCredit + part * endpoint.size * share);
   }
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -42,7 +42,7 @@
 
   /// An attempt goes to the endpoint: each, retries too, costs a cold one a credit, or more if it is heavy.
   void spendCredit(Endpoint& endpoint, const Request& request, Micros now) const {
-    if (capacityFraction(endpoint, now) < 1) endpoint.slowStartCredit -= std::max(1.0, request.heaviness);
+    if (capacityFraction(endpoint, now) < 1) endpoint.slowStartCredit -= std::max(1.0, request.relativeWork);
   }
 
  private:
