--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -23,7 +23,7 @@
 using internal::EventContext;
 using internal::Wake;
 
-/// Checks each event, gives it to the parts that it concerns, lets held requests have another look, and arms
+/// Checks each event, gives it to the parts that it concerns, lets held requests be tried again, and arms
 /// the timer.
 class Balancer::Impl {
  public:
@@ -100,7 +100,7 @@
           decisions_.subset.closeDrainingAgain(static_cast<UpstreamId>(wake->request), context);
           break;
         case Wake::What::Ready:
-          break;  // held requests get their look after every event
+          break;  // held requests are tried again after every event
         case Wake::What::ProbeTimeout:
         case Wake::What::Hold:
         case Wake::What::Deadline:
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -22,8 +22,8 @@
 }  // namespace
 
 // A limit settles at about the root of its growth, and those of all sidecars add up, so for more than a few
-// of them growth falls with the square of their number. Limits bind only sidecars that are not blind, and of
-// these there can only be so many.
+// of them growth falls with the square of their number. Limits bind only sidecars that have load information,
+// and of these there can only be so many.
 ConcurrencyLimit::ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints)
     : settings_(settings), endpoints_(endpoints) {
   const double part =
@@ -37,19 +37,19 @@
   const bool answered = attempt.outcome == Outcome::Ok || attempt.outcome == Outcome::Error;
   if (!answered && attempt.outcome != Outcome::Full && attempt.outcome != Outcome::Timeout) return;
   if (answered && !isSlow(endpoint, request, attempt.latency)) {
-    // Guards against limits that grow in quiet times and let the next burst crowd everybody.
+    // Guards against limits that grow in quiet times and let the next burst overload everybody.
     if (endpoint.inFlight + 2 > endpoint.limit)
       endpoint.limit = std::min(kMaxLimit, endpoint.limit + std::min(1.0, limitGrowth_ / endpoint.limit));
   } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kSpareCpuThreshold) {
-    return;  // slow, but not crowded
+    return;  // slow, but not overloaded
   } else if (attempt.sentAt >= endpoint.limitCutAt) {
     endpoint.limit = std::max(kMinLimit, endpoint.limit * kLimitBackoff);
     endpoint.limitCutAt = context.now;
   }
   if (endpoint.limit < 1 && !context.lacksLoadInformation) {
-    // Guards against crowding by many sidecars at once, when one attempt from each is already too much.
-    const auto busy = static_cast<double>(std::max(attempt.latency, settings_.resolution));
-    backOff(endpoint, std::min(busy * (1 / endpoint.limit - 1), 1.0 * kBaseEjection), context);
+    // Guards against overload by many sidecars at once, when one attempt from each is already too much.
+    const auto duration = static_cast<double>(std::max(attempt.latency, settings_.resolution));
+    backOff(endpoint, std::min(duration * (1 / endpoint.limit - 1), 1.0 * kBaseEjection), context);
   }
 }
 
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -9,7 +9,7 @@
 
 namespace orchiddrum::internal {
 
-/// A limit falls by this factor, once a round trip, at a refusal, a time-out or a slow answer.
+/// A limit falls by this factor, once a round trip, at a rejection, a time-out or a slow answer.
 constexpr double kLimitBackoff = 0.7;
 
 /// An attempt that has its outcome. Times are microseconds.
@@ -19,7 +19,7 @@
   Outcome outcome = Outcome::Ok;
 };
 
-/// How many attempts of this sidecar an endpoint may have in flight. Guards against crowding: each sidecar
+/// How many attempts of this sidecar an endpoint may have in flight. Guards against overload: each sidecar
 /// sees only its own part of an endpoint's queue, but rejectionsInRow and slow answers reach them all, and
 /// all give way (additive increase, multiplicative decrease).
 class ConcurrencyLimit {
@@ -30,7 +30,7 @@
   /// Of an endpoint just named, in attempts; above 0, at most 1: all sidecars start at once.
   [[nodiscard]] double startLimit() const { return startLimit_; }
 
-  /// Takes an outcome into the endpoint's limit. A limit under one is kept by rests.
+  /// Takes an outcome into the endpoint's limit. A limit under one is kept by backoff.
   void adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
               const EventContext& context) const;
 
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -8,7 +8,7 @@
 namespace orchiddrum::internal {
 namespace {
 
-// The home has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
+// The subset has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
 // least, so many a request out at most.
 constexpr double kUsesPerConnection = 4;
 constexpr double kMinSubsetSize = 4;
@@ -58,7 +58,7 @@
   if (!failed) ++endpoint.connections;
 }
 
-// How many more the home has room for.
+// How many more the subset takes.
 double ConnectionSubset::freeSlots(Micros now) const {
   const auto& listed = endpoints_.listed();
   return targetSize(now) -
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -12,9 +12,9 @@
 namespace orchiddrum::internal {
 
 /// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a subset, its
-/// home; connections to other endpoints, and to those that drain, are closed.
+/// subset; connections to other endpoints, and to those that drain, are closed.
 ///
-/// Where nothing is known of connections (Settings::idleClose 0) there is no home and only drains close.
+/// Where nothing is known of connections (Settings::idleClose 0) there is no subset and only drains close.
 class ConnectionSubset {
  public:
   /// All must outlive it.
@@ -22,19 +22,19 @@
                    const LatencyStatistics& latency)
       : settings_(settings), endpoints_(endpoints), sendRate_(sendRate), latency_(latency) {}
 
-  /// Whether traffic is too little to use every endpoint's connection: the home is smaller than the list.
+  /// Whether traffic is too little to use every endpoint's connection: the subset is smaller than the list.
   [[nodiscard]] bool isPartial(Micros now) const;
-  /// Whether a connection to it stands open, as far as attempts have told.
+  /// Whether a connection to it stands open, as far as attempts have shown.
   [[nodiscard]] bool isConnected(const Endpoint& endpoint, Micros now) const;
 
   /// An attempt is about to be sent, not yet in flight.
   /// @return whether it needs a new connection; where nothing is known of them it does not
   bool connect(Endpoint& endpoint, Micros now) const;
-  /// An attempt was sent: the endpoint joins the home while there is room.
+  /// An attempt was sent: the endpoint joins the subset while it has free slots.
   void join(Endpoint& endpoint, Micros now) const;
   /// Learns from the outcome of an attempt which connections are open.
   static void learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome);
-  /// An endpoint that did not answer well, after `latency` microseconds, leaves the home.
+  /// An endpoint that did not answer well, after `latency` microseconds, leaves the subset.
   void leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome, Micros latency,
                     Micros now) const;
 
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -14,8 +14,8 @@
 /// An endpoint with attempts out is silent after this many times the usual time to an answer.
 constexpr double kSilenceMultiple = 4;
 
-/// Whether an endpoint may get an attempt now, by all that is known of it: listed and serving, not too cold,
-/// not ejected, not resting, not silent, and below its concurrency limit.
+/// Whether an endpoint may get an attempt now, by all that is known of it: listed and serving, not held back
+/// by slow start, not ejected, not in backoff, not silent, and below its concurrency limit.
 class EndpointReadiness {
  public:
   /// Both must outlive it.
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -36,7 +36,7 @@
   Micros lastOutcomeAt = 0;    ///< its last outcome, or when it had nothing in flight
 
   // SlowStart
-  double slowStartCredit = 0;  ///< attempts it may get while it is cold; at most kMaxCredit
+  double slowStartCredit = 0;  ///< attempts it may get while it is warming up; at most kMaxCredit
 
   // LatencyStatistics
   double logSlowness = 0;  ///< smoothed, of answer times against the usual of their class
@@ -50,7 +50,7 @@
   // ConcurrencyLimit and endpoint_backoff.h
   double limit = 1;         ///< of inFlight
   Micros limitCutAt = 0;    ///< attempts sent before this do not cut the limit again
-  Micros backoffUntil = 0;  ///< resting, by a refusal or a limit under one
+  Micros backoffUntil = 0;  ///< in backoff, by a rejection or a limit under one
   int rejectionsInRow = 0;  ///< in a row
 
   // OutlierDetection
@@ -64,7 +64,7 @@
   bool isOwnTurn = false;    ///< ... this one's
 
   // ConnectionSubset
-  std::uint32_t connections = 0;  ///< that stand open, as far as attempts have told
+  std::uint32_t connections = 0;  ///< that stand open, as far as attempts have shown
   bool hasConnectFailed = false;  ///< the last outcome was a failed connect
   bool isInSubset = false;        ///< a connection to it is worth keeping
 };
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -8,12 +8,12 @@
 namespace orchiddrum::internal {
 namespace {
 
-// Odds of a cold endpoint that has its credit, and of a trial that is this sidecar's turn, against all warm
-// ones together: its turn has come already.
+// Odds of an endpoint that is warming up that has its credit, and of a trial that is this sidecar's turn,
+// against all warm ones together: its turn has come already.
 constexpr double kWarmingOdds = 0.125;
 // Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
 constexpr double kCrossZoneOdds = 0.25;
-// All endpoints away from home together keep this share of the draws, so that better ones are found.
+// All endpoints outside the subset together keep this share of the draws, so that better ones are found.
 constexpr double kOutsideShare = 0.02;
 
 }  // namespace
@@ -57,8 +57,9 @@
 }
 
 // How well an endpoint suits a request, around one. It follows the registered size: at zero counts the
-// draw decides alone, and a blind uniform draw overloads the small. Heavy requests bend it further and light
-// ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
+// draw decides alone, and a uniform draw without load information overloads the small. Heavy requests bend it
+// further and light ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint
+// is left out.
 double EndpointSelection::suitability(const Request& request, const Endpoint& endpoint, Micros now) const {
   const double speed = endpoint.size / endpoints_.meanSize() / std::sqrt(slowness(endpoint, now));
   double bend = std::pow(speed, std::sqrt(request.relativeWork));
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -11,8 +11,8 @@
 namespace orchiddrum::internal {
 namespace {
 
-// So many looks a request at most, none beyond what costs this part of its worth, and one is given up after
-// so many times the usual time of a look.
+// So many probes a request at most, none beyond what costs this part of its weight, and one is given up after
+// so many times the usual time of a probe.
 constexpr double kMaxProbePrice = 0.016;
 constexpr double kMaxProbes = 4;
 constexpr double kProbeTimeoutMultiple = 4;
@@ -46,7 +46,7 @@
   return true;
 }
 
-// How long a look at this endpoint is waited for, by the usual time of one into its zone: another data
+// How long a probe of this endpoint is waited for, by the usual time of one into its zone: another data
 // centre is far. Before one was answered from there it is what a connection may take.
 Micros HealthCheck::probeTimeout(const Endpoint& endpoint) const {
   const double usual = probeLatency_[endpoint.zone];
@@ -77,7 +77,7 @@
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
   const Endpoint& endpoint = endpoints_[event.upstream];
   const double inHand = requestsInHand(event, endpoint);
-  // One that has no figures yet is not crowded for that: reports may be far between.
+  // One that has no figures yet is not overloaded for that: reports may be far between.
   if (event.ok && !endpoint.hasReported) return Verdict::HasCapacity;
   if (!event.ok || inHand < 0 || loadReports_.isOverloaded(request, endpoint, *event.report))
     return Verdict::Overloaded;
@@ -90,8 +90,8 @@
   return verdict == Verdict::BusierThanUsual && request.probes >= maxProbes(request, settings_.probePrice);
 }
 
-// Guards against refusing for one crowded endpoint a request whose other looks have met room. One that is
-// only busier than usual is left out of this request's other looks.
+// Guards against rejecting for one overloaded endpoint a request whose other probes have met capacity. One
+// that is only busier than usual is left out of this request's other probes.
 bool HealthCheck::passOver(Request& request, Verdict verdict, double typicalLatency,
                            const EventContext& context) {
   Endpoint& endpoint = endpoints_[request.probedEndpoint];
@@ -104,8 +104,8 @@
   return request.overloadedProbes >= maxProbes(request, 0);
 }
 
-// The less a request is worth against the worthiest, the fewer looks at this price. When as many as are for
-// nothing find crowding, it gives way: fewer, where they are dear, prove nothing of the others.
+// The less a request weighs against the greatest weight, the fewer probes at this price. When as many as are
+// for nothing find overload, it gives way: fewer, where they are dear, prove nothing of the others.
 int HealthCheck::maxProbes(const Request& request, double price) const {
   const double probes = std::min(kMaxProbes, kMaxProbePrice / std::max(kMinPrice, price));
   return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -9,7 +9,8 @@
 namespace orchiddrum::internal {
 namespace {
 
-// Crowded is one with more in hand than it works on at once and so many times the root of that, for chance.
+// Overloaded is one with more in hand than it works on at once and so many times the root of that, for
+// chance.
 constexpr double kQueueingTolerance = 1;
 // Weights of a report that tells of fewer, and of more, requests worked on at once than thought: CPU shares
 // trail, so reports tell of far too many while load rises.
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -9,11 +9,11 @@
 
 namespace orchiddrum::internal {
 
-/// An answer is slow that took more than this part of its aim beyond the shortest from that endpoint: what is
-/// lost to queueing then begins to cost the objective.
+/// An answer is slow that took more than this part of its latency objective beyond the shortest from that
+/// endpoint: what is lost to queueing then begins to cost the objective.
 constexpr double kSlowFraction = 0.15;
 
-/// An endpoint that reports less of its CPU busy than this is not crowded, however slow an answer was.
+/// An endpoint that reports less of its CPU busy than this is not overloaded, however slow an answer was.
 constexpr double kSpareCpuThreshold = 0.8;
 
 /// What endpoints report of their load, with answers or with probes.
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -14,10 +14,10 @@
 
 namespace orchiddrum::internal {
 
-/// Requests that are held because nobody is ready for them, and what a refused one is told.
+/// Requests that are held because nobody is ready for them, and what a rejected one is advised.
 ///
-/// Requests are only ever held when nobody is ready, so their order acts only in scarcity: by what they are
-/// worth, then the newest, since the oldest are the likeliest to be late whatever is done. Each is held for
+/// Requests are only ever held when nobody is ready, so their order acts only in scarcity: by their
+/// weight, then the newest, since the oldest are the likeliest to be late whatever is done. Each is held for
 /// as long as it can still be served in time (Request::holdUntil); the caller bounds how many are open.
 class LoadShedding {
  public:
@@ -31,10 +31,11 @@
   void release(RequestId id) { std::erase(held_, id); }
   [[nodiscard]] std::size_t size() const { return held_.size(); }
 
-  /// The sidecar rests: those held are looked at again when that ends for them.
+  /// The sidecar is in backoff: those held are tried again when that ends for them.
   void wakeAfterBackoff(const RequestTable& requests, const EventContext& context) const;
 
-  /// Takes off the worthiest of those held that `isServable(request)` says can go out now; none if none can.
+  /// Takes off that of the greatest weight of those held that `isServable(request)` says can go out now; none
+  /// if none can.
   template <class IsServable>
   std::optional<RequestId> takeWorthiest(const RequestTable& requests, IsServable isServable) {
     auto next = held_.end();
@@ -52,8 +53,8 @@
     return id;
   }
 
-  /// When a refused client may come back, in microseconds, up to Settings::maxRetryAfter; 0: no advice. Draws
-  /// a random number where there is advice.
+  /// When a rejected client may come back, in microseconds, up to Settings::maxRetryAfter; 0: no advice.
+  /// Draws a random number where there is advice.
   [[nodiscard]] Micros retryAfter(const EventContext& context) const;
 
  private:
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -8,7 +8,7 @@
 namespace orchiddrum::internal {
 namespace {
 
-// A request is never taken for worth less than this part of the worthiest.
+// A request is never given less than this part of the greatest weight.
 constexpr double kMinRelativeWeight = 0.01;
 // What a tenant has sent is remembered about this long, in microseconds.
 constexpr double kUsageMemory = 5e6;
@@ -31,7 +31,7 @@
   return within(weight(request) / most, kMinRelativeWeight, 1);
 }
 
-// By the request, or by its time to an answer where worth does not go by work; a class not answered yet
+// By the request, or by its time to an answer where weight does not go by work; a class not answered yet
 // takes the usual time.
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -11,7 +11,7 @@
 
 namespace orchiddrum::internal {
 
-/// What a request is worth against others when not all can be served: by the worth of its class, which falls
+/// What a request weighs against others when not all can be served: by the weight of its class, which falls
 /// as far as its tenant has lately sent more than its share through this sidecar.
 class Priority {
  public:
@@ -24,7 +24,7 @@
 
   /// In the unit of RequestClass::value, or that by microsecond of work (Settings::worthByWork).
   [[nodiscard]] double weight(const Request& request) const;
-  /// Against the worthiest class, from kMinRelativeWeight to 1.
+  /// Against the class of the greatest weight, from kMinRelativeWeight to 1.
   [[nodiscard]] double relativeWeight(const Request& request) const;
 
  private:
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -29,12 +29,12 @@
 struct Request {
   std::uint32_t requestClass = 0;
   std::optional<std::uint32_t> tenant;
-  double timeliness = 1;    ///< part of its worth that an answer may still earn, as far as can be told
+  double timeliness = 1;    ///< part of its weight that an answer may still earn, as far as is known
   double relativeWork = 1;  ///< its expected work against the usual of its class
   Micros latencyObjective = 0;
   Micros deadline = 0;
   Micros holdUntil = 0;                     ///< not worth holding any longer
-  UpstreamId probedEndpoint = kNoEndpoint;  ///< waits for a look at this endpoint
+  UpstreamId probedEndpoint = kNoEndpoint;  ///< waits for a probe of this endpoint
   Micros probeDeadline = 0;
   int probes = 0;
   int overloadedProbes = 0;
@@ -43,7 +43,7 @@
   bool isFinished = false;            ///< it has its final answer, or the client has left
   bool isStreaming = false;           ///< an attempt is the client's now
   bool isBodySpent = false;           ///< the body can't be sent again
-  bool hasEarnedCredit = false;       ///< cold endpoints have had their credit for it
+  bool hasEarnedCredit = false;       ///< endpoints that are warming up have had their credit for it
 };
 
 /// The requests that are open or have an attempt out, by id: looked up only, never iterated, so their order
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -30,8 +30,8 @@
 Micros RequestEstimates::latencyObjectiveOf(const NewRequest& event) const {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const double stretch = cls.aimStretch * static_cast<double>(std::max<Micros>(0, event.work.value_or(0)));
-  const auto room = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.aim));
-  return cls.aim + static_cast<Micros>(std::min(stretch, room));
+  const auto allowance = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.aim));
+  return cls.aim + static_cast<Micros>(std::min(stretch, allowance));
 }
 
 // How heavy a request is within its class, where it brings a hint of its work.
@@ -43,9 +43,9 @@
   return std::clamp(work / usual, 1 / kMaxRelativeWork, kMaxRelativeWork);
 }
 
-// Guards against repeats of clients that take the place of fresh requests though their aim is gone. A try
-// cut short by the client's deadline tells how much has passed; of one that is only marked as a repeat
-// nobody knows, so it counts half way between in time and late.
+// Guards against repeats of clients that take the place of fresh requests though their latency objective is
+// gone. A try cut short by the client's deadline tells how much has passed; of one that is only marked as a
+// repeat nobody knows, so it counts half way between in time and late.
 double RequestEstimates::timeliness(const NewRequest& event, Micros latencyObjective) {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const auto span = static_cast<double>(event.expiresIn);
--- a/src/balancer/request_estimates.h
+++ b/src/balancer/request_estimates.h
@@ -9,7 +9,7 @@
 
 namespace orchiddrum::internal {
 
-/// What can be told of a request as it arrives, by its hints and by those of its class before it.
+/// What is known of a request as it arrives, by its hints and by those of its class before it.
 class RequestEstimates {
  public:
   /// `settings` must outlive it.
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -74,8 +74,8 @@
   }
 }
 
-// Guards against refusing what an ejected endpoint might still serve: one that answers at all answers some.
-// That is its trial. One that is silent gets nothing: a refusal lets the client try again.
+// Guards against rejecting what an ejected endpoint might still serve: one that answers at all answers some.
+// That is its trial. One that is silent gets nothing: a rejection lets the client try again.
 void RequestLifecycle::attemptLastResort(RequestId id, Request& request, const EventContext& context) {
   const std::vector<UpstreamId>& choice =
       decisions_.selection.lastResort(request, permission(request, context), context.now);
@@ -106,7 +106,7 @@
   context.act(Send{id, to, 0});
 }
 
-// The final answer. A refusal, where the rules allow it, since it lets the client try again.
+// The final answer. A rejection, where the rules allow it, since it lets the client try again.
 void RequestLifecycle::answer(RequestId id, Request& request, const EventContext& context) {
   const Permission allowed = permission(request, context);
   if (!allowed.refuse && !allowed.fail) return;
@@ -166,7 +166,7 @@
   }
 }
 
-// Tells every part what the outcome says of the endpoint, in this order: each may rest it.
+// Tells every part what the outcome says of the endpoint, in this order: each may make it back off.
 void RequestLifecycle::learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
                              const EventContext& context) {
   Endpoint& endpoint = decisions_.endpoints[attempt.endpoint];
@@ -181,7 +181,7 @@
   const double typicalLatency = decisions_.latency.typicalLatency(request.requestClass);
   if (event.report) {
     decisions_.loadReports.learn(endpoint, *event.report);
-    // Guards against crowding that an endpoint reports before answers are slow.
+    // Guards against overload that an endpoint reports before answers are slow.
     if (event.report->busyRequests && decisions_.loadReports.isOverloaded(request, endpoint, *event.report))
       backOff(endpoint, typicalLatency, context);
   }
@@ -233,8 +233,8 @@
     finishProbe(id, decisions_.healthCheck.judge(event, requests_.at(id)), context);
 }
 
-// The pick stands if the endpoint is still ready and has room; else another is picked, or the request gives
-// way.
+// The pick stands if the endpoint is still ready and has capacity; else another is picked, or the request
+// gives way.
 void RequestLifecycle::finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context) {
   decisions_.healthCheck.stopWaiting(id);
   Request& request = requests_.at(id);
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -12,7 +12,7 @@
 
 namespace orchiddrum::internal {
 
-/// The way of every request from its arrival to its final answer: sent, held, looked for, sent again,
+/// The way of every request from its arrival to its final answer: sent, held, probed for, sent again,
 /// answered.
 ///
 /// Invariant: a request that was taken gets one final answer by its deadline, unless its client has left or
@@ -33,11 +33,11 @@
   void on(const Withdrawn& event, const EventContext& context);
   void on(const ProbeResult& event, const EventContext& context);
 
-  /// Timers of a request: an overdue look, the end of its hold, and its deadline. Ignored where the request
+  /// Timers of a request: an overdue probe, the end of its hold, and its deadline. Ignored where the request
   /// is gone or the moment has moved.
   void onDeadline(const Wake& wake, const EventContext& context);
 
-  /// Gives held requests another look, the worthiest first, for as long as somebody is ready for one of them.
+  /// Tries held requests again, the greatest weight first, for as long as somebody is ready for one of them.
   void serveHeld(const EventContext& context);
 
   /// Requests without a final answer.
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -59,7 +59,7 @@
     const bool inWindow = now + settings_.resolution < first->sentAt + cls.repeatWindow;
     allowed.send = allowed.send && inWindow;
     allowed.anchor = &*first;
-    // A refusal invites the client to send again to any endpoint, so it needs the widest group, and time.
+    // A rejection invites the client to send again to any endpoint, so it needs the widest group, and time.
     allowed.refuse = cls.group == RepeatGroup::All && inWindow;
   }
   return allowed;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -55,7 +55,7 @@
 /// The rules on attempts and final answers. Every Send, Refuse and Fail asks here first: the rules have the
 /// last word against every other part of the module.
 ///
-/// Invariant: no effect twice. An unsafe request is sent again or refused only when every earlier attempt is
+/// Invariant: no effect twice. An unsafe request is sent again or rejected only when every earlier attempt is
 /// known never to have run; a keyed one that may have run only within its group and window, counted by this
 /// sidecar's clock from the first attempt that may have run.
 class RetryPolicy {
@@ -66,8 +66,8 @@
 
   Permission permission(const Request& request, const ReducedService& reduced, Micros now);
 
-  /// The rules on where it may go: no draining or gone endpoint, no cold one beyond its credit, no other
-  /// repeat group.
+  /// The rules on where it may go: no draining or gone endpoint, none that is warming up beyond its credit,
+  /// no other repeat group.
   [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
                              const Permission& allowed, Micros now) const {
     return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -10,16 +10,17 @@
 namespace orchiddrum::internal {
 namespace {
 
-// So many attempts in a row that meet crowding (a refusal, a time-out, or an answer that took more than this
-// part of its aim), at whatever endpoints, are chance; more rest the whole sidecar.
+// So many attempts in a row that meet overload (a rejection, a time-out, or an answer that took more than
+// this part of its latency objective), at whatever endpoints, are chance; more make the whole sidecar back
+// off.
 constexpr int kOverloadedBeforeBackoff = 2;
 constexpr double kOverloadedObjectiveFraction = 0.3;
 // Such a sidecar has so many times what it usually has in flight in calm times, and so many more, out at the
 // most: room for chance alone. What all have beyond that waits at the endpoints and slows them down for long.
 constexpr double kTypicalMultiple = 3;
 constexpr double kSpareAttempts = 2;
-// The first rest lasts an eighth of the usual time to an answer doubled once; each further crowded outcome
-// doubles it, up to so many doublings.
+// The first backoff lasts an eighth of the usual time to an answer doubled once; each further overloaded
+// outcome doubles it, up to so many doublings.
 constexpr int kMaxBackoffDoublings = kMaxEjectionDoublings + 2;
 constexpr int kFirstBackoffHalvings = 3;
 
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -13,9 +13,9 @@
 
 namespace orchiddrum::internal {
 
-/// A limit and rests of the whole sidecar, which bind it while it is without load information. Guards against
-/// storms when everybody is full: pauses and limits of single endpoints do not bind such a sidecar, which
-/// always finds another.
+/// A limit and backoff of the whole sidecar, which bind it while it is without load information. Guards
+/// against storms when everybody is full: backoff and limits of single endpoints do not bind such a sidecar,
+/// which always finds another.
 class SidecarLimit {
  public:
   /// All must outlive it.
@@ -35,12 +35,12 @@
   [[nodiscard]] double inFlight() const { return inFlight_; }
 
   /// Takes an outcome (after `latency` microseconds) into the limit.
-  /// @return whether the whole sidecar rests from now on
+  /// @return whether the whole sidecar is in backoff from now on
   bool backOffIfOverloaded(const Request& request, Outcome outcome, Micros latency,
                            const EventContext& context);
 
-  /// Until when a rest of the sidecar lasts for the request: the less it is worth against the worthiest, the
-  /// longer.
+  /// Until when a backoff of the sidecar lasts for the request: the less it weighs against the greatest
+  /// weight, the longer.
   [[nodiscard]] Micros backoffEnd(const Request& request) const;
 
   /// Whether no endpoint would get the request now, however many are ready.
@@ -59,9 +59,9 @@
   const Priority& priority_;
   double limit_ = 1;         // of inFlight_
   double inFlight_ = 0;      // attempts without an outcome
-  int overloadedInRow_ = 0;  // outcomes that tell of crowding, of any endpoints
-  Micros backoffFrom_ = 0;   // the whole sidecar rests ...
-  double backoffFor_ = 0;    // ... for this long, in microseconds, a request of half the greatest worth
+  int overloadedInRow_ = 0;  // outcomes that tell of overload, of any endpoints
+  Micros backoffFrom_ = 0;   // the whole sidecar is in backoff ...
+  double backoffFor_ = 0;    // ... for this long, in microseconds, a request of half the greatest weight
 };
 
 }  // namespace orchiddrum::internal
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -6,13 +6,13 @@
 
 // Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
 constexpr double kMaxCredit = 1;
-// A cold endpoint may get so many times the load that a warm one has while all are warm.
+// An endpoint that is warming up may get so many times the load that a warm one has while all are warm.
 constexpr double kMaxLoadShare = 1.5;
 
 }  // namespace
 
-// What is refused loads nobody, so only requests that may go out earn. One that rests earns nothing: it would
-// come all at once.
+// What is rejected loads nobody, so only requests that may go out earn. One in backoff earns nothing: it
+// would come all at once.
 void SlowStart::earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const {
   if (request.hasEarnedCredit) return;
   request.hasEarnedCredit = true;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -10,13 +10,13 @@
 
 namespace orchiddrum::internal {
 
-/// Keeps a cold endpoint, one that was launched less than Settings::coldFor ago, from being pushed over by
-/// all sidecars together.
+/// Keeps an endpoint that is warming up, one that was launched less than Settings::coldFor ago, from being
+/// pushed over by all sidecars together.
 ///
-/// Invariant: an attempt goes to a cold endpoint only for a credit of one. With every request that may go out
-/// it earns its part of what all listed ones can do now, so if all sidecars do so it is loaded like a warm
-/// one for what it can do. Times by this sidecar's clock and the endpoint's launchedAt; a sidecar that hears
-/// nothing of a restart sends as to a warm one.
+/// Invariant: an attempt goes to an endpoint that is warming up only for a credit of one. With every request
+/// that may go out it earns its part of what all listed ones can do now, so if all sidecars do so it is
+/// loaded like a warm one for what it can do. Times by this sidecar's clock and the endpoint's launchedAt; a
+/// sidecar that hears nothing of a restart sends as to a warm one.
 class SlowStart {
  public:
   /// `settings` must outlive it.
@@ -37,10 +37,11 @@
     return capacityFraction(endpoint, now) >= 1 || endpoint.slowStartCredit >= 1;
   }
 
-  /// Gives the listed cold ones their credit for a request, once.
+  /// Gives the listed ones that are warming up their credit for a request, once.
   void earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const;
 
-  /// An attempt goes to the endpoint: each, retries too, costs a cold one a credit, or more if it is heavy.
+  /// An attempt goes to the endpoint: each, retries too, costs one that is warming up a credit, or more if it
+  /// is heavy.
   void spendCredit(Endpoint& endpoint, const Request& request, Micros now) const {
     if (capacityFraction(endpoint, now) < 1) endpoint.slowStartCredit -= std::max(1.0, request.relativeWork);
   }
