--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -16,6 +16,15 @@
 // All endpoints outside the subset together keep this share of the draws, so that better ones are found.
 constexpr double kOutsideShare = 0.02;
 
+// How well an endpoint suits a request, around one, within kMaxBias either way. It follows the size against
+// the mean: at zero counts the draw decides alone, and a uniform draw without load information overloads the
+// small. Heavy requests (`exponent`: the root of their relative work) bend it further and light ones less: on
+// a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
+double suitability(const Endpoint& endpoint, double meanSize, double exponent, Micros now) {
+  const double speed = endpoint.size / meanSize / std::sqrt(slowness(endpoint, now));
+  return std::clamp(std::pow(speed, exponent), 1 / kMaxBias, kMaxBias);
+}
+
 }  // namespace
 
 const std::vector<UpstreamId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
@@ -24,7 +33,8 @@
   if (!allowed.send) return eligible_;
   for (const UpstreamId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    if (readiness_.isReady(endpoint, now) && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now))
+    // A ready one is listed and has its credit: of the rules only the repeat group is left.
+    if (readiness_.isReady(endpoint, now) && retryPolicy_.isInGroup(id, endpoint, request, allowed))
       eligible_.push_back(id);
   }
   // A repeat goes to an endpoint that this request has not met, as long as there is one.
@@ -49,33 +59,21 @@
   return eligible_;
 }
 
-// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
-// spare, the less it is preferred.
-double EndpointSelection::zoneOdds(const Endpoint& endpoint) const {
-  if (settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone) return 1;
+double EndpointSelection::crossZoneOdds() const {
   return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpuThreshold)));
 }
 
-// How well an endpoint suits a request, around one. It follows the registered size: at zero counts the
-// draw decides alone, and a uniform draw without load information overloads the small. Heavy requests bend it
-// further and light ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint
-// is left out.
-double EndpointSelection::suitability(const Request& request, const Endpoint& endpoint, Micros now) const {
-  const double speed = endpoint.size / endpoints_.meanSize() / std::sqrt(slowness(endpoint, now));
-  double bend = std::pow(speed, std::sqrt(request.relativeWork));
-  bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
-  return bend * zoneOdds(endpoint);
-}
-
 UpstreamId EndpointSelection::draw(const std::vector<UpstreamId>& eligible, const Request& request,
                                    const EventContext& context) {
   const Micros now = context.now;
   odds_.clear();
   double inside = 0;
   double outside = 0;
+  const double meanSize = endpoints_.meanSize();
+  const double exponent = std::sqrt(request.relativeWork);
   for (const UpstreamId id : eligible) {
     const Endpoint& endpoint = endpoints_[id];
-    odds_.push_back(suitability(request, endpoint, now));
+    odds_.push_back(suitability(endpoint, meanSize, exponent, now) * zoneOdds(endpoint));
     if (slowStart_.capacityFraction(endpoint, now) >= 1)
       (endpoint.isInSubset ? inside : outside) += odds_.back();
   }
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -56,8 +56,12 @@
   }
 
  private:
-  [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const;
-  [[nodiscard]] double suitability(const Request& request, const Endpoint& endpoint, Micros now) const;
+  /// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
+  /// spare, the less it is preferred.
+  [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
+    return settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
+  }
+  [[nodiscard]] double crossZoneOdds() const;
   UpstreamId draw(const std::vector<UpstreamId>& eligible, const Request& request,
                   const EventContext& context);
 
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -71,8 +71,14 @@
   [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
                              const Permission& allowed, Micros now) const {
     return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
-           (allowed.anchor == nullptr ||
-            inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id));
+           isInGroup(id, endpoint, request, allowed);
+  }
+
+  /// The last of them alone: whether the endpoint is in the repeat group that the request is bound to.
+  [[nodiscard]] bool isInGroup(UpstreamId id, const Endpoint& endpoint, const Request& request,
+                               const Permission& allowed) const {
+    return allowed.anchor == nullptr ||
+           inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id);
   }
 
   /// A request was taken.
