--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -18,7 +18,7 @@
     Hold,           ///< a request is no longer worth holding
     ProbeTimeout,   ///< the answer of a health check is overdue
     Ready,          ///< an endpoint may be ready again: held requests are served after every event
-    Discovery,      ///< the endpoint list is pollWithin for
+    Discovery,      ///< the endpoint list is asked for
     CloseDraining,  ///< connections to a draining endpoint are closed once more
   };
   Micros at = 0;
