--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -9,19 +9,19 @@
 
 namespace orchiddrum::internal {
 
-/// A limit falls by this factor, once a round trip, at a refusal, a time-out or a slow answer.
+/// A limit falls by this factor, once a round trip, at a rejection, a time-out or a slow answer.
 constexpr double kLimitBackoff = 0.7;
 
 /// An attempt that has its outcome. Times are microseconds.
 struct FinishedAttempt {
   Micros sentAt = 0;
-  Micros lag = 0;  ///< from its sending to the outcome, less what the client's own pace took
+  Micros latency = 0;  ///< from its sending to the outcome, less what the client's own pace took
   Outcome outcome = Outcome::Ok;
 };
 
-/// How many attempts of this sidecar an endpoint may have in flight. Guards against crowding: each sidecar
-/// sees only its own part of an endpoint's queue, but refusals and slow answers reach them all, and all give
-/// way (additive increase, multiplicative decrease).
+/// How many attempts of this sidecar an endpoint may have in flight. Guards against overload: each sidecar
+/// sees only its own part of an endpoint's queue, but rejectionsInRow and slow answers reach them all, and
+/// all give way (additive increase, multiplicative decrease).
 class ConcurrencyLimit {
  public:
   /// Both must outlive it.
@@ -30,12 +30,12 @@
   /// Of an endpoint just named, in attempts; above 0, at most 1: all sidecars start at once.
   [[nodiscard]] double startLimit() const { return startLimit_; }
 
-  /// Takes an outcome into the endpoint's limit. A limit under one is kept by rests.
-  void adjust(Upstream& upstream, const Request& request, const FinishedAttempt& attempt,
+  /// Takes an outcome into the endpoint's limit. A limit under one is kept by backoff.
+  void adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
               const EventContext& context) const;
 
  private:
-  [[nodiscard]] bool isSlow(const Upstream& upstream, const Request& request, Micros lag) const;
+  [[nodiscard]] bool isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const;
 
   const Settings& settings_;
   const EndpointRegistry& endpoints_;
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -36,11 +36,11 @@
 
   /// The ready endpoints that the rules allow the request; those it has not met, as long as there is one.
   /// @return a list that is valid until the next call of eligible() or lastResort()
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may, Micros now);
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
   /// Ejected endpoints that answer at all, are free, and that the rules allow the request.
   /// @return as eligible()
-  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& may, Micros now);
+  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& allowed, Micros now);
 
   /// One of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
   UpstreamId pick(const std::vector<UpstreamId>& eligible, const Request& request,
@@ -48,16 +48,20 @@
 
   /// The remembered endpoint, if there is one.
   [[nodiscard]] std::optional<UpstreamId> remembered() const {
-    return slot_ == kNone ? std::nullopt : std::optional<UpstreamId>(slot_);
+    return remembered_ == kNoEndpoint ? std::nullopt : std::optional<UpstreamId>(remembered_);
   }
   /// The list has changed: one that left it is remembered no more.
   void forgetUnlisted() {
-    if (slot_ != kNone && !endpoints_[slot_].listed) slot_ = kNone;
+    if (remembered_ != kNoEndpoint && !endpoints_[remembered_].isListed) remembered_ = kNoEndpoint;
   }
 
  private:
-  [[nodiscard]] double zoneOdds(const Upstream& upstream) const;
-  [[nodiscard]] double suits(const Request& request, const Upstream& upstream, Micros now) const;
+  /// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
+  /// spare, the less it is preferred.
+  [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
+    return settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
+  }
+  [[nodiscard]] double crossZoneOdds() const;
   UpstreamId draw(const std::vector<UpstreamId>& eligible, const Request& request,
                   const EventContext& context);
 
@@ -68,7 +72,7 @@
   const RetryPolicy& retryPolicy_;
   const LoadReports& loadReports_;
   const ConnectionSubset& subset_;
-  UpstreamId slot_ = kNone;  // the remembered endpoint
+  UpstreamId remembered_ = kNoEndpoint;  // the remembered endpoint
   std::vector<UpstreamId> eligible_;
   std::vector<double> odds_;  // running sums, for the draw
 };
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -12,7 +12,7 @@
 
 namespace orchiddrum::internal {
 
-/// The way of every request from its arrival to its final answer: sent, held, looked for, sent again,
+/// The way of every request from its arrival to its final answer: sent, held, probed for, sent again,
 /// answered.
 ///
 /// Invariant: a request that was taken gets one final answer by its deadline, unless its client has left or
@@ -20,7 +20,7 @@
 class RequestLifecycle {
  public:
   /// `decisions` must outlive it.
-  explicit RequestLifecycle(Decisions& decisions) : d_(decisions) {}
+  explicit RequestLifecycle(Decisions& decisions) : decisions_(decisions) {}
 
   /// @throws std::invalid_argument for an event that names what the settings or the open requests do not have
   void validate(const NewRequest& event) const;
@@ -33,11 +33,11 @@
   void on(const Withdrawn& event, const EventContext& context);
   void on(const ProbeResult& event, const EventContext& context);
 
-  /// Timers of a request: an overdue look, the end of its hold, and its deadline. Ignored where the request
+  /// Timers of a request: an overdue probe, the end of its hold, and its deadline. Ignored where the request
   /// is gone or the moment has moved.
   void onDeadline(const Wake& wake, const EventContext& context);
 
-  /// Gives held requests another look, the worthiest first, for as long as somebody is ready for one of them.
+  /// Tries held requests again, the greatest weight first, for as long as somebody is ready for one of them.
   void serveHeld(const EventContext& context);
 
   /// Requests without a final answer.
@@ -45,15 +45,15 @@
 
  private:
   [[nodiscard]] Permission permission(const Request& request, const EventContext& context);
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may,
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed,
                                           const EventContext& context);
   void dispatch(RequestId id, Request& request, const EventContext& context);
-  void giveUp(RequestId id, Request& request, const EventContext& context);
+  void attemptLastResort(RequestId id, Request& request, const EventContext& context);
   void send(RequestId id, Request& request, UpstreamId to, const EventContext& context);
-  void endLook(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
+  void finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
   void answer(RequestId id, Request& request, const EventContext& context);
   void close(RequestId id, Request& request, const EventContext& context);
-  void cancelAllBut(std::uint32_t kept, RequestId id, const Request& request,
+  void cancelAllBut(std::uint32_t survivor, RequestId id, const Request& request,
                     const EventContext& context) const;
   void leaveCount(Attempt& attempt);
   void learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
@@ -61,7 +61,7 @@
   void learnConnections(const Request& request, const Attempt& attempt, const FinishedAttempt& finished,
                         bool isOtherwiseConnected, const EventContext& context);
 
-  Decisions& d_;
+  Decisions& decisions_;
   RequestTable requests_;
   std::size_t open_ = 0;
 };
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -47,7 +47,7 @@
 /// What the rules still allow for a request.
 struct Permission {
   bool send = false;
-  const Attempt* anchor = nullptr;  ///< if set, only upstreams of this attempt's repeat group
+  const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's repeat group
   bool refuse = false;
   bool fail = false;
 };
@@ -55,7 +55,7 @@
 /// The rules on attempts and final answers. Every Send, Refuse and Fail asks here first: the rules have the
 /// last word against every other part of the module.
 ///
-/// Invariant: no effect twice. An unsafe request is sent again or refused only when every earlier attempt is
+/// Invariant: no effect twice. An unsafe request is sent again or rejected only when every earlier attempt is
 /// known never to have run; a keyed one that may have run only within its group and window, counted by this
 /// sidecar's clock from the first attempt that may have run.
 class RetryPolicy {
@@ -66,13 +66,19 @@
 
   Permission permission(const Request& request, const ReducedService& reduced, Micros now);
 
-  /// The rules on where it may go: no draining or gone upstream, no cold one beyond its credit, no other
-  /// repeat group.
-  [[nodiscard]] bool mayGoTo(UpstreamId id, const Upstream& upstream, const Request& request,
-                             const Permission& may, Micros now) const {
-    return may.send && upstream.listed && slowStart_.hasColdCredit(upstream, now) &&
-           (may.anchor == nullptr ||
-            inGroup(settings_.classes[request.requestClass].group, *may.anchor, upstream, id));
+  /// The rules on where it may go: no draining or gone endpoint, none that is warming up beyond its credit,
+  /// no other repeat group.
+  [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
+                             const Permission& allowed, Micros now) const {
+    return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
+           isInGroup(id, endpoint, request, allowed);
+  }
+
+  /// The last of them alone: whether the endpoint is in the repeat group that the request is bound to.
+  [[nodiscard]] bool isInGroup(UpstreamId id, const Endpoint& endpoint, const Request& request,
+                               const Permission& allowed) const {
+    return allowed.anchor == nullptr ||
+           inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id);
   }
 
   /// A request was taken.
@@ -83,7 +89,7 @@
   }
 
  private:
-  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Upstream& upstream, UpstreamId id);
+  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Endpoint& endpoint, UpstreamId id);
   [[nodiscard]] bool isCharged(const Request& request) const;
 
   const Settings& settings_;
