--- a/tests/degradation/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -9,15 +9,11 @@
 #include <string>
 
 #include "degradation/load_monitor.h"
+#include "simulated_time.h"
 
 namespace ivypost::degradation {
 namespace {
 
-using Micros = std::int64_t;
-TimePoint at(Micros time) {
-  return TimePoint(Duration(time));
-}
-
 class RandomStream {
  public:
   explicit RandomStream(std::uint64_t seed) : state_(seed) {}
@@ -31,41 +27,48 @@
   std::uint64_t state_;
 };
 
+// Cut to whole microseconds.
+Duration microseconds(double number) {
+  return Duration(static_cast<Duration::rep>(number));
+}
+
 // Load that stays at a height of its own for 0.5 to 20 s, with noise; the clock jumps now and then.
 std::string transitionsOf(std::uint64_t seed) {
   RandomStream random(seed);
-  LoadMonitor monitor(defaultSettings(), 2, at(0));
+  LoadMonitor monitor(defaultSettings(), 2, at(Duration::zero()));
   std::string lines;
-  Micros now = 0, cpuTime = 0, episodeEnd = 0;
+  Duration now{};
+  Duration cpuTime{};
+  Duration episodeEnd{};
   double load = 0;
   for (int tick = 0; tick < 12'000; ++tick) {
-    now += static_cast<Micros>(40'000 + 20'000 * random.next());
-    if (random.next() < 0.001) now += static_cast<Micros>(4e6 * (random.next() - 0.5));
+    now += microseconds(40'000 + 20'000 * random.next());
+    if (random.next() < 0.001) now += microseconds(4e6 * (random.next() - 0.5));
     if (now >= episodeEnd) {
-      episodeEnd = now + static_cast<Micros>(5e5 + 195e5 * random.next());
+      episodeEnd = now + microseconds(5e5 + 195e5 * random.next());
       load = random.next() < 0.6 ? 0.3 * random.next() : 1.3 * random.next();
     }
     const auto noisy = [&](double scale) { return scale * load * (0.8 + 0.4 * random.next()); };
-    cpuTime += static_cast<Micros>(noisy(100'000));
+    cpuTime += microseconds(noisy(100'000));
     Measurements measurements;
-    measurements.cpuTime = Duration(cpuTime);
-    measurements.eventLoopLag = Duration(static_cast<Micros>(noisy(100'000) * load * load));
+    measurements.cpuTime = cpuTime;
+    measurements.eventLoopLag = microseconds(noisy(100'000) * load * load);
     measurements.openRequestFraction = noisy(0.9);
     measurements.busyConnectionFraction = noisy(0.8);
     measurements.overQuotaFraction = noisy(0.3);
-    measurements.endpointListAge = Duration(static_cast<Micros>(noisy(5e6)));
+    measurements.endpointListAge = microseconds(noisy(5e6));
     for (int event = 0; event < 4; ++event) {
       monitor.onRequest(random.next() < 0.3 * load, at(now));
       monitor.onAttemptEnd(random.next() < 0.25 * load, at(now));
     }
     if (tick == 6'000) {
       Settings quick = defaultSettings();
-      quick.recoveryDelay = Duration(500'000);
-      quick.escalationInterval = Duration(100'000);
+      quick.recoveryDelay = std::chrono::milliseconds(500);
+      quick.escalationInterval = std::chrono::milliseconds(100);
       monitor.apply(quick, at(now));
     }
-    if (const auto change = monitor.tick(measurements, at(now)))
-      lines += std::to_string(change->at.time_since_epoch().count()) + " " + describe(*change) + "\n";
+    if (const auto transition = monitor.tick(measurements, at(now)))
+      lines += std::to_string(transition->at.time_since_epoch().count()) + " " + describe(*transition) + "\n";
   }
   return lines;
 }
@@ -76,7 +79,7 @@
   return hash;
 }
 
-TEST(DecisionTrace, IsAsRecorded) {
+TEST(DecisionTrace, IsAsRecordedWhateverIsRenamedOrMoved) {
   std::string lines;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) lines += transitionsOf(seed);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), '\n'), 1037);
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -57,7 +57,7 @@
 };
 
 // Without the operator's word nothing of it is there.
-TEST_F(DegradationManagerTest, IsOffByItself) {
+TEST_F(DegradationManagerTest, IsOffWhenTheFileDoesNotSayOtherwise) {
   start(op::File{});
   const Client asking = client();
   asking.send("GET /status/level HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -67,7 +67,7 @@
 }
 
 // A reread that fails changes nothing, at each level; one that succeeds takes effect, and its end is normal.
-TEST_F(DegradationManagerTest, ABadFileAtSighupChangesNothingAtAnyLevel) {
+TEST_F(DegradationManagerTest, KeepsItsLevelWhenARereadFails) {
   start(leadingTo(Level::Normal));
   for (std::size_t n = 0; n < degradation::kLevelCount; ++n) {
     const auto level = static_cast<Level>(n);
@@ -92,7 +92,7 @@
   serveOne("00000000000000a2");
 }
 
-TEST_F(DegradationManagerTest, IsVisible) {
+TEST_F(DegradationManagerTest, ShowsItsStatusWhenTheFileAsksForIt) {
   start(leadingTo(Level::Protect));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Protect; }));
   serveOne("00000000000000a3", "X-Second-Try: 1\r\n");
@@ -107,7 +107,7 @@
 
 // At shed, what can't be served in time is refused from its head: its body is never read. One that can is
 // read.
-TEST_F(DegradationManagerTest, ShedRefusesFromTheHead) {
+TEST_F(DegradationManagerTest, RejectsAtShedBeforeTheBodyIsRead) {
   start(leadingTo(Level::Shed));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Shed; }));
   serveOne("00000000000000a4");
@@ -127,7 +127,7 @@
 
 // At cutoff only the class is taken that the operator put first; the others are told when to come again,
 // where the platform allows that.
-TEST_F(DegradationManagerTest, CutoffTakesTheWorthiestClassOnly) {
+TEST_F(DegradationManagerTest, AdmitsAtCutoffTheClassOfTheGreatestWeightOnly) {
   op::File file = leadingTo(Level::Cutoff);
   file.admission.order = {"cambio"};
   start(file, {{"settings", {{"limits", {{"retryAfter", true}, {"maxRetryAfter", 60'000}}}}}});
@@ -147,7 +147,7 @@
 
 // A client that leaves while its request waits for the core costs no node anything, and a reread that ends
 // the queue hands on what waits.
-TEST_F(DegradationManagerTest, TheQueueLosesNothing) {
+TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
   op::File file = leadingTo(Level::Protect);
   file.admission.perTurn = 1;
   start(file);
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -3,103 +3,117 @@
 
 #include <gtest/gtest.h>
 
+#include <array>
+#include <chrono>
 #include <functional>
+#include <ostream>
+#include <string>
+
+#include "simulated_time.h"
 
 namespace ivypost::degradation {
 namespace {
 
-using Micros = std::int64_t;
-TimePoint at(Micros time) {
-  return TimePoint(Duration(time));
-}
+using namespace std::chrono_literals;
 
-constexpr Micros kSecond = 1'000'000;
+// Sets what a tick measures, and counts events ahead of it.
+using Load = std::function<void(LoadMonitor&, Measurements&, TimePoint)>;
 
-// Ticks from one time to another with these measurements; `each` runs ahead of every tick.
-Level play(LoadMonitor& monitor, Micros from, Micros to,
-           const std::function<void(Measurements&, Micros)>& each) {
-  for (Micros now = from; now <= to; now += LevelController::kEvaluationInterval.count()) {
+// Ticks on a simulated clock, the end included, and returns the level.
+Level run(LoadMonitor& monitor, Duration from, Duration to, const Load& load) {
+  forEachEvaluation(from, to + 1us, [&](TimePoint now) {
     Measurements measurements;
-    each(measurements, now);
-    static_cast<void>(monitor.tick(measurements, at(now)));
-  }
+    load(monitor, measurements, now);
+    static_cast<void>(monitor.tick(measurements, now));
+  });
   return monitor.controller().level();
 }
 
-// Each gauge and count by itself leads as far as its thresholds do, and no further.
-TEST(LoadMonitor, TurnsEachGaugeIntoItsSignal) {
-  struct Row {
-    const char* name;
-    Level level;
-    std::function<void(LoadMonitor&, Measurements&, Micros)> each;
-  };
-  const auto events = [](int some, int all, void (LoadMonitor::*count)(bool, TimePoint)) {
-    return [=](LoadMonitor& monitor, Measurements&, Micros now) {
-      for (int n = 0; n < all; ++n) (monitor.*count)(n < some, at(now));
-    };
+struct LoadCase {
+  std::string name;
+  Level level;
+  Load load;
+};
+
+void PrintTo(const LoadCase& loadCase, std::ostream* out) {
+  *out << loadCase.name;
+}
+
+Load measured(double Measurements::*field, double value) {
+  return [=](LoadMonitor&, Measurements& measurements, TimePoint) { measurements.*field = value; };
+}
+
+Load measured(Duration Measurements::*field, Duration value) {
+  return [=](LoadMonitor&, Measurements& measurements, TimePoint) { measurements.*field = value; };
+}
+
+Load coresBusy(int cores) {
+  return [=](LoadMonitor&, Measurements& measurements, TimePoint now) {
+    measurements.cpuTime = cores * now.time_since_epoch();
   };
-  const Row rows[] = {
-      {"half of two cores", Level::Normal,
-       [](LoadMonitor&, Measurements& g, Micros now) { g.cpuTime = Duration(now); }},
-      {"all of two cores", Level::Shed,
-       [](LoadMonitor&, Measurements& g, Micros now) { g.cpuTime = Duration(2 * now); }},
-      {"late ticks", Level::Cutoff,
-       [](LoadMonitor&, Measurements& g, Micros) { g.eventLoopLag = Duration(kSecond); }},
-      {"open requests", Level::Protect,
-       [](LoadMonitor&, Measurements& g, Micros) { g.openRequestFraction = 0.8; }},
-      {"busy places", Level::Cutoff,
-       [](LoadMonitor&, Measurements& g, Micros) { g.busyConnectionFraction = 1; }},
-      {"schools", Level::Thrifty, [](LoadMonitor&, Measurements& g, Micros) { g.overQuotaFraction = 0.3; }},
-      {"an old list", Level::Thrifty,
-       [](LoadMonitor&, Measurements& g, Micros) { g.endpointListAge = Duration(24 * kSecond); }},
-      {"a fifth of attempts bad", Level::Thrifty, events(2, 10, &LoadMonitor::onAttemptEnd)},
-      {"half of them", Level::Protect, events(5, 10, &LoadMonitor::onAttemptEnd)},
-      {"few of them say nothing", Level::Normal,
-       [](LoadMonitor& m, Measurements&, Micros now) {
-         if (now % (500'000) == 0) m.onAttemptEnd(true, at(now));
-       }},
-      {"retries", Level::Protect, events(4, 10, &LoadMonitor::onRequest)},
+}
+
+Load ofTenEvents(int matching, void (LoadMonitor::*count)(bool, TimePoint)) {
+  return [=](LoadMonitor& monitor, Measurements&, TimePoint now) {
+    for (int n = 0; n < 10; ++n) (monitor.*count)(n < matching, now);
   };
-  for (const Row& row : rows) {
-    LoadMonitor monitor(defaultSettings(), 2, at(0));
-    EXPECT_EQ(play(monitor, 0, 20 * kSecond, [&](Measurements& g, Micros now) { row.each(monitor, g, now); }),
-              row.level)
-        << row.name;
-    // And calm leads back.
-    EXPECT_EQ(play(monitor, 21 * kSecond, 60 * kSecond,
-                   [](Measurements& g, Micros) { g.cpuTime = Duration(40 * kSecond); }),
-              Level::Normal)
-        << row.name;
-  }
 }
 
-// A clock that jumps ahead or back between two ticks: the share of the core stays a share of the time passed.
-TEST(LoadMonitor, AClockThatJumps) {
-  LoadMonitor monitor(defaultSettings(), 1, at(0));
-  Micros used = 0;
-  play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.cpuTime = Duration(used += 10'000); });
-  EXPECT_EQ(play(monitor, 10'000 * kSecond, 10'001 * kSecond,
-                 [&](Measurements& g, Micros) { g.cpuTime = Duration(used += 10'000); }),
-            Level::Normal);
-  EXPECT_EQ(play(monitor, 0, kSecond, [&](Measurements& g, Micros) { g.cpuTime = Duration(used += 10'000); }),
-            Level::Normal);
+void oneFailureInHalfASecond(LoadMonitor& monitor, Measurements&, TimePoint now) {
+  if (now.time_since_epoch() % 500ms == 0us) monitor.onAttemptEnd(true, now);
+}
+
+class LoadMonitorLevel : public testing::TestWithParam<LoadCase> {};
+
+// As far as its signal's thresholds lead, and no further.
+TEST_P(LoadMonitorLevel, IsWhatTheMeasurementLeadsToAndNormalAgainAfterwards) {
+  LoadMonitor monitor(defaultSettings(), 2, at(0s));
+  EXPECT_EQ(run(monitor, 0s, 20s, GetParam().load), GetParam().level);
+  EXPECT_EQ(run(monitor, 21s, 60s, measured(&Measurements::cpuTime, 40s)), Level::Normal);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    EachMeasurement, LoadMonitorLevel,
+    testing::Values(
+        LoadCase{"HalfOfTwoCores", Level::Normal, coresBusy(1)},
+        LoadCase{"AllOfTwoCores", Level::Shed, coresBusy(2)},
+        LoadCase{"LateTicks", Level::Cutoff, measured(&Measurements::eventLoopLag, 1s)},
+        LoadCase{"OpenRequests", Level::Protect, measured(&Measurements::openRequestFraction, 0.8)},
+        LoadCase{"BusyConnections", Level::Cutoff, measured(&Measurements::busyConnectionFraction, 1)},
+        LoadCase{"TenantsOverTheirQuota", Level::Thrifty, measured(&Measurements::overQuotaFraction, 0.3)},
+        LoadCase{"AnOldEndpointList", Level::Thrifty, measured(&Measurements::endpointListAge, 24s)},
+        LoadCase{"AFifthOfAttemptsFailed", Level::Thrifty, ofTenEvents(2, &LoadMonitor::onAttemptEnd)},
+        LoadCase{"HalfOfAttemptsFailed", Level::Protect, ofTenEvents(5, &LoadMonitor::onAttemptEnd)},
+        LoadCase{"TooFewAttempts", Level::Normal, oneFailureInHalfASecond},
+        LoadCase{"Retries", Level::Protect, ofTenEvents(4, &LoadMonitor::onRequest)}),
+    [](const testing::TestParamInfo<LoadCase>& instance) { return instance.param.name; });
+
+TEST(LoadMonitor, KeepsTheProcessorsShareWhenTheClockJumps) {
+  LoadMonitor monitor(defaultSettings(), 1, at(0s));
+  Duration used{};
+  const auto aFifthOfACore = [&](LoadMonitor&, Measurements& measurements, TimePoint) {
+    measurements.cpuTime = used += 10ms;
+  };
+  run(monitor, 0s, 1s, aFifthOfACore);
+  EXPECT_EQ(run(monitor, 10'000s, 10'001s, aFifthOfACore), Level::Normal);
+  EXPECT_EQ(run(monitor, 0s, 1s, aFifthOfACore), Level::Normal);
   EXPECT_LT(monitor.controller().smoothedValue(Signal::CpuUtilization), 0.3);
 }
 
-// Other settings, at each level: the level stays, and what it asks for from then on decides.
-TEST(LoadMonitor, AdoptsOtherSettingsAtEachLevel) {
-  const double busy[] = {0, 0.8, 0.9, 0.96, 1};
-  for (std::size_t n = 0; n < kLevelCount; ++n) {
-    LoadMonitor monitor(defaultSettings(), 1, at(0));
-    const auto measurements = [&](Measurements& g, Micros) { g.busyConnectionFraction = busy[n]; };
-    ASSERT_EQ(play(monitor, 0, 10 * kSecond, measurements), static_cast<Level>(n));
+// The level stays, and what the new settings request decides from then on.
+TEST(LoadMonitor, AppliesOtherSettingsAtEachLevel) {
+  constexpr std::array kBusyFractions = {0.0, 0.8, 0.9, 0.96, 1.0};
+  for (const Level level : kLevels) {
+    LoadMonitor monitor(defaultSettings(), 1, at(0s));
+    const Load load = measured(&Measurements::busyConnectionFraction, kBusyFractions.at(indexOf(level)));
+    ASSERT_EQ(run(monitor, 0s, 10s, load), level);
     Settings never = defaultSettings();
     never.thresholds = Thresholds{};
-    monitor.apply(never, at(10 * kSecond));
-    EXPECT_EQ(monitor.controller().level(), static_cast<Level>(n));
-    EXPECT_EQ(play(monitor, 10 * kSecond, 40 * kSecond, measurements), Level::Normal);
-    monitor.apply(defaultSettings(), at(40 * kSecond));
-    EXPECT_EQ(play(monitor, 41 * kSecond, 50 * kSecond, measurements), static_cast<Level>(n));
+    monitor.apply(never, at(10s));
+    EXPECT_EQ(monitor.controller().level(), level);
+    EXPECT_EQ(run(monitor, 10s, 40s, load), Level::Normal);
+    monitor.apply(defaultSettings(), at(40s));
+    EXPECT_EQ(run(monitor, 41s, 50s, load), level);
   }
 }
 
