--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMaxObjectiveStretch = 1e6;  // far above any sensible setting
-// An endpoint that is warming up that could do nothing at all would never become warm by credits.
+// An endpoint that is warming up and could do nothing at all would never earn a credit.
 constexpr double kMinStartCapacity = 0.01;
 
 }  // namespace
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -31,7 +31,7 @@
   return endpoint.connections > 0 && static_cast<double>(now - endpoint.lastOutcomeAt) < sendRate_.idleTime();
 }
 
-// Whether a send finds room on an open connection; where nothing is known of them it counts as found.
+// Whether a send finds a free stream on an open connection; where nothing is known of them it does.
 bool ConnectionSubset::reuses(const Endpoint& endpoint, Micros now) const {
   if (settings_.idleClose <= 0 || settings_.maxStreams == 0) return true;
   return isConnected(endpoint, now) && endpoint.inFlight / settings_.maxStreams < endpoint.connections;
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -11,7 +11,7 @@
 
 namespace orchiddrum::internal {
 
-/// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a subset, its
+/// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a
 /// subset; connections to other endpoints, and to those that drain, are closed.
 ///
 /// Where nothing is known of connections (Settings::idleClose 0) there is no subset and only drains close.
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -8,7 +8,7 @@
 
 namespace orchiddrum::internal {
 
-/// When discovery is pollWithin for the endpoint list: at the start, and again after calls that failed,
+/// When discovery is asked for the endpoint list: at the start, and again after calls that failed,
 /// spread so that a fleet which starts or loses discovery together does not ask together.
 class DiscoveryPolling {
  public:
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -17,7 +17,7 @@
 /// Leaves the endpoint alone for `span` microseconds from now, or longer if it is in backoff already.
 void backOff(Endpoint& endpoint, double span, const EventContext& context);
 
-/// Guards against an endpoint whose quick rejectionsInRow or failed needsConnection keep its count lowest. It
+/// Guards against an endpoint whose quick rejections or failed connects keep its count lowest. It
 /// is left alone for about one service time (microseconds), twice as long at each further rejection in a row,
 /// jittered by half either way. `resolution` is the shortest span that means anything.
 void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -8,7 +8,7 @@
 namespace orchiddrum::internal {
 namespace {
 
-// Odds of an endpoint that is warming up that has its credit, and of a trial that is this sidecar's turn,
+// Odds of an endpoint that is warming up and has its credit, and of a trial that is this sidecar's turn,
 // against all warm ones together: its turn has come already.
 constexpr double kWarmingOdds = 0.125;
 // Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -280,7 +280,7 @@
 void RequestLifecycle::serveHeld(const EventContext& context) {
   while (decisions_.loadShedding.size() > 0 && !decisions_.sidecarLimit.isAtLimit(context) &&
          decisions_.readiness.anyReady(decisions_.endpoints, context.now)) {
-    const auto next = decisions_.loadShedding.takeWorthiest(requests_, [&](const Request& request) {
+    const auto next = decisions_.loadShedding.takeWeightiest(requests_, [&](const Request& request) {
       return !eligible(request, permission(request, context), context).empty();
     });
     if (!next) return;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -66,7 +66,7 @@
 }
 
 // Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
-// lets those go freely that follow attempts which never ran, since rejectionsInRow cost little.
+// lets those go freely that follow attempts which never ran, since rejections cost little.
 bool RetryPolicy::isCharged(const Request& request) const {
   return budget_.isStated() ? !request.attempts.empty()
                             : std::any_of(request.attempts.begin(), request.attempts.end(),
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -19,8 +19,8 @@
 // most: room for chance alone. What all have beyond that waits at the endpoints and slows them down for long.
 constexpr double kTypicalMultiple = 3;
 constexpr double kSpareAttempts = 2;
-// The first backoff lasts an eighth of the usual time to an answer doubled once; each further overloaded
-// outcome doubles it, up to so many doublings.
+// The first backoff lasts a quarter of the usual time to an answer (one doubling of an eighth); each further
+// overloaded outcome doubles it, up to so many doublings in all.
 constexpr int kMaxBackoffDoublings = kMaxEjectionDoublings + 2;
 constexpr int kFirstBackoffHalvings = 3;
 
