--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -422,7 +422,7 @@
     digest_.fold(static_cast<std::uint64_t>(balancer_.openRequests()));
     digest_.fold(static_cast<std::uint64_t>(balancer_.heldRequests()));
     for (UpstreamId id = 0; id < upstreams_.size(); ++id) {
-      digest_.fold(static_cast<std::uint64_t>(2 * balancer_.inFlight(id) + balancer_.ready(id, now_)));
+      digest_.fold(std::uint64_t{2} * balancer_.inFlight(id) + (balancer_.ready(id, now_) ? 1 : 0));
     }
   }
 
