--- a/tests/checks_test.sh
+++ b/tests/checks_test.sh
@@ -50,7 +50,7 @@
 finds 'log("the sidecar is deaf");' 'deaf'
 finds 'std::vector<int> spare_;' 'spare'
 finds 'void over();' 'over'
-finds 'namespace ivypost::balancer {' 'ivypost'
+finds 'namespace orchiddrum {' 'orchiddrum'
 finds 'Plays plays_;' 'play'
 finds 'int a; void tend(int b);' 'tend'
 
