--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -165,5 +165,15 @@
   }
 }
 
+// The more requests a window has, the less the allowance for chance covers. With the lower multiple: the
+// bound of a cold one's share leaves it the least room.
+TEST(ColdBudget, IsKeptWhenAWindowHasManyRequests) {
+  constexpr Shape kShapes[] = {{1, 4, kMs}, {1, 20, 2 * kMs}};
+  for (const Shape& shape : kShapes) {
+    EXPECT_LE(play(kStarts[1], shape, Course::AllColdAnswerAtOnce, 1), 1)
+        << shape.upstreams << " upstreams, " << shape.work / kMs << " ms";
+  }
+}
+
 }  // namespace
 }  // namespace orchiddrum
