--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fleet_rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 struct Start {
@@ -176,4 +176,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
