--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -6,8 +6,6 @@
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
-#include <charconv>
-#include <cstdio>
 #include <utility>
 #include <vector>
 
@@ -28,7 +26,6 @@
 using asio::ip::tcp;
 using beast::error_code;
 using orchiddrum::RequestId;
-using orchiddrum::Semantics;
 using std::chrono::milliseconds;
 
 // The server answers by itself when the module's answer is this much late.
@@ -75,8 +72,6 @@
 constexpr milliseconds kLastLook{10};
 // The kernel tells times by its own tick, of 10 ms at the most; less may be none.
 constexpr milliseconds kKernelTick{10};
-// The longest time that a client may ask for, so that sums of times stay far from overflow.
-constexpr std::int64_t kMaxExpiresInMs = 3'600'000;
 // While the server drains or stops, its connections are gone through so often.
 constexpr milliseconds kTendEvery{20};
 // Who still comes when requests are refused for a drain gets so long for a head.
@@ -90,29 +85,6 @@
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientShare = 0.6112;
 
-template <class Number>
-std::optional<Number> toNumber(std::string_view text, int base = 10) {
-  Number number = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, base);
-  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  return number;
-}
-
-// Headers that are read here, and must not say one thing here and another further on.
-bool repeatsAHeader(const Message& message) {
-  for (const char* name : {"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In-Ms", "Idempotency-Key",
-                           "X-Size-Hint", "X-Second-Try"}) {
-    if (message.count(name) > 1) return true;
-  }
-  return false;
-}
-
-std::optional<std::string_view> header(const RequestHead& message, std::string_view name) {
-  const auto found = message.find(beast::string_view(name.data(), name.size()));
-  if (found == message.end()) return std::nullopt;
-  return std::string_view(found->value().data(), found->value().size());
-}
-
 admission::DoorSettings doorSettings(const Config& config, const op::File& file) {
   admission::DoorSettings settings;
   settings.keepAny = file.door.keepAny;
@@ -129,12 +101,6 @@
          error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
 }
 
-std::string seconds(Micros span) {
-  std::array<char, 32> text{};
-  const int size = std::snprintf(text.data(), text.size(), "%.3f", static_cast<double>(span) / 1e6);
-  return {text.data(), static_cast<std::size_t>(size)};
-}
-
 }  // namespace
 
 // One client connection. It lives as long as the server lists it or an operation on it is out.
@@ -185,7 +151,7 @@
       if (self->state_ != State::Waiting || self->request_ != id) return;
       if (left) return self->close();
       if (!self->server_.endRequest(*self)) return;
-      self->write(self->server_.plain(502, "too much was sent ahead of the answer"));
+      self->write(textAnswer(502, "too much was sent ahead of the answer"));
       self->server_.over(id);
     });
     return true;
@@ -206,7 +172,7 @@
       }
       case State::Waiting:
         if (!server_.endRequest(*this)) return;
-        write(server_.plain(504, "stopping"));
+        write(textAnswer(504, "stopping"));
         return server_.over(request_);
       case State::Writing:
       case State::HangingUp:
@@ -221,12 +187,7 @@
     const bool owes = state_ == State::Reading || (state_ == State::Idle && !quiet());
     error_code ignored;
     if (owes) {
-      const Answer answer = server_.refusal("refused: the sidecar stops");
-      const std::string text =
-          "HTTP/1.1 503 Service Unavailable\r\nContent-Type: " + answer.contentType +
-          "\r\nRetry-After: " + seconds(answer.retryAfter) +
-          "\r\nConnection: close\r\nContent-Length: " + std::to_string(answer.body.size()) + "\r\n\r\n" +
-          answer.body;
+      const std::string text = formatLastResponse(server_.refusal("refused: the sidecar stops"));
       socket_.write_some(asio::buffer(text), ignored);
     }
     if (stream_) {
@@ -262,13 +223,10 @@
     uploading_ = false;
     last_ = !keepAlive_ || (!(server_.effects_.keeps && server_.door_.keeps(place_)) && !hasNext());
     wrong_ = answer.status / 100 == 4;
-    const auto reason = http::obsolete_reason(static_cast<http::status>(answer.status));
-    head_ = "HTTP/1.1 " + std::to_string(answer.status) + " " + std::string(view(reason)) +
-            "\r\nContent-Type: " + answer.contentType;
-    if (answer.retryAfter > 0) head_ += "\r\nRetry-After: " + seconds(answer.retryAfter);
-    if (answer.stream) return writeStream(std::move(answer));
-    if (last_) head_ += "\r\nConnection: close";
-    head_ += "\r\nContent-Length: " + std::to_string(answer.body.size()) + "\r\n\r\n";
+    ResponseHead head = formatResponseHead(answer, version_, last_);
+    last_ = head.closesConnection;
+    if (answer.stream) return writeStream(std::move(head), std::move(answer.stream));
+    head_ = std::move(head.text);
     body_ = std::move(answer.body);
     // Nearly always the kernel takes all of it at once.
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
@@ -391,18 +349,9 @@
 
   // ---- An answer in pieces
 
-  void writeStream(Answer answer) {
-    stream_ = std::move(answer.stream);
-    const bool chunked = !answer.length && version_ >= 11;
-    if (!answer.length && !chunked) last_ = true;
-    if (last_) head_ += "\r\nConnection: close";
-    if (answer.length) {
-      head_ += "\r\nContent-Length: " + std::to_string(*answer.length);
-    } else if (chunked) {
-      head_ += "\r\nTransfer-Encoding: chunked";
-    }
-    head_ += "\r\n\r\n";
-    writer_.begin(std::move(head_), chunked);
+  void writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body) {
+    stream_ = std::move(body);
+    writer_.begin(std::move(head.text), head.isChunked);
     stream_->onData = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
         asio::post(self->server_.io_, [self] {
@@ -527,7 +476,7 @@
     version_ = parser_->get().version();
     if (const auto flaw = flawOf(parser_->get())) {
       keepAlive_ = false;
-      return write(server_.plain(flaw->status, flaw->why));
+      return write(textAnswer(flaw->status, flaw->why));
     }
     if (parser_->is_done()) return onRead(error);
     if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
@@ -654,7 +603,7 @@
       const auto self = shared_from_this();
       upload_->pipe.fail();
       if (!server_.endRequest(*this)) return close();
-      write(server_.flawOfBody(error));
+      write(answerToBodyError(error));
       return server_.over(request_);
     }
     upload_->pipe.push(parser_->get().body());
@@ -702,13 +651,13 @@
       keepAlive_ = false;
       if (error == asio::error::operation_aborted && server_.effects_.answersAll)
         return write(server_.refusal("refused: the sidecar stops"));
-      if (error == http::error::body_limit) return write(server_.flawOfBody(error));
-      if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
+      if (error == http::error::body_limit) return write(answerToBodyError(error));
+      if (error == http::error::header_limit) return write(textAnswer(431, "header over 16 KiB"));
       if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
       if (error == http::error::bad_version)
-        return write(server_.plain(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
+        return write(textAnswer(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
       if (error.category() == make_error_code(http::error::bad_method).category())
-        return write(server_.flawOfBody(error));
+        return write(answerToBodyError(error));
       return close();
     }
     const milliseconds unread = unreadFor();
@@ -742,7 +691,7 @@
     deadline_.set(deadline + kBackstop, [this] {
       const auto self = shared_from_this();
       if (state_ != State::Waiting || !server_.endRequest(*this)) return;
-      write(server_.plain(504, "no answer in time"));
+      write(textAnswer(504, "no answer in time"));
       server_.over(request_);
     });
   }
@@ -829,6 +778,7 @@
                Callbacks callbacks)
     : io_(io),
       config_(config),
+      validator_(config.site),
       budget_(budget),
       callbacks_(std::move(callbacks)),
       acceptor_(io),
@@ -947,20 +897,8 @@
   return true;
 }
 
-Answer Server::plain(unsigned status, std::string text) const {
-  Answer answer;
-  answer.status = status;
-  answer.body = std::move(text) + "\n";
-  return answer;
-}
-
-Answer Server::flawOfBody(const error_code& error) const {
-  if (error == http::error::body_limit) return plain(413, "body over 32 MiB");
-  return plain(400, "malformed HTTP: " + error.message());
-}
-
 Answer Server::refusal(std::string text) const {
-  Answer answer = plain(503, std::move(text));
+  Answer answer = textAnswer(503, text);
   answer.retryAfter = gate_.comeAgain();
   return answer;
 }
@@ -982,13 +920,9 @@
 
 std::optional<Answer> Server::refusesFromHead(const RequestHead& head, milliseconds unread) const {
   if (!gate_.refusesFromHead()) return std::nullopt;
-  const auto qos = header(head, "X-Qos");
-  const auto named = qos ? config_.site.classes.find(*qos) : config_.site.classes.end();
-  const auto expires = toNumber<std::int64_t>(header(head, "X-Expires-In-Ms").value_or(""));
   // Whatever is wrong with it gets its answer when it has been read.
-  if (named == config_.site.classes.end() || !expires || *expires < 0 || *expires > kMaxExpiresInMs)
-    return std::nullopt;
-  if (!gate_.hopeless(named->second, (*expires - unread.count()) * 1000)) return std::nullopt;
+  const auto hint = validator_.hintOf(head, unread);
+  if (!hint || !gate_.hopeless(hint->requestClass, hint->remaining)) return std::nullopt;
   return refusal("refused: too late");
 }
 
@@ -997,76 +931,40 @@
   return most > 0 && open_.size() >= most;
 }
 
-std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
-  toOriginForm(message);
-  const std::string_view target(message.target().data(), message.target().size());
+// What the sidecar itself answers, without an upstream.
+std::optional<Answer> Server::answersItself(const RequestHead& head) const {
+  const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
-  const bool isGet = message.method() == http::verb::get;
+  const bool isGet = head.method() == http::verb::get;
   if (path == "/ready") {
-    if (!isGet) return plain(405, "GET only");
-    return effects_.ready ? plain(200, "ready") : plain(503, "not ready");
+    if (!isGet) return textAnswer(405, "GET only");
+    return effects_.ready ? textAnswer(200, "ready") : textAnswer(503, "not ready");
   }
   const bool level = statusOn_.level && path == "/status/level";
-  if (level || (statusOn_.peers && path == "/status/peers")) {
-    if (!isGet) return plain(405, "GET only");
-    Answer answer = plain(200, level ? callbacks_.status() : callbacks_.peers());
-    answer.contentType = "application/json";
-    return answer;
-  }
+  if (!level && !(statusOn_.peers && path == "/status/peers")) return std::nullopt;
+  if (!isGet) return textAnswer(405, "GET only");
+  Answer answer = textAnswer(200, level ? callbacks_.status() : callbacks_.peers());
+  answer.contentType = "application/json";
+  return answer;
+}
+
+std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
+  toOriginForm(message);
+  if (auto answer = answersItself(message)) return std::move(*answer);
   if (!effects_.takes) return refusal("refused: clients are sent away");
-  if (repeatsAHeader(message)) return plain(400, "a header stands there twice");
-  const orchiddrum::Site& site = config_.site;
-  const auto parts = orchiddrum::split(path.substr(path.empty() ? 0 : 1), '/');
-  const auto inPath = parts.empty() ? site.classes.end() : site.classes.find(parts.front());
-  const auto qos = header(message, "X-Qos");
-  const auto named = qos ? site.classes.find(*qos) : site.classes.end();
-  if (qos && named == site.classes.end()) return plain(400, "unknown class in X-Qos");
-  if (path.empty() || path.front() != '/' || inPath == site.classes.end()) return plain(404, "unknown path");
-  if (!qos) return plain(400, "X-Qos is missing");
-  if (named != inPath) return plain(400, "X-Qos and the path name different classes");
-
-  ClientRequest request;
-  request.requestClass = named->second;
-  const auto& cls = site.settings.classes.at(request.requestClass);
-  const bool post = cls.semantics != Semantics::Idempotent;
-  if (message.method() != (post ? http::verb::post : http::verb::get))
-    return plain(405, post ? "POST only" : "GET only");
-  if (cls.semantics == Semantics::Keyed && header(message, "Idempotency-Key").value_or("").empty())
-    return plain(400, "Idempotency-Key is missing");
-
-  const auto trace = header(message, "X-Trace-Id").value_or("");
-  const auto id = trace.size() == 16 ? toNumber<std::uint64_t>(trace, 16) : std::nullopt;
-  if (!id) return plain(400, "X-Trace-Id is missing or has not 16 hexadecimal digits");
-  if (!traces_.isFree(*id, now())) return plain(400, "X-Trace-Id is or was lately another request's");
-  request.trace = *id;
-
-  const auto expires = toNumber<std::int64_t>(header(message, "X-Expires-In-Ms").value_or(""));
-  if (!expires || *expires < 0 || *expires > kMaxExpiresInMs)
-    return plain(400, "X-Expires-In-Ms is missing or no time in milliseconds");
-  request.expiresIn = std::max<Micros>(0, (*expires - unread.count()) * 1000);
-  request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
-
-  const auto customer = header(message, "X-Customer");
-  if (!site.tenants.empty()) {
-    const auto tenant = customer ? site.tenants.find(*customer) : site.tenants.end();
-    if (tenant == site.tenants.end()) return plain(400, "X-Customer is missing or unknown");
-    request.tenant = tenant->second;
-  }
-  if (const auto hint = header(message, "X-Size-Hint")) {
-    request.work = toNumber<Micros>(*hint);
-    if (!request.work || *request.work < 0) return plain(400, "X-Size-Hint is no time in microseconds");
+  auto read = validator_.validate(message, unread, Clock::now(),
+                                  [this](std::uint64_t trace) { return traces_.isFree(trace, now()); });
+  if (const auto* error = std::get_if<RequestError>(&read)) {
+    if (error->status == 503) return refusal(std::string(error->reason));
+    return textAnswer(error->status, error->reason);
   }
-  if (parts.size() > 1) request.key = orchiddrum::identity(parts.back());
-  request.resent = header(message, "X-Second-Try").value_or("") == "1";
-  request.arrived = Clock::now() - unread;
-  if (unread > milliseconds(0) && request.expiresIn == 0)
-    return refusal("refused: its time was over when it was read");
+  auto& request = std::get<ClientRequest>(read);
   if (gate_.refusesFromHead() && gate_.hopeless(request.requestClass, request.expiresIn))
     return refusal("refused: too late");
   if (full() || (!gate_.queues() && !door_.mayWork())) return refusal("refused: too many open requests");
   request.id = ++lastId_;
   request.message = std::make_shared<const Message>(std::move(message));
-  return request;
+  return std::move(request);
 }
 
 void Server::follow(const lifecycle::Effects& effects) {
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -25,20 +25,11 @@
 #include "deadlines.h"
 #include "gate.h"
 #include "lifecycle/lifecycle.h"
-#include "request_form.h"
+#include "request_validator.h"
+#include "response_writer.h"
 
 namespace ivypost {
 
-struct Answer {
-  unsigned status = 502;
-  std::string body;
-  std::string contentType = "text/plain";
-  Micros retryAfter = 0;  // 0: no advice
-  // The body if it comes in pieces, in place of `body`.
-  std::shared_ptr<relay::Pipe> stream;
-  std::optional<std::uint64_t> length;  // of it; none: unknown
-};
-
 class Server {
  public:
   struct Callbacks {
@@ -99,8 +90,7 @@
   // What the request reads as, or the answer it gets at once.
   // `unread`: since its last byte came.
   std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread);
-  Answer plain(unsigned status, std::string text) const;
-  Answer flawOfBody(const boost::system::error_code& error) const;
+  std::optional<Answer> answersItself(const RequestHead& head) const;
   Answer refusal(std::string text) const;
   // From the head alone: the refusal of a request whose body need not be read.
   std::optional<Answer> refusesFromHead(const RequestHead& head, std::chrono::milliseconds unread) const;
@@ -109,6 +99,7 @@
 
   boost::asio::io_context& io_;
   const Config& config_;
+  const RequestValidator validator_;
   relay::Budget& budget_;
   Callbacks callbacks_;
   boost::asio::ip::tcp::acceptor acceptor_;
