--- /dev/null
+++ b/src/relay/body_buffering.cpp
@@ -0,0 +1,24 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "relay/body_buffering.h"
+
+#include <algorithm>
+
+namespace ivypost::relay {
+
+std::optional<std::size_t> BodyBuffering::capacityFor(std::size_t received,
+                                                      std::optional<std::uint64_t> statedLength) {
+  if (received <= freeBytes_) return received;
+  // A stated length is taken at once, so that the buffer need not grow: it would hold twice as much.
+  const std::uint64_t wanted = std::max<std::uint64_t>(received, statedLength.value_or(0));
+  if (wanted > kMaxBuffered) return std::nullopt;
+  while (share_.bytes() < wanted) {
+    if (!share_.grow(kBudgetStep)) return std::nullopt;
+  }
+  return static_cast<std::size_t>(wanted);
+}
+
+Micros BodyBuffering::uploadTime(const Pace& rate, std::optional<std::uint64_t> remaining) {
+  return kUploadSlack * rate.expected(remaining.value_or(kMaxBuffered)) + kUploadSpare;
+}
+
+}  // namespace ivypost::relay
--- /dev/null
+++ b/src/relay/body_buffering.h
@@ -0,0 +1,51 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// Whether a request's body is buffered until it is complete, so that it can be sent again and a client that
+// writes slowly holds up no upstream, or is streamed. Decisions only.
+#ifndef IVYPOST_RELAY_BODY_BUFFERING_H_
+#define IVYPOST_RELAY_BODY_BUFFERING_H_
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+
+#include "relay/budget.h"
+#include "relay/pace.h"
+
+namespace ivypost::relay {
+
+/// The buffering of one connection's request bodies, one after the other.
+class BodyBuffering {
+ public:
+  /// Bytes of a body, or read ahead of an answer, that are buffered at the most, as far as the budget goes.
+  static constexpr std::size_t kMaxBuffered = 2048UL * 1024;
+  /// The budget is taken in steps of so many bytes.
+  static constexpr std::size_t kBudgetStep = 128UL * 1024;
+  /// How much longer than its rate so far lets expect the rest of a body may take, before its request is
+  /// given up: so many times as long, and so many microseconds more.
+  static constexpr Micros kUploadSlack = 2;
+  static constexpr Micros kUploadSpare = 3'000'000;
+
+  /// `freeBytes`: a body of up to so many bytes is buffered without the budget.
+  BodyBuffering(const Budget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
+
+  /// Asked as bytes of a body come: the capacity that its buffer needs, in bytes; none: it has to be
+  /// streamed. `received`: bytes so far; `statedLength`: by its head; none: it comes in chunks.
+  [[nodiscard]] std::optional<std::size_t> capacityFor(std::size_t received,
+                                                       std::optional<std::uint64_t> statedLength);
+
+  /// Gives back what was taken from the budget.
+  void release() { share_.release(); }
+
+  /// Microseconds that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
+  /// stated length; none: unknown.
+  [[nodiscard]] static Micros uploadTime(const Pace& rate, std::optional<std::uint64_t> remaining);
+
+ private:
+  std::size_t freeBytes_;
+  Budget::Share share_;
+};
+
+}  // namespace ivypost::relay
+
+#endif  // IVYPOST_RELAY_BODY_BUFFERING_H_
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -12,6 +12,7 @@
 #include "admission/peer.h"
 #include "framing.h"
 #include "network/nonblocking_io.h"
+#include "relay/body_buffering.h"
 #include "relay/pace.h"
 #include "relay/pieces_body.h"
 #include "request_form.h"
@@ -51,19 +52,11 @@
 constexpr milliseconds kMaxLinger{1000};
 // A buffer that was read empty is kept up to this size for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
-// A larger body is held whole up to this, as far as the budget goes: so it can be sent again, and a client
-// that writes slowly holds up no upstream.
-constexpr std::size_t kMaxHeld = 2048UL * 1024;
-constexpr std::size_t kHeldStep = 128UL * 1024;
-// How much longer than its pace so far lets expect the rest of a body may take, before its request is given
-// up.
-constexpr Micros kUploadSlack = 2;
-constexpr Micros kUploadSpare = 3'000'000;
 // A client that takes nothing more of an answer for so long has stopped.
 constexpr milliseconds kClientTakes{10'000};
-// What is read of what a client sends ahead while its request waits, whatever the budget says; up to kMaxHeld
-// as far as that goes. With more unread its close may stand in its own machine's queue, where nobody sees it:
-// then no attempt is begun for it, and it is looked for so often.
+// What is read of what a client sends ahead while its request waits, whatever the budget says; up to
+// BodyBuffering::kMaxBuffered as far as that goes. With more unread its close may stand in its own machine's
+// queue, where nobody sees it: then no attempt is begun for it, and it is looked for so often.
 constexpr std::size_t kMaxAhead = 16UL * 1024;
 constexpr milliseconds kLookForLeaver{100};
 constexpr std::size_t kReadOnce = 4096;
@@ -101,6 +94,11 @@
          error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
 }
 
+// Boost.Beast tells lengths in Boost's own type.
+std::optional<std::uint64_t> standard(const boost::optional<std::uint64_t>& length) {
+  return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+}
+
 }  // namespace
 
 // One client connection. It lives as long as the server lists it or an operation on it is out.
@@ -111,7 +109,7 @@
         socket_(std::move(socket)),
         deadline_(server.deadlines_),
         leaver_(server.deadlines_),
-        held_(server.budget_),
+        buffering_(server.budget_, kMaxWhole),
         ahead_(server.budget_),
         place_(place) {}
 
@@ -310,7 +308,9 @@
   bool mayReadAhead() {
     if (buffer_.size() < kMaxAhead) return true;
     while (ahead_.bytes() < buffer_.size()) {
-      if (buffer_.size() >= kMaxHeld || !ahead_.grow(kHeldStep)) return false;
+      if (buffer_.size() >= relay::BodyBuffering::kMaxBuffered ||
+          !ahead_.grow(relay::BodyBuffering::kBudgetStep))
+        return false;
     }
     return true;
   }
@@ -402,7 +402,7 @@
     parser_.reset();
     body_ = {};
     upload_.reset();
-    held_.release();
+    buffering_.release();
     answerBy_ = Clock::time_point::max();
     if (last_) return hangUp();
     if (buffer_.size() == 0) {
@@ -523,8 +523,10 @@
       error = http::error::bad_chunk_extension;
     if (uploading_) return onPiece(error);
     if (error || parser_->is_done()) return onBody(error);
-    if (parser_->get().body().size() > kMaxWhole && !holds(parser_->get().body().size()))
-      return beginUpload();
+    const auto capacity =
+        buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
+    if (!capacity) return beginUpload();
+    parser_->get().body().reserve(*capacity);
     limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
     readMore(kReadOfStream);
   }
@@ -548,19 +550,6 @@
                          });
   }
 
-  // Whether a body of more than 64 KiB may go on being held whole.
-  bool holds(std::size_t size) {
-    const std::uint64_t length = parser_->content_length().value_or(0);
-    if (std::max<std::uint64_t>(size, length) > kMaxHeld) return false;
-    // A stated length is taken at once, so that the string need not grow: it would hold twice as much.
-    const std::size_t wanted = std::max<std::size_t>(size, length);
-    while (held_.bytes() < wanted) {
-      if (!held_.grow(kHeldStep)) return false;
-    }
-    parser_->get().body().reserve(wanted);
-    return true;
-  }
-
   // ---- A request's body in pieces
 
   // Hands the request on while its body is still coming in.
@@ -580,9 +569,9 @@
     upload_ = upload;
     uploading_ = true;
     expiresIn_ = request.expiresIn;
-    const std::uint64_t left = parser_->content_length_remaining().value_or(kMaxHeld);
     // The request's time counts from its last byte, which is not known yet.
-    request.expiresIn += kUploadSlack * pace_->expected(left) + kUploadSpare;
+    request.expiresIn +=
+        relay::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
     request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
     upload->deadline = request.deadline;
     upload->clientGave = std::chrono::microseconds(expiresIn_);
@@ -591,7 +580,7 @@
     };
     upload->pipe.push(read.body());
     read.body() = {};
-    held_.release();
+    buffering_.release();
     request.upload = std::move(upload);
     take(std::move(request));
     if (uploading_) nextOfUpload();
@@ -749,7 +738,7 @@
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<relay::PiecesBody>> parser_;
   std::optional<relay::Pace> pace_;      // of the body
-  relay::Budget::Share held_;            // of a large body that is read whole
+  relay::BodyBuffering buffering_;       // of bodies
   relay::Budget::Share ahead_;           // of what is read ahead of an answer
   std::shared_ptr<Upload> upload_;       // of one that is not
   std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
