--- /dev/null
+++ b/src/sidecar/client_session.cpp
@@ -0,0 +1,286 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+// The life of a connection: waiting for requests and for answers, closing.
+#include "client_session.h"
+
+#include <algorithm>
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "admission/peer.h"
+#include "framing.h"
+#include "network/nonblocking_io.h"
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// The server answers by itself when the module's answer is this much late.
+constexpr milliseconds kBackstop{10};
+// What a client still sends after its last answer is read and dropped for this long: closing at once would
+// reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
+constexpr milliseconds kLinger{200};
+constexpr std::size_t kMaxDiscard = 64UL * 1024;
+// And of each connection so much while the whole server ends: what the kernel can hold unread of one.
+constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
+// A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
+// takes nothing must not hold its place, nor the end of the process.
+constexpr milliseconds kMaxLinger{1000};
+// What is read of what a client sends ahead while its request waits, whatever the budget says; up to
+// BodyBuffering::kMaxBuffered as far as that goes. With more unread its close may stand in its own machine's
+// queue, where nobody sees it: then no attempt is begun for it, and it is looked for so often.
+constexpr std::size_t kMaxAhead = 16UL * 1024;
+constexpr milliseconds kLookForLeaver{100};
+constexpr std::size_t kReadOnce = 4096;
+// A request that was expected or being read when its time was up may have come whole meanwhile; it is read
+// for so long.
+constexpr milliseconds kLastLook{10};
+// A connection that has sent nothing since it came is not idle before this: its request is on the way.
+constexpr Micros kSettling = 300'000;
+
+}  // namespace
+
+ClientSession::ClientSession(ClientSessionHost& host, const Resources& resources, tcp::socket socket,
+                             admission::Door::Place place)
+    : host_(host),
+      io_(resources.io),
+      budget_(resources.budget),
+      connectionLimit_(resources.connectionLimit),
+      socket_(std::move(socket)),
+      deadline_(resources.deadlines),
+      leaver_(resources.deadlines),
+      buffering_(resources.budget, kMaxWhole),
+      ahead_(resources.budget),
+      place_(place) {}
+
+void ClientSession::start() {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  socket_.non_blocking(true, ignored);
+  limit(Clock::now() + kMaxRequest);
+  watch();
+}
+
+bool ClientSession::quiet() {
+  if (state_ != State::Idle || buffer_.size() > 0) return false;
+  return peek() == asio::error::would_block;
+}
+
+bool ClientSession::settled(Micros time) const {
+  return place_->requests > 0 || time - place_->since >= kSettling;
+}
+
+bool ClientSession::givesWay() {
+  if (state_ == State::HangingUp) return admission::allAcknowledged(socket_.native_handle());
+  return mayCloseIdle();
+}
+
+bool ClientSession::mayCloseIdle() {
+  return quiet() && !admission::awaitsAcknowledgement(socket_.native_handle());
+}
+
+bool ClientSession::isClientGone() {
+  const bool left = admission::peerHasLeft(socket_.native_handle()) || (!uploading_ && !catchUp());
+  if (!left && (uploading_ || !behind_)) return false;
+  asio::post(io_, [self = shared_from_this(), id = request_, left] {
+    if (self->state_ != State::Waiting || self->request_ != id) return;
+    if (left) return self->close();
+    if (!self->host_.endRequest(*self)) return;
+    self->write(textAnswer(502, "too much was sent ahead of the answer"));
+    self->host_.cancelRequest(id);
+  });
+  return true;
+}
+
+void ClientSession::answerFinally() {
+  const auto self = shared_from_this();
+  switch (state_) {
+    case State::Idle:
+      return resume();
+    case State::Reading: {
+      keepAlive_ = false;
+      if (!busy_) return write(host_.rejection("refused: the sidecar stops"));
+      error_code ignored;
+      socket_.cancel(ignored);  // onRead() answers
+      return;
+    }
+    case State::Waiting:
+      if (!host_.endRequest(*this)) return;
+      write(textAnswer(504, "stopping"));
+      return host_.cancelRequest(request_);
+    case State::Writing:
+    case State::HangingUp:
+    case State::Closed:
+      return;
+  }
+}
+
+void ClientSession::closeFinally() {
+  const bool owes = state_ == State::Reading || (state_ == State::Idle && !quiet());
+  error_code ignored;
+  if (owes) {
+    const std::string text = formatLastResponse(host_.rejection("refused: the sidecar stops"));
+    socket_.write_some(asio::buffer(text), ignored);
+  }
+  if (stream_) {
+    socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+    return close();
+  }
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  std::array<char, 16UL * 1024> dropped;
+  error_code error;
+  for (std::size_t left = kMaxFinalDiscard; left > 0 && !error;) {
+    const std::size_t size = socket_.receive(asio::buffer(dropped), 0, error);
+    left -= std::min(left, size);
+  }
+  close();
+}
+
+void ClientSession::close() {
+  if (state_ == State::Closed) return;
+  const bool waiting = state_ == State::Waiting;
+  state_ = State::Closed;
+  deadline_.cancel();
+  leaver_.cancel();
+  error_code ignored;
+  socket_.close(ignored);
+  if (upload_) upload_->pipe.fail();
+  if (const auto stream = std::exchange(stream_, nullptr)) stream->abandon();
+  const auto self = shared_from_this();  // the server's may have been the last
+  host_.onClosed(place_);
+  if (waiting && host_.endRequest(*this)) host_.cancelRequest(request_);
+}
+
+error_code ClientSession::peek() {
+  char byte = 0;
+  error_code error;
+  network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
+  return error;
+}
+
+void ClientSession::watch(error_code why) {
+  if (watching_) return;
+  watching_ = true;
+  network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
+    self->watching_ = false;
+    if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
+    const error_code error = self->readAhead();
+    if (error && !network::isShortage(error)) self->behind_ = false;  // the kernel holds nothing more
+    if (network::isTransient(error)) return self->watch(error);
+    if (error) return self->close();
+    if (self->state_ == State::Idle) return self->read();
+    if (self->mayReadAhead()) return self->watch();
+    self->behind_ = true;
+    self->lookForLeaver();
+  });
+}
+
+bool ClientSession::mayReadAhead() {
+  if (buffer_.size() < kMaxAhead) return true;
+  while (ahead_.bytes() < buffer_.size()) {
+    if (buffer_.size() >= relay::BodyBuffering::kMaxBuffered ||
+        !ahead_.grow(relay::BodyBuffering::kBudgetStep))
+      return false;
+  }
+  return true;
+}
+
+bool ClientSession::catchUp() {
+  while (behind_ && mayReadAhead()) {
+    const error_code error = readAhead();
+    if (network::isShortage(error)) return true;
+    if (error) behind_ = false;
+    if (error && !network::isTransient(error)) return false;
+  }
+  return true;
+}
+
+void ClientSession::lookForLeaver() {
+  leaver_.set(Clock::now() + kLookForLeaver, [this] {
+    const auto self = shared_from_this();
+    if (state_ != State::Waiting) return;
+    if (admission::peerHasLeft(socket_.native_handle())) return close();
+    if (!uploading_ && mayReadAhead()) return watch();
+    lookForLeaver();
+  });
+}
+
+error_code ClientSession::readAhead() {
+  error_code error;
+  const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
+  buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
+  return error;
+}
+
+void ClientSession::resume() {
+  if (state_ != State::Idle) return;
+  if (buffer_.size() > 0) return read();
+  watch();
+}
+
+void ClientSession::take(ClientRequest request) {
+  state_ = State::Waiting;
+  request_ = request.id;
+  answerBy_ = request.deadline;
+  arrivedAt_ = request.arrived;
+  trace_ = request.trace;
+  host_.openRequest(shared_from_this());
+  if (!uploading_) {
+    watch();
+    guard(request.deadline);
+  }
+  host_.forward(std::move(request));
+}
+
+void ClientSession::guard(Clock::time_point deadline) {
+  deadline_.set(deadline + kBackstop, [this] {
+    const auto self = shared_from_this();
+    if (state_ != State::Waiting || !host_.endRequest(*this)) return;
+    write(textAnswer(504, "no answer in time"));
+    host_.cancelRequest(request_);
+  });
+}
+
+void ClientSession::limit(Clock::time_point until) {
+  deadline_.set(until, [this] {
+    const auto self = shared_from_this();
+    const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+    if (!reads || peek() == asio::error::would_block) return close();
+    deadline_.set(Clock::now() + kLastLook, [this] { close(); });
+  });
+}
+
+void ClientSession::hangUp() {
+  state_ = State::HangingUp;
+  connectionLimit_.end(place_, now());
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  linger(Clock::now() + kMaxLinger);
+  // Once the whole server ends there is nobody to take the core from.
+  discard(host_.effects().answersAll ? kMaxFinalDiscard : kMaxDiscard);
+}
+
+void ClientSession::linger(Clock::time_point atMost) {
+  deadline_.set(Clock::now() + kLinger, [this, atMost] {
+    const auto self = shared_from_this();
+    if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle())) return close();
+    linger(atMost);
+  });
+}
+
+void ClientSession::discard(std::size_t atMost) {
+  buffer_.clear();
+  socket_.async_read_some(buffer_.prepare(4096),
+                          [self = shared_from_this(), atMost](error_code error, std::size_t size) {
+                            if (self->state_ != State::HangingUp) return;
+                            if (error) return self->close();
+                            if (size < atMost) self->discard(atMost - size);
+                          });
+}
+
+}  // namespace ivypost
--- /dev/null
+++ b/src/sidecar/client_session.h
@@ -0,0 +1,192 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// One connection of a client: its states, reading requests, answering them, closing.
+#ifndef IVYPOST_CLIENT_SESSION_H_
+#define IVYPOST_CLIENT_SESSION_H_
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http.hpp>
+#include <chrono>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "admission/door.h"
+#include "client_request.h"
+#include "client_session_host.h"
+#include "clock.h"
+#include "deadlines.h"
+#include "relay/body_buffering.h"
+#include "relay/budget.h"
+#include "relay/pace.h"
+#include "relay/pieces_body.h"
+#include "relay/pipe.h"
+#include "response_writer.h"
+#include "stream_writer.h"
+
+namespace ivypost {
+
+/// One client connection. It lives as long as its host lists it or an operation on it is out: shared, since
+/// operations on the socket outlive its place in the list.
+class ClientSession : public std::enable_shared_from_this<ClientSession> {
+ public:
+  /// What all connections of a server share. All of it has to outlive them.
+  struct Resources {
+    /// The event loop.
+    boost::asio::io_context& io;
+    /// The deadlines of all connections.
+    std::shared_ptr<Deadlines> deadlines;
+    /// For bodies, and for what is read ahead of answers.
+    relay::Budget& budget;
+    /// Decides which connections are kept; told of each change of this one's state.
+    admission::Door& connectionLimit;
+  };
+
+  /// Takes an accepted connection over that the connection limit has entered at `place`.
+  ClientSession(ClientSessionHost& host, const Resources& resources, boost::asio::ip::tcp::socket socket,
+                admission::Door::Place place);
+
+  /// Begins to read. Called once, when the server lists the connection.
+  void start();
+  /// Whether nothing has come on an idle connection, so that closing it loses no request.
+  bool quiet();
+  /// Whether it has been here for long enough to count as idle when it sends nothing.
+  bool settled(Micros time) const;
+  /// Whether closing it costs its client nothing.
+  bool givesWay();
+  /// Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
+  /// that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
+  bool mayCloseIdle();
+  /// Whether the client of the waiting request has left; closes the connection then, but not from within the
+  /// caller, who may be in the middle of something of this request's.
+  bool isClientGone();
+  /// The server stops: what is owed an answer gets its final one. Nothing of what is still being read has
+  /// run.
+  void answerFinally();
+  /// The process ends. Guards against a close over unread bytes, which would reset the connection and could
+  /// cost the client its answer; and against an answer cut short that looks whole.
+  void closeFinally();
+  /// The request that was taken last; 0: none yet.
+  orchiddrum::RequestId request() const { return request_; }
+  /// When that request had come.
+  Clock::time_point arrivedAt() const { return arrivedAt_; }
+  /// That request's X-Trace-Id.
+  std::uint64_t trace() const { return trace_; }
+  /// Answers what the client has sent, and goes on or hangs up.
+  void write(Answer answer);
+  /// Closes the connection at once; a request that waits is cancelled. Nothing when it is closed already.
+  void close();
+
+ private:
+  // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
+  enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
+
+  // A connection's first request must be whole within this time of its accept, and each further one of its
+  // first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
+  static constexpr std::chrono::milliseconds kMaxRequest{2500};
+
+  boost::system::error_code peek();
+  // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
+  // nothing.
+  void watch(boost::system::error_code why = {});
+  // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
+  // reading stops only where memory ends.
+  bool mayReadAhead();
+  // Reads what has come since reading had to stop. False if the client has left.
+  bool catchUp();
+  // Looks now and then whether the client has left, while what it sends is not read: behind that its close
+  // can't be seen by reading.
+  void lookForLeaver();
+  // What has come. While a request waits, it guards against a client that sends more and then leaves
+  // unnoticed.
+  boost::system::error_code readAhead();
+  void resume();
+  // An answer is owed from here on.
+  void take(ClientRequest request);
+  // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
+  void guard(Clock::time_point deadline);
+  void limit(Clock::time_point until);
+  void hangUp();
+  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+  void linger(Clock::time_point atMost);
+  void discard(std::size_t atMost);
+
+  // client_session_reading.cpp
+  void read();
+  // Guards against a body without end: Boost.Beast 1.74 forgets that a length is over the limit when the body
+  // comes along with the header, so the header is read apart.
+  void readHead(bool mayBeEmptyLine);
+  void readRestOfHead(bool mayBeEmptyLine);
+  void onHead(boost::system::error_code error, bool mayBeEmptyLine);
+  // The client waits for this before it sends the body.
+  void goOn();
+  void readBody();
+  // What has come of the body.
+  void takeBody();
+  // `why`: the read before came to nothing.
+  void readMore(std::size_t most, boost::system::error_code why = {});
+  // Hands the request on while its body is still coming in.
+  void beginUpload();
+  void onPiece(boost::system::error_code error);
+  void nextOfUpload();
+  void roomMade();
+  void onBody(boost::system::error_code error);
+  std::string_view received() const;
+  void onRead(boost::system::error_code error);
+  // How long a request that has been read now had stood unread: in the accept queue, or while the loop was
+  // late. Its time counts from its last byte.
+  std::chrono::milliseconds unreadFor();
+
+  // client_session_writing.cpp
+  // Whether something of a next request has come. What has been read is owed an answer, so the connection is
+  // not ended by us ahead of that.
+  bool hasNext();
+  // Of the answer. `why`: the write before came to no end.
+  void writeRest(boost::system::error_code why);
+  void writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body);
+  void pump();
+  void pumpLater();
+  void onWritten();
+
+  ClientSessionHost& host_;
+  boost::asio::io_context& io_;
+  relay::Budget& budget_;
+  admission::Door& connectionLimit_;
+  boost::asio::ip::tcp::socket socket_;
+  Deadlines::Deadline deadline_;
+  Deadlines::Deadline leaver_;  // the next look for one
+  boost::beast::flat_buffer buffer_;
+  std::optional<boost::beast::http::request_parser<relay::PiecesBody>> parser_;
+  std::optional<relay::Pace> pace_;      // of the body
+  relay::BodyBuffering buffering_;       // of bodies
+  relay::Budget::Share ahead_;           // of what is read ahead of an answer
+  std::shared_ptr<Upload> upload_;       // of one that is not
+  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
+  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
+  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
+  unsigned version_ = 11;                // of the request's HTTP
+  bool uploading_ = false, readingBody_ = false;
+  StreamWriter writer_;                 // of an answer that streams
+  bool waitsToWrite_ = false;           // for the client to take more of it
+  std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
+  std::string head_, body_;             // of the answer
+  bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
+  orchiddrum::RequestId request_ = 0;
+  Clock::time_point arrivedAt_;
+  Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
+  std::uint64_t trace_ = 0;
+  const admission::Door::Place place_;
+  State state_ = State::Idle;
+  bool keepAlive_ = true;
+  bool watching_ = false;
+  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
+  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
+};
+
+}  // namespace ivypost
+
+#endif  // IVYPOST_CLIENT_SESSION_H_
--- /dev/null
+++ b/src/sidecar/client_session_reading.cpp
@@ -0,0 +1,264 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+// Reading requests: head, body, a body in pieces.
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "admission/peer.h"
+#include "client_session.h"
+#include "framing.h"
+#include "network/nonblocking_io.h"
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using asio::ip::tcp;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// The kernel tells times by its own tick, of 10 ms at the most; less may be none.
+constexpr milliseconds kKernelTick{10};
+// Who still comes when requests are refused for a drain gets so long for a head.
+constexpr milliseconds kMaxRefused{300};
+
+// Boost.Beast tells lengths in Boost's own type.
+std::optional<std::uint64_t> standard(const boost::optional<std::uint64_t>& length) {
+  return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+}
+
+}  // namespace
+
+void ClientSession::read() {
+  const bool first = place_->state == admission::Door::State::Silent;
+  state_ = State::Reading;
+  // The first one's time began when it was let in, and its timer runs.
+  if (!host_.effects().takes) {
+    limit(Clock::now() + kMaxRefused);
+  } else if (!first) {
+    limit(Clock::now() + kMaxRequest);
+  }
+  connectionLimit_.begin(place_, now());
+  readHead(true);
+}
+
+void ClientSession::readHead(bool mayBeEmptyLine) {
+  parser_.emplace();
+  parser_->header_limit(kMaxHeader);
+  parser_->body_limit(kMaxBody);
+  // As a rule the whole head is here already.
+  error_code error;
+  if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
+  if (error != http::error::need_more && (error || parser_->is_header_done()))
+    return onHead(error, mayBeEmptyLine);
+  readRestOfHead(mayBeEmptyLine);
+}
+
+void ClientSession::readRestOfHead(bool mayBeEmptyLine) {
+  busy_ = true;
+  http::async_read_header(socket_, buffer_, *parser_,
+                          [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
+                            self->busy_ = false;
+                            if (self->state_ != State::Reading) return;
+                            if (!network::isShortage(failed)) return self->onHead(failed, mayBeEmptyLine);
+                            network::waitToRetry(self->socket_, tcp::socket::wait_read, failed,
+                                                 [self, mayBeEmptyLine](error_code) {
+                                                   if (self->state_ == State::Reading)
+                                                     self->readRestOfHead(mayBeEmptyLine);
+                                                 });
+                          });
+}
+
+void ClientSession::onHead(error_code error, bool mayBeEmptyLine) {
+  // RFC 9112, 2.2: an empty line ahead of a request is passed over.
+  if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
+    buffer_.consume(2);
+    return readHead(false);
+  }
+  if (error) return onRead(error);
+  version_ = parser_->get().version();
+  if (const auto flaw = flawOf(parser_->get())) {
+    keepAlive_ = false;
+    return write(textAnswer(flaw->status, flaw->why));
+  }
+  if (parser_->is_done()) return onRead(error);
+  if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
+  // A body that has come along costs less to read than a new connection would.
+  if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
+    if (auto refused = host_.rejectionFromHead(parser_->get(), unreadFor())) {
+      keepAlive_ = false;
+      return write(std::move(*refused));
+    }
+  }
+  if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
+  readBody();
+}
+
+void ClientSession::goOn() {
+  static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+  busy_ = true;
+  network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
+    self->busy_ = false;
+    if (self->state_ != State::Reading) return;
+    if (error) return self->onRead(error);
+    self->readBody();
+  });
+}
+
+void ClientSession::readBody() {
+  // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
+  if (parser_->chunked()) headers_ = parser_->get().base();
+  parser_->eager(true);
+  pace_.emplace(now());
+  pace_->came(buffer_.size(), now());
+  takeBody();
+}
+
+void ClientSession::takeBody() {
+  error_code error;
+  while (!error && !parser_->is_done() && buffer_.size() > 0)
+    buffer_.consume(parser_->put(buffer_.data(), error));
+  if (error == http::error::need_more) error = {};
+  // A chunk's head without end.
+  if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader) error = http::error::bad_chunk_extension;
+  if (uploading_) return onPiece(error);
+  if (error || parser_->is_done()) return onBody(error);
+  const auto capacity =
+      buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
+  if (!capacity) return beginUpload();
+  parser_->get().body().reserve(*capacity);
+  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  readMore(kReadOfStream);
+}
+
+void ClientSession::readMore(std::size_t most, error_code why) {
+  if (std::exchange(readingBody_, true)) return;
+  network::waitToRetry(socket_, tcp::socket::wait_read, why,
+                       [self = shared_from_this(), most](error_code failed) {
+                         self->readingBody_ = false;
+                         if (self->state_ != State::Reading && !self->uploading_) return;
+                         error_code error = failed;
+                         std::size_t size = 0;
+                         if (!error)
+                           size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
+                         self->buffer_.commit(size);
+                         if (network::isTransient(error)) return self->readMore(most, error);
+                         if (error) return self->close();
+                         self->pace_->came(size, now());
+                         self->takeBody();
+                       });
+}
+
+void ClientSession::beginUpload() {
+  auto& read = parser_->get();
+  // The parser goes on with its own, and a later request must not get these.
+  Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
+  keepAlive_ = parser_->keep_alive();
+  auto upload = std::make_shared<Upload>(budget_);
+  if (const auto length = parser_->content_length()) upload->length = *length;
+  auto checked = host_.check(std::move(message), milliseconds(0));
+  if (auto* answer = std::get_if<Answer>(&checked)) {
+    keepAlive_ = false;
+    return write(std::move(*answer));
+  }
+  auto& request = std::get<ClientRequest>(checked);
+  upload_ = upload;
+  uploading_ = true;
+  expiresIn_ = request.expiresIn;
+  // The request's time counts from its last byte, which is not known yet.
+  request.expiresIn +=
+      relay::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
+  request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
+  upload->deadline = request.deadline;
+  upload->clientGave = std::chrono::microseconds(expiresIn_);
+  upload->pipe.onRoom = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) asio::post(self->io_, [self] { self->roomMade(); });
+  };
+  upload->pipe.push(read.body());
+  read.body() = {};
+  buffering_.release();
+  request.upload = std::move(upload);
+  take(std::move(request));
+  if (uploading_) nextOfUpload();
+}
+
+void ClientSession::onPiece(error_code error) {
+  if (error) {
+    // The attempt ends without its last byte, so it never runs.
+    const auto self = shared_from_this();
+    upload_->pipe.fail();
+    if (!host_.endRequest(*this)) return close();
+    write(answerToBodyError(error));
+    return host_.cancelRequest(request_);
+  }
+  upload_->pipe.push(parser_->get().body());
+  parser_->get().body().clear();
+  if (!parser_->is_done()) return nextOfUpload();
+  uploading_ = false;
+  const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
+  upload_->deadline = answerBy_ = deadline;
+  guard(deadline);
+  watch();
+  upload_->pipe.end();
+}
+
+void ClientSession::nextOfUpload() {
+  const std::size_t room = upload_->pipe.room();
+  if (room == 0) {
+    // Held back by us: the client's pace does not count meanwhile.
+    deadline_.cancel();
+    if (!heldBackSince_) heldBackSince_ = now();
+    return lookForLeaver();
+  }
+  leaver_.cancel();
+  if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
+  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  readMore(std::min(room, kReadOfStream));
+}
+
+void ClientSession::roomMade() {
+  if (uploading_ && heldBackSince_) nextOfUpload();
+}
+
+void ClientSession::onBody(error_code error) {
+  if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
+  onRead(error);
+}
+
+std::string_view ClientSession::received() const {
+  const auto data = buffer_.data();
+  return {static_cast<const char*>(data.data()), data.size()};
+}
+
+void ClientSession::onRead(error_code error) {
+  deadline_.cancel();
+  if (error) {
+    keepAlive_ = false;
+    if (error == asio::error::operation_aborted && host_.effects().answersAll)
+      return write(host_.rejection("refused: the sidecar stops"));
+    if (error == http::error::body_limit) return write(answerToBodyError(error));
+    if (error == http::error::header_limit) return write(textAnswer(431, "header over 16 KiB"));
+    if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
+    if (error == http::error::bad_version)
+      return write(textAnswer(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
+    if (error.category() == make_error_code(http::error::bad_method).category())
+      return write(answerToBodyError(error));
+    return close();
+  }
+  const milliseconds unread = unreadFor();
+  // Nobody waits for what stood unread until its client had left.
+  if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
+  keepAlive_ = parser_->keep_alive();
+  auto whole = parser_->release();
+  auto checked = host_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
+  if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
+  take(std::move(std::get<ClientRequest>(checked)));
+}
+
+milliseconds ClientSession::unreadFor() {
+  const auto waited = admission::sinceLastData(socket_.native_handle());
+  return waited < kKernelTick ? milliseconds(0) : waited;
+}
+
+}  // namespace ivypost
--- /dev/null
+++ b/src/sidecar/client_session_writing.cpp
@@ -0,0 +1,148 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+// Writing answers, complete or in pieces.
+#include <algorithm>
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "client_session.h"
+#include "network/nonblocking_io.h"
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
+// then. One that is written late gets a little time all the same.
+constexpr milliseconds kAnswerTime{5000};
+constexpr milliseconds kLateAnswerTime{200};
+// A client that has got an error is read again after this pause: one that sends the same at full speed must
+// not take the core from the others.
+constexpr milliseconds kErrorPause{100};
+// A buffer that was read empty is kept up to this size for the connection's next request.
+constexpr std::size_t kKeptBuffer = 4096;
+// A client that takes nothing more of an answer for so long has stopped.
+constexpr milliseconds kClientTakes{10'000};
+
+}  // namespace
+
+bool ClientSession::hasNext() {
+  if (buffer_.size() == 0) readAhead();
+  return buffer_.size() > 0;
+}
+
+void ClientSession::write(Answer answer) {
+  state_ = State::Writing;
+  // What is left of a body is not waited for; the client hears at once.
+  if (uploading_) keepAlive_ = false;
+  uploading_ = false;
+  last_ = !keepAlive_ || (!(host_.effects().keeps && connectionLimit_.keeps(place_)) && !hasNext());
+  wrong_ = answer.status / 100 == 4;
+  ResponseHead head = formatResponseHead(answer, version_, last_);
+  last_ = head.closesConnection;
+  if (answer.stream) return writeStream(std::move(head), std::move(answer.stream));
+  head_ = std::move(head.text);
+  body_ = std::move(answer.body);
+  // Nearly always the kernel takes all of it at once.
+  const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
+  error_code error;
+  const std::size_t sent = network::writeSome(socket_, parts, error);
+  if (!error) return onWritten();
+  if (!network::isTransient(error)) {
+    // Not from within the caller, who may be in the middle of something of this session's.
+    asio::post(io_, [self = shared_from_this()] { self->close(); });
+    return;
+  }
+  head_ += body_;
+  head_.erase(0, sent);
+  limit(std::min(Clock::now() + kAnswerTime, std::max(answerBy_, Clock::now() + kLateAnswerTime)));
+  writeRest(error);
+}
+
+void ClientSession::writeRest(error_code why) {
+  network::waitToRetry(socket_, tcp::socket::wait_write, why, [self = shared_from_this()](error_code failed) {
+    if (self->state_ != State::Writing) return;
+    if (failed) return self->close();
+    network::writeAll(self->socket_, self->head_, [self](error_code error) {
+      if (self->state_ != State::Writing) return;
+      if (error) return self->close();
+      self->onWritten();
+    });
+  });
+}
+
+void ClientSession::writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body) {
+  stream_ = std::move(body);
+  writer_.begin(std::move(head.text), head.isChunked);
+  stream_->onData = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) {
+      asio::post(self->io_, [self] {
+        if (self->stream_ && !self->waitsToWrite_) self->pump();
+      });
+    }
+  };
+  // Not from within the caller, who goes on with what it has read of the answer.
+  asio::post(io_, [self = shared_from_this()] {
+    if (self->stream_ && !self->waitsToWrite_) self->pump();
+  });
+}
+
+void ClientSession::pump() {
+  switch (writer_.step(socket_, *stream_)) {
+    case StreamWriter::Step::Blocked:
+      return pumpLater();
+    case StreamWriter::Step::Starved:
+      return deadline_.cancel();  // the upstream's side has its own
+    case StreamWriter::Step::Failed: {
+      // The client must be able to tell, also where the end of the connection ends the answer.
+      error_code ignored;
+      socket_.set_option(asio::socket_base::linger(true, 0), ignored);
+      return close();
+    }
+    case StreamWriter::Step::Broken:
+      return close();
+    case StreamWriter::Step::Done:
+      stream_.reset();
+      return onWritten();
+  }
+}
+
+void ClientSession::pumpLater() {
+  waitsToWrite_ = true;
+  limit(Clock::now() + kClientTakes);
+  writer_.wait(socket_, [self = shared_from_this()](error_code error) {
+    self->waitsToWrite_ = false;
+    if (!self->stream_ || self->state_ != State::Writing) return;
+    if (error) return self->close();
+    self->pump();
+  });
+}
+
+void ClientSession::onWritten() {
+  deadline_.cancel();
+  leaver_.cancel();
+  parser_.reset();
+  body_ = {};
+  upload_.reset();
+  buffering_.release();
+  answerBy_ = Clock::time_point::max();
+  if (last_) return hangUp();
+  if (buffer_.size() == 0) {
+    if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+    ahead_.release();
+  }
+  state_ = State::Idle;
+  connectionLimit_.rest(place_, now());
+  if (wrong_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
+  // One request of a connection a turn of the loop: whoever sends many at once has to let the others have
+  // theirs.
+  if (buffer_.size() == 0) return watch();
+  asio::post(io_, [self = shared_from_this()] { self->resume(); });
+}
+
+}  // namespace ivypost
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -2,75 +2,25 @@
 #include "server.h"
 
 #include <algorithm>
-#include <array>
-#include <boost/asio/buffer.hpp>
-#include <boost/asio/write.hpp>
-#include <boost/beast/core/flat_buffer.hpp>
 #include <utility>
 #include <vector>
 
 #include "admission/peer.h"
-#include "framing.h"
 #include "network/nonblocking_io.h"
-#include "relay/body_buffering.h"
-#include "relay/pace.h"
-#include "relay/pieces_body.h"
 #include "request_form.h"
-#include "stream_writer.h"
 
 namespace ivypost {
 namespace {
 
 namespace asio = boost::asio;
-namespace beast = boost::beast;
-namespace http = beast::http;
+namespace http = boost::beast::http;
 using asio::ip::tcp;
-using beast::error_code;
+using boost::system::error_code;
 using orchiddrum::RequestId;
 using std::chrono::milliseconds;
 
-// The server answers by itself when the module's answer is this much late.
-constexpr milliseconds kBackstop{10};
-// A connection's first request must be whole within this time of its accept, and each further one of its
-// first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
-constexpr milliseconds kMaxRequest{2500};
-// An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
-// then. One that is written late gets a little time all the same.
-constexpr milliseconds kAnswerTime{5000};
-constexpr milliseconds kLateAnswerTime{200};
-// A client that has got an error is read again after this pause: one that sends the same at full speed must
-// not take the core from the others.
-constexpr milliseconds kErrorPause{100};
-// What a client still sends after its last answer is read and dropped for this long: closing at once would
-// reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
-constexpr milliseconds kLinger{200};
-constexpr std::size_t kMaxDiscard = 64UL * 1024;
-// And of each connection so much while the whole server ends: what the kernel can hold unread of one.
-constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
-// A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
-// takes nothing must not hold its place, nor the end of the process.
-constexpr milliseconds kMaxLinger{1000};
-// A buffer that was read empty is kept up to this size for the connection's next request.
-constexpr std::size_t kKeptBuffer = 4096;
-// A client that takes nothing more of an answer for so long has stopped.
-constexpr milliseconds kClientTakes{10'000};
-// What is read of what a client sends ahead while its request waits, whatever the budget says; up to
-// BodyBuffering::kMaxBuffered as far as that goes. With more unread its close may stand in its own machine's
-// queue, where nobody sees it: then no attempt is begun for it, and it is looked for so often.
-constexpr std::size_t kMaxAhead = 16UL * 1024;
-constexpr milliseconds kLookForLeaver{100};
-constexpr std::size_t kReadOnce = 4096;
-// A request that was expected or being read when its time was up may have come whole meanwhile; it is read
-// for so long.
-constexpr milliseconds kLastLook{10};
-// The kernel tells times by its own tick, of 10 ms at the most; less may be none.
-constexpr milliseconds kKernelTick{10};
 // While the server drains or stops, its connections are gone through so often.
 constexpr milliseconds kTendEvery{20};
-// Who still comes when requests are refused for a drain gets so long for a head.
-constexpr milliseconds kMaxRefused{300};
-// A connection that has sent nothing since it came is not idle before this: its request is on the way.
-constexpr Micros kSettling = 300'000;
 // When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
 // connections in a row ended while they stood in its queue.
 constexpr milliseconds kAcceptPause{10};
@@ -94,675 +44,8 @@
          error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
 }
 
-// Boost.Beast tells lengths in Boost's own type.
-std::optional<std::uint64_t> standard(const boost::optional<std::uint64_t>& length) {
-  return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
-}
-
 }  // namespace
 
-// One client connection. It lives as long as the server lists it or an operation on it is out.
-class Server::Session : public std::enable_shared_from_this<Session> {
- public:
-  Session(Server& server, tcp::socket socket, admission::Door::Place place)
-      : server_(server),
-        socket_(std::move(socket)),
-        deadline_(server.deadlines_),
-        leaver_(server.deadlines_),
-        buffering_(server.budget_, kMaxWhole),
-        ahead_(server.budget_),
-        place_(place) {}
-
-  void start() {
-    error_code ignored;
-    socket_.set_option(tcp::no_delay(true), ignored);
-    socket_.non_blocking(true, ignored);
-    limit(Clock::now() + kMaxRequest);
-    watch();
-  }
-
-  // Whether nothing has come on an idle connection, so that closing it loses no request.
-  bool quiet() {
-    if (state_ != State::Idle || buffer_.size() > 0) return false;
-    return peek() == asio::error::would_block;
-  }
-
-  // Whether it has been here for long enough to count as idle when it sends nothing.
-  bool settled(Micros time) const { return place_->requests > 0 || time - place_->since >= kSettling; }
-
-  // Whether closing it costs its client nothing.
-  bool givesWay() {
-    if (state_ == State::HangingUp) return admission::allAcknowledged(socket_.native_handle());
-    return mayCloseIdle();
-  }
-
-  // Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
-  // that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
-  bool mayCloseIdle() { return quiet() && !admission::awaitsAcknowledgement(socket_.native_handle()); }
-
-  // Whether the client of the waiting request has left; closes the connection then, but not from within the
-  // caller, who may be in the middle of something of this request's.
-  bool isClientGone() {
-    const bool left = admission::peerHasLeft(socket_.native_handle()) || (!uploading_ && !catchUp());
-    if (!left && (uploading_ || !behind_)) return false;
-    asio::post(server_.io_, [self = shared_from_this(), id = request_, left] {
-      if (self->state_ != State::Waiting || self->request_ != id) return;
-      if (left) return self->close();
-      if (!self->server_.endRequest(*self)) return;
-      self->write(textAnswer(502, "too much was sent ahead of the answer"));
-      self->server_.over(id);
-    });
-    return true;
-  }
-
-  // The server stops: what is owed an answer gets its final one. Nothing of what is still being read has run.
-  void answerFinally() {
-    const auto self = shared_from_this();
-    switch (state_) {
-      case State::Idle:
-        return resume();
-      case State::Reading: {
-        keepAlive_ = false;
-        if (!busy_) return write(server_.refusal("refused: the sidecar stops"));
-        error_code ignored;
-        socket_.cancel(ignored);  // onRead() answers
-        return;
-      }
-      case State::Waiting:
-        if (!server_.endRequest(*this)) return;
-        write(textAnswer(504, "stopping"));
-        return server_.over(request_);
-      case State::Writing:
-      case State::HangingUp:
-      case State::Closed:
-        return;
-    }
-  }
-
-  // The process ends. Guards against a close over unread bytes, which would reset the connection and could
-  // cost the client its answer; and against an answer cut short that looks whole.
-  void closeFinally() {
-    const bool owes = state_ == State::Reading || (state_ == State::Idle && !quiet());
-    error_code ignored;
-    if (owes) {
-      const std::string text = formatLastResponse(server_.refusal("refused: the sidecar stops"));
-      socket_.write_some(asio::buffer(text), ignored);
-    }
-    if (stream_) {
-      socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-      return close();
-    }
-    socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    std::array<char, 16UL * 1024> dropped;
-    error_code error;
-    for (std::size_t left = kMaxFinalDiscard; left > 0 && !error;) {
-      const std::size_t size = socket_.receive(asio::buffer(dropped), 0, error);
-      left -= std::min(left, size);
-    }
-    close();
-  }
-
-  RequestId request() const { return request_; }
-  Clock::time_point arrivedAt() const { return arrivedAt_; }
-  std::uint64_t trace() const { return trace_; }
-
-  // Whether something of a next request has come. What has been read is owed an answer, so the connection is
-  // not ended by us ahead of that.
-  bool hasNext() {
-    if (buffer_.size() == 0) readAhead();
-    return buffer_.size() > 0;
-  }
-
-  // Answers what the client has sent, and goes on or hangs up.
-  void write(Answer answer) {
-    state_ = State::Writing;
-    // What is left of a body is not waited for; the client hears at once.
-    if (uploading_) keepAlive_ = false;
-    uploading_ = false;
-    last_ = !keepAlive_ || (!(server_.effects_.keeps && server_.door_.keeps(place_)) && !hasNext());
-    wrong_ = answer.status / 100 == 4;
-    ResponseHead head = formatResponseHead(answer, version_, last_);
-    last_ = head.closesConnection;
-    if (answer.stream) return writeStream(std::move(head), std::move(answer.stream));
-    head_ = std::move(head.text);
-    body_ = std::move(answer.body);
-    // Nearly always the kernel takes all of it at once.
-    const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
-    error_code error;
-    const std::size_t sent = network::writeSome(socket_, parts, error);
-    if (!error) return onWritten();
-    if (!network::isTransient(error)) {
-      // Not from within the caller, who may be in the middle of something of this session's.
-      asio::post(server_.io_, [self = shared_from_this()] { self->close(); });
-      return;
-    }
-    head_ += body_;
-    head_.erase(0, sent);
-    limit(std::min(Clock::now() + kAnswerTime, std::max(answerBy_, Clock::now() + kLateAnswerTime)));
-    writeRest(error);
-  }
-
-  void close() {
-    if (state_ == State::Closed) return;
-    const bool waiting = state_ == State::Waiting;
-    state_ = State::Closed;
-    deadline_.cancel();
-    leaver_.cancel();
-    error_code ignored;
-    socket_.close(ignored);
-    if (upload_) upload_->pipe.fail();
-    if (const auto stream = std::exchange(stream_, nullptr)) stream->abandon();
-    const auto self = shared_from_this();  // the server's may have been the last
-    server_.sessions_.erase(place_->id);
-    server_.door_.leave(place_);
-    server_.roomMade();
-    if (waiting && server_.endRequest(*this)) server_.over(request_);
-  }
-
- private:
-  // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
-  enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
-
-  // Of the answer. `why`: the write before came to no end.
-  void writeRest(error_code why) {
-    network::waitToRetry(socket_, tcp::socket::wait_write, why,
-                         [self = shared_from_this()](error_code failed) {
-                           if (self->state_ != State::Writing) return;
-                           if (failed) return self->close();
-                           network::writeAll(self->socket_, self->head_, [self](error_code error) {
-                             if (self->state_ != State::Writing) return;
-                             if (error) return self->close();
-                             self->onWritten();
-                           });
-                         });
-  }
-
-  error_code peek() {
-    char byte = 0;
-    error_code error;
-    network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
-    return error;
-  }
-
-  // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
-  // nothing.
-  void watch(error_code why = {}) {
-    if (watching_) return;
-    watching_ = true;
-    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
-      self->watching_ = false;
-      if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
-      const error_code error = self->readAhead();
-      if (error && !network::isShortage(error)) self->behind_ = false;  // the kernel holds nothing more
-      if (network::isTransient(error)) return self->watch(error);
-      if (error) return self->close();
-      if (self->state_ == State::Idle) return self->read();
-      if (self->mayReadAhead()) return self->watch();
-      self->behind_ = true;
-      self->lookForLeaver();
-    });
-  }
-
-  // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
-  // reading stops only where memory ends.
-  bool mayReadAhead() {
-    if (buffer_.size() < kMaxAhead) return true;
-    while (ahead_.bytes() < buffer_.size()) {
-      if (buffer_.size() >= relay::BodyBuffering::kMaxBuffered ||
-          !ahead_.grow(relay::BodyBuffering::kBudgetStep))
-        return false;
-    }
-    return true;
-  }
-
-  // Reads what has come since reading had to stop. False if the client has left.
-  bool catchUp() {
-    while (behind_ && mayReadAhead()) {
-      const error_code error = readAhead();
-      if (network::isShortage(error)) return true;
-      if (error) behind_ = false;
-      if (error && !network::isTransient(error)) return false;
-    }
-    return true;
-  }
-
-  // Looks now and then whether the client has left, while what it sends is not read: behind that its close
-  // can't be seen by reading.
-  void lookForLeaver() {
-    leaver_.set(Clock::now() + kLookForLeaver, [this] {
-      const auto self = shared_from_this();
-      if (state_ != State::Waiting) return;
-      if (admission::peerHasLeft(socket_.native_handle())) return close();
-      if (!uploading_ && mayReadAhead()) return watch();
-      lookForLeaver();
-    });
-  }
-
-  // What has come. While a request waits, it guards against a client that sends more and then leaves
-  // unnoticed.
-  error_code readAhead() {
-    error_code error;
-    const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
-    buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
-    return error;
-  }
-
-  // ---- An answer in pieces
-
-  void writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body) {
-    stream_ = std::move(body);
-    writer_.begin(std::move(head.text), head.isChunked);
-    stream_->onData = [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) {
-        asio::post(self->server_.io_, [self] {
-          if (self->stream_ && !self->waitsToWrite_) self->pump();
-        });
-      }
-    };
-    // Not from within the caller, who goes on with what it has read of the answer.
-    asio::post(server_.io_, [self = shared_from_this()] {
-      if (self->stream_ && !self->waitsToWrite_) self->pump();
-    });
-  }
-
-  void pump() {
-    switch (writer_.step(socket_, *stream_)) {
-      case StreamWriter::Step::Blocked:
-        return pumpLater();
-      case StreamWriter::Step::Starved:
-        return deadline_.cancel();  // the upstream's side has its own
-      case StreamWriter::Step::Failed: {
-        // The client must be able to tell, also where the end of the connection ends the answer.
-        error_code ignored;
-        socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-        return close();
-      }
-      case StreamWriter::Step::Broken:
-        return close();
-      case StreamWriter::Step::Done:
-        stream_.reset();
-        return onWritten();
-    }
-  }
-
-  void pumpLater() {
-    waitsToWrite_ = true;
-    limit(Clock::now() + kClientTakes);
-    writer_.wait(socket_, [self = shared_from_this()](error_code error) {
-      self->waitsToWrite_ = false;
-      if (!self->stream_ || self->state_ != State::Writing) return;
-      if (error) return self->close();
-      self->pump();
-    });
-  }
-
-  void onWritten() {
-    deadline_.cancel();
-    leaver_.cancel();
-    parser_.reset();
-    body_ = {};
-    upload_.reset();
-    buffering_.release();
-    answerBy_ = Clock::time_point::max();
-    if (last_) return hangUp();
-    if (buffer_.size() == 0) {
-      if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
-      ahead_.release();
-    }
-    state_ = State::Idle;
-    server_.door_.rest(place_, now());
-    if (wrong_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
-    // One request of a connection a turn of the loop: whoever sends many at once has to let the others have
-    // theirs.
-    if (buffer_.size() == 0) return watch();
-    asio::post(server_.io_, [self = shared_from_this()] { self->resume(); });
-  }
-
-  void resume() {
-    if (state_ != State::Idle) return;
-    if (buffer_.size() > 0) return read();
-    watch();
-  }
-
-  void read() {
-    const bool first = place_->state == admission::Door::State::Silent;
-    state_ = State::Reading;
-    // The first one's time began when it was let in, and its timer runs.
-    if (!server_.effects_.takes) {
-      limit(Clock::now() + kMaxRefused);
-    } else if (!first) {
-      limit(Clock::now() + kMaxRequest);
-    }
-    server_.door_.begin(place_, now());
-    readHead(true);
-  }
-
-  // Guards against a body without end: Boost.Beast 1.74 forgets that a length is over the limit when the body
-  // comes along with the header, so the header is read apart.
-  void readHead(bool mayBeEmptyLine) {
-    parser_.emplace();
-    parser_->header_limit(kMaxHeader);
-    parser_->body_limit(kMaxBody);
-    // As a rule the whole head is here already.
-    error_code error;
-    if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
-    if (error != http::error::need_more && (error || parser_->is_header_done()))
-      return onHead(error, mayBeEmptyLine);
-    readRestOfHead(mayBeEmptyLine);
-  }
-
-  void readRestOfHead(bool mayBeEmptyLine) {
-    busy_ = true;
-    http::async_read_header(socket_, buffer_, *parser_,
-                            [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
-                              self->busy_ = false;
-                              if (self->state_ != State::Reading) return;
-                              if (!network::isShortage(failed)) return self->onHead(failed, mayBeEmptyLine);
-                              network::waitToRetry(self->socket_, tcp::socket::wait_read, failed,
-                                                   [self, mayBeEmptyLine](error_code) {
-                                                     if (self->state_ == State::Reading)
-                                                       self->readRestOfHead(mayBeEmptyLine);
-                                                   });
-                            });
-  }
-
-  void onHead(error_code error, bool mayBeEmptyLine) {
-    // RFC 9112, 2.2: an empty line ahead of a request is passed over.
-    if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
-      buffer_.consume(2);
-      return readHead(false);
-    }
-    if (error) return onRead(error);
-    version_ = parser_->get().version();
-    if (const auto flaw = flawOf(parser_->get())) {
-      keepAlive_ = false;
-      return write(textAnswer(flaw->status, flaw->why));
-    }
-    if (parser_->is_done()) return onRead(error);
-    if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
-    // A body that has come along costs less to read than a new connection would.
-    if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
-      if (auto refused = server_.refusesFromHead(parser_->get(), unreadFor())) {
-        keepAlive_ = false;
-        return write(std::move(*refused));
-      }
-    }
-    if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
-    readBody();
-  }
-
-  // The client waits for this before it sends the body.
-  void goOn() {
-    static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-    busy_ = true;
-    network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
-      self->busy_ = false;
-      if (self->state_ != State::Reading) return;
-      if (error) return self->onRead(error);
-      self->readBody();
-    });
-  }
-
-  void readBody() {
-    // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
-    if (parser_->chunked()) headers_ = parser_->get().base();
-    parser_->eager(true);
-    pace_.emplace(now());
-    pace_->came(buffer_.size(), now());
-    takeBody();
-  }
-
-  // What has come of the body.
-  void takeBody() {
-    error_code error;
-    while (!error && !parser_->is_done() && buffer_.size() > 0)
-      buffer_.consume(parser_->put(buffer_.data(), error));
-    if (error == http::error::need_more) error = {};
-    // A chunk's head without end.
-    if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader)
-      error = http::error::bad_chunk_extension;
-    if (uploading_) return onPiece(error);
-    if (error || parser_->is_done()) return onBody(error);
-    const auto capacity =
-        buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
-    if (!capacity) return beginUpload();
-    parser_->get().body().reserve(*capacity);
-    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-    readMore(kReadOfStream);
-  }
-
-  // `why`: the read before came to nothing.
-  void readMore(std::size_t most, error_code why = {}) {
-    if (std::exchange(readingBody_, true)) return;
-    network::waitToRetry(socket_, tcp::socket::wait_read, why,
-                         [self = shared_from_this(), most](error_code failed) {
-                           self->readingBody_ = false;
-                           if (self->state_ != State::Reading && !self->uploading_) return;
-                           error_code error = failed;
-                           std::size_t size = 0;
-                           if (!error)
-                             size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
-                           self->buffer_.commit(size);
-                           if (network::isTransient(error)) return self->readMore(most, error);
-                           if (error) return self->close();
-                           self->pace_->came(size, now());
-                           self->takeBody();
-                         });
-  }
-
-  // ---- A request's body in pieces
-
-  // Hands the request on while its body is still coming in.
-  void beginUpload() {
-    auto& read = parser_->get();
-    // The parser goes on with its own, and a later request must not get these.
-    Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
-    keepAlive_ = parser_->keep_alive();
-    auto upload = std::make_shared<Upload>(server_.budget_);
-    if (const auto length = parser_->content_length()) upload->length = *length;
-    auto checked = server_.check(std::move(message), milliseconds(0));
-    if (auto* answer = std::get_if<Answer>(&checked)) {
-      keepAlive_ = false;
-      return write(std::move(*answer));
-    }
-    auto& request = std::get<ClientRequest>(checked);
-    upload_ = upload;
-    uploading_ = true;
-    expiresIn_ = request.expiresIn;
-    // The request's time counts from its last byte, which is not known yet.
-    request.expiresIn +=
-        relay::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
-    request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
-    upload->deadline = request.deadline;
-    upload->clientGave = std::chrono::microseconds(expiresIn_);
-    upload->pipe.onRoom = [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) asio::post(self->server_.io_, [self] { self->roomMade(); });
-    };
-    upload->pipe.push(read.body());
-    read.body() = {};
-    buffering_.release();
-    request.upload = std::move(upload);
-    take(std::move(request));
-    if (uploading_) nextOfUpload();
-  }
-
-  void onPiece(error_code error) {
-    if (error) {
-      // The attempt ends without its last byte, so it never runs.
-      const auto self = shared_from_this();
-      upload_->pipe.fail();
-      if (!server_.endRequest(*this)) return close();
-      write(answerToBodyError(error));
-      return server_.over(request_);
-    }
-    upload_->pipe.push(parser_->get().body());
-    parser_->get().body().clear();
-    if (!parser_->is_done()) return nextOfUpload();
-    uploading_ = false;
-    const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
-    upload_->deadline = answerBy_ = deadline;
-    guard(deadline);
-    watch();
-    upload_->pipe.end();
-  }
-
-  void nextOfUpload() {
-    const std::size_t room = upload_->pipe.room();
-    if (room == 0) {
-      // Held back by us: the client's pace does not count meanwhile.
-      deadline_.cancel();
-      if (!heldBackSince_) heldBackSince_ = now();
-      return lookForLeaver();
-    }
-    leaver_.cancel();
-    if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
-    limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
-    readMore(std::min(room, kReadOfStream));
-  }
-
-  void roomMade() {
-    if (uploading_ && heldBackSince_) nextOfUpload();
-  }
-
-  void onBody(error_code error) {
-    if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
-    onRead(error);
-  }
-
-  std::string_view received() const {
-    const auto data = buffer_.data();
-    return {static_cast<const char*>(data.data()), data.size()};
-  }
-
-  void onRead(error_code error) {
-    deadline_.cancel();
-    if (error) {
-      keepAlive_ = false;
-      if (error == asio::error::operation_aborted && server_.effects_.answersAll)
-        return write(server_.refusal("refused: the sidecar stops"));
-      if (error == http::error::body_limit) return write(answerToBodyError(error));
-      if (error == http::error::header_limit) return write(textAnswer(431, "header over 16 KiB"));
-      if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
-      if (error == http::error::bad_version)
-        return write(textAnswer(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
-      if (error.category() == make_error_code(http::error::bad_method).category())
-        return write(answerToBodyError(error));
-      return close();
-    }
-    const milliseconds unread = unreadFor();
-    // Nobody waits for what stood unread until its client had left.
-    if (unread > milliseconds(0) && admission::peerHasLeft(socket_.native_handle())) return close();
-    keepAlive_ = parser_->keep_alive();
-    auto whole = parser_->release();
-    auto checked = server_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
-    if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
-    take(std::move(std::get<ClientRequest>(checked)));
-  }
-
-  // An answer is owed from here on.
-  void take(ClientRequest request) {
-    state_ = State::Waiting;
-    request_ = request.id;
-    answerBy_ = request.deadline;
-    arrivedAt_ = request.arrived;
-    trace_ = request.trace;
-    server_.traces_.open(trace_, now());
-    server_.open_.emplace(request_, shared_from_this());
-    if (!uploading_) {
-      watch();
-      guard(request.deadline);
-    }
-    server_.gate_.offer(std::move(request), !server_.door_.mayWork());
-  }
-
-  // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
-  void guard(Clock::time_point deadline) {
-    deadline_.set(deadline + kBackstop, [this] {
-      const auto self = shared_from_this();
-      if (state_ != State::Waiting || !server_.endRequest(*this)) return;
-      write(textAnswer(504, "no answer in time"));
-      server_.over(request_);
-    });
-  }
-
-  // How long a request that has been read now had stood unread: in the accept queue, or while the loop was
-  // late. Its time counts from its last byte.
-  milliseconds unreadFor() {
-    const auto waited = admission::sinceLastData(socket_.native_handle());
-    return waited < kKernelTick ? milliseconds(0) : waited;
-  }
-
-  void limit(Clock::time_point until) {
-    deadline_.set(until, [this] {
-      const auto self = shared_from_this();
-      const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
-      if (!reads || peek() == asio::error::would_block) return close();
-      deadline_.set(Clock::now() + kLastLook, [this] { close(); });
-    });
-  }
-
-  void hangUp() {
-    state_ = State::HangingUp;
-    server_.door_.end(place_, now());
-    error_code ignored;
-    socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    linger(Clock::now() + kMaxLinger);
-    // Once the whole server ends there is nobody to take the core from.
-    discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
-  }
-
-  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
-  void linger(Clock::time_point atMost) {
-    deadline_.set(Clock::now() + kLinger, [this, atMost] {
-      const auto self = shared_from_this();
-      if (Clock::now() >= atMost || !admission::awaitsAcknowledgement(socket_.native_handle()))
-        return close();
-      linger(atMost);
-    });
-  }
-
-  void discard(std::size_t atMost) {
-    buffer_.clear();
-    socket_.async_read_some(buffer_.prepare(4096),
-                            [self = shared_from_this(), atMost](error_code error, std::size_t size) {
-                              if (self->state_ != State::HangingUp) return;
-                              if (error) return self->close();
-                              if (size < atMost) self->discard(atMost - size);
-                            });
-  }
-
-  Server& server_;
-  tcp::socket socket_;
-  Deadlines::Deadline deadline_;
-  Deadlines::Deadline leaver_;  // the next look for one
-  beast::flat_buffer buffer_;
-  std::optional<http::request_parser<relay::PiecesBody>> parser_;
-  std::optional<relay::Pace> pace_;      // of the body
-  relay::BodyBuffering buffering_;       // of bodies
-  relay::Budget::Share ahead_;           // of what is read ahead of an answer
-  std::shared_ptr<Upload> upload_;       // of one that is not
-  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
-  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
-  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
-  unsigned version_ = 11;                // of the request's HTTP
-  bool uploading_ = false, readingBody_ = false;
-  StreamWriter writer_;                 // of an answer that streams
-  bool waitsToWrite_ = false;           // for the client to take more of it
-  std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
-  std::string head_, body_;             // of the answer
-  bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
-  RequestId request_ = 0;
-  Clock::time_point arrivedAt_;
-  Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
-  std::uint64_t trace_ = 0;
-  const admission::Door::Place place_;
-  State state_ = State::Idle;
-  bool keepAlive_ = true;
-  bool watching_ = false;
-  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
-  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
-};
-
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
                Callbacks callbacks)
     : io_(io),
@@ -778,7 +61,7 @@
       gate_(io, config, file,
             {[this](ClientRequest request) { callbacks_.taken(std::move(request)); },
              [this](RequestId id, admission::Verdict why) {
-               answer(id, refusal(std::string("refused: ") + admission::nameOf(why)));
+               answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
              }}),
       statusOn_(file.status) {
   if (config.listener) {
@@ -847,7 +130,9 @@
   // answer.
   if (admission::peerHasLeft(socket.native_handle())) return;
   const auto place = door_.enter(++lastVisitor_, now());
-  const auto session = std::make_shared<Session>(*this, std::move(socket), place);
+  const auto session = std::make_shared<ClientSession>(
+      static_cast<ClientSessionHost&>(*this), ClientSession::Resources{io_, deadlines_, budget_, door_},
+      std::move(socket), place);
   sessions_.emplace(place->id, session);
   session->start();
 }
@@ -875,19 +160,35 @@
   session->write(std::move(answer));
 }
 
+void Server::openRequest(std::shared_ptr<ClientSession> session) {
+  traces_.open(session->trace(), now());
+  const RequestId id = session->request();
+  open_.emplace(id, std::move(session));
+}
+
+void Server::forward(ClientRequest request) {
+  gate_.offer(std::move(request), !door_.mayWork());
+}
+
+void Server::onClosed(admission::Door::Place place) {
+  sessions_.erase(place->id);
+  door_.leave(place);
+  roomMade();
+}
+
 bool Server::isClientGone(RequestId id) {
   const auto found = open_.find(id);
   return found == open_.end() || found->second->isClientGone();
 }
 
-bool Server::endRequest(const Session& session) {
+bool Server::endRequest(const ClientSession& session) {
   if (open_.erase(session.request()) == 0) return false;
   traces_.over(session.trace(), now());
   return true;
 }
 
-Answer Server::refusal(std::string text) const {
-  Answer answer = textAnswer(503, text);
+Answer Server::rejection(std::string reason) const {
+  Answer answer = textAnswer(503, reason);
   answer.retryAfter = gate_.comeAgain();
   return answer;
 }
@@ -897,7 +198,7 @@
   return most == 0 ? 0 : static_cast<double>(open_.size()) / most;
 }
 
-void Server::over(RequestId id) {
+void Server::cancelRequest(RequestId id) {
   if (!gate_.withdraw(id)) callbacks_.over(id);
 }
 
@@ -907,12 +208,12 @@
   gate_.adopt(file);
 }
 
-std::optional<Answer> Server::refusesFromHead(const RequestHead& head, milliseconds unread) const {
+std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
   if (!gate_.refusesFromHead()) return std::nullopt;
   // Whatever is wrong with it gets its answer when it has been read.
   const auto hint = validator_.hintOf(head, unread);
   if (!hint || !gate_.hopeless(hint->requestClass, hint->remaining)) return std::nullopt;
-  return refusal("refused: too late");
+  return rejection("refused: too late");
 }
 
 bool Server::full() const {
@@ -940,17 +241,17 @@
 std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
   toOriginForm(message);
   if (auto answer = answersItself(message)) return std::move(*answer);
-  if (!effects_.takes) return refusal("refused: clients are sent away");
+  if (!effects_.takes) return rejection("refused: clients are sent away");
   auto read = validator_.validate(message, unread, Clock::now(),
                                   [this](std::uint64_t trace) { return traces_.isFree(trace, now()); });
   if (const auto* error = std::get_if<RequestError>(&read)) {
-    if (error->status == 503) return refusal(std::string(error->reason));
+    if (error->status == 503) return rejection(std::string(error->reason));
     return textAnswer(error->status, error->reason);
   }
   auto& request = std::get<ClientRequest>(read);
   if (gate_.refusesFromHead() && gate_.hopeless(request.requestClass, request.expiresIn))
-    return refusal("refused: too late");
-  if (full() || (!gate_.queues() && !door_.mayWork())) return refusal("refused: too many open requests");
+    return rejection("refused: too late");
+  if (full() || (!gate_.queues() && !door_.mayWork())) return rejection("refused: too many open requests");
   request.id = ++lastId_;
   request.message = std::make_shared<const Message>(std::move(message));
   return std::move(request);
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -20,6 +20,8 @@
 #include "admission/door.h"
 #include "admission/trace_ids.h"
 #include "client_request.h"
+#include "client_session.h"
+#include "client_session_host.h"
 #include "clock.h"
 #include "config.h"
 #include "deadlines.h"
@@ -30,7 +32,7 @@
 
 namespace ivypost {
 
-class Server {
+class Server : private ClientSessionHost {
  public:
   struct Callbacks {
     std::function<void(ClientRequest)> taken;
@@ -74,8 +76,6 @@
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
  private:
-  class Session;
-
   void accept();
   void admit(boost::asio::ip::tcp::socket socket);
   bool makeRoom();
@@ -83,18 +83,20 @@
   void waitForRoom();
   void roomMade();
   void closeAcceptor();
-  // The request is over. False if it was before.
-  bool endRequest(const Session& session);
+  const lifecycle::Effects& effects() const override { return effects_; }
+  std::optional<Answer> rejectionFromHead(const RequestHead& head,
+                                          std::chrono::milliseconds unread) const override;
+  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread) override;
+  Answer rejection(std::string reason) const override;
+  void openRequest(std::shared_ptr<ClientSession> session) override;
+  void forward(ClientRequest request) override;
+  bool endRequest(const ClientSession& session) override;
+  void cancelRequest(orchiddrum::RequestId id) override;
+  void onClosed(admission::Door::Place place) override;
+
   void tend();
 
-  // What the request reads as, or the answer it gets at once.
-  // `unread`: since its last byte came.
-  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread);
   std::optional<Answer> answersItself(const RequestHead& head) const;
-  Answer refusal(std::string text) const;
-  // From the head alone: the refusal of a request whose body need not be read.
-  std::optional<Answer> refusesFromHead(const RequestHead& head, std::chrono::milliseconds unread) const;
-  void over(orchiddrum::RequestId id);
   bool full() const;
 
   boost::asio::io_context& io_;
@@ -114,9 +116,9 @@
   bool waitsForRoom_ = false;   // accepting does
   bool tending_ = false;
   admission::VisitorId lastVisitor_ = 0;
-  std::unordered_map<admission::VisitorId, std::shared_ptr<Session>> sessions_;
+  std::unordered_map<admission::VisitorId, std::shared_ptr<ClientSession>> sessions_;
   orchiddrum::RequestId lastId_ = 0;
-  std::unordered_map<orchiddrum::RequestId, std::shared_ptr<Session>> open_;
+  std::unordered_map<orchiddrum::RequestId, std::shared_ptr<ClientSession>> open_;
   admission::TraceIds traces_;
 };
 
