--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -71,7 +71,7 @@
   /// cost the client its answer; and against an answer cut short that looks whole.
   void closeFinally();
   /// The request that was taken last; 0: none yet.
-  orchiddrum::RequestId request() const { return request_; }
+  balancer::RequestId request() const { return request_; }
   /// When that request had come.
   Clock::time_point arrivedAt() const { return arrivedAt_; }
   /// That request's X-Trace-Id.
@@ -175,7 +175,7 @@
   std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
   std::string head_, body_;             // of the answer
   bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
-  orchiddrum::RequestId request_ = 0;
+  balancer::RequestId request_ = 0;
   Clock::time_point arrivedAt_;
   Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
   std::uint64_t trace_ = 0;
--- a/src/sidecar/client_session_host.h
+++ b/src/sidecar/client_session_host.h
@@ -46,7 +46,7 @@
   /// The session's request is owed no answer any more. False if it was not open.
   virtual bool endRequest(const ClientSession& session) = 0;
   /// Nobody waits for what a request that was ended gets from an upstream.
-  virtual void cancelRequest(orchiddrum::RequestId id) = 0;
+  virtual void cancelRequest(balancer::RequestId id) = 0;
   /// The session has closed its connection; its place in the connection limit is given back.
   virtual void onClosed(admission::Door::Place place) = 0;
 
--- a/src/sidecar/request_validator.cpp
+++ b/src/sidecar/request_validator.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 namespace http = boost::beast::http;
-using orchiddrum::Semantics;
+using balancer::Semantics;
 using std::chrono::milliseconds;
 
 // The longest time that a client may ask for, so that sums of times stay far from overflow.
@@ -93,7 +93,7 @@
   if (repeatsAHeader(head)) return RequestError{400, "a header stands there twice"};
   const std::string_view path = pathOf(head);
   const bool isAbsolute = !path.empty() && path.front() == '/';
-  const auto segments = orchiddrum::split(path.substr(path.empty() ? 0 : 1), '/');
+  const auto segments = settings::split(path.substr(path.empty() ? 0 : 1), '/');
   const auto first =
       isAbsolute && !segments.empty() ? std::optional<std::string_view>(segments.front()) : std::nullopt;
 
@@ -104,7 +104,7 @@
   if (const auto error = readTimes(head, unread, time, request)) return *error;
   if (const auto error = readTenant(head, request)) return *error;
   if (const auto error = readSizeHint(head, request)) return *error;
-  if (segments.size() > 1) request.key = orchiddrum::identity(segments.back());
+  if (segments.size() > 1) request.key = settings::identity(segments.back());
   request.resent = header(head, "X-Second-Try").value_or("") == "1";
   if (unread > milliseconds(0) && request.expiresIn == 0)
     return RequestError{503, "refused: its time was over when it was read"};
--- a/src/sidecar/request_validator.h
+++ b/src/sidecar/request_validator.h
@@ -42,7 +42,7 @@
   using IsTraceIdFree = std::function<bool(std::uint64_t)>;
 
   /// `site`: the platform's settings; referred to, not copied.
-  explicit RequestValidator(const orchiddrum::Site& site) : site_(site) {}
+  explicit RequestValidator(const settings::Site& site) : site_(site) {}
 
   /// What a head in origin-form reads as, or the first error that it has. The request's id and message are
   /// left to the caller. `unread`: time since the request's last byte came; `time`: now.
@@ -65,7 +65,7 @@
   Error checkMethod(const RequestHead& head, std::uint32_t requestClass) const;
   Error readTenant(const RequestHead& head, ClientRequest& request) const;
 
-  const orchiddrum::Site& site_;
+  const settings::Site& site_;
 };
 
 }  // namespace ivypost
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -15,8 +15,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using asio::ip::tcp;
+using balancer::RequestId;
 using boost::system::error_code;
-using orchiddrum::RequestId;
 using std::chrono::milliseconds;
 
 // While the server drains or stops, its connections are gone through so often.
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -37,7 +37,7 @@
   struct Callbacks {
     std::function<void(ClientRequest)> taken;
     // The client has left, or the deadline passed with no answer and the server gave one itself.
-    std::function<void(orchiddrum::RequestId)> over;
+    std::function<void(balancer::RequestId)> over;
     // What GET /status/level and /status/peers answer, as JSON; asked only where the operator has switched it
     // on.
     std::function<std::string()> status, peers;
@@ -55,12 +55,12 @@
   ~Server();
 
   // Gives the request its final answer. Ignored when the request is over.
-  void answer(orchiddrum::RequestId id, Answer answer);
+  void answer(balancer::RequestId id, Answer answer);
 
   // Whether nobody waits for this request's answer any more: it is over, or the client has closed or reset
   // its connection or ended its sending, as the kernel knows it now (one system call). A connection that was
   // left is closed soon after, from the loop, which ends the request.
-  bool isClientGone(orchiddrum::RequestId id);
+  bool isClientGone(balancer::RequestId id);
 
   // What holds from now on.
   void follow(const lifecycle::Effects& effects);
@@ -91,7 +91,7 @@
   void openRequest(std::shared_ptr<ClientSession> session) override;
   void forward(ClientRequest request) override;
   bool endRequest(const ClientSession& session) override;
-  void cancelRequest(orchiddrum::RequestId id) override;
+  void cancelRequest(balancer::RequestId id) override;
   void onClosed(admission::Door::Place place) override;
 
   void tend();
@@ -117,8 +117,8 @@
   bool tending_ = false;
   admission::VisitorId lastVisitor_ = 0;
   std::unordered_map<admission::VisitorId, std::shared_ptr<ClientSession>> sessions_;
-  orchiddrum::RequestId lastId_ = 0;
-  std::unordered_map<orchiddrum::RequestId, std::shared_ptr<ClientSession>> open_;
+  balancer::RequestId lastId_ = 0;
+  std::unordered_map<balancer::RequestId, std::shared_ptr<ClientSession>> open_;
   admission::TraceIds traces_;
 };
 
--- a/tests/request_validator_test.cpp
+++ b/tests/request_validator_test.cpp
@@ -14,14 +14,14 @@
 namespace ivypost {
 namespace {
 
-using orchiddrum::Semantics;
+using balancer::Semantics;
 using std::chrono::milliseconds;
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
 const Clock::time_point kTime = Clock::time_point(std::chrono::hours(1));
 
-orchiddrum::Site site() {
-  orchiddrum::Site site;
+settings::Site site() {
+  settings::Site site;
   site.classes = {{"read", 0}, {"pay", 1}, {"write", 2}};
   site.settings.classes.resize(3);
   site.settings.classes[0].semantics = Semantics::Idempotent;
@@ -61,7 +61,7 @@
 }
 
 std::variant<ClientRequest, RequestError> validate(const RequestHead& head, milliseconds unread = {}) {
-  static const orchiddrum::Site kSite = site();
+  static const settings::Site kSite = site();
   return RequestValidator(kSite).validate(head, unread, kTime, [](std::uint64_t id) { return id != 0xbad; });
 }
 
@@ -73,7 +73,7 @@
   EXPECT_EQ(request.requestClass, 0U);
   EXPECT_EQ(request.trace, 0xffU);
   EXPECT_EQ(request.tenant, 7U);
-  EXPECT_EQ(request.key, orchiddrum::identity("42"));
+  EXPECT_EQ(request.key, settings::identity("42"));
   EXPECT_EQ(request.work, 250);
   EXPECT_TRUE(request.resent);
   EXPECT_EQ(request.expiresIn, 1'000'000);
