--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -20,26 +20,19 @@
 #include "admission/door.h"
 #include "admission/trace_ids.h"
 #include "client_request.h"
+#include "client_session.h"
+#include "client_session_host.h"
 #include "clock.h"
 #include "config.h"
 #include "deadlines.h"
 #include "gate.h"
 #include "lifecycle/lifecycle.h"
-#include "request_form.h"
+#include "request_validator.h"
+#include "response_writer.h"
 
 namespace ivypost {
 
-struct Answer {
-  unsigned status = 502;
-  std::string body;
-  std::string contentType = "text/plain";
-  Micros retryAfter = 0;  // 0: no advice
-  // The body if it comes in pieces, in place of `body`.
-  std::shared_ptr<relay::Pipe> stream;
-  std::optional<std::uint64_t> length;  // of it; none: unknown
-};
-
-class Server {
+class Server : private ClientSessionHost {
  public:
   struct Callbacks {
     std::function<void(ClientRequest)> taken;
@@ -83,8 +76,6 @@
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
  private:
-  class Session;
-
   void accept();
   void admit(boost::asio::ip::tcp::socket socket);
   bool makeRoom();
@@ -92,23 +83,25 @@
   void waitForRoom();
   void roomMade();
   void closeAcceptor();
-  // The request is over. False if it was before.
-  bool endRequest(const Session& session);
+  const lifecycle::Effects& effects() const override { return effects_; }
+  std::optional<Answer> rejectionFromHead(const RequestHead& head,
+                                          std::chrono::milliseconds unread) const override;
+  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread) override;
+  Answer rejection(std::string reason) const override;
+  void openRequest(std::shared_ptr<ClientSession> session) override;
+  void forward(ClientRequest request) override;
+  bool endRequest(const ClientSession& session) override;
+  void cancelRequest(balancer::RequestId id) override;
+  void onClosed(admission::Door::Place place) override;
+
   void tend();
 
-  // What the request reads as, or the answer it gets at once.
-  // `unread`: since its last byte came.
-  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread);
-  Answer plain(unsigned status, std::string text) const;
-  Answer flawOfBody(const boost::system::error_code& error) const;
-  Answer refusal(std::string text) const;
-  // From the head alone: the refusal of a request whose body need not be read.
-  std::optional<Answer> refusesFromHead(const RequestHead& head, std::chrono::milliseconds unread) const;
-  void over(balancer::RequestId id);
+  std::optional<Answer> answersItself(const RequestHead& head) const;
   bool full() const;
 
   boost::asio::io_context& io_;
   const Config& config_;
+  const RequestValidator validator_;
   relay::Budget& budget_;
   Callbacks callbacks_;
   boost::asio::ip::tcp::acceptor acceptor_;
@@ -123,9 +116,9 @@
   bool waitsForRoom_ = false;   // accepting does
   bool tending_ = false;
   admission::VisitorId lastVisitor_ = 0;
-  std::unordered_map<admission::VisitorId, std::shared_ptr<Session>> sessions_;
+  std::unordered_map<admission::VisitorId, std::shared_ptr<ClientSession>> sessions_;
   balancer::RequestId lastId_ = 0;
-  std::unordered_map<balancer::RequestId, std::shared_ptr<Session>> open_;
+  std::unordered_map<balancer::RequestId, std::shared_ptr<ClientSession>> open_;
   admission::TraceIds traces_;
 };
 
