--- /dev/null
+++ b/src/sidecar/load_report_parser.cpp
@@ -0,0 +1,34 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "load_report_parser.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <string>
+
+#include "settings.h"
+
+namespace ivypost {
+
+std::optional<orchiddrum::LoadReport> parseLoadReport(std::string_view text) {
+  orchiddrum::LoadReport report;
+  bool hasValue = false;
+  std::string entries(text);
+  std::replace(entries.begin(), entries.end(), ',', ' ');
+  for (const std::string_view entry : orchiddrum::split(entries, ' ')) {
+    const std::size_t equals = entry.find('=');
+    if (equals == std::string_view::npos) continue;
+    const auto column = orchiddrum::toColumn(entry.substr(0, equals));
+    if (!column) continue;
+    try {
+      const double value = orchiddrum::toNumber("load", entry.substr(equals + 1));
+      if (value < 0 || value > kMaxLoadValue) return std::nullopt;
+      orchiddrum::setColumn(report, *column, value);
+      hasValue = true;
+    } catch (const orchiddrum::FormatError&) {
+      return std::nullopt;
+    }
+  }
+  return hasValue ? std::optional(report) : std::nullopt;
+}
+
+}  // namespace ivypost
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -10,10 +10,11 @@
 
 #include "framing.h"
 #include "idle_choice.h"
+#include "load_report_parser.h"
 #include "network/nonblocking_io.h"
 #include "relay/pieces_body.h"
-#include "request_form.h"
 #include "stream_writer.h"
+#include "upstream_request.h"
 
 namespace ivypost {
 namespace {
@@ -24,7 +25,6 @@
 using asio::ip::tcp;
 using beast::error_code;
 using orchiddrum::Outcome;
-using std::chrono::duration_cast;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
@@ -41,8 +41,6 @@
 constexpr milliseconds kAnswerStall{10'000};
 // So many informational answers may come ahead of one.
 constexpr int kMaxInterim = 8;
-// Figures of a load report beyond this can't be meant.
-constexpr double kMaxFigure = 1e9;
 // Without a connect timeout or an idle time in the settings.
 constexpr milliseconds kDefaultConnectTimeout{1000};
 constexpr milliseconds kDefaultIdleTime{5000};
@@ -136,46 +134,19 @@
   }
 
  private:
-  // What the upstream is told. While a body is still coming in, the deadline allows for that too; the client
-  // has given the time from its last byte on.
-  static Clock::duration timeLeft(const Job& job, Clock::time_point now) {
-    if (!job.attempt->upload) return job.deadline - now;
-    const Upload& upload = *job.attempt->upload;
-    return std::min({job.deadline - now, upload.deadline - now, upload.clientGave});
-  }
-
   void write() {
     const auto now = Clock::now();
     const Job& job = *job_;
     if (now >= job.deadline || now >= job.writeBy) return fail(Outcome::ConnectFailed);
-    RequestHead head;
+    const auto upload = job.attempt ? job.attempt->upload : nullptr;
     std::string_view body;
     if (job.attempt) {
-      head = job.attempt->message->base();
-      body = job.attempt->message->body();
-      dropHopByHop(head);
-      const auto left = duration_cast<milliseconds>(timeLeft(job, now)).count();
-      head.set("X-Expires-In-Ms", std::to_string(std::max<std::int64_t>(1, left)));
+      const Message& message = *job.attempt->message;
+      body = message.body();
+      text_ = attemptHead(message, upload.get(), timeLeft(job.deadline, upload.get(), now));
     } else {
-      head.method(http::verb::get);
-      head.target("/status/load");
-      head.set(http::field::host, "upstream");
-    }
-    // Framing is this connection's own matter (RFC 9110, 8.6): a length wherever there may be a body.
-    head.erase(http::field::transfer_encoding);
-    head.erase(http::field::content_length);
-    const auto upload = job.attempt ? job.attempt->upload : nullptr;
-    if (upload && upload->length) {
-      head.set(http::field::content_length, std::to_string(*upload->length));
-    } else if (upload) {
-      head.set(http::field::transfer_encoding, "chunked");
-    } else if (!body.empty() || head.method() == http::verb::post) {
-      head.set(http::field::content_length, std::to_string(body.size()));
+      text_ = probeHead();
     }
-    text_.assign(view(head.method_string())).append(" ").append(view(head.target())).append(" HTTP/1.1\r\n");
-    for (const auto& field : head)
-      text_.append(view(field.name_string())).append(": ").append(view(field.value())).append("\r\n");
-    text_.append("\r\n");
     if (upload) return beginUpload();
     // The body goes from where it is, as far as the kernel takes it at once.
     const std::array<asio::const_buffer, 2> parts = {asio::buffer(text_),
@@ -624,9 +595,8 @@
   const auto lag = Clock::now() - job.startedAt;
   if (!job.attempt) {
     const std::string& text = job.load.empty() ? job.body : job.load;
-    asio::post(io_, [this, result = ProbeEnd{job.upstream, outcome == Outcome::Ok, lag, report(text)}] {
-      callbacks_.probed(result);
-    });
+    asio::post(io_, [this, result = ProbeEnd{job.upstream, outcome == Outcome::Ok, lag,
+                                             parseLoadReport(text)}] { callbacks_.probed(result); });
     return;
   }
   const AttemptId id = job.attempt->id;
@@ -639,33 +609,9 @@
   result.streamed = job.streamed;
   result.spent = job.attempt->upload && job.attempt->upload->pipe.gone() > 0;
   result.transfer = job.transfer;
-  result.report = report(job.load);
+  result.report = parseLoadReport(job.load);
   attempts_.erase(id);
   asio::post(io_, [this, result = std::move(result)]() mutable { callbacks_.ended(std::move(result)); });
 }
 
-// `TEXT inflight=7, queue=2`; what is not asked for is passed over. A report with a figure that can't be read
-// or meant tells nothing.
-std::optional<orchiddrum::LoadReport> Upstreams::report(std::string_view text) const {
-  orchiddrum::LoadReport report;
-  bool any = false;
-  std::string words(text);
-  std::replace(words.begin(), words.end(), ',', ' ');
-  for (const std::string_view part : orchiddrum::split(words, ' ')) {
-    const std::size_t equals = part.find('=');
-    if (equals == std::string_view::npos) continue;
-    const auto column = orchiddrum::toColumn(part.substr(0, equals));
-    if (!column) continue;
-    try {
-      const double figure = orchiddrum::toNumber("load", part.substr(equals + 1));
-      if (figure < 0 || figure > kMaxFigure) return std::nullopt;
-      orchiddrum::setColumn(report, *column, figure);
-      any = true;
-    } catch (const orchiddrum::FormatError&) {
-      return std::nullopt;
-    }
-  }
-  return any ? std::optional(report) : std::nullopt;
-}
-
 }  // namespace ivypost
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -115,7 +115,6 @@
   bool makeRoom();
   bool isClientGone(const Job& job) const;
   void end(Job& job, orchiddrum::Outcome outcome);
-  std::optional<orchiddrum::LoadReport> report(std::string_view text) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
