--- a/src/sidecar/load_report_parser.cpp
+++ b/src/sidecar/load_report_parser.cpp
@@ -5,26 +5,26 @@
 #include <cstddef>
 #include <string>
 
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost {
 
-std::optional<orchiddrum::LoadReport> parseLoadReport(std::string_view text) {
-  orchiddrum::LoadReport report;
+std::optional<balancer::LoadReport> parseLoadReport(std::string_view text) {
+  balancer::LoadReport report;
   bool hasValue = false;
   std::string entries(text);
   std::replace(entries.begin(), entries.end(), ',', ' ');
-  for (const std::string_view entry : orchiddrum::split(entries, ' ')) {
+  for (const std::string_view entry : settings::split(entries, ' ')) {
     const std::size_t equals = entry.find('=');
     if (equals == std::string_view::npos) continue;
-    const auto column = orchiddrum::toColumn(entry.substr(0, equals));
+    const auto column = settings::toColumn(entry.substr(0, equals));
     if (!column) continue;
     try {
-      const double value = orchiddrum::toNumber("load", entry.substr(equals + 1));
+      const double value = settings::toNumber("load", entry.substr(equals + 1));
       if (value < 0 || value > kMaxLoadValue) return std::nullopt;
-      orchiddrum::setColumn(report, *column, value);
+      settings::setColumn(report, *column, value);
       hasValue = true;
-    } catch (const orchiddrum::FormatError&) {
+    } catch (const settings::FormatError&) {
       return std::nullopt;
     }
   }
--- a/src/sidecar/load_report_parser.h
+++ b/src/sidecar/load_report_parser.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string_view>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
 namespace ivypost {
 
@@ -19,7 +19,7 @@
 /// Entries are separated by commas, spaces or both. What is not `name=value` with a known name is skipped.
 /// \return the known values; none if there is no known one, or if any of them is no number, negative or above
 ///     kMaxLoadValue: a report that is wrong in one place is not believed in the others.
-[[nodiscard]] std::optional<orchiddrum::LoadReport> parseLoadReport(std::string_view text);
+[[nodiscard]] std::optional<balancer::LoadReport> parseLoadReport(std::string_view text);
 
 }  // namespace ivypost
 
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -23,8 +23,8 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using asio::ip::tcp;
+using balancer::Outcome;
 using beast::error_code;
-using orchiddrum::Outcome;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
@@ -574,7 +574,7 @@
   end(*job, outcome);
 }
 
-void Upstreams::withdraw(orchiddrum::RequestId request) {
+void Upstreams::withdraw(balancer::RequestId request) {
   std::vector<std::shared_ptr<Job>> unsent;
   for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
        ++at)
