--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -115,7 +115,6 @@
   bool makeRoom();
   bool isClientGone(const Job& job) const;
   void end(Job& job, balancer::Outcome outcome);
-  std::optional<balancer::LoadReport> report(std::string_view text) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
