--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -40,7 +40,7 @@
     // Guards against limits that grow in quiet times and let the next burst overload everybody.
     if (endpoint.inFlight + 2 > endpoint.limit)
       endpoint.limit = std::min(kMaxLimit, endpoint.limit + std::min(1.0, limitGrowth_ / endpoint.limit));
-  } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kSpareCpuThreshold) {
+  } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kOverloadCpuThreshold) {
     return;  // slow, but not overloaded
   } else if (attempt.sentAt >= endpoint.limitCutAt) {
     endpoint.limit = std::max(kMinLimit, endpoint.limit * kLimitBackoff);
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -63,7 +63,8 @@
 }
 
 double EndpointSelection::crossZoneOdds() const {
-  return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpuThreshold)));
+  return std::pow(kCrossZoneOdds,
+                  std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kOverloadCpuThreshold)));
 }
 
 UpstreamId EndpointSelection::draw(const std::vector<UpstreamId>& eligible, const Request& request,
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -37,7 +37,7 @@
   double parallelism = 0;
   if (report.queued && *report.queued >= 1) {
     parallelism = *report.busyRequests - *report.queued;
-  } else if (report.cpuShare && *report.cpuShare >= kSpareCpuThreshold) {
+  } else if (report.cpuShare && *report.cpuShare >= kOverloadCpuThreshold) {
     parallelism = std::min(*report.busyRequests * latency_.baselineLatency() / latency_.overallLatency(),
                            parallelism_ * endpoint.size);
   } else if (report.cpuShare && *report.cpuShare > kInformativeCpu) {
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -14,7 +14,7 @@
 constexpr double kSlowFraction = 0.15;
 
 /// An endpoint that reports less of its CPU busy than this is not overloaded, however slow an answer was.
-constexpr double kSpareCpuThreshold = 0.8;
+constexpr double kOverloadCpuThreshold = 0.8;
 
 /// What endpoints report of their load, with answers or with probes.
 class LoadReports {
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -11,7 +11,7 @@
 // The retry budget where none is stated: so many repeats, and so many for each request taken, in this span.
 constexpr double kRetryFloor = 10;
 constexpr double kRetryRatio = 0.2;
-constexpr Micros kRetryLookBack = 5'000'000;
+constexpr Micros kDefaultRetryBudgetWindow = 5'000'000;
 // Far above any sensible budget.
 constexpr double kMaxBudget = 1e6;
 
@@ -19,12 +19,12 @@
 
 RetryBudget::RetryBudget(const Settings& settings)
     : stated_(settings.lookBack > 0),
-      lookBack_(stated_ ? settings.lookBack : kRetryLookBack),
+      retryBudgetWindow_(stated_ ? settings.lookBack : kDefaultRetryBudgetWindow),
       extraFloor_(stated_ ? util::within(settings.extraFloor, 0, kMaxBudget) : kRetryFloor),
       furtherRatio_(stated_ ? util::within(settings.furtherRatio, 0, kMaxBudget) : kRetryRatio) {}
 
 void RetryBudget::forgetTaken(Micros now) {
-  while (!taken_.empty() && taken_.front() <= now - lookBack_) taken_.pop_front();
+  while (!taken_.empty() && taken_.front() <= now - retryBudgetWindow_) taken_.pop_front();
 }
 
 void RetryBudget::take(Micros now) {
@@ -34,7 +34,7 @@
 
 bool RetryBudget::left(Micros now) {
   forgetTaken(now);
-  while (!further_.empty() && further_.front() < now - lookBack_) further_.pop_front();
+  while (!further_.empty() && further_.front() < now - retryBudgetWindow_) further_.pop_front();
   const auto taken = static_cast<double>(taken_.size());
   return static_cast<double>(further_.size()) + 1 <= extraFloor_ + furtherRatio_ * taken;
 }
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -38,9 +38,9 @@
   void forgetTaken(Micros now);
 
   bool stated_;
-  Micros lookBack_;      // microseconds, above 0
-  double extraFloor_;    // attempts that are always allowed in a window
-  double furtherRatio_;  // and so many for each request taken in it
+  Micros retryBudgetWindow_;  // microseconds, above 0
+  double extraFloor_;         // attempts that are always allowed in a window
+  double furtherRatio_;       // and so many for each request taken in it
   std::deque<Micros> taken_, further_;
 };
 
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -18,7 +18,7 @@
 // Such a sidecar has so many times what it usually has in flight in calm times, and so many more, out at the
 // most: room for chance alone. What all have beyond that waits at the endpoints and slows them down for long.
 constexpr double kTypicalMultiple = 3;
-constexpr double kSpareAttempts = 2;
+constexpr double kAttemptHeadroom = 2;
 // The first backoff lasts a quarter of the usual time to an answer (one doubling of an eighth); each further
 // overloaded outcome doubles it, up to so many doublings in all.
 constexpr int kMaxBackoffDoublings = kMaxEjectionDoublings + 2;
@@ -36,7 +36,7 @@
     overloadedInRow_ = 0;
     if (inFlight_ + 2 > limit_) limit_ += 1 / limit_;
     const double usual = sendRate_.typicalInFlight(latency_.baselineLatency(), context.now);
-    limit_ = std::clamp(kTypicalMultiple * usual + kSpareAttempts, 1.0, limit_);
+    limit_ = std::clamp(kTypicalMultiple * usual + kAttemptHeadroom, 1.0, limit_);
   }
   if (!overloaded || ++overloadedInRow_ <= kOverloadedBeforeBackoff || !context.lacksLoadInformation)
     return false;
--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Golden trace of the decision module. Each stream plays one sidecar under settings of its own against a
+// Golden trace of the decision module. Each stream runs one sidecar under settings of its own against a
 // small simulated fleet (simulated clock, fixed seed) and folds every action with all its fields, doubles by
 // their bits, and what the module shows of its state after each event into a digest. The digests were
 // recorded from 7c357c1; a change that is meant to leave the decisions as they are must leave them as they
@@ -32,9 +32,9 @@
 /// FNV-1a over 64-bit words.
 class Digest {
  public:
-  void fold(std::uint64_t word) {
+  void fold(std::uint64_t bits) {
     for (int shift = 0; shift < 64; shift += 8) {
-      value_ = (value_ ^ ((word >> shift) & 0xff)) * 0x100000001b3u;
+      value_ = (value_ ^ ((bits >> shift) & 0xff)) * 0x100000001b3u;
     }
   }
   void fold(const std::string& text) {
@@ -139,7 +139,7 @@
     spacing_ = static_cast<Micros>(1) << (10 + dice_.below(10));  // 1 to 524 ms between requests
   }
 
-  std::uint64_t play() {
+  std::uint64_t run() {
     checkMisuse(TimerDue{});
     feed(list(MembershipUpdate::Kind::Saved));
     schedule(0, What::Arrival);
@@ -179,7 +179,7 @@
     Micros deadline = 0;
     std::uint32_t attempts = 0;
     std::set<std::uint32_t> out;
-    bool over = false, streaming = false, stream = false;
+    bool finished = false, streaming = false, stream = false;
   };
 
   void schedule(Micros delay, What what, RequestId request = 0, std::uint32_t attempt = 0,
@@ -304,15 +304,15 @@
       feed(MembershipUpdate{MembershipUpdate::Kind::Failed, {}});
       if (dice_.oneIn(2)) feed(list(MembershipUpdate::Kind::Full));
     } else if (what < 18) {
-      Hearsay word;
-      word.upstream = dice_.oneIn(10) ? 999 : id;
-      word.launchedAt = dice_.oneIn(6) ? 77 : upstream.launchedAt;
-      word.sidecars = static_cast<std::uint32_t>(1 + dice_.below(12));
-      word.witnesses = static_cast<std::uint32_t>(dice_.below(6));
-      word.well = dice_.oneIn(3);
-      word.turn = dice_.oneIn(2);
-      word.holds = static_cast<Micros>(dice_.below(3000)) * kMillisecond;
-      feed(word);
+      Hearsay healthReport;
+      healthReport.upstream = dice_.oneIn(10) ? 999 : id;
+      healthReport.launchedAt = dice_.oneIn(6) ? 77 : upstream.launchedAt;
+      healthReport.sidecars = static_cast<std::uint32_t>(1 + dice_.below(12));
+      healthReport.witnesses = static_cast<std::uint32_t>(dice_.below(6));
+      healthReport.well = dice_.oneIn(3);
+      healthReport.turn = dice_.oneIn(2);
+      healthReport.holds = static_cast<Micros>(dice_.below(3000)) * kMillisecond;
+      feed(healthReport);
     } else if (what < 19) {
       feed(ReducedService{dice_.oneIn(2), 1.5 * dice_.unit()});
     } else if (dice_.oneIn(3)) {
@@ -355,14 +355,14 @@
 
   void withdraw(RequestId id) {
     const auto found = clients_.find(id);
-    if (found == clients_.end() || found->second.over) return;
-    found->second.over = true;
+    if (found == clients_.end() || found->second.finished) return;
+    found->second.finished = true;
     feed(Withdrawn{id});
   }
 
   void start(const Due& due) {
     const auto found = clients_.find(due.request);
-    if (found == clients_.end() || found->second.over || found->second.streaming ||
+    if (found == clients_.end() || found->second.finished || found->second.streaming ||
         found->second.out.count(due.attempt) == 0)
       return;
     found->second.streaming = true;
@@ -394,15 +394,15 @@
     done.attempt = due.attempt;
     done.upstream = due.upstream;
     done.outcome = outcomeOf(upstream, client);
-    done.last = client.over || client.streaming || done.outcome == Outcome::Ok || now_ >= client.deadline;
+    done.last = client.finished || client.streaming || done.outcome == Outcome::Ok || now_ >= client.deadline;
     done.transfer = dice_.oneIn(10) ? static_cast<Micros>(dice_.below(20)) * kMillisecond : 0;
     done.spent = dice_.oneIn(20);
     done.report = report(upstream, ReportSource::Answers);
-    if (done.last) client.over = true;
+    if (done.last) client.finished = true;
     --upstream.atWork;
     feed(done);
-    if (dice_.oneIn(50)) feed(done);  // told twice, or late: no effect
-    if (!client.over && dice_.oneIn(50)) {
+    if (dice_.oneIn(50)) feed(done);  // reported twice, or late: no effect
+    if (!client.finished && dice_.oneIn(50)) {
       done.attempt = client.attempts;
       checkMisuse(done);
     }
@@ -416,7 +416,7 @@
     for (const Action& action : actions) {
       ++actionCounts_[action.index()];
       digest_.fold(static_cast<std::uint64_t>(action.index()));
-      std::visit([this](const auto& a) { carryOut(a); }, action);
+      std::visit([this](const auto& a) { execute(a); }, action);
     }
     digest_.fold(static_cast<std::uint64_t>(balancer_.remembered().value_or(999)));
     digest_.fold(static_cast<std::uint64_t>(balancer_.openRequests()));
@@ -426,7 +426,7 @@
     }
   }
 
-  void carryOut(const Send& send) {
+  void execute(const Send& send) {
     digest_.fold(send.request);
     digest_.fold(static_cast<std::uint64_t>(send.upstream));
     digest_.fold(send.timeout);
@@ -449,33 +449,33 @@
     }
     schedule(delay, What::Outcome, send.request, attempt, send.upstream);
   }
-  void carryOut(const Cancel& cancel) {
+  void execute(const Cancel& cancel) {
     digest_.fold(cancel.request);
     digest_.fold(static_cast<std::uint64_t>(cancel.attempt));
   }
-  void carryOut(const Refuse& refuse) {
+  void execute(const Refuse& refuse) {
     digest_.fold(refuse.request);
     digest_.fold(refuse.retryAfter);
-    clients_.at(refuse.request).over = true;
+    clients_.at(refuse.request).finished = true;
   }
-  void carryOut(const Fail& fail) {
+  void execute(const Fail& fail) {
     digest_.fold(fail.request);
-    clients_.at(fail.request).over = true;
+    clients_.at(fail.request).finished = true;
   }
-  void carryOut(const SetTimer& timer) {
+  void execute(const SetTimer& timer) {
     digest_.fold(timer.delay);
     schedule(timer.delay, What::Timer);
   }
-  void carryOut(const Probe& probe) {
+  void execute(const Probe& probe) {
     digest_.fold(static_cast<std::uint64_t>(probe.upstream));
     if (dice_.oneIn(10)) return;  // never answered
     schedule(static_cast<Micros>(1 + dice_.below(dice_.oneIn(5) ? 100 : 4)) * kMillisecond, What::Probed, 0,
              0, probe.upstream);
   }
-  void carryOut(const CloseIdle& close) { digest_.fold(static_cast<std::uint64_t>(close.upstream)); }
-  void carryOut(const Subscribe&) { answerDiscovery(); }
-  void carryOut(const Fetch&) { answerDiscovery(); }
-  void carryOut(const Log& log) { digest_.fold(log.text); }
+  void execute(const CloseIdle& close) { digest_.fold(static_cast<std::uint64_t>(close.upstream)); }
+  void execute(const Subscribe&) { answerDiscovery(); }
+  void execute(const Fetch&) { answerDiscovery(); }
+  void execute(const Log& log) { digest_.fold(log.text); }
 
   void answerDiscovery() { digest_.fold(static_cast<std::uint64_t>(1)); }
 
@@ -505,7 +505,7 @@
   for (std::size_t n = 0; n < std::size(kRecorded); ++n) {
     SCOPED_TRACE("stream " + std::to_string(n));
     Stream stream(n);
-    const std::uint64_t digest = stream.play();
+    const std::uint64_t digest = stream.run();
     for (std::size_t kind = 0; kind < total.size(); ++kind) total[kind] += stream.actions(kind);
     if (record) {
       std::printf("0x%016llxu,\n", static_cast<unsigned long long>(digest));
--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -160,7 +160,7 @@
   }
 }
 
-TEST_F(LevelControllerTest, FollowsALoadThatStepsUpAndBack) {
+TEST_F(LevelControllerTest, TracksALoadThatStepsUpAndBack) {
   run(0s, 10s, constantly(Signal::OpenRequestFraction, 0.18));
   const auto up = run(10s, 20s, constantly(Signal::OpenRequestFraction, 0.9));
   EXPECT_EQ(controller.level(), Level::Shed);
@@ -171,7 +171,7 @@
 }
 
 // The stricter level holds, and its exit is the one that counts.
-TEST_F(LevelControllerTest, FollowsTheStricterOfTwoSignals) {
+TEST_F(LevelControllerTest, AppliesTheStricterOfTwoSignals) {
   const auto both = [](double cpu, double lag) {
     return [=](LevelController& observed, TimePoint now) {
       observed.observe(Signal::CpuUtilization, cpu, now);
--- a/tests/degradation/smoothing_test.cpp
+++ b/tests/degradation/smoothing_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_DOUBLE_EQ(average.value(), std::exp(-1));
 }
 
-TEST(MovingAverage, FollowsEachSampleWhenItsTimeConstantIsZero) {
+TEST(MovingAverage, TakesEachSampleWhenItsTimeConstantIsZero) {
   MovingAverage average;
   average.add(1, 0s, at(0s));
   average.add(7, 0s, at(0s));
--- a/tests/exclusion/exclusion_set_test.cpp
+++ b/tests/exclusion/exclusion_set_test.cpp
@@ -176,9 +176,9 @@
     if (plain.size() % 2 == 0) include(set, plain, static_cast<std::int64_t>(plain.size()));
   }
   const std::string text = set.serialize();
-  const auto whole = ExclusionSet::parse(text);
-  RC_ASSERT(whole.hasValue());
-  RC_ASSERT(whole.value() == set);
+  const auto complete = ExclusionSet::parse(text);
+  RC_ASSERT(complete.hasValue());
+  RC_ASSERT(complete.value() == set);
   // Without its last brace; a missing line end is all the same.
   const auto length = *rc::gen::inRange<std::size_t>(0, text.size() - 1);
   RC_ASSERT(ExclusionSet::parse(text.substr(0, length)).error() == Error::NotJson);
