--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -14,9 +14,9 @@
 
 /// An attempt that has its outcome. Times are microseconds.
 struct FinishedAttempt {
-  Micros sentAt = 0;
-  Micros latency = 0;  ///< from its sending to the outcome, less what the client's own pace took
-  Outcome outcome = Outcome::Ok;
+  Micros sentAt = 0;              ///< does not cut a limit again that was cut after this
+  Micros latency = 0;             ///< from its sending to the outcome, less what the client's own pace took
+  Outcome outcome = Outcome::Ok;  ///< as the caller reported it; decides whether the limit grows or falls
 };
 
 /// How many attempts of this sidecar an endpoint may have in flight. Guards against overload: each sidecar
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -13,6 +13,7 @@
 
 /// A moment at which the balancer has something to do without an event from outside.
 struct Wake {
+  /// Which part of the balancer acts at the moment, and on what.
   enum class What {
     Deadline,       ///< a request's deadline passes
     Hold,           ///< a request is no longer worth holding
@@ -21,9 +22,10 @@
     Discovery,      ///< the endpoint list is asked for
     CloseDraining,  ///< connections to a draining endpoint are closed once more
   };
-  Micros at = 0;
-  RequestId request = 0;  ///< or the endpoint's id, for CloseDraining; 0 where there is none
-  What what = What::Deadline;
+  Micros at = 0;               ///< microseconds by the clock of the events; due from then on
+  RequestId request = 0;       ///< or the endpoint's id, for CloseDraining; 0 where there is none
+  What what = What::Deadline;  ///< set by the part that pushed it
+  /// Orders by time alone, so that a heap with std::greater has the earliest on top.
   bool operator>(const Wake& other) const { return at > other.at; }
 };
 
@@ -33,6 +35,7 @@
 /// each event that concerns it, and all are taken off as they fall due.
 class Deadlines {
  public:
+  /// Adds a deadline. One that is no longer needed can't be removed: its owner ignores it when it falls due.
   void push(const Wake& wake) { wakes_.push(wake); }
 
   /// Takes off the earliest deadline that has passed; none if there is no such.
--- a/src/balancer/decisions.h
+++ b/src/balancer/decisions.h
@@ -35,23 +35,41 @@
   Decisions& operator=(Decisions&&) = delete;
   ~Decisions() = default;
 
+  /// What the caller gave, brought into range by boundedSettings(); fixed for the balancer's life.
   const Settings settings;
+  /// The last such event, with its part of the usual probes in 0 to 1; full service before the first.
   ReducedService reduced;
+  /// What is known of each endpoint; the other parts keep their figures of an endpoint in it.
   EndpointRegistry endpoints;
+  /// Counts each attempt that is sent, for the usual number in flight and the size of the subset.
   SendRate sendRate;
+  /// Learns from good answers; gives other parts the time scale.
   LatencyStatistics latency{settings.classes.size()};
+  /// Makes a Request of each NewRequest: its work, latency objective and deadline.
   RequestEstimates estimates{settings};
+  /// Limits attempts to endpoints that are warming up by their credit.
   SlowStart slowStart{settings};
+  /// Permits or forbids each attempt, rejection and failure; no other part overrules it.
   RetryPolicy retryPolicy{settings, slowStart};
+  /// Weighs requests against each other when not all can be served.
   Priority priority{settings, latency};
+  /// Whether an endpoint may get an attempt now, by the state that all parts have set.
   EndpointReadiness readiness{slowStart, latency};
+  /// Learns load from what endpoints report with answers or probes.
   LoadReports loadReports{settings, latency};
+  /// Bounds this sidecar's attempts in flight at each endpoint.
   ConcurrencyLimit concurrencyLimit{settings, endpoints};
+  /// Bounds this sidecar's attempts in flight at all endpoints when load information is lacking.
   SidecarLimit sidecarLimit{endpoints, readiness, latency, sendRate, priority};
+  /// Ejects endpoints that fail, and lets them back by trial attempts.
   OutlierDetection outlierDetection{settings, endpoints, readiness, latency};
+  /// To which endpoints a connection is kept open.
   ConnectionSubset subset{settings, endpoints, sendRate, latency};
+  /// Probes a picked endpoint before the request is sent, where the settings allow it.
   HealthCheck healthCheck{settings, endpoints, loadReports, priority};
+  /// Holds requests that no endpoint is ready for, and advises rejected clients when to retry.
   LoadShedding loadShedding{settings, priority, latency, sidecarLimit};
+  /// Picks the endpoint of each attempt among those that the other parts leave.
   EndpointSelection selection{settings, endpoints, slowStart, readiness, retryPolicy, loadReports, subset};
 };
 
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -12,6 +12,7 @@
 /// so many doublings. No other backoff of an endpoint lasts longer than the first. A second is long against a
 /// service time and short against a client's patience.
 constexpr Micros kBaseEjection = 1'000'000;
+/// Bounds the ejections of an endpoint that fails every trial: 2^3, so 8 seconds, at the most.
 constexpr int kMaxEjectionDoublings = 3;
 
 /// Leaves the endpoint alone for `span` microseconds from now, or longer if it is in backoff already.
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -22,6 +22,8 @@
   EndpointReadiness(const SlowStart& slowStart, const LatencyStatistics& latency)
       : slowStart_(slowStart), latency_(latency) {}
 
+  /// Whether every condition holds at `now`, in microseconds. The limit does
+  /// not bind an endpoint with nothing in flight: a limit under one is kept by backoff.
   [[nodiscard]] bool isReady(const Endpoint& endpoint, Micros now) const {
     if (!endpoint.isListed || !slowStart_.hasCredit(endpoint, now)) return false;
     if (now < endpoint.ejectedUntil || now < endpoint.backoffUntil) return false;
@@ -42,6 +44,7 @@
     return now >= endpoint.notifiedUntil || endpoint.isOwnTurn;
   }
 
+  /// Whether at least one listed endpoint is ready, so that trying held requests again can be of use.
   [[nodiscard]] bool anyReady(const EndpointRegistry& endpoints, Micros now) const {
     return std::any_of(endpoints.listed().begin(), endpoints.listed().end(),
                        [&](UpstreamId id) { return isReady(endpoints[id], now); });
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -23,13 +23,13 @@
 /// Times are microseconds.
 struct Endpoint {
   // EndpointRegistry
-  bool isKnown = false;   ///< some list has named it
-  bool isListed = false;  ///< it is in the current list and serving
-  std::uint32_t zone = 0;
-  std::optional<std::uint32_t> cell;
-  double size = 1;  ///< registered capacity against others, above 0
-  Micros launchedAt = 0;
-  std::uint64_t identity = 0;
+  bool isKnown = false;    ///< some list has named it
+  bool isListed = false;   ///< it is in the current list and serving
+  std::uint32_t zone = 0;  ///< from the list; one of another zone than Settings::zone may cost more
+  std::optional<std::uint32_t> cell;  ///< from the list; none: by cell it is a group of its own
+  double size = 1;                    ///< registered capacity against others, above 0
+  Micros launchedAt = 0;       ///< when its process started, as the list has it; 0: long ago, so it is warm
+  std::uint64_t identity = 0;  ///< the same at every sidecar; another one starts without a history
 
   // RequestLifecycle
   std::uint32_t inFlight = 0;  ///< this sidecar's own attempts that have no outcome yet
@@ -40,7 +40,7 @@
 
   // LatencyStatistics
   double logSlowness = 0;  ///< smoothed, of answer times against the usual of their class
-  Micros slownessAt = 0;
+  Micros slownessAt = 0;   ///< when logSlowness was last updated; it fades from then on
   Micros minLatency = std::numeric_limits<Micros>::max();  ///< of its answers
 
   // LoadReports
@@ -54,8 +54,8 @@
   int rejectionsInRow = 0;  ///< in a row
 
   // OutlierDetection
-  double failureRate = 0;  ///< smoothed, of answers and failures, 0 to 1
-  Micros ejectedUntil = 0;
+  double failureRate = 0;                    ///< smoothed, of answers and failures, 0 to 1
+  Micros ejectedUntil = 0;                   ///< no ordinary attempt before this; 0 or past: none in force
   int ejections = 0;                         ///< in a row
   bool isHalfOpen = false;                   ///< ejected, or back on trial: one attempt at a time
   bool isAnswering = true;                   ///< the last outcome was an answer, good or bad
@@ -74,9 +74,12 @@
 /// Grows with the highest id that the caller has given; ids are never taken away.
 class EndpointRegistry {
  public:
+  /// Whether the id is within range. One that is may still never have been named by a list
+  /// (Endpoint::isKnown).
   [[nodiscard]] bool contains(UpstreamId id) const { return id < endpoints_.size(); }
   /// `id` must be contained.
   Endpoint& operator[](UpstreamId id) { return endpoints_[id]; }
+  /// `id` must be contained. For the parts that only read.
   const Endpoint& operator[](UpstreamId id) const { return endpoints_[id]; }
 
   /// Those that serve, in the order they were listed.
--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -17,10 +17,11 @@
   Micros now;                 ///< the time of the event, in microseconds
   bool lacksLoadInformation;  ///< own requests in flight tell nothing of the endpoints' load
   std::vector<Action>&
-      actions;  ///< the caller's buffer; actions are appended in the order they are to be done
-  RandomSource& random;
-  Deadlines& deadlines;
+      actions;           ///< the caller's buffer; actions are appended in the order they are to be done
+  RandomSource& random;  ///< the balancer's only one; the order of the draws is part of its behaviour
+  Deadlines& deadlines;  ///< where a part asks to be called again at a later time
 
+  /// Appends an action, one of the alternatives of Action, behind those that the event has already led to.
   template <class T>
   void act(T action) const {
     actions.emplace_back(std::move(action));
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -30,6 +30,7 @@
 /// Smoothed times to an answer, in microseconds, of good answers alone: over all, by class and by endpoint.
 class LatencyStatistics {
  public:
+  /// `classes`: how many request classes the settings have; a requestClass is less than that.
   explicit LatencyStatistics(std::size_t classes) : typicalLatency_(classes), classAnswers_(classes) {}
 
   /// A good answer of the endpoint came after `latency` microseconds.
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -23,6 +23,8 @@
   LoadReports(const Settings& settings, const LatencyStatistics& latency)
       : settings_(settings), latency_(latency) {}
 
+  /// Takes a report of the endpoint, whether with an answer or a probe. Columns that it lacks change nothing;
+  /// a CPU share outside 0 to 1 is brought into range.
   void learn(Endpoint& endpoint, const LoadReport& report);
 
   /// Whether what the endpoint has in hand would take the request too long. The report must have
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -26,9 +26,12 @@
                const SidecarLimit& sidecarLimit)
       : settings_(settings), priority_(priority), latency_(latency), sidecarLimit_(sidecarLimit) {}
 
+  /// Adds a request that nobody is ready for and that isn't held yet; wakes the balancer at its holdUntil and
+  /// at the end of the sidecar's backoff.
   void hold(RequestId id, const Request& request, const EventContext& context);
   /// The request is held no more, if it was.
   void release(RequestId id) { std::erase(held_, id); }
+  /// How many requests are held now.
   [[nodiscard]] std::size_t size() const { return held_.size(); }
 
   /// The sidecar is in backoff: those held are tried again when that ends for them.
--- a/src/balancer/random_source.h
+++ b/src/balancer/random_source.h
@@ -11,6 +11,7 @@
 /// the decisions draw from it is part of the module's behaviour.
 class RandomSource {
  public:
+  /// Any seed will do; sidecars need different ones, lest they all draw alike.
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
   /// A number in [0, 1), with all 53 bits of a double's fraction.
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -14,31 +14,31 @@
 
 /// One attempt of a request at an endpoint. Times are microseconds.
 struct Attempt {
-  UpstreamId endpoint = kNoEndpoint;
+  UpstreamId endpoint = kNoEndpoint;  ///< where it was sent; always one that the registry contains
   std::uint32_t zone = 0;             ///< the endpoint's, at the time
   std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
-  Micros sentAt = 0;
-  bool isPending = true;
-  bool isCounted = true;         ///< among those in flight
-  bool needsConnection = false;  ///< needs a new connection
-  bool mayHaveRun = true;        ///< until an outcome proves otherwise
+  Micros sentAt = 0;                  ///< the time of the event that led to it; repeat windows begin here
+  bool isPending = true;              ///< until its first outcome; further ones are ignored
+  bool isCounted = true;              ///< among those in flight
+  bool needsConnection = false;       ///< needs a new connection
+  bool mayHaveRun = true;             ///< until an outcome proves otherwise
 };
 
 /// A request from its arrival until it has its final answer and none of its attempts is out. Times are
 /// microseconds.
 struct Request {
-  std::uint32_t requestClass = 0;
-  std::optional<std::uint32_t> tenant;
-  double timeliness = 1;    ///< part of its weight that an answer may still earn, as far as is known
-  double relativeWork = 1;  ///< its expected work against the usual of its class
-  Micros latencyObjective = 0;
-  Micros deadline = 0;
-  Micros holdUntil = 0;                     ///< not worth holding any longer
+  std::uint32_t requestClass = 0;       ///< index into Settings::classes; always in range
+  std::optional<std::uint32_t> tenant;  ///< index into Settings::tenants; none: of no known tenant
+  double timeliness = 1;        ///< part of its weight that an answer may still earn, as far as is known
+  double relativeWork = 1;      ///< its expected work against the usual of its class
+  Micros latencyObjective = 0;  ///< a span since its arrival: an answer inside it earns the full weight
+  Micros deadline = 0;          ///< the moment by which it must have its final answer, unless it is streaming
+  Micros holdUntil = 0;         ///< not worth holding any longer
   UpstreamId probedEndpoint = kNoEndpoint;  ///< waits for a probe of this endpoint
-  Micros probeDeadline = 0;
-  int probes = 0;
-  int overloadedProbes = 0;
-  std::vector<Attempt> attempts;
+  Micros probeDeadline = 0;                 ///< the moment from which that probe counts as unanswered
+  int probes = 0;                     ///< how many were started for it, by HealthCheck; bounded by kMaxProbes
+  int overloadedProbes = 0;           ///< how many of them found overload or went unanswered
+  std::vector<Attempt> attempts;      ///< in the order of their Send; an attempt's number is its index
   std::uint32_t pendingAttempts = 0;  ///< attempts without an outcome
   bool isFinished = false;            ///< it has its final answer, or the client has left
   bool isStreaming = false;           ///< an attempt is the client's now
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -24,13 +24,21 @@
 
   /// @throws std::invalid_argument for an event that names what the settings or the open requests do not have
   void validate(const NewRequest& event) const;
+  /// @throws std::invalid_argument for an attempt that was never sent, of a request that is still known
   void validate(const AttemptOutcome& event) const;
 
+  /// Takes a request that validate() has accepted: it is sent, probed for, held or answered at once.
   void on(const NewRequest& event, const EventContext& context);
+  /// Lets every part learn from the outcome, then sends the request again or closes it. An outcome that was
+  /// reported before, or of a request that is gone, has no effect.
   void on(const AttemptOutcome& event, const EventContext& context);
+  /// The answer has begun to stream to the client: no attempt follows, and the others are
+  /// cancelled where the settings allow it.
   /// @throws std::invalid_argument for an attempt that was never sent
   void on(const AttemptStarted& event, const EventContext& context);
+  /// The client has left: no answer is owed; attempts in flight are cancelled where the settings allow it.
   void on(const Withdrawn& event, const EventContext& context);
+  /// Ends the wait of every request that waits for a probe of this endpoint: each is sent, held or answered.
   void on(const ProbeResult& event, const EventContext& context);
 
   /// Timers of a request: an overdue probe, the end of its hold, and its deadline. Ignored where the request
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -46,10 +46,10 @@
 
 /// What the rules still allow for a request.
 struct Permission {
-  bool send = false;
+  bool send = false;                ///< another attempt may be sent now
   const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's repeat group
-  bool refuse = false;
-  bool fail = false;
+  bool refuse = false;              ///< it may be rejected: for the client to send it again is harmless
+  bool fail = false;                ///< it may be failed; false once it has its answer or is streaming
 };
 
 /// The rules on attempts and final answers. Every Send, Refuse and Fail asks here first: the rules have the
@@ -64,6 +64,8 @@
   RetryPolicy(const Settings& settings, const SlowStart& slowStart)
       : settings_(settings), slowStart_(slowStart), budget_(settings) {}
 
+  /// What may be done with the request at `now`, in microseconds. Its `anchor` points into the request and is
+  /// valid until the request's attempts change.
   Permission permission(const Request& request, const ReducedService& reduced, Micros now);
 
   /// The rules on where it may go: no draining or gone endpoint, none that is warming up beyond its credit,
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -11,12 +11,15 @@
 /// connection is kept (Settings::idleClose; kDefaultIdleTime where that is unknown).
 class SendRate {
  public:
+  /// `startedAt`: when the balancer began, in microseconds; until idleTime() has
+  /// passed since then, what was counted is scaled up to it.
   SendRate(const Settings& settings, Micros startedAt)
       : resolution_(settings.resolution),
         idleTime_(settings.idleClose > 0 ? static_cast<double>(settings.idleClose) : kDefaultIdleTime),
         startedAt_(startedAt),
         sendsAt_(startedAt) {}
 
+  /// An attempt is sent at `now`, in microseconds; earlier ones fade by the time since the last call.
   void count(Micros now) {
     sends_ = 1 + sends_ * retainedFraction(sendsAt_, idleTime_, now);
     sendsAt_ = now;
--- a/src/degradation/level.h
+++ b/src/degradation/level.h
@@ -22,6 +22,7 @@
 /// All levels, the mildest first.
 inline constexpr std::array kLevels = {Level::Normal, Level::Thrifty, Level::Protect, Level::Shed,
                                        Level::Cutoff};
+/// The number of levels, for tables that indexOf() indexes.
 inline constexpr std::size_t kLevelCount = kLevels.size();
 
 /// The level's position in kLevels: 0 is Normal.
--- a/src/degradation/level_controller.h
+++ b/src/degradation/level_controller.h
@@ -33,6 +33,7 @@
   LevelController(const Settings& settings, TimePoint now);
 
   /// Takes a sample of a signal.
+  /// @param signal which of the signals was sampled; each is smoothed by a time constant of its own.
   /// @param value in the signal's unit; ignored where it is negative or not finite.
   /// @param now time that goes back counts as standing still.
   void observe(Signal signal, double value, TimePoint now);
@@ -46,6 +47,7 @@
   /// @pre validate(settings) finds no error.
   void apply(const Settings& settings, TimePoint now);
 
+  /// The level in force: Normal at first, changed by evaluate() alone.
   [[nodiscard]] Level level() const { return level_; }
   /// Before the first transition: Settings::escalationInterval ahead of the beginning.
   [[nodiscard]] TimePoint lastTransitionAt() const { return lastTransitionAt_; }
--- a/src/degradation/load_monitor.h
+++ b/src/degradation/load_monitor.h
@@ -28,15 +28,18 @@
  public:
   /// @param settings valid by validate().
   /// @param cores of processor that the process may use; over 0, may be a part of one.
+  /// @param now the beginning, on the clock of all later calls.
   LoadMonitor(const Settings& settings, double cores, TimePoint now);
 
   /// A client's request has arrived.
   /// @param isRetry whether its client marked it as a retry.
+  /// @param now time that goes back counts as standing still.
   void onRequest(bool isRetry, TimePoint now);
 
   /// An attempt on an upstream has ended.
   /// @param failed it timed out, failed or was rejected. One that the sidecar itself cancelled is not
   /// reported.
+  /// @param now as for onRequest().
   void onAttemptEnd(bool failed, TimePoint now);
 
   /// To be called every LevelController::kEvaluationInterval or so; evaluates once.
@@ -45,6 +48,7 @@
   /// As LevelController::apply().
   void apply(const Settings& settings, TimePoint now);
 
+  /// The controller that decides by the signals, for reading its level and smoothed values.
   [[nodiscard]] const LevelController& controller() const { return controller_; }
 
  private:
--- a/src/degradation/settings.h
+++ b/src/degradation/settings.h
@@ -28,6 +28,8 @@
   [[nodiscard]] std::optional<Threshold>& at(Level level, Signal signal) {
     return byLevel_.at(indexOf(level) - 1)[signal];
   }
+  /// The same for settings that are only read.
+  /// @pre `level` is not Normal; std::out_of_range otherwise.
   [[nodiscard]] const std::optional<Threshold>& at(Level level, Signal signal) const {
     return byLevel_.at(indexOf(level) - 1)[signal];
   }
@@ -59,6 +61,7 @@
 
 /// Why settings are invalid, and where.
 struct SettingsError {
+  /// Which rule is broken; describe() has a text for each.
   enum class Kind : std::uint8_t {
     InvalidThreshold,      ///< Not finite, negative, or `exit` not under `enter`.
     BelowMilderLevel,      ///< Lies under the threshold of the next milder level.
@@ -66,7 +69,7 @@
     InvalidInterval,       ///< One of the four spans is not over 0, or the longest delay under the first one.
     NegativeSmoothingTime,  ///< A time constant under 0.
   };
-  Kind kind = Kind::InvalidThreshold;
+  Kind kind = Kind::InvalidThreshold;      ///< Also says whether `level` and `signal` have a meaning.
   Level level = Level::Normal;             ///< Of the threshold, where `kind` is about one.
   Signal signal = Signal::CpuUtilization;  ///< Likewise.
 };
--- a/src/degradation/signal.h
+++ b/src/degradation/signal.h
@@ -27,6 +27,7 @@
                                         Signal::OpenRequestFraction,   Signal::BusyConnectionFraction,
                                         Signal::FailedAttemptFraction, Signal::OverQuotaFraction,
                                         Signal::RetryFraction,         Signal::EndpointListAge};
+/// The number of signals, for tables that indexOf() indexes.
 inline constexpr std::size_t kSignalCount = kSignals.size();
 
 /// The signal's position in kSignals.
@@ -43,13 +44,17 @@
   Fraction,      ///< Of a whole: 0 to 1, more where the whole is exceeded.
   Microseconds,  ///< 0 or more.
 };
+/// The unit of the signal's samples, smoothed value and thresholds: EventLoopLag and EndpointListAge are
+/// times, all others fractions.
 [[nodiscard]] Unit unitOf(Signal signal);
 
 /// One value for each signal.
 template <class Value>
 class PerSignal {
  public:
+  /// The signal's value; std::out_of_range for what is no enumerator.
   [[nodiscard]] Value& operator[](Signal signal) { return values_.at(indexOf(signal)); }
+  /// The same for values that are only read.
   [[nodiscard]] const Value& operator[](Signal signal) const { return values_.at(indexOf(signal)); }
   /// The same value for all of them.
   void fill(const Value& value) { values_.fill(value); }
--- a/src/degradation/transition.h
+++ b/src/degradation/transition.h
@@ -16,14 +16,14 @@
   /// The signal that led to an escalation: of those that request a stricter level, the one furthest over its
   /// threshold, by their quotient.
   struct Cause {
-    Signal signal = Signal::CpuUtilization;
-    double value = 0;      ///< Smoothed, in the signal's unit.
-    double threshold = 0;  ///< The value at which the level is entered.
+    Signal signal = Signal::CpuUtilization;  ///< Says the unit of `value` and `threshold`, by unitOf().
+    double value = 0;                        ///< Smoothed, in the signal's unit.
+    double threshold = 0;                    ///< The value at which the level is entered.
   };
 
-  Level from = Level::Normal;
-  Level to = Level::Normal;
-  TimePoint at;
+  Level from = Level::Normal;  ///< The level until then.
+  Level to = Level::Normal;    ///< One step stricter (an escalation) or milder (a recovery) than `from`.
+  TimePoint at;                ///< The time of the evaluation that decided it, on the caller's clock.
   std::optional<Cause> cause;  ///< Of an escalation; a recovery has none.
 };
 
--- a/src/exclusion/descriptor.h
+++ b/src/exclusion/descriptor.h
@@ -15,7 +15,9 @@
   Descriptor(FileOperations& files, int number) : files_(&files), number_(number) {}
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
+  /// Takes the descriptor over; `other` is not open afterwards.
   Descriptor(Descriptor&& other) noexcept : files_(other.files_), number_(std::exchange(other.number_, -1)) {}
+  /// Exchanges the two, so that what this object had is closed at the end of `other`.
   Descriptor& operator=(Descriptor&& other) noexcept {
     std::swap(files_, other.files_);
     std::swap(number_, other.number_);
@@ -25,6 +27,7 @@
     if (isOpen()) files_->close(number_);
   }
 
+  /// Whether there is a descriptor to close: false after a failed open(), close() or a move.
   [[nodiscard]] bool isOpen() const { return number_ >= 0; }
   /// Negative if it is not open.
   [[nodiscard]] int number() const { return number_; }
--- a/src/exclusion/exclusion_set.h
+++ b/src/exclusion/exclusion_set.h
@@ -20,8 +20,12 @@
 
 /// What an operator asks for, and what is known of the endpoint at that moment.
 struct Change {
-  enum class Kind : std::uint8_t { Exclude, Include };
-  Kind kind = Kind::Exclude;
+  /// Whether the endpoint is taken out of service or put back.
+  enum class Kind : std::uint8_t {
+    Exclude,  ///< out until the next Include, across restarts of sidecar and endpoint
+    Include,  ///< back in service, counted as started at this moment, so that it is warmed up
+  };
+  Kind kind = Kind::Exclude;  ///< set by the operator's command
   std::string endpoint;       ///< its id
   bool isListed = false;      ///< whether an endpoint list names it now
   WallTime listedStart = {};  ///< when it started, as far as is known
@@ -58,6 +62,7 @@
   /// at `change.now`, but later than at `change.listedStart`: the clock may be behind.
   [[nodiscard]] Outcome apply(const Change& change);
 
+  /// Whether the endpoint of this id is excluded now; false for ids that the set has never met.
   [[nodiscard]] bool isExcluded(const std::string& endpoint) const { return excluded_.contains(endpoint); }
   /// Whether it changes nothing of any list.
   [[nodiscard]] bool isEmpty() const { return excluded_.empty() && included_.empty(); }
