--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -20,27 +20,27 @@
 }
 
 Lifecycle::Lifecycle(const Settings& settings, Micros now)
-    : settings_(settings), startedAt_(now), since_(now) {
+    : settings_(settings), startedAt_(now), stateEnteredAt_(now) {
   update(now);
 }
 
 bool Lifecycle::handle(Event event, Micros now) {
   switch (event) {
-    case Event::Listed:
-      listed_ = true;
+    case Event::EndpointListReceived:
+      hasEndpointList_ = true;
       break;
-    case Event::Evacuate:
+    case Event::DrainRequested:
       if (state_ == State::Stopping) return false;
       if (state_ != State::Draining) enter(State::Draining, now);
       break;
-    case Event::Rejoin:
+    case Event::DrainCancelled:
       if (state_ == State::Stopping) return false;
       if (state_ == State::Draining) enter(State::Starting, now);
       break;
-    case Event::Terminate:
+    case Event::TerminationRequested:
       if (state_ != State::Stopping) enter(State::Stopping, now);
       break;
-    case Event::Tick:
+    case Event::TimerExpired:
       break;
   }
   update(now);
@@ -49,13 +49,13 @@
 
 void Lifecycle::enter(State state, Micros now) {
   state_ = state;
-  since_ = now;
+  stateEnteredAt_ = now;
 }
 
-Micros Lifecycle::stopWithin() const {
+Micros Lifecycle::exitDelay() const {
   const Micros longest = settings_.longestDeadline.value_or(0);
-  const Micros counted = longest > 0 ? std::min(longest, kLongestDeadline) : kLongestDeadline;
-  return counted + kKillDelay - kHoldUp - kEndMargin;
+  const Micros counted = longest > 0 ? std::min(longest, kMaxCountedDeadline) : kMaxCountedDeadline;
+  return counted + kKillDelay - kMaxSchedulingDelay - kExitMargin;
 }
 
 void Lifecycle::update(Micros now) {
@@ -67,7 +67,9 @@
     return false;
   };
   if (state_ == State::Starting &&
-      (!settings_.inherited || listed_ || passed(startedAt_, settings_.known ? kWaitKnown : kWaitUnknown))) {
+      (!settings_.sharesListeningSocket || hasEndpointList_ ||
+       passed(startedAt_,
+              settings_.hasEndpoints ? kDiscoveryTimeoutWithEndpoints : kDiscoveryTimeoutWithoutEndpoints))) {
     enter(State::Ready, now);
     nextChange_.reset();
   }
@@ -76,24 +78,25 @@
     case State::Starting:
       break;
     case State::Ready:
-      next.ready = next.accepts = next.keeps = true;
+      next.isReady = next.acceptsConnections = next.keepsConnections = true;
       break;
     case State::Draining:
-      next.accepts = true;
-      next.closesIdle = passed(since_, kDrainIdle);
-      next.takes = !passed(since_, kDrainTakes);
+      next.acceptsConnections = true;
+      next.closesIdleConnections = passed(stateEnteredAt_, kDrainIdleCloseDelay);
+      next.acceptsRequests = !passed(stateEnteredAt_, kDrainRequestPeriod);
       break;
     case State::Stopping: {
-      const Micros accepting = settings_.inherited ? 0 : std::min(kAcceptAfterStop, answersAfter());
-      next.accepts = !passed(since_, accepting);
-      next.closesIdle = true;
-      next.mayEnd = passed(since_, std::min(accepting + kLinger, stopWithin()));
-      next.answersAll = passed(since_, answersAfter());
-      if (!next.answersAll) break;
-      next.takes = false;
-      if (!answered_) answered_ = now;
-      const bool due = passed(since_, stopWithin());
-      next.mustEnd = passed(*answered_, kAnswersAtLeast) && due;
+      const Micros accepting =
+          settings_.sharesListeningSocket ? 0 : std::min(kStopAcceptPeriod, finalResponseDelay());
+      next.acceptsConnections = !passed(stateEnteredAt_, accepting);
+      next.closesIdleConnections = true;
+      next.mayExit = passed(stateEnteredAt_, std::min(accepting + kStopLinger, exitDelay()));
+      next.sendsFinalResponses = passed(stateEnteredAt_, finalResponseDelay());
+      if (!next.sendsFinalResponses) break;
+      next.acceptsRequests = false;
+      if (!finalResponsesAt_) finalResponsesAt_ = now;
+      const bool due = passed(stateEnteredAt_, exitDelay());
+      next.mustExit = passed(*finalResponsesAt_, kMinFinalResponsePeriod) && due;
       break;
     }
   }
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -25,34 +25,35 @@
 const char* nameOf(State state);
 
 enum class Event : std::uint8_t {
-  Listed,    // a list of upstreams has come from discovery
-  Evacuate,  // the operators' calls
-  Rejoin,
-  Terminate,  // SIGTERM
-  Tick,       // nextChange() has passed
+  EndpointListReceived,  // a list of upstreams has come from discovery
+  DrainRequested,        // the operators' calls
+  DrainCancelled,
+  TerminationRequested,  // SIGTERM
+  TimerExpired,          // nextChange() has passed
 };
 
 // What holds from now on.
 struct Effects {
-  bool ready = false;       // GET /ready and the console say yes
-  bool accepts = false;     // connections are taken from the listening socket
-  bool keeps = false;       // an answer leaves its connection open
-  bool closesIdle = false;  // connections on which nothing has come are closed, again and again
-  bool takes = true;        // requests are taken; else refused at once, and heads cut short
-  bool mayEnd = false;      // the process ends when nothing is open any more
-  bool mustEnd = false;     // it ends whatever is open
-  bool answersAll = false;  // whatever is owed an answer gets its final one now; nothing more is taken
+  bool isReady = false;                // GET /ready and the console say yes
+  bool acceptsConnections = false;     // connections are taken from the listening socket
+  bool keepsConnections = false;       // an answer leaves its connection open
+  bool closesIdleConnections = false;  // connections on which nothing has come are closed, again and again
+  bool acceptsRequests = true;         // requests are taken; else refused at once, and heads cut short
+  bool mayExit = false;                // the process ends when nothing is open any more
+  bool mustExit = false;               // it ends whatever is open
+  bool sendsFinalResponses =
+      false;  // whatever is owed an answer gets its final one now; nothing more is taken
   bool operator==(const Effects&) const = default;
 };
 
 struct Settings {
   // The listening socket is the platform's: another process may accept from it too, before this one is ready
   // and after it stops.
-  bool inherited = false;
+  bool sharesListeningSocket = false;
   // Upstreams are known from the platform's last list.
-  bool known = false;
+  bool hasEndpoints = false;
   // The longest deadline of all classes of requests, in microseconds: SIGKILL follows SIGTERM after this and
-  // kKillDelay. None or 0: no deadline is known, and kLongestDeadline holds; so it does for a longer one.
+  // kKillDelay. None or 0: no deadline is known, and kMaxCountedDeadline holds; so it does for a longer one.
   std::optional<Micros> longestDeadline = std::nullopt;
 };
 
@@ -71,35 +72,35 @@
 
   // A new process waits so long for discovery where it knows upstreams already, and where it knows none: the
   // platform gives it 6 s in all.
-  static constexpr Micros kWaitKnown = 1'000'000;
-  static constexpr Micros kWaitUnknown = 4'000'000;
+  static constexpr Micros kDiscoveryTimeoutWithEndpoints = 1'000'000;
+  static constexpr Micros kDiscoveryTimeoutWithoutEndpoints = 4'000'000;
   // The front goes on sending new connections for 0.3 s after a drain begins, and clients use theirs: for so
   // long answers alone end connections, so that hardly a request crosses a close.
-  static constexpr Micros kDrainIdle = 1'000'000;
+  static constexpr Micros kDrainIdleCloseDelay = 1'000'000;
   // At 4 s nothing of the last 2 s may be held, whatever the deadlines, so what comes from here on is
   // refused; also where the process is held up right before it.
-  static constexpr Micros kDrainTakes = 1'800'000;
+  static constexpr Micros kDrainRequestPeriod = 1'800'000;
   // Where nobody else listens, new connections go on coming for up to 0.4 s after SIGTERM.
-  static constexpr Micros kAcceptAfterStop = 500'000;
+  static constexpr Micros kStopAcceptPeriod = 500'000;
   // What a client has on its way when the last connection is accepted.
-  static constexpr Micros kLinger = 200'000;
-  // SIGKILL comes no sooner after SIGTERM than the longest deadline, of which no more than kLongestDeadline
-  // counts, and kKillDelay.
-  static constexpr Micros kLongestDeadline = 3'000'000;
+  static constexpr Micros kStopLinger = 200'000;
+  // SIGKILL comes no sooner after SIGTERM than the longest deadline, of which no more than
+  // kMaxCountedDeadline counts, and kKillDelay.
+  static constexpr Micros kMaxCountedDeadline = 3'000'000;
   static constexpr Micros kKillDelay = 700'000;
   // The process may be held up for so long between reading its clock and acting by it.
-  static constexpr Micros kHoldUp = 150'000;
+  static constexpr Micros kMaxSchedulingDelay = 150'000;
   // What ending itself takes: the last writes, and the end of the loop.
-  static constexpr Micros kEndMargin = 50'000;
+  static constexpr Micros kExitMargin = 50'000;
   // Final answers are written so long before the end: the kernel has them, and what clients still send is
   // read, since a close over unread bytes would reset the connection and the answer with it.
-  static constexpr Micros kAnswersAhead = 100'000;
+  static constexpr Micros kFinalResponseLead = 100'000;
   // Where the process was held up as they were due, the end waits at least this long behind them.
-  static constexpr Micros kAnswersAtLeast = 20'000;
+  static constexpr Micros kMinFinalResponsePeriod = 20'000;
 
   // After SIGTERM: when all that is open gets its final answer, and when the process ends.
-  Micros answersAfter() const { return stopWithin() - kAnswersAhead; }
-  Micros stopWithin() const;
+  Micros finalResponseDelay() const { return exitDelay() - kFinalResponseLead; }
+  Micros exitDelay() const;
 
  private:
   void enter(State state, Micros now);
@@ -108,9 +109,9 @@
   const Settings settings_;
   const Micros startedAt_;
   State state_ = State::Starting;
-  Micros since_ = 0;                // in this state
-  std::optional<Micros> answered_;  // when all was given its final answer
-  bool listed_ = false;
+  Micros stateEnteredAt_ = 0;               // in this state
+  std::optional<Micros> finalResponsesAt_;  // when all was given its final answer
+  bool hasEndpointList_ = false;
   Effects effects_;
   std::optional<Micros> nextChange_;
 };
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -260,7 +260,8 @@
     // What is left of a body is not waited for; the client hears at once.
     if (uploading_) keepAlive_ = false;
     uploading_ = false;
-    last_ = !keepAlive_ || (!(server_.effects_.keeps && server_.door_.keeps(place_)) && !hasNext());
+    last_ =
+        !keepAlive_ || (!(server_.effects_.keepsConnections && server_.door_.keeps(place_)) && !hasNext());
     wrong_ = answer.status / 100 == 4;
     const auto reason = http::obsolete_reason(static_cast<http::status>(answer.status));
     head_ = "HTTP/1.1 " + std::to_string(answer.status) + " " + std::string(view(reason)) +
@@ -479,7 +480,7 @@
     const bool first = place_->state == admission::Door::State::Silent;
     state_ = State::Reading;
     // The first one's time began when it was let in, and its timer runs.
-    if (!server_.effects_.takes) {
+    if (!server_.effects_.acceptsRequests) {
       limit(Clock::now() + kMaxRefused);
     } else if (!first) {
       limit(Clock::now() + kMaxRequest);
@@ -700,7 +701,7 @@
     deadline_.cancel();
     if (error) {
       keepAlive_ = false;
-      if (error == asio::error::operation_aborted && server_.effects_.answersAll)
+      if (error == asio::error::operation_aborted && server_.effects_.sendsFinalResponses)
         return write(server_.refusal("refused: the sidecar stops"));
       if (error == http::error::body_limit) return write(server_.flawOfBody(error));
       if (error == http::error::header_limit) return write(server_.plain(431, "header over 16 KiB"));
@@ -770,7 +771,7 @@
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     linger(Clock::now() + kMaxLinger);
     // Once the whole server ends there is nobody to take the core from.
-    discard(server_.effects_.answersAll ? kMaxFinalDiscard : kMaxDiscard);
+    discard(server_.effects_.sendsFinalResponses ? kMaxFinalDiscard : kMaxDiscard);
   }
 
   // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
@@ -861,7 +862,7 @@
 }
 
 void Server::accept() {
-  if (!effects_.accepts || !acceptor_.is_open()) return;
+  if (!effects_.acceptsConnections || !acceptor_.is_open()) return;
   if (door_.full() && !makeRoom()) return acceptLater();
   if (std::exchange(accepting_, true)) return;
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
@@ -1004,7 +1005,7 @@
   const bool isGet = message.method() == http::verb::get;
   if (path == "/ready") {
     if (!isGet) return plain(405, "GET only");
-    return effects_.ready ? plain(200, "ready") : plain(503, "not ready");
+    return effects_.isReady ? plain(200, "ready") : plain(503, "not ready");
   }
   const bool level = statusOn_.level && path == "/status/level";
   if (level || (statusOn_.peers && path == "/status/peers")) {
@@ -1013,7 +1014,7 @@
     answer.contentType = "application/json";
     return answer;
   }
-  if (!effects_.takes) return refusal("refused: clients are sent away");
+  if (!effects_.acceptsRequests) return refusal("refused: clients are sent away");
   if (repeatsAHeader(message)) return plain(400, "a header stands there twice");
   const orchiddrum::Site& site = config_.site;
   const auto parts = orchiddrum::split(path.substr(path.empty() ? 0 : 1), '/');
@@ -1070,18 +1071,18 @@
 }
 
 void Server::follow(const lifecycle::Effects& effects) {
-  const bool accepted = std::exchange(effects_, effects).accepts;
-  if (effects.accepts) {
+  const bool accepted = std::exchange(effects_, effects).acceptsConnections;
+  if (effects.acceptsConnections) {
     if (!accepted) accept();
   } else if (accepted) {
     closeAcceptor();
   }
-  if (effects.closesIdle && !tending_) tend();
+  if (effects.closesIdleConnections && !tending_) tend();
 }
 
 // Closes what is idle while the server drains or stops, and tells when nothing is left to answer.
 void Server::tend() {
-  tending_ = effects_.closesIdle;
+  tending_ = effects_.closesIdleConnections;
   if (!tending_) return;
   const Micros time = now();
   // A client whose request crosses this sends it once more on a new connection.
@@ -1089,15 +1090,15 @@
   for (const auto& [id, session] : sessions) {
     if (session->settled(time) && session->mayCloseIdle()) {
       session->close();
-    } else if (effects_.answersAll) {
+    } else if (effects_.sendsFinalResponses) {
       session->answerFinally();
     }
   }
-  if (effects_.mayEnd) {
+  if (effects_.mayExit) {
     // One on which something has come by now is about to be read.
     const bool allIdle =
         std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
-    if (allIdle || effects_.mustEnd) {
+    if (allIdle || effects_.mustExit) {
       const auto left = sessions_;
       for (const auto& [id, session] : left) session->closeFinally();
       return callbacks_.ended();
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -79,7 +79,7 @@
                      if (!membership_.takesOver()) followed_ = wanted_;
                      onList(list,
                             list.whole ? MembershipUpdate::Kind::Full : MembershipUpdate::Kind::Changes);
-                     onLifecycle(lifecycle::Event::Listed);
+                     onLifecycle(lifecycle::Event::EndpointListReceived);
                    },
                    [this] {
                      handle(MembershipUpdate{MembershipUpdate::Kind::Failed, {}});
@@ -114,7 +114,7 @@
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
     membership_.watch();
-  onLifecycle(lifecycle::Event::Tick);
+  onLifecycle(lifecycle::Event::TimerExpired);
   if (config_.console) openConsole();
 }
 
@@ -122,7 +122,7 @@
   if (lifecycle_.state() == lifecycle::State::Stopping) return;
   stopped_ = std::move(stopped);
   if (fleet_) fleet_->leave();
-  onLifecycle(lifecycle::Event::Terminate);
+  onLifecycle(lifecycle::Event::TerminationRequested);
 }
 
 std::optional<std::uint16_t> Sidecar::consolePort() const {
@@ -358,7 +358,7 @@
   }
   lifecycleTimer_.expires_at(Clock::time_point(microseconds(*next)));
   lifecycleTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) onLifecycle(lifecycle::Event::Tick);
+    if (!cancelled) onLifecycle(lifecycle::Event::TimerExpired);
   });
 }
 
@@ -416,11 +416,12 @@
   using What = console::Call::What;
   switch (call.what) {
     case What::Ready:
-      return answer({lifecycle_.effects().ready ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
+      return answer({lifecycle_.effects().isReady ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
     case What::Evacuate:
     case What::Rejoin:
       if (lifecycle_.state() == lifecycle::State::Stopping) return answer({409, "the sidecar is stopping"});
-      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::Evacuate : lifecycle::Event::Rejoin);
+      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::DrainRequested
+                                              : lifecycle::Event::DrainCancelled);
       return answer({200, lifecycle::nameOf(lifecycle_.state())});
     case What::Exclude:
     case What::Include:
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -119,7 +119,7 @@
                                      {},
                                      [this] { ended = true; }});
     lifecycle::Effects ready;
-    ready.ready = ready.accepts = ready.keeps = true;
+    ready.isReady = ready.acceptsConnections = ready.keepsConnections = true;
     server->follow(ready);
   }
   std::size_t inside() const { return server->door().taken(); }
@@ -133,9 +133,9 @@
   }
   static lifecycle::Effects stopping(bool accepts, bool mayEnd) {
     lifecycle::Effects effects;
-    effects.accepts = accepts;
-    effects.closesIdle = true;
-    effects.mayEnd = mayEnd;
+    effects.acceptsConnections = accepts;
+    effects.closesIdleConnections = true;
+    effects.mayExit = mayEnd;
     return effects;
   }
 
