--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -19,12 +19,12 @@
   return "";
 }
 
-Lifecycle::Lifecycle(const Settings& settings, Micros now)
+Lifecycle::Lifecycle(const Settings& settings, TimePoint now)
     : settings_(settings), startedAt_(now), stateEnteredAt_(now) {
   update(now);
 }
 
-bool Lifecycle::handle(Event event, Micros now) {
+bool Lifecycle::handle(Event event, TimePoint now) {
   switch (event) {
     case Event::EndpointListReceived:
       hasEndpointList_ = true;
@@ -47,60 +47,76 @@
   return true;
 }
 
-void Lifecycle::enter(State state, Micros now) {
-  state_ = state;
-  stateEnteredAt_ = now;
+Duration Lifecycle::exitDelay() const {
+  const Duration longest = settings_.longestDeadline.value_or(Duration::zero());
+  const Duration counted =
+      longest > Duration::zero() ? std::min(longest, kMaxCountedDeadline) : kMaxCountedDeadline;
+  return counted + kKillDelay - kMaxSchedulingDelay - kExitMargin;
 }
 
-Micros Lifecycle::exitDelay() const {
-  const Micros longest = settings_.longestDeadline.value_or(0);
-  const Micros counted = longest > 0 ? std::min(longest, kMaxCountedDeadline) : kMaxCountedDeadline;
-  return counted + kKillDelay - kMaxSchedulingDelay - kExitMargin;
+void Lifecycle::enter(State state, TimePoint now) {
+  state_ = state;
+  stateEnteredAt_ = now;
 }
 
-void Lifecycle::update(Micros now) {
+void Lifecycle::update(TimePoint now) {
   nextChange_.reset();
-  // Whether `span` has passed since `from`; if not, it is looked at again then.
-  const auto passed = [&](Micros from, Micros span) {
-    if (now >= from + span) return true;
-    if (!nextChange_ || from + span < *nextChange_) nextChange_ = from + span;
-    return false;
-  };
-  if (state_ == State::Starting &&
-      (!settings_.sharesListeningSocket || hasEndpointList_ ||
-       passed(startedAt_,
-              settings_.hasEndpoints ? kDiscoveryTimeoutWithEndpoints : kDiscoveryTimeoutWithoutEndpoints))) {
-    enter(State::Ready, now);
-    nextChange_.reset();
-  }
-  Effects next;
+  if (state_ == State::Starting && !waitsForEndpoints(now)) enter(State::Ready, now);
   switch (state_) {
     case State::Starting:
+      effects_ = Effects{};
       break;
     case State::Ready:
-      next.isReady = next.acceptsConnections = next.keepsConnections = true;
+      effects_ = Effects{.isReady = true, .acceptsConnections = true, .keepsConnections = true};
       break;
     case State::Draining:
-      next.acceptsConnections = true;
-      next.closesIdleConnections = passed(stateEnteredAt_, kDrainIdleCloseDelay);
-      next.acceptsRequests = !passed(stateEnteredAt_, kDrainRequestPeriod);
+      effects_ = effectsOfDraining(now);
       break;
-    case State::Stopping: {
-      const Micros accepting =
-          settings_.sharesListeningSocket ? 0 : std::min(kStopAcceptPeriod, finalResponseDelay());
-      next.acceptsConnections = !passed(stateEnteredAt_, accepting);
-      next.closesIdleConnections = true;
-      next.mayExit = passed(stateEnteredAt_, std::min(accepting + kStopLinger, exitDelay()));
-      next.sendsFinalResponses = passed(stateEnteredAt_, finalResponseDelay());
-      if (!next.sendsFinalResponses) break;
-      next.acceptsRequests = false;
-      if (!finalResponsesAt_) finalResponsesAt_ = now;
-      const bool due = passed(stateEnteredAt_, exitDelay());
-      next.mustExit = passed(*finalResponsesAt_, kMinFinalResponsePeriod) && due;
+    case State::Stopping:
+      effects_ = effectsOfStopping(now);
       break;
-    }
   }
-  effects_ = next;
+}
+
+// If not, the effects are computed anew at that time at the latest.
+bool Lifecycle::hasElapsed(TimePoint start, Duration duration, TimePoint now) {
+  const TimePoint end = start + duration;
+  if (now >= end) return true;
+  if (!nextChange_ || end < *nextChange_) nextChange_ = end;
+  return false;
+}
+
+bool Lifecycle::waitsForEndpoints(TimePoint now) {
+  if (!settings_.sharesListeningSocket || hasEndpointList_) return false;
+  const Duration timeout =
+      settings_.hasEndpoints ? kDiscoveryTimeoutWithEndpoints : kDiscoveryTimeoutWithoutEndpoints;
+  return !hasElapsed(startedAt_, timeout, now);
+}
+
+Effects Lifecycle::effectsOfDraining(TimePoint now) {
+  Effects effects;
+  effects.acceptsConnections = true;
+  effects.closesIdleConnections = hasElapsed(stateEnteredAt_, kDrainIdleCloseDelay, now);
+  effects.acceptsRequests = !hasElapsed(stateEnteredAt_, kDrainRequestPeriod, now);
+  return effects;
+}
+
+Effects Lifecycle::effectsOfStopping(TimePoint now) {
+  const Duration acceptPeriod =
+      settings_.sharesListeningSocket ? Duration::zero() : std::min(kStopAcceptPeriod, finalResponseDelay());
+  Effects effects;
+  effects.acceptsConnections = !hasElapsed(stateEnteredAt_, acceptPeriod, now);
+  effects.closesIdleConnections = true;
+  effects.mayExit = hasElapsed(stateEnteredAt_, std::min(acceptPeriod + kStopLinger, exitDelay()), now);
+  effects.sendsFinalResponses = hasElapsed(stateEnteredAt_, finalResponseDelay(), now);
+  if (!effects.sendsFinalResponses) return effects;
+  effects.acceptsRequests = false;
+  if (!finalResponsesAt_) finalResponsesAt_ = now;
+  // Both are asked, so that nextChange() has the earlier of those that have not elapsed.
+  const bool isDue = hasElapsed(stateEnteredAt_, exitDelay(), now);
+  const bool responsesHadTime = hasElapsed(*finalResponsesAt_, kMinFinalResponsePeriod, now);
+  effects.mustExit = isDue && responsesHadTime;
+  return effects;
 }
 
 }  // namespace ivypost::lifecycle
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -44,12 +44,17 @@
 }
 
 // None: the settings name no class.
-std::optional<Micros> longestDeadline(const orchiddrum::Settings& settings) {
-  std::optional<Micros> longest;
-  for (const auto& cls : settings.classes) longest = std::max(longest.value_or(0), cls.deadline);
+std::optional<microseconds> longestDeadline(const orchiddrum::Settings& settings) {
+  std::optional<microseconds> longest;
+  for (const auto& cls : settings.classes)
+    longest = std::max(longest.value_or(microseconds::zero()), microseconds(cls.deadline));
   return longest;
 }
 
+lifecycle::TimePoint timePoint(Micros now) {
+  return lifecycle::TimePoint(microseconds(now));
+}
+
 // To an operator's call that failed. None: it has to be tried again.
 std::optional<console::Reply> replyTo(const std::error_code& error) {
   if (error == exclusion::Error::Locked) return std::nullopt;
@@ -95,7 +100,7 @@
                    {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty(),
                   longestDeadline(config_.site.settings)},
-                 now()),
+                 timePoint(now())),
       lifecycleTimer_(io),
       exclusionFile_(config_.console ? config_.tempFolder : std::string(), log),
       exclusionFileTimer_(io),
@@ -347,7 +352,7 @@
 
 void Sidecar::onLifecycle(lifecycle::Event event) {
   const auto before = lifecycle_.state();
-  lifecycle_.handle(event, now());
+  lifecycle_.handle(event, timePoint(now()));
   if (lifecycle_.state() != before)
     log(std::string("the sidecar is ") + lifecycle::nameOf(lifecycle_.state()));
   server_.follow(lifecycle_.effects());
@@ -356,7 +361,7 @@
     lifecycleTimer_.cancel();
     return;
   }
-  lifecycleTimer_.expires_at(Clock::time_point(microseconds(*next)));
+  lifecycleTimer_.expires_at(*next);
   lifecycleTimer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled) onLifecycle(lifecycle::Event::TimerExpired);
   });
--- a/tests/lifecycle/lifecycle_test.cpp
+++ b/tests/lifecycle/lifecycle_test.cpp
@@ -8,221 +8,262 @@
 #include <ostream>
 
 namespace ivypost::lifecycle {
+
+// Found by GoogleTest, for the text of a failure.
+void PrintTo(const Effects& effects, std::ostream* out) {
+  *out << "{isReady " << effects.isReady << ", acceptsConnections " << effects.acceptsConnections
+       << ", keepsConnections " << effects.keepsConnections << ", closesIdleConnections "
+       << effects.closesIdleConnections << ", acceptsRequests " << effects.acceptsRequests << ", mayExit "
+       << effects.mayExit << ", mustExit " << effects.mustExit << ", sendsFinalResponses "
+       << effects.sendsFinalResponses << "}";
+}
+
+void PrintTo(State state, std::ostream* out) {
+  *out << nameOf(state);
+}
+
 namespace {
 
-constexpr Micros kSecond = 1'000'000;
+using namespace std::chrono_literals;
 
-// Gives the Ticks that are due up to `to`, as the sidecar does.
-void runUntil(Lifecycle& lifecycle, Micros to) {
-  while (lifecycle.nextChange() && *lifecycle.nextChange() <= to) {
-    const Micros at = *lifecycle.nextChange();
-    lifecycle.handle(Event::TimerExpired, at);
-    ASSERT_TRUE(!lifecycle.nextChange() || *lifecycle.nextChange() > at) << "ticks without end";
+constexpr Effects kReadyEffects{.isReady = true, .acceptsConnections = true, .keepsConnections = true};
+
+// The simulated clock shows `elapsed` since its epoch.
+constexpr TimePoint at(Duration elapsed) {
+  return TimePoint(elapsed);
+}
+
+// Reports the timers that expire up to `end`, as the sidecar does.
+void runUntil(Lifecycle& lifecycle, TimePoint end) {
+  while (lifecycle.nextChange() && *lifecycle.nextChange() <= end) {
+    const TimePoint now = *lifecycle.nextChange();
+    lifecycle.handle(Event::TimerExpired, now);
+    ASSERT_TRUE(!lifecycle.nextChange() || *lifecycle.nextChange() > now) << "timers without end";
   }
 }
 
+// Alone on its listening socket: ready from time 0.
+class AloneTest : public testing::Test {
+ protected:
+  void runUntil(Duration elapsed) { lifecycle::runUntil(lifecycle, at(elapsed)); }
+
+  Lifecycle lifecycle{Settings{}, at(0us)};
+};
+
+// Beside another process on the same listening socket, without endpoints.
+class SharedSocketTest : public testing::Test {
+ protected:
+  void runUntil(Duration elapsed) { lifecycle::runUntil(lifecycle, at(elapsed)); }
+
+  Lifecycle lifecycle{Settings{.sharesListeningSocket = true}, at(0us)};
+};
+
 TEST(Lifecycle, IsReadyAtOnceWhereNobodyElseServes) {
-  const Lifecycle lifecycle({false, false}, 5);
+  const Lifecycle lifecycle(Settings{}, at(5us));
   EXPECT_EQ(lifecycle.state(), State::Ready);
-  EXPECT_EQ(lifecycle.effects(), (Effects{true, true, true, false, true, false, false}));
+  EXPECT_EQ(lifecycle.effects(), kReadyEffects);
   EXPECT_FALSE(lifecycle.nextChange());
 }
 
-TEST(Lifecycle, BesideAnotherProcessItTakesNothingBeforeItIsReady) {
-  Lifecycle lifecycle({true, true}, 0);
+TEST(Lifecycle, BesideAnotherProcessAcceptsNothingBeforeItIsReady) {
+  Lifecycle lifecycle({.sharesListeningSocket = true, .hasEndpoints = true}, at(0us));
   EXPECT_EQ(lifecycle.state(), State::Starting);
   EXPECT_FALSE(lifecycle.effects().isReady);
   EXPECT_FALSE(lifecycle.effects().acceptsConnections);
-  lifecycle.handle(Event::EndpointListReceived, 1000);
+  lifecycle.handle(Event::EndpointListReceived, at(1000us));
   EXPECT_EQ(lifecycle.state(), State::Ready);
   EXPECT_TRUE(lifecycle.effects().acceptsConnections);
 }
 
-// The platform wants the yes within 6 s, whether discovery answers or not.
-TEST(Lifecycle, SilentDiscoveryDelaysTheYesForABoundedTime) {
-  for (const bool known : {true, false}) {
-    Lifecycle lifecycle({true, known}, 100);
-    const Micros wait =
-        known ? Lifecycle::kDiscoveryTimeoutWithEndpoints : Lifecycle::kDiscoveryTimeoutWithoutEndpoints;
-    runUntil(lifecycle, 100 + wait - 1);
-    EXPECT_FALSE(lifecycle.effects().isReady);
-    runUntil(lifecycle, 100 + wait);
-    EXPECT_TRUE(lifecycle.effects().isReady);
-    EXPECT_LT(wait, 6 * kSecond);
-  }
+// The platform wants a process ready within 6 s, whether discovery answers or not.
+class DiscoveryTimeoutTest : public testing::TestWithParam<bool> {};
+
+TEST_P(DiscoveryTimeoutTest, SilentDiscoveryDelaysReadinessForABoundedTime) {
+  const bool hasEndpoints = GetParam();
+  const Duration timeout =
+      hasEndpoints ? Lifecycle::kDiscoveryTimeoutWithEndpoints : Lifecycle::kDiscoveryTimeoutWithoutEndpoints;
+  Lifecycle lifecycle({.sharesListeningSocket = true, .hasEndpoints = hasEndpoints}, at(100us));
+  runUntil(lifecycle, at(100us + timeout - 1us));
+  EXPECT_FALSE(lifecycle.effects().isReady);
+  runUntil(lifecycle, at(100us + timeout));
+  EXPECT_TRUE(lifecycle.effects().isReady);
+  EXPECT_LT(timeout, 6s);
 }
 
-TEST(Lifecycle, ADrainGoesStepByStep) {
-  Lifecycle lifecycle({false, false}, 0);
-  ASSERT_TRUE(lifecycle.handle(Event::DrainRequested, kSecond));
-  // At once: no to the front, answers end connections; what still comes is served.
-  EXPECT_EQ(lifecycle.effects(), (Effects{false, true, false, false, true, false, false}));
-  runUntil(lifecycle, kSecond + Lifecycle::kDrainIdleCloseDelay);
+INSTANTIATE_TEST_SUITE_P(HasEndpoints, DiscoveryTimeoutTest, testing::Bool());
+
+TEST_F(AloneTest, DrainsStepByStep) {
+  ASSERT_TRUE(lifecycle.handle(Event::DrainRequested, at(1s)));
+  // At once it isn't ready and responses end connections; requests that still come are served.
+  EXPECT_EQ(lifecycle.effects(), Effects{.acceptsConnections = true});
+  runUntil(1s + Lifecycle::kDrainIdleCloseDelay);
   EXPECT_TRUE(lifecycle.effects().closesIdleConnections);
   EXPECT_TRUE(lifecycle.effects().acceptsRequests);
-  runUntil(lifecycle, kSecond + Lifecycle::kDrainRequestPeriod);
+  runUntil(1s + Lifecycle::kDrainRequestPeriod);
   EXPECT_FALSE(lifecycle.effects().acceptsRequests);
-  // At 4 s nothing of the last 2 s may be held.
-  EXPECT_LT(Lifecycle::kDrainRequestPeriod, 2 * kSecond);
-  EXPECT_FALSE(lifecycle.nextChange()) << "the process runs on";
+  // At 4 s no request of the last 2 s may be in flight.
+  EXPECT_LT(Lifecycle::kDrainRequestPeriod, 2s);
+  EXPECT_FALSE(lifecycle.nextChange()) << "the process goes on running";
   EXPECT_FALSE(lifecycle.effects().mayExit);
 }
 
-TEST(Lifecycle, ASecondEvacuateDoesNotBeginTheDrainAnew) {
-  Lifecycle lifecycle({false, false}, 0);
-  lifecycle.handle(Event::DrainRequested, 0);
-  ASSERT_TRUE(lifecycle.handle(Event::DrainRequested, Lifecycle::kDrainIdleCloseDelay - 1));
-  runUntil(lifecycle, Lifecycle::kDrainIdleCloseDelay);
+TEST_F(AloneTest, ASecondRequestDoesNotRestartTheDrain) {
+  lifecycle.handle(Event::DrainRequested, at(0us));
+  ASSERT_TRUE(lifecycle.handle(Event::DrainRequested, at(Lifecycle::kDrainIdleCloseDelay - 1us)));
+  runUntil(Lifecycle::kDrainIdleCloseDelay);
   EXPECT_TRUE(lifecycle.effects().closesIdleConnections);
 }
 
-TEST(Lifecycle, RejoinEndsTheDrainWhereverItStands) {
-  for (const Micros at :
-       {Micros{1}, Lifecycle::kDrainIdleCloseDelay + 1, Lifecycle::kDrainRequestPeriod + kSecond}) {
-    Lifecycle lifecycle({false, false}, 0);
-    lifecycle.handle(Event::DrainRequested, 0);
-    runUntil(lifecycle, at);
-    ASSERT_TRUE(lifecycle.handle(Event::DrainCancelled, at));
-    EXPECT_EQ(lifecycle.state(), State::Ready);
-    EXPECT_EQ(lifecycle.effects(), (Effects{true, true, true, false, true, false, false}));
-  }
+// Parameter: how long the drain has gone on.
+class DrainCancelledTest : public testing::TestWithParam<Duration> {};
+
+TEST_P(DrainCancelledTest, IsReadyAgain) {
+  Lifecycle lifecycle(Settings{}, at(0us));
+  lifecycle.handle(Event::DrainRequested, at(0us));
+  runUntil(lifecycle, at(GetParam()));
+  ASSERT_TRUE(lifecycle.handle(Event::DrainCancelled, at(GetParam())));
+  EXPECT_EQ(lifecycle.state(), State::Ready);
+  EXPECT_EQ(lifecycle.effects(), kReadyEffects);
 }
 
-TEST(Lifecycle, RejoinWithoutADrainChangesNothing) {
-  Lifecycle lifecycle({false, false}, 0);
-  EXPECT_TRUE(lifecycle.handle(Event::DrainCancelled, 1));
+INSTANTIATE_TEST_SUITE_P(Steps, DrainCancelledTest,
+                         testing::Values(Duration(1us), Lifecycle::kDrainIdleCloseDelay + 1us,
+                                         Lifecycle::kDrainRequestPeriod + 1s));
+
+TEST_F(AloneTest, CancellingWithoutADrainChangesNothing) {
+  EXPECT_TRUE(lifecycle.handle(Event::DrainCancelled, at(1us)));
   EXPECT_EQ(lifecycle.state(), State::Ready);
 }
 
-TEST(Lifecycle, ADrainBeforeTheYesIsNotLost) {
-  Lifecycle lifecycle({true, false}, 0);
-  lifecycle.handle(Event::DrainRequested, 1);
-  lifecycle.handle(Event::EndpointListReceived, 2);
+TEST_F(SharedSocketTest, KeepsADrainThatWasRequestedBeforeItIsReady) {
+  lifecycle.handle(Event::DrainRequested, at(1us));
+  lifecycle.handle(Event::EndpointListReceived, at(2us));
   EXPECT_EQ(lifecycle.state(), State::Draining);
-  lifecycle.handle(Event::DrainCancelled, 3);
+  lifecycle.handle(Event::DrainCancelled, at(3us));
   EXPECT_EQ(lifecycle.state(), State::Ready);
-  Lifecycle unlisted({true, false}, 0);
-  unlisted.handle(Event::DrainRequested, 1);
-  unlisted.handle(Event::DrainCancelled, 2);
-  EXPECT_EQ(unlisted.state(), State::Starting);
-  runUntil(unlisted, Lifecycle::kDiscoveryTimeoutWithoutEndpoints);
-  EXPECT_EQ(unlisted.state(), State::Ready);
-}
-
-TEST(Lifecycle, StopsFromEveryStateAndForGood) {
-  for (const int from : {0, 1, 2}) {
-    Lifecycle lifecycle({from == 0, false}, 0);
-    if (from == 2) lifecycle.handle(Event::DrainRequested, 0);
-    lifecycle.handle(Event::TerminationRequested, 10);
-    ASSERT_EQ(lifecycle.state(), State::Stopping);
-    EXPECT_FALSE(lifecycle.handle(Event::DrainRequested, 20));
-    EXPECT_FALSE(lifecycle.handle(Event::DrainCancelled, 20));
-    lifecycle.handle(Event::EndpointListReceived, 30);
-    lifecycle.handle(Event::TerminationRequested, kSecond);
-    EXPECT_EQ(lifecycle.state(), State::Stopping);
-    EXPECT_FALSE(lifecycle.effects().isReady);
-    runUntil(lifecycle, 10 + lifecycle.exitDelay());
-    EXPECT_TRUE(lifecycle.effects().mustExit) << "a second SIGTERM must not put the end off";
-  }
 }
 
-TEST(Lifecycle, WhereTheSocketIsInheritedAStopAcceptsNothingMore) {
-  Lifecycle lifecycle({true, false}, 0);
-  lifecycle.handle(Event::EndpointListReceived, 0);
-  lifecycle.handle(Event::TerminationRequested, 10);
+TEST_F(SharedSocketTest, WaitsForDiscoveryAgainWhenTheDrainIsCancelled) {
+  lifecycle.handle(Event::DrainRequested, at(1us));
+  lifecycle.handle(Event::DrainCancelled, at(2us));
+  EXPECT_EQ(lifecycle.state(), State::Starting);
+  runUntil(Lifecycle::kDiscoveryTimeoutWithoutEndpoints);
+  EXPECT_EQ(lifecycle.state(), State::Ready);
+}
+
+// Parameter: the state that it stops from.
+class StopFromStateTest : public testing::TestWithParam<State> {};
+
+TEST_P(StopFromStateTest, IsFinal) {
+  Lifecycle lifecycle({.sharesListeningSocket = GetParam() == State::Starting}, at(0us));
+  if (GetParam() == State::Draining) lifecycle.handle(Event::DrainRequested, at(0us));
+  ASSERT_EQ(lifecycle.state(), GetParam());
+  lifecycle.handle(Event::TerminationRequested, at(10us));
+  ASSERT_EQ(lifecycle.state(), State::Stopping);
+  EXPECT_FALSE(lifecycle.handle(Event::DrainRequested, at(20us)));
+  EXPECT_FALSE(lifecycle.handle(Event::DrainCancelled, at(20us)));
+  lifecycle.handle(Event::EndpointListReceived, at(30us));
+  lifecycle.handle(Event::TerminationRequested, at(1s));
+  EXPECT_EQ(lifecycle.state(), State::Stopping);
+  EXPECT_FALSE(lifecycle.effects().isReady);
+  runUntil(lifecycle, at(10us + lifecycle.exitDelay()));
+  EXPECT_TRUE(lifecycle.effects().mustExit) << "a second SIGTERM must not postpone the exit";
+}
+
+INSTANTIATE_TEST_SUITE_P(States, StopFromStateTest,
+                         testing::Values(State::Starting, State::Ready, State::Draining));
+
+TEST_F(SharedSocketTest, AcceptsNoConnectionAfterSigterm) {
+  lifecycle.handle(Event::EndpointListReceived, at(0us));
+  lifecycle.handle(Event::TerminationRequested, at(10us));
   EXPECT_FALSE(lifecycle.effects().acceptsConnections);
-  EXPECT_FALSE(lifecycle.effects().mayExit) << "what was just accepted may have a request on its way";
-  runUntil(lifecycle, 10 + Lifecycle::kStopLinger);
+  EXPECT_FALSE(lifecycle.effects().mayExit) << "a connection just accepted may have a request on its way";
+  runUntil(10us + Lifecycle::kStopLinger);
   EXPECT_TRUE(lifecycle.effects().mayExit);
 }
 
-// New connections go on coming for up to 0.4 s after SIGTERM, and nobody else takes them.
-TEST(Lifecycle, WhereItIsOursAStopAcceptsForAWhile) {
-  Lifecycle lifecycle({false, false}, 0);
-  lifecycle.handle(Event::TerminationRequested, 10);
-  runUntil(lifecycle, 10 + 400'000);
+// New connections go on coming for up to 0.4 s after SIGTERM, and no other process accepts them.
+TEST_F(AloneTest, AcceptsConnectionsForAWhileAfterSigterm) {
+  lifecycle.handle(Event::TerminationRequested, at(10us));
+  runUntil(10us + 400'000us);
   EXPECT_TRUE(lifecycle.effects().acceptsConnections);
-  runUntil(lifecycle, 10 + Lifecycle::kStopAcceptPeriod);
+  runUntil(10us + Lifecycle::kStopAcceptPeriod);
   EXPECT_FALSE(lifecycle.effects().acceptsConnections);
   EXPECT_FALSE(lifecycle.effects().mayExit);
-  runUntil(lifecycle, 10 + Lifecycle::kStopAcceptPeriod + Lifecycle::kStopLinger);
+  runUntil(10us + Lifecycle::kStopAcceptPeriod + Lifecycle::kStopLinger);
   EXPECT_TRUE(lifecycle.effects().mayExit);
   EXPECT_FALSE(lifecycle.effects().mustExit);
 }
 
 // SIGKILL comes as early as the longest deadline, 3 s at the most, and 0.7 s after SIGTERM.
 struct StopCase {
-  std::optional<Micros> deadline;
-  Micros kill;
+  std::optional<Duration> deadline;
+  Duration kill;
 };
-std::ostream& operator<<(std::ostream& out, const StopCase& one) {
-  return out << "deadline " << one.deadline.value_or(-1) << " us, SIGKILL at " << one.kill << " us";
+std::ostream& operator<<(std::ostream& out, const StopCase& row) {
+  return out << "deadline " << row.deadline.value_or(-1us).count() << " us, SIGKILL at " << row.kill.count()
+             << " us";
 }
 class StopBoundTest : public testing::TestWithParam<StopCase> {};
 
-TEST_P(StopBoundTest, EndsAheadOfTheKillWhereverTheProcessIsHeldUp) {
-  constexpr Micros kHeldUp = 150'000;
-  const Micros kill = 10 + GetParam().kill;
-  for (const bool inherited : {false, true}) {
-    // Steady, and held up at any moment of the stop.
-    for (Micros from = 0; from <= GetParam().kill; from += 10'000) {
-      Settings settings;
-      settings.sharesListeningSocket = inherited;
-      settings.longestDeadline = GetParam().deadline;
-      Lifecycle lifecycle(settings, 0);
-      lifecycle.handle(Event::TerminationRequested, 10);
-      std::optional<Micros> answered, ended;
+TEST_P(StopBoundTest, ExitsAheadOfTheKillWheneverTheProcessIsSuspended) {
+  constexpr Duration kSuspension = 150'000us;
+  const TimePoint kill = at(10us + GetParam().kill);
+  for (const bool isShared : {false, true}) {
+    // Never suspended, and suspended at any moment of the stop.
+    for (Duration from = 0us; from <= GetParam().kill; from += 10'000us) {
+      const TimePoint suspended = at(10us + from);
+      Lifecycle lifecycle({.sharesListeningSocket = isShared, .longestDeadline = GetParam().deadline},
+                          at(0us));
+      lifecycle.handle(Event::TerminationRequested, at(10us));
+      std::optional<TimePoint> answered, exited;
       while (lifecycle.nextChange()) {
-        Micros at = *lifecycle.nextChange();
-        if (from > 0 && at >= 10 + from && at < 10 + from + kHeldUp) at = 10 + from + kHeldUp;
-        lifecycle.handle(Event::TimerExpired, at);
-        if (lifecycle.effects().sendsFinalResponses && !answered) answered = at;
-        if (lifecycle.effects().mustExit && !ended) ended = at;
+        TimePoint now = *lifecycle.nextChange();
+        if (from > 0us && now >= suspended && now < suspended + kSuspension) now = suspended + kSuspension;
+        lifecycle.handle(Event::TimerExpired, now);
+        if (lifecycle.effects().sendsFinalResponses && !answered) answered = now;
+        if (lifecycle.effects().mustExit && !exited) exited = now;
       }
-      ASSERT_TRUE(answered && ended);
-      EXPECT_LT(*ended, kill) << "held up from " << from;
-      EXPECT_GE(*ended - *answered, Lifecycle::kMinFinalResponsePeriod);
+      ASSERT_TRUE(answered && exited);
+      EXPECT_LT(*exited, kill) << "suspended from " << from.count() << " us";
+      EXPECT_GE(*exited - *answered, Lifecycle::kMinFinalResponsePeriod);
       EXPECT_FALSE(lifecycle.effects().acceptsRequests);
       EXPECT_FALSE(lifecycle.effects().acceptsConnections);
       EXPECT_TRUE(lifecycle.effects().mayExit);
-      if (from > 0) continue;
-      EXPECT_LE(*ended, kill - kHeldUp) << "the margin for a process that is held up behind its last tick";
-      EXPECT_GE(*ended, kill - 200'000) << "no answer is given up earlier than it must be";
-      EXPECT_GE(*answered, 10 + std::min<Micros>(GetParam().deadline.value_or(kSecond), 3 * kSecond));
+      if (from > 0us) continue;
+      EXPECT_LE(*exited, kill - kSuspension) << "the margin for a process suspended behind its last timer";
+      EXPECT_GE(*exited, kill - 200'000us) << "no response is abandoned earlier than it must be";
+      EXPECT_GE(*answered, at(10us + std::min<Duration>(GetParam().deadline.value_or(1s), 3s)));
     }
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Deadlines, StopBoundTest,
-                         testing::Values(StopCase{std::nullopt, 3'700'000}, StopCase{0, 3'700'000},
-                                         StopCase{1, 700'001}, StopCase{50'000, 750'000},
-                                         StopCase{200'000, 900'000}, StopCase{kSecond, 1'700'000},
-                                         StopCase{2'500'000, 3'200'000}, StopCase{3 * kSecond, 3'700'000},
-                                         StopCase{3 * kSecond + 1, 3'700'000},
-                                         StopCase{600 * kSecond, 3'700'000}));
-
-// Before the bound nothing that was taken is given up, and after SIGTERM new requests still are taken.
-TEST(Lifecycle, TakesRequestsUntilAllGetTheirFinalAnswer) {
-  Settings settings;
-  settings.longestDeadline = kSecond;
-  Lifecycle lifecycle(settings, 0);
-  lifecycle.handle(Event::TerminationRequested, 0);
-  runUntil(lifecycle, lifecycle.finalResponseDelay() - 1);
+                         testing::Values(StopCase{std::nullopt, 3'700'000us}, StopCase{0us, 3'700'000us},
+                                         StopCase{1us, 700'001us}, StopCase{50'000us, 750'000us},
+                                         StopCase{200'000us, 900'000us}, StopCase{1s, 1'700'000us},
+                                         StopCase{2'500'000us, 3'200'000us}, StopCase{3s, 3'700'000us},
+                                         StopCase{3s + 1us, 3'700'000us}, StopCase{600s, 3'700'000us}));
+
+// Before the bound no accepted request is abandoned, and after SIGTERM new ones still are accepted.
+TEST(Lifecycle, AcceptsRequestsUntilAllGetTheirFinalResponse) {
+  Lifecycle lifecycle({.longestDeadline = 1s}, at(0us));
+  lifecycle.handle(Event::TerminationRequested, at(0us));
+  runUntil(lifecycle, at(lifecycle.finalResponseDelay() - 1us));
   EXPECT_TRUE(lifecycle.effects().acceptsRequests);
   EXPECT_FALSE(lifecycle.effects().sendsFinalResponses);
-  runUntil(lifecycle, lifecycle.finalResponseDelay());
+  runUntil(lifecycle, at(lifecycle.finalResponseDelay()));
   EXPECT_FALSE(lifecycle.effects().acceptsRequests);
   EXPECT_TRUE(lifecycle.effects().sendsFinalResponses);
   EXPECT_FALSE(lifecycle.effects().mustExit);
 }
 
-// What comes at 2 s or later is refused, also by a process that was held up as that began.
-TEST(Lifecycle, ADrainRefusesInTimeWhereTheProcessIsHeldUp) {
-  Lifecycle lifecycle({false, false}, 0);
-  lifecycle.handle(Event::DrainRequested, 0);
-  runUntil(lifecycle, Lifecycle::kDrainIdleCloseDelay);
+// What comes at 2 s or later is rejected, also by a process that was suspended as that began.
+TEST_F(AloneTest, ADrainRejectsInTimeWhereTheProcessIsSuspended) {
+  lifecycle.handle(Event::DrainRequested, at(0us));
+  runUntil(Lifecycle::kDrainIdleCloseDelay);
   ASSERT_TRUE(lifecycle.nextChange());
-  EXPECT_LT(*lifecycle.nextChange() + 150'000, 2 * kSecond);
+  EXPECT_LT(*lifecycle.nextChange() + 150'000us, at(2s));
 }
 
 }  // namespace
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -523,7 +523,7 @@
                  {},
                  {},
                  {}});
-  server.follow(lifecycle::Lifecycle({}, 0).effects());
+  server.follow(lifecycle::Lifecycle({}, lifecycle::TimePoint()).effects());
   const Client from(io, server.port());
   Request request;
   request.expiresInMs = 100;
