--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "plays.h"
-#include "settings.h"
+#include "settings/settings.h"
 #include "shared/judgements.h"
 
 namespace ivypost::fleet {
@@ -101,7 +101,7 @@
       shared::Judgements judgements(self, version += 1000);
       for (int node = 1; node <= 8; ++node)
         for (int failures = 0; failures < 3; ++failures)
-          judgements.attempted({orchiddrum::identity("n" + std::to_string(node)), 0},
+          judgements.attempted({settings::identity("n" + std::to_string(node)), 0},
                                shared::Evidence::Outcome::Failed, 1000, standins::nowMicros());
       ++told;
       return judgements.tell(room, standins::nowMicros());
