--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -19,85 +19,104 @@
   return "";
 }
 
-Lifecycle::Lifecycle(const Settings& settings, Micros now)
-    : settings_(settings), startedAt_(now), since_(now) {
+Lifecycle::Lifecycle(const Settings& settings, TimePoint now)
+    : settings_(settings), startedAt_(now), stateEnteredAt_(now) {
   update(now);
 }
 
-bool Lifecycle::handle(Event event, Micros now) {
+bool Lifecycle::handle(Event event, TimePoint now) {
   switch (event) {
-    case Event::Listed:
-      listed_ = true;
+    case Event::EndpointListReceived:
+      hasEndpointList_ = true;
       break;
-    case Event::Evacuate:
+    case Event::DrainRequested:
       if (state_ == State::Stopping) return false;
       if (state_ != State::Draining) enter(State::Draining, now);
       break;
-    case Event::Rejoin:
+    case Event::DrainCancelled:
       if (state_ == State::Stopping) return false;
       if (state_ == State::Draining) enter(State::Starting, now);
       break;
-    case Event::Terminate:
+    case Event::TerminationRequested:
       if (state_ != State::Stopping) enter(State::Stopping, now);
       break;
-    case Event::Tick:
+    case Event::TimerExpired:
       break;
   }
   update(now);
   return true;
 }
 
-void Lifecycle::enter(State state, Micros now) {
-  state_ = state;
-  since_ = now;
+Duration Lifecycle::exitDelay() const {
+  const Duration longest = settings_.longestDeadline.value_or(Duration::zero());
+  const Duration counted =
+      longest > Duration::zero() ? std::min(longest, kMaxCountedDeadline) : kMaxCountedDeadline;
+  return counted + kKillDelay - kMaxSchedulingDelay - kExitMargin;
 }
 
-Micros Lifecycle::stopWithin() const {
-  const Micros longest = settings_.longestDeadline.value_or(0);
-  const Micros counted = longest > 0 ? std::min(longest, kLongestDeadline) : kLongestDeadline;
-  return counted + kKillDelay - kHoldUp - kEndMargin;
+void Lifecycle::enter(State state, TimePoint now) {
+  state_ = state;
+  stateEnteredAt_ = now;
 }
 
-void Lifecycle::update(Micros now) {
+void Lifecycle::update(TimePoint now) {
   nextChange_.reset();
-  // Whether `span` has passed since `from`; if not, it is looked at again then.
-  const auto passed = [&](Micros from, Micros span) {
-    if (now >= from + span) return true;
-    if (!nextChange_ || from + span < *nextChange_) nextChange_ = from + span;
-    return false;
-  };
-  if (state_ == State::Starting &&
-      (!settings_.inherited || listed_ || passed(startedAt_, settings_.known ? kWaitKnown : kWaitUnknown))) {
-    enter(State::Ready, now);
-    nextChange_.reset();
-  }
-  Effects next;
+  if (state_ == State::Starting && !waitsForEndpoints(now)) enter(State::Ready, now);
   switch (state_) {
     case State::Starting:
+      effects_ = Effects{};
       break;
     case State::Ready:
-      next.ready = next.accepts = next.keeps = true;
+      effects_ = Effects{.isReady = true, .acceptsConnections = true, .keepsConnections = true};
       break;
     case State::Draining:
-      next.accepts = true;
-      next.closesIdle = passed(since_, kDrainIdle);
-      next.takes = !passed(since_, kDrainTakes);
+      effects_ = effectsOfDraining(now);
       break;
-    case State::Stopping: {
-      const Micros accepting = settings_.inherited ? 0 : std::min(kAcceptAfterStop, answersAfter());
-      next.accepts = !passed(since_, accepting);
-      next.closesIdle = true;
-      next.mayEnd = passed(since_, std::min(accepting + kLinger, stopWithin()));
-      next.answersAll = passed(since_, answersAfter());
-      if (!next.answersAll) break;
-      next.takes = false;
-      if (!answered_) answered_ = now;
-      const bool due = passed(since_, stopWithin());
-      next.mustEnd = passed(*answered_, kAnswersAtLeast) && due;
+    case State::Stopping:
+      effects_ = effectsOfStopping(now);
       break;
-    }
   }
-  effects_ = next;
+}
+
+// If not, the effects are computed anew at that time at the latest.
+bool Lifecycle::hasElapsed(TimePoint start, Duration duration, TimePoint now) {
+  const TimePoint end = start + duration;
+  if (now >= end) return true;
+  if (!nextChange_ || end < *nextChange_) nextChange_ = end;
+  return false;
+}
+
+bool Lifecycle::waitsForEndpoints(TimePoint now) {
+  if (!settings_.sharesListeningSocket || hasEndpointList_) return false;
+  const Duration timeout =
+      settings_.hasEndpoints ? kDiscoveryTimeoutWithEndpoints : kDiscoveryTimeoutWithoutEndpoints;
+  return !hasElapsed(startedAt_, timeout, now);
+}
+
+Effects Lifecycle::effectsOfDraining(TimePoint now) {
+  Effects effects;
+  effects.acceptsConnections = true;
+  effects.closesIdleConnections = hasElapsed(stateEnteredAt_, kDrainIdleCloseDelay, now);
+  effects.acceptsRequests = !hasElapsed(stateEnteredAt_, kDrainRequestPeriod, now);
+  return effects;
+}
+
+Effects Lifecycle::effectsOfStopping(TimePoint now) {
+  const Duration acceptPeriod =
+      settings_.sharesListeningSocket ? Duration::zero() : std::min(kStopAcceptPeriod, finalResponseDelay());
+  Effects effects;
+  effects.acceptsConnections = !hasElapsed(stateEnteredAt_, acceptPeriod, now);
+  effects.closesIdleConnections = true;
+  effects.mayExit = hasElapsed(stateEnteredAt_, std::min(acceptPeriod + kStopLinger, exitDelay()), now);
+  effects.sendsFinalResponses = hasElapsed(stateEnteredAt_, finalResponseDelay(), now);
+  if (!effects.sendsFinalResponses) return effects;
+  effects.acceptsRequests = false;
+  if (!finalResponsesAt_) finalResponsesAt_ = now;
+  // Both are asked, so that nextChange() has the earlier of those that have not elapsed.
+  const bool isDue = hasElapsed(stateEnteredAt_, exitDelay(), now);
+  const bool responsesHadTime = hasElapsed(*finalResponsesAt_, kMinFinalResponsePeriod, now);
+  effects.mustExit = isDue && responsesHadTime;
+  return effects;
 }
 
 }  // namespace ivypost::lifecycle
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -262,7 +262,7 @@
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
   linger(Clock::now() + kMaxLinger);
   // Once the whole server ends there is nobody to take the core from.
-  discard(host_.effects().answersAll ? kMaxFinalDiscard : kMaxDiscard);
+  discard(host_.effects().sendsFinalResponses ? kMaxFinalDiscard : kMaxDiscard);
 }
 
 void ClientSession::linger(Clock::time_point atMost) {
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -34,7 +34,7 @@
   const bool first = place_->state == admission::Door::State::Silent;
   state_ = State::Reading;
   // The first one's time began when it was let in, and its timer runs.
-  if (!host_.effects().takes) {
+  if (!host_.effects().acceptsRequests) {
     limit(Clock::now() + kMaxRefused);
   } else if (!first) {
     limit(Clock::now() + kMaxRequest);
@@ -235,7 +235,7 @@
   deadline_.cancel();
   if (error) {
     keepAlive_ = false;
-    if (error == asio::error::operation_aborted && host_.effects().answersAll)
+    if (error == asio::error::operation_aborted && host_.effects().sendsFinalResponses)
       return write(host_.rejection("refused: the sidecar stops"));
     if (error == http::error::body_limit) return write(answerToBodyError(error));
     if (error == http::error::header_limit) return write(textAnswer(431, "header over 16 KiB"));
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -41,7 +41,8 @@
   // What is left of a body is not waited for; the client hears at once.
   if (uploading_) keepAlive_ = false;
   uploading_ = false;
-  last_ = !keepAlive_ || (!(host_.effects().keeps && connectionLimit_.keeps(place_)) && !hasNext());
+  last_ =
+      !keepAlive_ || (!(host_.effects().keepsConnections && connectionLimit_.keeps(place_)) && !hasNext());
   wrong_ = answer.status / 100 == 4;
   ResponseHead head = formatResponseHead(answer, version_, last_);
   last_ = head.closesConnection;
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -83,7 +83,7 @@
 }
 
 void Server::accept() {
-  if (!effects_.accepts || !acceptor_.is_open()) return;
+  if (!effects_.acceptsConnections || !acceptor_.is_open()) return;
   if (door_.full() && !makeRoom()) return acceptLater();
   if (std::exchange(accepting_, true)) return;
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
@@ -228,7 +228,7 @@
   const bool isGet = head.method() == http::verb::get;
   if (path == "/ready") {
     if (!isGet) return textAnswer(405, "GET only");
-    return effects_.ready ? textAnswer(200, "ready") : textAnswer(503, "not ready");
+    return effects_.isReady ? textAnswer(200, "ready") : textAnswer(503, "not ready");
   }
   const bool level = statusOn_.level && path == "/status/level";
   if (!level && !(statusOn_.peers && path == "/status/peers")) return std::nullopt;
@@ -241,7 +241,7 @@
 std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
   toOriginForm(message);
   if (auto answer = answersItself(message)) return std::move(*answer);
-  if (!effects_.takes) return rejection("refused: clients are sent away");
+  if (!effects_.acceptsRequests) return rejection("refused: clients are sent away");
   auto read = validator_.validate(message, unread, Clock::now(),
                                   [this](std::uint64_t trace) { return traces_.isFree(trace, now()); });
   if (const auto* error = std::get_if<RequestError>(&read)) {
@@ -258,18 +258,18 @@
 }
 
 void Server::follow(const lifecycle::Effects& effects) {
-  const bool accepted = std::exchange(effects_, effects).accepts;
-  if (effects.accepts) {
+  const bool accepted = std::exchange(effects_, effects).acceptsConnections;
+  if (effects.acceptsConnections) {
     if (!accepted) accept();
   } else if (accepted) {
     closeAcceptor();
   }
-  if (effects.closesIdle && !tending_) tend();
+  if (effects.closesIdleConnections && !tending_) tend();
 }
 
 // Closes what is idle while the server drains or stops, and tells when nothing is left to answer.
 void Server::tend() {
-  tending_ = effects_.closesIdle;
+  tending_ = effects_.closesIdleConnections;
   if (!tending_) return;
   const Micros time = now();
   // A client whose request crosses this sends it once more on a new connection.
@@ -277,15 +277,15 @@
   for (const auto& [id, session] : sessions) {
     if (session->settled(time) && session->mayCloseIdle()) {
       session->close();
-    } else if (effects_.answersAll) {
+    } else if (effects_.sendsFinalResponses) {
       session->answerFinally();
     }
   }
-  if (effects_.mayEnd) {
+  if (effects_.mayExit) {
     // One on which something has come by now is about to be read.
     const bool allIdle =
         std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
-    if (allIdle || effects_.mustEnd) {
+    if (allIdle || effects_.mustExit) {
       const auto left = sessions_;
       for (const auto& [id, session] : left) session->closeFinally();
       return callbacks_.ended();
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -44,12 +44,17 @@
 }
 
 // None: the settings name no class.
-std::optional<Micros> longestDeadline(const balancer::Settings& settings) {
-  std::optional<Micros> longest;
-  for (const auto& cls : settings.classes) longest = std::max(longest.value_or(0), cls.deadline);
+std::optional<microseconds> longestDeadline(const balancer::Settings& settings) {
+  std::optional<microseconds> longest;
+  for (const auto& cls : settings.classes)
+    longest = std::max(longest.value_or(microseconds::zero()), microseconds(cls.deadline));
   return longest;
 }
 
+lifecycle::TimePoint timePoint(Micros now) {
+  return lifecycle::TimePoint(microseconds(now));
+}
+
 // To an operator's call that failed. None: it has to be tried again.
 std::optional<console::Reply> replyTo(const std::error_code& error) {
   if (error == exclusion::Error::Locked) return std::nullopt;
@@ -79,7 +84,7 @@
                      if (!membership_.takesOver()) followed_ = wanted_;
                      onList(list,
                             list.whole ? MembershipUpdate::Kind::Full : MembershipUpdate::Kind::Changes);
-                     onLifecycle(lifecycle::Event::Listed);
+                     onLifecycle(lifecycle::Event::EndpointListReceived);
                    },
                    [this] {
                      handle(MembershipUpdate{MembershipUpdate::Kind::Failed, {}});
@@ -95,7 +100,7 @@
                    {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty(),
                   longestDeadline(config_.site.settings)},
-                 now()),
+                 timePoint(now())),
       lifecycleTimer_(io),
       exclusionFile_(config_.console ? config_.tempFolder : std::string(), log),
       exclusionFileTimer_(io),
@@ -114,7 +119,7 @@
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
     membership_.watch();
-  onLifecycle(lifecycle::Event::Tick);
+  onLifecycle(lifecycle::Event::TimerExpired);
   if (config_.console) openConsole();
 }
 
@@ -122,7 +127,7 @@
   if (lifecycle_.state() == lifecycle::State::Stopping) return;
   stopped_ = std::move(stopped);
   if (fleet_) fleet_->leave();
-  onLifecycle(lifecycle::Event::Terminate);
+  onLifecycle(lifecycle::Event::TerminationRequested);
 }
 
 std::optional<std::uint16_t> Sidecar::consolePort() const {
@@ -347,7 +352,7 @@
 
 void Sidecar::onLifecycle(lifecycle::Event event) {
   const auto before = lifecycle_.state();
-  lifecycle_.handle(event, now());
+  lifecycle_.handle(event, timePoint(now()));
   if (lifecycle_.state() != before)
     log(std::string("the sidecar is ") + lifecycle::nameOf(lifecycle_.state()));
   server_.follow(lifecycle_.effects());
@@ -356,9 +361,9 @@
     lifecycleTimer_.cancel();
     return;
   }
-  lifecycleTimer_.expires_at(Clock::time_point(microseconds(*next)));
+  lifecycleTimer_.expires_at(*next);
   lifecycleTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) onLifecycle(lifecycle::Event::Tick);
+    if (!cancelled) onLifecycle(lifecycle::Event::TimerExpired);
   });
 }
 
@@ -416,11 +421,12 @@
   using What = console::Call::What;
   switch (call.what) {
     case What::Ready:
-      return answer({lifecycle_.effects().ready ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
+      return answer({lifecycle_.effects().isReady ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
     case What::Evacuate:
     case What::Rejoin:
       if (lifecycle_.state() == lifecycle::State::Stopping) return answer({409, "the sidecar is stopping"});
-      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::Evacuate : lifecycle::Event::Rejoin);
+      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::DrainRequested
+                                              : lifecycle::Event::DrainCancelled);
       return answer({200, lifecycle::nameOf(lifecycle_.state())});
     case What::Exclude:
     case What::Include:
