--- a/src/peers/message.h
+++ b/src/peers/message.h
@@ -102,7 +102,7 @@
   std::uint32_t nonce = 0;
   std::optional<Update> target;  // of Relay
   std::vector<Update> updates;
-  std::vector<std::uint8_t> facts;  // of acks; what they are is src/shared's
+  std::vector<std::uint8_t> facts;  // of acks; what they are is src/health_reports's
   std::optional<Table> table;
   std::vector<Update> entries;       // beside or instead of updates, packed (entries.h); of Page and Rumours
   Range range;                       // of Pull
--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -75,12 +75,12 @@
 
 FleetView::FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      judgements_(place.settings.self, lifeNumber()),
+      healthReports_(place.settings.self, lifeNumber()),
       timer_(io),
       io_(io, place.settings, place.listen, place.seal, seed,
-          {[this](std::size_t room) { return judgements_.tell(room, now()); },
+          {[this](std::size_t room) { return healthReports_.encodeNext(room, now()); },
            [this](std::span<const std::uint8_t> facts, Micros late) {
-             const auto news = judgements_.take(facts, late, now());
+             const auto news = healthReports_.take(facts, late, now());
              if (news.value_or(false)) lookLater(std::chrono::milliseconds(0));
              return news;
            },
@@ -95,27 +95,27 @@
   lookLater(kEvery);
 }
 
-void FleetView::attempted(const shared::Life& life, Outcome outcome, Micros lag) {
-  using Evidence = shared::Evidence::Outcome;
-  std::optional<Evidence> evidence;
+void FleetView::attempted(const health_reports::Incarnation& incarnation, Outcome outcome, Micros lag) {
+  using Result = health_reports::AttemptHistory::Outcome;
+  std::optional<Result> result;
   switch (outcome) {
     case Outcome::Ok:
-      evidence = Evidence::Served;
+      result = Result::Succeeded;
       break;
     case Outcome::Error:
     case Outcome::Reset:
     case Outcome::ConnectFailed:
-      evidence = Evidence::Failed;
+      result = Result::Failed;
       break;
     case Outcome::Timeout:
-      evidence = Evidence::Silent;
+      result = Result::Unanswered;
       break;
     case Outcome::Full:  // it answers, and says that it is busy
     case Outcome::Cancelled:
     case Outcome::Moot:
       break;
   }
-  if (evidence && judgements_.attempted(life, *evidence, lag, now())) io_.announce();
+  if (result && healthReports_.recordAttempt(incarnation, *result, lag, now())) io_.announce();
 }
 
 void FleetView::leave() {
@@ -149,27 +149,28 @@
     callbacks_.log(line.data());
   }
   wasDeaf_ = deaf;
-  if (judgements_.size() == 0) return;
-  judgements_.fleetIs(members.heard());
+  if (healthReports_.size() == 0) return;
+  healthReports_.setFleetSize(members.heard());
   const std::vector<Listed> listed = callbacks_.listed();
   const auto heard = [&](peers::PeerId id) { return members.isHeard(id); };
-  judgements_.forget(
-      [&](const shared::Life& life) {
-        return std::any_of(listed.begin(), listed.end(), [&](const Listed& one) { return one.life == life; });
+  healthReports_.removeStale(
+      [&](const health_reports::Incarnation& incarnation) {
+        return std::any_of(listed.begin(), listed.end(),
+                           [&](const Listed& one) { return one.incarnation == incarnation; });
       },
       heard, at);
   if (deaf) return;
-  const std::vector<shared::Life> judged = judgements_.judged();
+  const std::vector<health_reports::Incarnation> judged = healthReports_.incarnations();
   for (const Listed& one : listed) {
-    if (!std::binary_search(judged.begin(), judged.end(), one.life)) continue;
-    const auto said = judgements_.ask(one.life, heard, at);
+    if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
+    const auto said = healthReports_.summarize(one.incarnation, heard, at);
     orchiddrum::Hearsay hearsay;
     hearsay.upstream = one.upstream;
     hearsay.launchedAt = one.launchedAt;
     hearsay.sidecars = static_cast<std::uint32_t>(members.heard());
-    hearsay.witnesses = said.bad;
-    hearsay.well = said.well > 0;
-    hearsay.turn = members.turnAt(one.life.upstream) == members.settings().self;
+    hearsay.witnesses = said.unhealthy;
+    hearsay.well = said.healthy > 0;
+    hearsay.turn = members.turnAt(one.incarnation.endpoint) == members.settings().self;
     hearsay.holds = kHolds;
     callbacks_.hearsay(hearsay);
   }
@@ -205,14 +206,15 @@
   }
   auto& judged = status["judgements"] = nlohmann::json::array();
   const std::vector<Listed> listed = callbacks_.listed();
-  for (const shared::Judgement& one : judgements_.all(at)) {
+  for (const health_reports::HealthReport& one : healthReports_.reports(at)) {
     if (judged.size() == kShown) break;
-    const auto found = std::find_if(listed.begin(), listed.end(),
-                                    [&](const Listed& other) { return other.life == one.life; });
-    judged.push_back({{"upstream", found == listed.end() ? hex(one.life.upstream) : found->id},
-                      {"started_at_ms", one.life.startedAtMs},
-                      {"witness", hex(one.witness)},
-                      {"finding", shared::nameOf(one.finding)},
+    const auto found = std::find_if(listed.begin(), listed.end(), [&](const Listed& other) {
+      return other.incarnation == one.incarnation;
+    });
+    judged.push_back({{"upstream", found == listed.end() ? hex(one.incarnation.endpoint) : found->id},
+                      {"started_at_ms", one.incarnation.startedAtMs},
+                      {"witness", hex(one.reporter)},
+                      {"finding", health_reports::nameOf(one.status)},
                       {"attempts", one.attempts},
                       {"failures", one.failures},
                       {"age_ms", one.age / 1000}});
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/fleet_view.h
@@ -20,10 +20,10 @@
 
 #include "clock.h"
 #include "config.h"
+#include "health_reports/health_report_table.h"
 #include "orchiddrum/balancer.h"
 #include "peers/options.h"
 #include "peers/peers_io.h"
-#include "shared/judgements.h"
 
 namespace ivypost {
 
@@ -35,7 +35,7 @@
 
   // An upstream of the list, by what others call it.
   struct Listed {
-    shared::Life life;
+    health_reports::Incarnation incarnation;
     UpstreamId upstream = 0;
     Micros launchedAt = 0;  // as the module was told
     std::string id;
@@ -59,13 +59,13 @@
   FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks);
 
   // The end of an attempt at an upstream in this life, so long after it was sent.
-  void attempted(const shared::Life& life, orchiddrum::Outcome outcome, Micros lag);
+  void attempted(const health_reports::Incarnation& incarnation, orchiddrum::Outcome outcome, Micros lag);
   // This sidecar ends, or the operator has switched it off.
   void leave();
 
   bool deaf() const { return io_.members().deaf(now()); }
   const peers::PeersIo& peers() const { return io_; }
-  const shared::Judgements& judgements() const { return judgements_; }
+  const health_reports::HealthReportTable& healthReports() const { return healthReports_; }
   // For GET /status/peers: whom it hears, what part that is, judgements with witnesses and ages, bytes.
   nlohmann::json status() const;
 
@@ -74,7 +74,7 @@
   void lookLater(std::chrono::milliseconds wait);
 
   Callbacks callbacks_;
-  shared::Judgements judgements_;
+  health_reports::HealthReportTable healthReports_;
   boost::asio::steady_timer timer_;
   peers::PeersIo io_;
   bool wasDeaf_ = true;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -234,7 +234,7 @@
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
   if (const Known& known = known_[attempt.upstream]; fleet_ && known.listed)
-    fleet_->attempted(lifeOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
+    fleet_->attempted(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   orchiddrum::AttemptOutcome event;
@@ -492,7 +492,7 @@
                            [this](const orchiddrum::Hearsay& hearsay) { handle(hearsay); }, log});
 }
 
-shared::Life Sidecar::lifeOf(const Known& known) const {
+health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
   return {orchiddrum::identity(known.id), known.startedAtMs};
 }
 
@@ -500,7 +500,7 @@
   std::vector<FleetView::Listed> all;
   for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
     const Known& known = known_[upstream];
-    if (known.listed) all.push_back({lifeOf(known), upstream, known.launchedAt, known.id});
+    if (known.listed) all.push_back({incarnationOf(known), upstream, known.launchedAt, known.id});
   }
   return all;
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -143,7 +143,7 @@
   void leaveAddress(UpstreamId upstream);
   void dropUse(UpstreamId upstream);
   void freeUnused(UpstreamId upstream);
-  shared::Life lifeOf(const Known& known) const;
+  health_reports::Incarnation incarnationOf(const Known& known) const;
   Instance overlay(const Instance& told) const;
 
   boost::asio::io_context& io_;
--- a/tests/compatibility/peer_messages_test.cpp
+++ b/tests/compatibility/peer_messages_test.cpp
@@ -7,16 +7,16 @@
 #include <sstream>
 
 #include "compatibility/support.h"
+#include "health_reports/health_report_table.h"
 #include "peers/entries.h"
 #include "peers/message.h"
 #include "peers/seal.h"
-#include "shared/judgements.h"
 
 namespace compatibility {
 namespace {
 
 namespace peers = ivypost::peers;
-namespace shared = ivypost::shared;
+namespace health_reports = ivypost::health_reports;
 
 std::string hexOf(std::span<const std::uint8_t> bytes) {
   return toHex(std::string(bytes.begin(), bytes.end()));
@@ -156,33 +156,35 @@
   EXPECT_EQ(hexOf(seal.open(bytes)), digits.substr(0, digits.size() - 32));
 }
 
-// ---- Judgements
-
-constexpr shared::PeerId kSelf = 0x5e1f000000000001;
-constexpr shared::Micros kNow = 50'000'000;
-
-TEST(PeerJudgements, AreToldInTheSameBytes) {
-  shared::Judgements judgements(kSelf, 1'790'000'000'000'000);
-  const shared::Life failing{0xaaaaaaaaaaaaaaaa, 0}, silent{0xbbbbbbbbbbbbbbbb, 1'790'000'000'456};
-  using Outcome = shared::Evidence::Outcome;
-  judgements.attempted(failing, Outcome::Failed, 1000, kNow);
-  judgements.attempted(failing, Outcome::Failed, 1000, kNow + 10'000);
-  judgements.attempted(silent, Outcome::Silent, 100'000, kNow + 20'000);
-  const shared::Judgement told{{0xcccccccccccccccc, 7}, 0x0123, 99, shared::Finding::Well, 5, 2, 1'500'000};
-  judgements.take(told, 0, kNow + 30'000);
-  expectGolden(hexOf(judgements.tell(200, kNow + 50'000)) + "\n", "peer-judgements.hex");
+// ---- Health reports
+
+constexpr health_reports::PeerId kSelf = 0x5e1f000000000001;
+constexpr health_reports::Micros kNow = 50'000'000;
+
+TEST(PeerHealthReports, EncodeToTheSameBytes) {
+  health_reports::HealthReportTable reports(kSelf, 1'790'000'000'000'000);
+  const health_reports::Incarnation failing{0xaaaaaaaaaaaaaaaa, 0},
+      silent{0xbbbbbbbbbbbbbbbb, 1'790'000'000'456};
+  using Outcome = health_reports::AttemptHistory::Outcome;
+  reports.recordAttempt(failing, Outcome::Failed, 1000, kNow);
+  reports.recordAttempt(failing, Outcome::Failed, 1000, kNow + 10'000);
+  reports.recordAttempt(silent, Outcome::Unanswered, 100'000, kNow + 20'000);
+  const health_reports::HealthReport received{
+      {0xcccccccccccccccc, 7}, 0x0123, 99, health_reports::HealthStatus::Healthy, 5, 2, 1'500'000};
+  reports.take(received, 0, kNow + 30'000);
+  expectGolden(hexOf(reports.encodeNext(200, kNow + 50'000)) + "\n", "peer-judgements.hex");
 }
 
-TEST(PeerJudgements, RecordedBytesAreTakenWithTheSameMeaning) {
-  shared::Judgements judgements(0x7777, 1);
+TEST(PeerHealthReports, RecordedBytesDecodeToTheSameMeaning) {
+  health_reports::HealthReportTable reports(0x7777, 1);
   std::string digits = golden("peer-judgements.hex");
   digits.pop_back();
-  ASSERT_TRUE(judgements.take(bytesOf(digits), 2000, kNow));
+  ASSERT_TRUE(reports.take(bytesOf(digits), 2000, kNow));
   std::ostringstream text;
-  for (const auto& one : judgements.all(kNow))
-    text << "upstream=" << std::hex << one.life.upstream << " witness=" << one.witness << std::dec
-         << " started=" << one.life.startedAtMs << " version=" << one.version
-         << " finding=" << shared::nameOf(one.finding) << " attempts=" << one.attempts
+  for (const auto& one : reports.reports(kNow))
+    text << "upstream=" << std::hex << one.incarnation.endpoint << " witness=" << one.reporter << std::dec
+         << " started=" << one.incarnation.startedAtMs << " version=" << one.version
+         << " finding=" << health_reports::nameOf(one.status) << " attempts=" << one.attempts
          << " failures=" << one.failures << " age=" << one.age << "\n";
   expectGolden(text.str(), "peer-judgements.txt");
 }
--- a/tests/peers/fuzz.cpp
+++ b/tests/peers/fuzz.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // A fuzz target (libFuzzer) for all that comes from another sidecar behind the seal: datagrams one after the
-// other, with time between them, into membership and judgements. Built without a fuzzer it plays the files
-// that it is given. tests/peers/fuzz.sh builds and runs it by hand; CI plays the corpus.
+// other, with time between them, into membership and health reports. Built without a fuzzer it plays the
+// files that it is given. tests/peers/fuzz.sh builds and runs it by hand; CI plays the corpus.
 //
 // The input: for each datagram its length (one byte), the time since the last one in units of 5 ms (one
 // byte), and its bytes without the seal.
@@ -14,8 +14,8 @@
 #include <span>
 #include <vector>
 
+#include "health_reports/health_report_table.h"
 #include "peers/members.h"
-#include "shared/judgements.h"
 
 namespace {
 
@@ -36,7 +36,7 @@
   settings.seeds = {{0x7f000001, 2}};
   settings.expected = 12;
   peers::Members members(settings, 1, 0);
-  shared::Judgements judgements(1, 1);
+  health_reports::HealthReportTable reports(1, 1);
   peers::Micros now = 1'000'000'000;
   std::span<const std::uint8_t> input(data, size);
   std::uint64_t sequence = 0;
@@ -57,7 +57,7 @@
           message->nonce = one.message.nonce;
       const auto late = members.asked(*message, now);
       require(!late || *late <= settings.deafAfter, "an answer that counts is fresh");
-      if (members.receive(*message, now, out) && late) judgements.take(message->facts, *late, now);
+      if (members.receive(*message, now, out) && late) reports.take(message->facts, *late, now);
     }
     require(out.size() <= 16, "one datagram causes few");
     for (const peers::Outgoing& one : out)
@@ -66,10 +66,11 @@
     require(members.known() <= peers::kMaxMembers, "the table's bound");
     require(members.heard() <= members.known() + 1, "heard are known");
     require(members.part() > 0 && members.part() <= 1, "a part");
-    require(judgements.size() <= shared::kMaxLives * shared::kMaxWitnesses, "the judgements' bound");
-    for (const shared::Judgement& one : judgements.all(now))
-      require(one.age >= 0 && one.age < shared::kLives, "none is too old");
-    require(judgements.tell(138, now).size() <= 138, "facts fit their room");
+    require(reports.size() <= health_reports::kMaxIncarnations * health_reports::kMaxReportersPerIncarnation,
+            "the health reports' bound");
+    for (const health_reports::HealthReport& one : reports.reports(now))
+      require(one.age >= 0 && one.age < health_reports::kTimeToLive, "none is too old");
+    require(reports.encodeNext(138, now).size() <= 138, "facts fit their room");
   }
   return 0;
 }
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
+#include "health_reports/health_report_table.h"
 #include "plays.h"
 #include "settings.h"
-#include "shared/judgements.h"
 
 namespace ivypost::fleet {
 namespace {
@@ -98,13 +98,13 @@
   const Play lies = play("", 6, 10, [&](asio::io_context& io, const std::vector<std::string>& listens) {
     const Guest guest = guestAs(io, "liar", listens);
     const auto tell = [&told, &version, self = guest.settings.self](std::size_t room) {
-      shared::Judgements judgements(self, version += 1000);
+      health_reports::HealthReportTable reports(self, version += 1000);
       for (int node = 1; node <= 8; ++node)
         for (int failures = 0; failures < 3; ++failures)
-          judgements.attempted({orchiddrum::identity("n" + std::to_string(node)), 0},
-                               shared::Evidence::Outcome::Failed, 1000, standins::nowMicros());
+          reports.recordAttempt({orchiddrum::identity("n" + std::to_string(node)), 0},
+                                health_reports::AttemptHistory::Outcome::Failed, 1000, standins::nowMicros());
       ++told;
-      return judgements.tell(room, standins::nowMicros());
+      return reports.encodeNext(room, standins::nowMicros());
     };
     return join(io, guest, tell);
   });
