--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -29,6 +29,10 @@
   return static_cast<std::uint64_t>(std::max<Micros>(1000, unixNow()));
 }
 
+health_reports::TimePoint timePoint(Micros at) {
+  return health_reports::TimePoint(std::chrono::microseconds(at));
+}
+
 const char* nameOf(peers::State state) {
   constexpr std::array<const char*, 3> kNames = {"alive", "suspect", "dead"};
   return kNames.at(static_cast<std::size_t>(state));
@@ -78,11 +82,9 @@
       healthReports_(place.settings.self, lifeNumber()),
       timer_(io),
       io_(io, place.settings, place.listen, place.seal, seed,
-          {[this](std::size_t room) { return healthReports_.encodeNext(room, now()); },
+          {[this](std::size_t room) { return healthReports_.encodeNext(room, timePoint(now())); },
            [this](std::span<const std::uint8_t> facts, Micros late) {
-             const auto news = healthReports_.take(facts, late, now());
-             if (news.value_or(false)) lookLater(std::chrono::milliseconds(0));
-             return news;
+             return receive(facts, std::chrono::microseconds(late));
            },
            [this](const peers::Change& change) {
              // A suspicion is nothing that an operator could act on.
@@ -115,7 +117,19 @@
     case Outcome::Moot:
       break;
   }
-  if (result && healthReports_.recordAttempt(incarnation, *result, lag, now())) io_.announce();
+  const std::chrono::microseconds sinceSent(lag);
+  if (result && healthReports_.recordAttempt(incarnation, *result, sinceSent, timePoint(now())))
+    io_.announce();
+}
+
+std::optional<bool> FleetView::receive(std::span<const std::uint8_t> reports,
+                                       std::chrono::microseconds delay) {
+  using health_reports::ReceiveResult;
+  const ReceiveResult result = healthReports_.receive(reports, delay, timePoint(now()));
+  if (result == ReceiveResult::Malformed) return std::nullopt;
+  const bool isChanged = result == ReceiveResult::Changed;
+  if (isChanged) lookLater(std::chrono::milliseconds(0));
+  return isChanged;
 }
 
 void FleetView::leave() {
@@ -158,12 +172,12 @@
         return std::any_of(listed.begin(), listed.end(),
                            [&](const Listed& one) { return one.incarnation == incarnation; });
       },
-      heard, at);
+      heard, timePoint(at));
   if (deaf) return;
   const std::vector<health_reports::Incarnation> judged = healthReports_.incarnations();
   for (const Listed& one : listed) {
     if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
-    const auto said = healthReports_.summarize(one.incarnation, heard, at);
+    const auto said = healthReports_.summarize(one.incarnation, heard, timePoint(at));
     orchiddrum::Hearsay hearsay;
     hearsay.upstream = one.upstream;
     hearsay.launchedAt = one.launchedAt;
@@ -206,18 +220,18 @@
   }
   auto& judged = status["judgements"] = nlohmann::json::array();
   const std::vector<Listed> listed = callbacks_.listed();
-  for (const health_reports::HealthReport& one : healthReports_.reports(at)) {
+  for (const health_reports::HealthReport& one : healthReports_.reports(timePoint(at))) {
     if (judged.size() == kShown) break;
     const auto found = std::find_if(listed.begin(), listed.end(), [&](const Listed& other) {
       return other.incarnation == one.incarnation;
     });
     judged.push_back({{"upstream", found == listed.end() ? hex(one.incarnation.endpoint) : found->id},
-                      {"started_at_ms", one.incarnation.startedAtMs},
+                      {"started_at_ms", one.incarnation.startedAt.time_since_epoch().count()},
                       {"witness", hex(one.reporter)},
                       {"finding", health_reports::nameOf(one.status)},
                       {"attempts", one.attempts},
                       {"failures", one.failures},
-                      {"age_ms", one.age / 1000}});
+                      {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.age).count()}});
   }
   return status;
 }
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/fleet_view.h
@@ -15,6 +15,7 @@
 #include <functional>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
+#include <span>
 #include <string>
 #include <vector>
 
@@ -70,6 +71,8 @@
   nlohmann::json status() const;
 
  private:
+  // What others have sent. Whether it changes anything; none if it can't be read.
+  std::optional<bool> receive(std::span<const std::uint8_t> reports, std::chrono::microseconds delay);
   void look();
   void lookLater(std::chrono::milliseconds wait);
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -493,7 +493,8 @@
 }
 
 health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
-  return {orchiddrum::identity(known.id), known.startedAtMs};
+  return {orchiddrum::identity(known.id),
+          health_reports::WallTime(std::chrono::milliseconds(known.startedAtMs))};
 }
 
 std::vector<FleetView::Listed> Sidecar::listed() const {
--- a/tests/compatibility/peer_messages_test.cpp
+++ b/tests/compatibility/peer_messages_test.cpp
@@ -17,6 +17,7 @@
 
 namespace peers = ivypost::peers;
 namespace health_reports = ivypost::health_reports;
+using namespace std::chrono_literals;
 
 std::string hexOf(std::span<const std::uint8_t> bytes) {
   return toHex(std::string(bytes.begin(), bytes.end()));
@@ -159,33 +160,38 @@
 // ---- Health reports
 
 constexpr health_reports::PeerId kSelf = 0x5e1f000000000001;
-constexpr health_reports::Micros kNow = 50'000'000;
+constexpr health_reports::TimePoint kNow{50s};
 
 TEST(PeerHealthReports, EncodeToTheSameBytes) {
   health_reports::HealthReportTable reports(kSelf, 1'790'000'000'000'000);
-  const health_reports::Incarnation failing{0xaaaaaaaaaaaaaaaa, 0},
-      silent{0xbbbbbbbbbbbbbbbb, 1'790'000'000'456};
+  const health_reports::Incarnation failing{0xaaaaaaaaaaaaaaaa, {}},
+      silent{0xbbbbbbbbbbbbbbbb, health_reports::WallTime(1'790'000'000'456ms)};
   using Outcome = health_reports::AttemptHistory::Outcome;
-  reports.recordAttempt(failing, Outcome::Failed, 1000, kNow);
-  reports.recordAttempt(failing, Outcome::Failed, 1000, kNow + 10'000);
-  reports.recordAttempt(silent, Outcome::Unanswered, 100'000, kNow + 20'000);
-  const health_reports::HealthReport received{
-      {0xcccccccccccccccc, 7}, 0x0123, 99, health_reports::HealthStatus::Healthy, 5, 2, 1'500'000};
-  reports.take(received, 0, kNow + 30'000);
-  expectGolden(hexOf(reports.encodeNext(200, kNow + 50'000)) + "\n", "peer-judgements.hex");
+  reports.recordAttempt(failing, Outcome::Failed, 1ms, kNow);
+  reports.recordAttempt(failing, Outcome::Failed, 1ms, kNow + 10ms);
+  reports.recordAttempt(silent, Outcome::Unanswered, 100ms, kNow + 20ms);
+  const health_reports::HealthReport received{{0xcccccccccccccccc, health_reports::WallTime(7ms)},
+                                              0x0123,
+                                              99,
+                                              health_reports::HealthStatus::Healthy,
+                                              5,
+                                              2,
+                                              1500ms};
+  reports.merge(received, 0s, kNow + 30ms);
+  expectGolden(hexOf(reports.encodeNext(200, kNow + 50ms)) + "\n", "peer-judgements.hex");
 }
 
 TEST(PeerHealthReports, RecordedBytesDecodeToTheSameMeaning) {
   health_reports::HealthReportTable reports(0x7777, 1);
   std::string digits = golden("peer-judgements.hex");
   digits.pop_back();
-  ASSERT_TRUE(reports.take(bytesOf(digits), 2000, kNow));
+  ASSERT_EQ(reports.receive(bytesOf(digits), 2ms, kNow), health_reports::ReceiveResult::Changed);
   std::ostringstream text;
   for (const auto& one : reports.reports(kNow))
     text << "upstream=" << std::hex << one.incarnation.endpoint << " witness=" << one.reporter << std::dec
-         << " started=" << one.incarnation.startedAtMs << " version=" << one.version
+         << " started=" << one.incarnation.startedAt.time_since_epoch().count() << " version=" << one.version
          << " finding=" << health_reports::nameOf(one.status) << " attempts=" << one.attempts
-         << " failures=" << one.failures << " age=" << one.age << "\n";
+         << " failures=" << one.failures << " age=" << one.age.count() << "\n";
   expectGolden(text.str(), "peer-judgements.txt");
 }
 
--- a/tests/health_reports/health_report_table_test.cpp
+++ b/tests/health_reports/health_report_table_test.cpp
@@ -12,221 +12,182 @@
 namespace ivypost::health_reports {
 namespace {
 
-constexpr Micros kSecond = 1'000'000, kStart = 1000 * kSecond;
-constexpr Incarnation kIncarnation{7, 1'790'000'000'000};
+using namespace std::chrono_literals;
+
+constexpr TimePoint kStart{1000s};
+constexpr Incarnation kIncarnation{7, WallTime(1'790'000'000'000ms)};
 constexpr std::size_t kRoom = 138;
 
-const auto everybody = [](PeerId) { return true; };
+const auto everyone = [](PeerId) { return true; };
 const auto everyIncarnation = [](const Incarnation&) { return true; };
 
-HealthReport reportBy(PeerId reporter, std::uint64_t version, HealthStatus status, Micros age = 0,
+HealthReport reportBy(PeerId reporter, std::uint64_t version, HealthStatus status, Duration age = 0s,
                       Incarnation incarnation = kIncarnation) {
   return {incarnation, reporter, version,
           status,      4,        static_cast<std::uint16_t>(status == HealthStatus::Healthy ? 0 : 4),
           age};
 }
 
-// What counts, without the transmissions that are left.
-using State = std::set<std::tuple<Incarnation, PeerId, std::uint64_t, HealthStatus, Micros>>;
-State stateOf(const HealthReportTable& one, Micros now) {
+// What is valid, without how often it is still sent.
+using State = std::set<std::tuple<Incarnation, PeerId, std::uint64_t, HealthStatus, Duration>>;
+State stateOf(const HealthReportTable& one, TimePoint now) {
   State state;
-  for (const HealthReport& held : one.reports(now))
-    state.emplace(held.incarnation, held.reporter, held.version, held.status, held.age);
+  for (const HealthReport& report : one.reports(now))
+    state.emplace(report.incarnation, report.reporter, report.version, report.status, report.age);
   return state;
 }
 
-TEST(AttemptHistory, NeedsSeveralFailuresAndMoreThanHalf) {
-  using enum AttemptHistory::Outcome;
-  const struct {
-    std::vector<AttemptHistory::Outcome> outcomes;
-    HealthStatus status;
-  } rows[] = {{{Succeeded}, HealthStatus::Healthy},
-              {{Failed}, HealthStatus::Healthy},
-              {{Failed, Failed}, HealthStatus::Failing},
-              {{Unanswered}, HealthStatus::Unresponsive},
-              {{Succeeded, Unanswered}, HealthStatus::Unresponsive},
-              {{Unanswered, Succeeded}, HealthStatus::Healthy},
-              {{Unanswered, Unanswered}, HealthStatus::Unresponsive},
-              {{Unanswered, Failed}, HealthStatus::Failing},
-              {{Failed, Failed, Succeeded}, HealthStatus::Failing},
-              {{Failed, Failed, Failed, Failed, Succeeded, Succeeded, Succeeded}, HealthStatus::Healthy},
-              {{Succeeded, Succeeded, Succeeded, Failed, Failed}, HealthStatus::Healthy},
-              {{Succeeded, Failed, Failed}, HealthStatus::Failing}};
-  for (const auto& row : rows) {
-    AttemptHistory evidence;
-    Micros now = kStart;
-    for (const auto outcome : row.outcomes) evidence.record(outcome, 500, now += 1000);
-    EXPECT_EQ(evidence.assess(now).status, row.status) << &row - rows;
-    EXPECT_EQ(evidence.assess(now).attempts, row.outcomes.size());
-    EXPECT_EQ(evidence.assess(now + AttemptHistory::kWindow + 1000).attempts, 0) << "too old";
-  }
-  AttemptHistory evidence;
-  for (std::size_t n = 0; n < 3 * AttemptHistory::kCapacity; ++n) evidence.record(Failed, 500, kStart);
-  EXPECT_EQ(evidence.assess(kStart).attempts, AttemptHistory::kCapacity);
-}
-
-// An upstream that served something after the attempt was sent is not silent: that one was slow.
-TEST(AttemptHistory, IsNotUnresponsiveAfterASuccessSinceTheAttemptWasSent) {
-  for (const Micros lag : {900'000, 1'100'000}) {
-    AttemptHistory evidence;
-    evidence.record(AttemptHistory::Outcome::Succeeded, 500, kStart);
-    evidence.record(AttemptHistory::Outcome::Unanswered, lag, kStart + kSecond);
-    EXPECT_EQ(evidence.assess(kStart + kSecond).status,
-              lag < kSecond ? HealthStatus::Unresponsive : HealthStatus::Healthy);
-  }
-}
-
 TEST(HealthReportTable, ReportsCountWhereTheirReporterIsReachable) {
   HealthReportTable from(1, 100), to(2, 100);
   for (int n = 0; n < 3; ++n)
-    from.recordAttempt(kIncarnation, AttemptHistory::Outcome::Unanswered, 500, kStart);
-  ASSERT_TRUE(to.take(from.encodeNext(kRoom, kStart), 250'000, kStart + kSecond));
-  auto summary = to.summarize(kIncarnation, everybody, kStart + kSecond);
+    from.recordAttempt(kIncarnation, AttemptHistory::Outcome::Unanswered, 500us, kStart);
+  ASSERT_EQ(to.receive(from.encodeNext(kRoom, kStart), 250ms, kStart + 1s), ReceiveResult::Changed);
+  auto summary = to.summarize(kIncarnation, everyone, kStart + 1s);
   EXPECT_EQ(summary.unhealthy, 1u);
-  EXPECT_EQ(summary.failures, 1u);  // what was behind it when it was told first
-  EXPECT_EQ(summary.age, 250'000) << "the time on the way makes it older";
+  EXPECT_EQ(summary.failures, 1u);  // what was behind it when it was first sent
+  EXPECT_EQ(summary.age, 250ms) << "the delay makes it older";
   EXPECT_EQ(to.summarize(
-                  kIncarnation, [](PeerId id) { return id != 1; }, kStart + kSecond)
+                  kIncarnation, [](PeerId id) { return id != 1; }, kStart + 1s)
                 .unhealthy,
             0u)
-      << "not heard any more";
-  EXPECT_EQ(to.summarize({7, kIncarnation.startedAtMs + 1}, everybody, kStart).unhealthy, 0u)
+      << "not reachable any more";
+  EXPECT_EQ(to.summarize({7, kIncarnation.startedAt + 1ms}, everyone, kStart).unhealthy, 0u)
       << "another incarnation";
-  EXPECT_EQ(from.summarize(kIncarnation, everybody, kStart).unhealthy, 0u) << "one's own is no summary";
+  EXPECT_EQ(from.summarize(kIncarnation, everyone, kStart).unhealthy, 0u) << "its own do not count";
 }
 
-// A restart with the wall clock set back by an hour: what the earlier incarnation has said is outbid once it
-// is heard of, and does not count until it lapses.
+// A restart with the wall clock set back by an hour: what it reported before is outbid once that
+// is received, and does not last until it expires.
 TEST(HealthReportTable, OutbidsReportsOfItsEarlierIncarnationWithALaterClock) {
   constexpr std::uint64_t kNow = 1'790'000'000'000'000, kHour = 3'600'000'000;
   HealthReportTable other(2, kNow);
   HealthReportTable earlier(1, kNow);
-  earlier.recordAttempt(kIncarnation, AttemptHistory::Outcome::Unanswered, 500, kStart);
-  other.take(earlier.encodeNext(kRoom, kStart), 0, kStart);
-  ASSERT_EQ(other.summarize(kIncarnation, everybody, kStart).unhealthy, 1u);
+  earlier.recordAttempt(kIncarnation, AttemptHistory::Outcome::Unanswered, 500us, kStart);
+  other.receive(earlier.encodeNext(kRoom, kStart), 0s, kStart);
+  ASSERT_EQ(other.summarize(kIncarnation, everyone, kStart).unhealthy, 1u);
   HealthReportTable one(1, kNow - kHour);
-  // It hears what the other one holds, its own earlier word too, and finds the upstream well.
-  one.take(reportBy(3, 1, HealthStatus::Failing), 0, kStart + kSecond);
-  one.take(other.encodeNext(kRoom, kStart + kSecond), 0, kStart + kSecond);
+  // It receives what the other one has, its own earlier report too, and finds the endpoint healthy.
+  one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart + 1s);
+  one.receive(other.encodeNext(kRoom, kStart + 1s), 0s, kStart + 1s);
   for (int n = 0; n < 3; ++n)
-    one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500, kStart + kSecond);
-  other.take(one.encodeNext(kRoom, kStart + kSecond), 0, kStart + kSecond);
-  const auto state = stateOf(other, kStart + kSecond);
+    one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500us, kStart + 1s);
+  other.receive(one.encodeNext(kRoom, kStart + 1s), 0s, kStart + 1s);
+  const auto state = stateOf(other, kStart + 1s);
   EXPECT_TRUE(std::any_of(state.begin(), state.end(), [](const auto& report) {
     return std::get<1>(report) == 1 && std::get<HealthStatus>(report) == HealthStatus::Healthy;
   }));
 }
 
-// So is one that was told before that was heard.
+// So is a report that was sent before the earlier one was received.
 TEST(HealthReportTable, SendsAgainWhatItSentBeforeItKnewOfTheEarlierIncarnation) {
   HealthReportTable other(2, 100), one(1, 100);
-  other.take(reportBy(1, 5000, HealthStatus::Failing), 0, kStart);
-  one.take(reportBy(3, 1, HealthStatus::Failing), 0, kStart);
-  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500, kStart);
-  other.take(one.encodeNext(kRoom, kStart), 0, kStart);
-  one.take(other.encodeNext(kRoom, kStart), 0, kStart);
-  other.take(one.encodeNext(kRoom, kStart), 0, kStart);
+  other.merge(reportBy(1, 5000, HealthStatus::Failing), 0s, kStart);
+  one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart);
+  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500us, kStart);
+  other.receive(one.encodeNext(kRoom, kStart), 0s, kStart);
+  one.receive(other.encodeNext(kRoom, kStart), 0s, kStart);
+  other.receive(one.encodeNext(kRoom, kStart), 0s, kStart);
   const auto state = stateOf(other, kStart);
   EXPECT_TRUE(std::any_of(state.begin(), state.end(), [](const auto& report) {
     return std::get<1>(report) == 1 && std::get<HealthStatus>(report) == HealthStatus::Healthy;
   }));
 }
 
-// A version that is no time is not followed: the own one would overflow.
-TEST(HealthReportTable, DoesNotFollowAVersionThatIsNoTime) {
+// A version that is no time is not exceeded: the own one would overflow.
+TEST(HealthReportTable, DoesNotExceedAVersionThatIsNoTime) {
   HealthReportTable liar(2, 100), one(1, 100), other(4, 100);
-  liar.take(reportBy(1, ~std::uint64_t{0}, HealthStatus::Failing), 0, kStart);
-  one.take(liar.encodeNext(kRoom, kStart), 0, kStart);
-  one.take(reportBy(3, 1, HealthStatus::Failing), 0, kStart);
-  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500, kStart);
-  other.take(one.encodeNext(kRoom, kStart), 0, kStart);
-  for (const HealthReport& held : other.reports(kStart)) {
-    if (held.reporter != 1) continue;
-    EXPECT_EQ(held.version, 101u);
+  liar.merge(reportBy(1, ~std::uint64_t{0}, HealthStatus::Failing), 0s, kStart);
+  one.receive(liar.encodeNext(kRoom, kStart), 0s, kStart);
+  one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart);
+  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500us, kStart);
+  other.receive(one.encodeNext(kRoom, kStart), 0s, kStart);
+  for (const HealthReport& report : other.reports(kStart)) {
+    if (report.reporter != 1) continue;
+    EXPECT_EQ(report.version, 101u);
   }
 }
 
 TEST(HealthReportTable, HealthyCountsOnlyAgainstEarlierEvidence) {
   HealthReportTable one(9, 1);
-  one.take(reportBy(1, 1, HealthStatus::Failing, 2 * kSecond), 0, kStart);
-  one.take(reportBy(2, 1, HealthStatus::Healthy, 3 * kSecond), 0, kStart);
-  EXPECT_EQ(one.summarize(kIncarnation, everybody, kStart).healthy, 0u);
-  one.take(reportBy(3, 1, HealthStatus::Healthy, kSecond), 0, kStart);
-  EXPECT_EQ(one.summarize(kIncarnation, everybody, kStart).healthy, 1u);
+  one.merge(reportBy(1, 1, HealthStatus::Failing, 2s), 0s, kStart);
+  one.merge(reportBy(2, 1, HealthStatus::Healthy, 3s), 0s, kStart);
+  EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).healthy, 0u);
+  one.merge(reportBy(3, 1, HealthStatus::Healthy, 1s), 0s, kStart);
+  EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).healthy, 1u);
 }
 
 TEST(HealthReportTable, HealthyIsNotReportedWhereNobodyReportedAFault) {
   HealthReportTable one(9, 1);
-  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500, kStart);
+  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500us, kStart);
   EXPECT_EQ(one.size(), 0u);
-  one.take(reportBy(1, 1, HealthStatus::Failing), 0, kStart);
-  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500, kStart);
+  one.merge(reportBy(1, 1, HealthStatus::Failing), 0s, kStart);
+  one.recordAttempt(kIncarnation, AttemptHistory::Outcome::Succeeded, 500us, kStart);
   EXPECT_EQ(one.size(), 2u);
 }
 
-// Any order, doubling and loss, and then everybody tells everybody of all: one state everywhere.
+// Any order, repetition and loss, and then all of them everywhere: one state.
 RC_GTEST_PROP(HealthReportTable, MergesToOneStateWhateverTheOrder, (std::uint32_t seed)) {
   std::mt19937 random(seed);
-  std::vector<HealthReport> told;
+  std::vector<HealthReport> received;
   for (int n = 0; n < 30; ++n) {
-    // A version of one reporter says one thing.
+    // A reporter gives each version one status.
     const std::uint64_t version = 1 + random() % 4;
     const PeerId reporter = 10 + random() % 5;
-    const Incarnation incarnation{random() % 3, 5};
+    const Incarnation incarnation{random() % 3, WallTime(5ms)};
     const auto status = static_cast<HealthStatus>((version + reporter + incarnation.endpoint) % kStatusCount);
-    told.push_back(reportBy(reporter, version, status, random() % 10 * kSecond, incarnation));
+    received.push_back(reportBy(reporter, version, status, random() % 10 * 1s, incarnation));
   }
   HealthReportTable first(1, 1), second(2, 1);
-  for (const HealthReport& one : told) first.take(one, 0, kStart);
+  for (const HealthReport& one : received) first.merge(one, 0s, kStart);
   for (int round = 0; round < 2; ++round) {
-    std::shuffle(told.begin(), told.end(), random);
-    for (const HealthReport& one : told) second.take(one, 0, kStart);
+    std::shuffle(received.begin(), received.end(), random);
+    for (const HealthReport& one : received) second.merge(one, 0s, kStart);
   }
   RC_ASSERT(stateOf(first, kStart) == stateOf(second, kStart));
-  // And by messages of which half are lost.
+  // By messages of which half are lost, too.
   HealthReportTable third(3, 1);
   for (int n = 0; n < 400; ++n) {
-    const auto facts = first.encodeNext(kRoom, kStart);
-    if (random() % 2 == 0) RC_ASSERT(third.take(facts, 0, kStart));
+    const auto bytes = first.encodeNext(kRoom, kStart);
+    if (random() % 2 == 0) RC_ASSERT(third.receive(bytes, 0s, kStart) != ReceiveResult::Malformed);
   }
   RC_ASSERT(stateOf(first, kStart) == stateOf(third, kStart));
 }
 
-// Passed on from one to the next for ever, each time as slowly as it may be: it does not outlive its time.
+// Forwarded between two for ever, each time as slowly as it may be: it does not outlive its time.
 TEST(HealthReportTable, NoReportOutlivesItsTimeHoweverOftenItIsForwarded) {
   HealthReportTable one(1, 1), two(2, 1);
-  one.take(reportBy(9, 1, HealthStatus::Failing), 0, kStart);
-  Micros now = kStart;
+  one.merge(reportBy(9, 1, HealthStatus::Failing), 0s, kStart);
+  TimePoint now = kStart;
   HealthReportTable* from = &one;
   HealthReportTable* to = &two;
-  for (; now < kStart + 2 * kTimeToLive; now += 300'000) {
-    const auto facts = from->encodeNext(kRoom, now);
-    to->take(facts, 200'000, now + 200'000);
+  for (; now < kStart + 2 * kTimeToLive; now += 300ms) {
+    const auto bytes = from->encodeNext(kRoom, now);
+    to->receive(bytes, 200ms, now + 200ms);
     std::swap(from, to);
-    const bool alive = from->summarize(kIncarnation, everybody, now + 200'000).unhealthy > 0;
-    EXPECT_FALSE(alive && now + 200'000 - kStart >= kTimeToLive) << now - kStart;
+    const bool alive = from->summarize(kIncarnation, everyone, now + 200ms).unhealthy > 0;
+    EXPECT_FALSE(alive && now + 200ms - kStart >= kTimeToLive) << (now - kStart).count();
   }
-  two.removeStale(everyIncarnation, everybody, now);
+  two.removeStale(everyIncarnation, everyone, now);
   EXPECT_EQ(two.size(), 0u);
 }
 
 TEST(HealthReportTable, OneReporterCannotFillTheTable) {
   HealthReportTable one(1, 1);
   for (std::uint64_t n = 0; n < 10'000; ++n)
-    one.take(reportBy(5, n, HealthStatus::Failing, 0, {n, 0}), 0, kStart);
+    one.merge(reportBy(5, n, HealthStatus::Failing, 0s, {n, {}}), 0s, kStart);
   EXPECT_EQ(one.size(), kMaxReportsPerReporter);
-  one.take(reportBy(6, 1, HealthStatus::Failing), 0, kStart);
-  EXPECT_EQ(one.summarize(kIncarnation, everybody, kStart).unhealthy, 1u);
+  one.merge(reportBy(6, 1, HealthStatus::Failing), 0s, kStart);
+  EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).unhealthy, 1u);
   for (PeerId reporter = 10; reporter < 100; ++reporter)
-    one.take(reportBy(reporter, 1, HealthStatus::Failing), 0, kStart);
-  EXPECT_EQ(one.summarize(kIncarnation, everybody, kStart).unhealthy, kMaxReportersPerIncarnation);
-  // Many that lie together, at its bound: what this sidecar has found itself still has room.
+    one.merge(reportBy(reporter, 1, HealthStatus::Failing), 0s, kStart);
+  EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).unhealthy, kMaxReportersPerIncarnation);
+  // At the bound, filled by many that lie together, there is room for own reports.
   for (PeerId reporter = 100; reporter < 300; ++reporter)
     for (std::uint64_t n = 0; n < kMaxReportsPerReporter; ++n)
-      one.take(reportBy(reporter, 1, HealthStatus::Failing, 0, {reporter * 1000 + n, 0}), 0, kStart);
-  EXPECT_EQ(one.size(), kMaxIncarnations * kMaxReportersPerIncarnation);
-  const Incarnation own{999'999'999, 0};
-  for (int n = 0; n < 2; ++n) one.recordAttempt(own, AttemptHistory::Outcome::Failed, 500, kStart);
+      one.merge(reportBy(reporter, 1, HealthStatus::Failing, 0s, {reporter * 1000 + n, {}}), 0s, kStart);
+  EXPECT_EQ(one.size(), kMaxReports);
+  const Incarnation own{999'999'999, {}};
+  for (int n = 0; n < 2; ++n) one.recordAttempt(own, AttemptHistory::Outcome::Failed, 500us, kStart);
   EXPECT_EQ(one.incarnations().back(), own);
 }
 
@@ -234,19 +195,19 @@
   HealthReportTable one(1, 1);
   for (std::uint64_t n = 0; n < 3 * kMaxIncarnations; ++n)
     for (int failures = 0; failures < 2; ++failures)
-      one.recordAttempt({n, 0}, AttemptHistory::Outcome::Failed, 500, kStart + static_cast<Micros>(n));
-  one.removeStale(everyIncarnation, everybody, kStart + 2 * kTimeToLive);
+      one.recordAttempt({n, {}}, AttemptHistory::Outcome::Failed, 500us, kStart + Duration(n));
+  one.removeStale(everyIncarnation, everyone, kStart + 2 * kTimeToLive);
   EXPECT_EQ(one.size(), 0u);
 }
 
-// Lengths of 0 to 1,500 and random bytes: what is no report is refused, and nothing else happens.
+// Lengths of 0 to 1,500 and random bytes: what is no report is rejected, and nothing else happens.
 RC_GTEST_PROP(HealthReportTable, RejectsAnyBytesWithoutHarm, (std::uint32_t seed)) {
   std::mt19937 random(seed);
   HealthReportTable one(1, 1);
   std::vector<std::uint8_t> bytes(random() % 1501);
   for (auto& byte : bytes) byte = static_cast<std::uint8_t>(random());
-  const bool whole = one.take(bytes, 0, kStart).has_value();
-  RC_ASSERT(!whole || bytes.size() % kReportBytes == 0);
+  const bool isComplete = one.receive(bytes, 0s, kStart) != ReceiveResult::Malformed;
+  RC_ASSERT(!isComplete || bytes.size() % kReportBytes == 0);
   RC_ASSERT(one.size() <= bytes.size() / kReportBytes);
 }
 
--- a/tests/peers/fuzz.cpp
+++ b/tests/peers/fuzz.cpp
@@ -27,6 +27,10 @@
   std::abort();
 }
 
+health_reports::TimePoint timePoint(peers::Micros at) {
+  return health_reports::TimePoint(std::chrono::microseconds(at));
+}
+
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
@@ -57,7 +61,8 @@
           message->nonce = one.message.nonce;
       const auto late = members.asked(*message, now);
       require(!late || *late <= settings.deafAfter, "an answer that counts is fresh");
-      if (members.receive(*message, now, out) && late) reports.take(message->facts, *late, now);
+      if (members.receive(*message, now, out) && late)
+        reports.receive(message->facts, std::chrono::microseconds(*late), timePoint(now));
     }
     require(out.size() <= 16, "one datagram causes few");
     for (const peers::Outgoing& one : out)
@@ -66,11 +71,11 @@
     require(members.known() <= peers::kMaxMembers, "the table's bound");
     require(members.heard() <= members.known() + 1, "heard are known");
     require(members.part() > 0 && members.part() <= 1, "a part");
-    require(reports.size() <= health_reports::kMaxIncarnations * health_reports::kMaxReportersPerIncarnation,
-            "the health reports' bound");
-    for (const health_reports::HealthReport& one : reports.reports(now))
-      require(one.age >= 0 && one.age < health_reports::kTimeToLive, "none is too old");
-    require(reports.encodeNext(138, now).size() <= 138, "facts fit their room");
+    require(reports.size() <= health_reports::kMaxReports, "the health reports' bound");
+    for (const health_reports::HealthReport& one : reports.reports(timePoint(now)))
+      require(one.age >= health_reports::Duration::zero() && one.age < health_reports::kTimeToLive,
+              "none is too old");
+    require(reports.encodeNext(138, timePoint(now)).size() <= 138, "facts fit their room");
   }
   return 0;
 }
--- a/tests/peers/fuzz.sh
+++ b/tests/peers/fuzz.sh
@@ -8,5 +8,5 @@
 trap 'rm -rf "$work"' EXIT
 mkdir -p found/peers
 clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -DIVYPOST_FUZZER -Isrc \
-  tests/peers/fuzz.cpp src/peers/members.cpp src/peers/message.cpp src/health_reports/health_report_table.cpp -o "$work/fuzz"
+  tests/peers/fuzz.cpp src/peers/members.cpp src/peers/message.cpp src/health_reports/*.cpp -o "$work/fuzz"
 "$work/fuzz" -max_total_time="${1:-600}" -max_len=4096 -artifact_prefix=found/ found/peers tests/peers/corpus
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -99,12 +99,14 @@
     const Guest guest = guestAs(io, "liar", listens);
     const auto tell = [&told, &version, self = guest.settings.self](std::size_t room) {
       health_reports::HealthReportTable reports(self, version += 1000);
+      const health_reports::TimePoint now{std::chrono::microseconds(standins::nowMicros())};
       for (int node = 1; node <= 8; ++node)
         for (int failures = 0; failures < 3; ++failures)
-          reports.recordAttempt({orchiddrum::identity("n" + std::to_string(node)), 0},
-                                health_reports::AttemptHistory::Outcome::Failed, 1000, standins::nowMicros());
+          reports.recordAttempt({orchiddrum::identity("n" + std::to_string(node)), {}},
+                                health_reports::AttemptHistory::Outcome::Failed, std::chrono::milliseconds(1),
+                                now);
       ++told;
-      return reports.encodeNext(room, standins::nowMicros());
+      return reports.encodeNext(room, now);
     };
     return join(io, guest, tell);
   });
