--- a/src/peers/message.cpp
+++ b/src/peers/message.cpp
@@ -5,6 +5,7 @@
 
 #include "peers/entries.h"
 #include "peers/filter.h"
+#include "util/fnv1a.h"
 
 namespace ivypost::peers {
 namespace {
@@ -56,10 +57,8 @@
   return text.append(std::to_string(address.port));
 }
 
-// FNV-1a, 64 bits (RFC 9923); two of 2,000 names share one with odds of 1 in 10^13.
 PeerId idOf(std::string_view name) {
-  std::uint64_t hash = 0xcbf29ce484222325;
-  for (const char one : name) hash = (hash ^ static_cast<unsigned char>(one)) * 0x100000001b3;
+  const std::uint64_t hash = util::fnv1a(name);
   return hash == 0 ? 1 : hash;
 }
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -5,6 +5,8 @@
 #include <charconv>
 #include <cmath>
 
+#include "util/fnv1a.h"
+
 namespace orchiddrum {
 
 void bad(std::string_view what, std::string_view value) {
@@ -38,9 +40,7 @@
 }
 
 std::uint64_t identity(std::string_view name) {
-  std::uint64_t hash = 0xcbf29ce484222325u;
-  for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3u;
-  return hash;
+  return ivypost::util::fnv1a(name);
 }
 
 namespace {
--- /dev/null
+++ b/src/util/fnv1a.h
@@ -0,0 +1,22 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_UTIL_FNV1A_H_
+#define IVYPOST_UTIL_FNV1A_H_
+
+#include <cstdint>
+#include <string_view>
+
+namespace ivypost::util {
+
+/// The FNV-1a hash of 64 bits (RFC 9923). For ids that have to be the same in every build, as std::hash is
+/// not; two of 2,000 names share one with odds of 1 in 10^13. No guard against names made to collide.
+[[nodiscard]] constexpr std::uint64_t fnv1a(std::string_view text) {
+  constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325;
+  constexpr std::uint64_t kPrime = 0x100000001b3;
+  std::uint64_t hash = kOffsetBasis;
+  for (const char character : text) hash = (hash ^ static_cast<unsigned char>(character)) * kPrime;
+  return hash;
+}
+
+}  // namespace ivypost::util
+
+#endif  // IVYPOST_UTIL_FNV1A_H_
