--- a/bench/list_scale.cpp
+++ b/bench/list_scale.cpp
@@ -5,11 +5,11 @@
 #include <cstdio>
 #include <vector>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
 namespace {
 
-using namespace orchiddrum;
+using namespace ivypost::balancer;
 using Seconds = std::chrono::duration<double>;
 
 constexpr Micros kMs = 1000;
--- a/include/orchiddrum/balancer.h
+++ b/include/ivypost/balancer.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The interface of orchiddrum: settings, events, actions and the Balancer that turns one into the other.
+// The interface of ivypost: settings, events, actions and the Balancer that turns one into the other.
 //
 // Life cycle. Construct one Balancer for each sidecar process (or simulated instance). The first event must
 // be a MembershipUpdate of kind Saved (an empty list is fine); then feed every event in the order it
@@ -32,8 +32,8 @@
 // outside the settings, a request id that is already open, a negative or infinite size (zero: unknown, taken
 // as one), an attempt that was never sent, and for any event before the first list. Outcomes and withdrawals
 // of requests that are over are legal and are ignored.
-#ifndef ORCHIDDRUM_BALANCER_H_
-#define ORCHIDDRUM_BALANCER_H_
+#ifndef IVYPOST_BALANCER_H_
+#define IVYPOST_BALANCER_H_
 
 #include <cstdint>
 #include <memory>
@@ -42,7 +42,7 @@
 #include <variant>
 #include <vector>
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 
 using Micros = std::int64_t;
 using RequestId = std::uint64_t;
@@ -278,6 +278,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
 
-#endif  // ORCHIDDRUM_BALANCER_H_
+#endif  // IVYPOST_BALANCER_H_
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,8 +1,8 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Routes events to the parts that decide. The interface (settings, events, actions) is
-// include/orchiddrum/balancer.h.
-#include "orchiddrum/balancer.h"
+// include/ivypost/balancer.h.
+#include "ivypost/balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,9 +15,9 @@
 #include "balancer/load_information.h"
 #include "balancer/random_source.h"
 #include "balancer/request_lifecycle.h"
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 
 using internal::Decisions;
 using internal::EventContext;
@@ -82,7 +82,7 @@
 
   void on(const ReducedService& event, const EventContext&) {
     decisions_.reduced = event;
-    decisions_.reduced.probes = within(event.probes, 0, 1);
+    decisions_.reduced.probes = util::within(event.probes, 0, 1);
   }
 
   void on(const Hearsay& event, const EventContext& context) {
@@ -150,4 +150,4 @@
   return impl_->heldRequests();
 }
 
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/bounded_settings.h"
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 constexpr double kMaxObjectiveStretch = 1e6;  // far above any sensible setting
@@ -19,18 +19,18 @@
   if (settings.classes.empty()) throw std::invalid_argument("settings without classes");
   if (settings.zone >= settings.zones) throw std::invalid_argument("own zone out of range");
   settings.resolution = std::max<Micros>(settings.resolution, 1);
-  settings.startCapacity = within(settings.startCapacity, kMinStartCapacity, 1);
+  settings.startCapacity = util::within(settings.startCapacity, kMinStartCapacity, 1);
   for (RequestClass& cls : settings.classes) {
-    for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) bound(*span);
-    cls.aimStretch = within(cls.aimStretch, 0, kMaxObjectiveStretch);
+    for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) util::bound(*span);
+    cls.aimStretch = util::within(cls.aimStretch, 0, kMaxObjectiveStretch);
   }
   for (Micros* span : {&settings.askWithin, &settings.coldFor, &settings.idleClose, &settings.lookBack,
                        &settings.hangUpWithin}) {
-    bound(*span);
+    util::bound(*span);
   }
   settings.sidecars = std::max<std::uint32_t>(settings.sidecars, 1);
   settings.maxAttempts = std::max<std::uint32_t>(settings.maxAttempts, 1);
   return settings;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/concurrency_limit.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 #include "balancer/load_information.h"
 #include "balancer/load_reports.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Of few sidecars. A limit starts low, since all sidecars start at once, and rises by one for each limit's
@@ -61,4 +61,4 @@
   return static_cast<double>(latency - endpoint.minLatency) > line;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -1,13 +1,13 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_CONCURRENCY_LIMIT_H_
-#define ORCHIDDRUM_BALANCER_CONCURRENCY_LIMIT_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_CONCURRENCY_LIMIT_H_
+#define IVYPOST_BALANCER_CONCURRENCY_LIMIT_H_
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/event_context.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// A limit falls by this factor, once a round trip, at a rejection, a time-out or a slow answer.
 constexpr double kLimitBackoff = 0.7;
@@ -43,6 +43,6 @@
   double limitGrowth_ = 1;  // for each limit's worth of timely answers
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_CONCURRENCY_LIMIT_H_
+#endif  // IVYPOST_BALANCER_CONCURRENCY_LIMIT_H_
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/connection_subset.h"
 
 #include <algorithm>
 
 #include "balancer/endpoint_readiness.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // The subset has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
@@ -91,4 +91,4 @@
   if (!endpoints_[id].isListed) context.act(CloseIdle{id});
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
-#define ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_CONNECTION_SUBSET_H_
+#define IVYPOST_BALANCER_CONNECTION_SUBSET_H_
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/event_context.h"
 #include "balancer/latency_statistics.h"
 #include "balancer/request.h"
 #include "balancer/send_rate.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a subset, its
 /// subset; connections to other endpoints, and to those that drain, are closed.
@@ -59,6 +59,6 @@
   const LatencyStatistics& latency_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
+#endif  // IVYPOST_BALANCER_CONNECTION_SUBSET_H_
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_DEADLINE_H_
-#define ORCHIDDRUM_BALANCER_DEADLINE_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_DEADLINE_H_
+#define IVYPOST_BALANCER_DEADLINE_H_
 
 #include <functional>
 #include <optional>
 #include <queue>
 #include <vector>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// A moment at which the balancer has something to do without an event from outside.
 struct Wake {
@@ -60,6 +60,6 @@
   Micros armedFor_ = 0;  // 0: no timer is out
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_DEADLINE_H_
+#endif  // IVYPOST_BALANCER_DEADLINE_H_
--- a/src/balancer/decay.h
+++ b/src/balancer/decay.h
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_DECAY_H_
-#define ORCHIDDRUM_BALANCER_DECAY_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_DECAY_H_
+#define IVYPOST_BALANCER_DECAY_H_
 
 #include <cmath>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// The part that a memory of `memory` microseconds keeps at `now` of what was learned at `at`: 1 at once, 1/e
 /// after `memory`.
@@ -14,6 +14,6 @@
   return std::exp(-static_cast<double>(now - at) / memory);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_DECAY_H_
+#endif  // IVYPOST_BALANCER_DECAY_H_
--- a/src/balancer/decisions.h
+++ b/src/balancer/decisions.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_DECISIONS_H_
-#define ORCHIDDRUM_BALANCER_DECISIONS_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_DECISIONS_H_
+#define IVYPOST_BALANCER_DECISIONS_H_
 
 #include "balancer/bounded_settings.h"
 #include "balancer/concurrency_limit.h"
@@ -19,9 +19,9 @@
 #include "balancer/send_rate.h"
 #include "balancer/sidecar_limit.h"
 #include "balancer/slow_start.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// The parts that decide, each with what it depends on: a part uses only those above it.
 struct Decisions {
@@ -55,6 +55,6 @@
   EndpointSelection selection{settings, endpoints, slowStart, readiness, retryPolicy, loadReports, subset};
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_DECISIONS_H_
+#endif  // IVYPOST_BALANCER_DECISIONS_H_
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/discovery_polling.h"
 
 #include <algorithm>
 
 #include "balancer/load_information.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // At their start all sidecars ask discovery by their numbers, one in this time (microseconds), but all within
@@ -62,4 +62,4 @@
   }
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_DISCOVERY_POLLING_H_
-#define ORCHIDDRUM_BALANCER_DISCOVERY_POLLING_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_DISCOVERY_POLLING_H_
+#define IVYPOST_BALANCER_DISCOVERY_POLLING_H_
 
 #include "balancer/event_context.h"
-#include "figures.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// When discovery is pollWithin for the endpoint list: at the start, and again after calls that failed,
 /// spread so that a fleet which starts or loses discovery together does not ask together.
@@ -29,9 +29,9 @@
   static void pollLater(double delay, const EventContext& context);
 
   const Settings& settings_;
-  DecorrelatedJitter wait_;
+  util::DecorrelatedJitter wait_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_DISCOVERY_POLLING_H_
+#endif  // IVYPOST_BALANCER_DISCOVERY_POLLING_H_
--- a/src/balancer/endpoint_backoff.cpp
+++ b/src/balancer/endpoint_backoff.cpp
@@ -1,10 +1,10 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/endpoint_backoff.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 void backOff(Endpoint& endpoint, double span, const EventContext& context) {
   endpoint.backoffUntil = std::max(endpoint.backoffUntil, context.now + static_cast<Micros>(span));
@@ -18,4 +18,4 @@
   backOff(endpoint, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kBaseEjection), context);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_BACKOFF_H_
-#define ORCHIDDRUM_BALANCER_ENDPOINT_BACKOFF_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_ENDPOINT_BACKOFF_H_
+#define IVYPOST_BALANCER_ENDPOINT_BACKOFF_H_
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/event_context.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// The first ejection of an endpoint lasts this long, in microseconds, each further one twice as long, up to
 /// so many doublings. No other backoff of an endpoint lasts longer than the first. A second is long against a
@@ -23,6 +23,6 @@
 void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
                           const EventContext& context);
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_BACKOFF_H_
+#endif  // IVYPOST_BALANCER_ENDPOINT_BACKOFF_H_
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
-#define ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_ENDPOINT_READINESS_H_
+#define IVYPOST_BALANCER_ENDPOINT_READINESS_H_
 
 #include <algorithm>
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/latency_statistics.h"
 #include "balancer/slow_start.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// An endpoint with attempts out is silent after this many times the usual time to an answer.
 constexpr double kSilenceMultiple = 4;
@@ -52,6 +52,6 @@
   const LatencyStatistics& latency_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
+#endif  // IVYPOST_BALANCER_ENDPOINT_READINESS_H_
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -1,7 +1,7 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/endpoint_registry.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 std::vector<UpstreamId> EndpointRegistry::apply(const MembershipUpdate& update, double startLimit,
                                                 RandomSource& random) {
@@ -41,4 +41,4 @@
   if (!endpoint.isListed && was) std::erase(listed_, entry.upstream);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
-#define ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_ENDPOINT_REGISTRY_H_
+#define IVYPOST_BALANCER_ENDPOINT_REGISTRY_H_
 
 #include <cstdint>
 #include <limits>
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "balancer/random_source.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// No endpoint: the value of an id that names none.
 constexpr UpstreamId kNoEndpoint = static_cast<UpstreamId>(-1);
@@ -98,6 +98,6 @@
   double meanSize_ = 0;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_REGISTRY_H_
+#endif  // IVYPOST_BALANCER_ENDPOINT_REGISTRY_H_
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/endpoint_selection.h"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Odds of an endpoint that is warming up that has its credit, and of a trial that is this sidecar's turn,
@@ -110,4 +110,4 @@
   return picked;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
-#define ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_ENDPOINT_SELECTION_H_
+#define IVYPOST_BALANCER_ENDPOINT_SELECTION_H_
 
 #include <optional>
 #include <vector>
@@ -13,9 +13,9 @@
 #include "balancer/request.h"
 #include "balancer/retry_policy.h"
 #include "balancer/slow_start.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Which endpoint an attempt goes to: one random draw against one remembered endpoint, compared by this
 /// sidecar's own requests in flight. The remembered one wins only when it is strictly lighter; the memory
@@ -77,6 +77,6 @@
   std::vector<double> odds_;  // running sums, for the draw
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
+#endif  // IVYPOST_BALANCER_ENDPOINT_SELECTION_H_
--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_EVENT_CONTEXT_H_
-#define ORCHIDDRUM_BALANCER_EVENT_CONTEXT_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_EVENT_CONTEXT_H_
+#define IVYPOST_BALANCER_EVENT_CONTEXT_H_
 
 #include <utility>
 #include <vector>
 
 #include "balancer/deadline.h"
 #include "balancer/random_source.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// What every decision about one event shares. No part of the module has a clock or random numbers of its
 /// own.
@@ -27,6 +27,6 @@
   }
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_EVENT_CONTEXT_H_
+#endif  // IVYPOST_BALANCER_EVENT_CONTEXT_H_
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/health_check.h"
 
 #include <algorithm>
@@ -6,9 +6,9 @@
 
 #include "balancer/endpoint_backoff.h"
 #include "balancer/latency_statistics.h"
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // So many probes a request at most, none beyond what costs this part of its weight, and one is given up after
@@ -67,11 +67,11 @@
 void HealthCheck::learn(const ProbeResult& event) {
   Endpoint& endpoint = endpoints_[event.upstream];
   double& probeLatency = probeLatency_[endpoint.zone];
-  smooth(probeLatency, static_cast<double>(event.lag), probeLatency > 0 ? kLatencyGain : 1);
+  util::smooth(probeLatency, static_cast<double>(event.lag), probeLatency > 0 ? kLatencyGain : 1);
   if (event.report) loadReports_.learn(endpoint, *event.report);
   previousUsualInHand_ = usualInHand_;
   const double inHand = requestsInHand(event, endpoint);
-  if (inHand >= 0) smooth(usualInHand_, inHand, usualInHand_ < 0 ? 1 : kLatencyGain);
+  if (inHand >= 0) util::smooth(usualInHand_, inHand, usualInHand_ < 0 ? 1 : kLatencyGain);
 }
 
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
@@ -111,4 +111,4 @@
   return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_HEALTH_CHECK_H_
-#define ORCHIDDRUM_BALANCER_HEALTH_CHECK_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_HEALTH_CHECK_H_
+#define IVYPOST_BALANCER_HEALTH_CHECK_H_
 
 #include <optional>
 #include <vector>
@@ -10,9 +10,9 @@
 #include "balancer/load_reports.h"
 #include "balancer/priority.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Probes the picked endpoint before a request is sent to it. Guards against picks without load information
 /// of many sidecars with little traffic each: own counts are nearly all zero and tell nothing of what the
@@ -68,6 +68,6 @@
   double previousUsualInHand_ = -1;  // what it was before the last result
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_HEALTH_CHECK_H_
+#endif  // IVYPOST_BALANCER_HEALTH_CHECK_H_
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/latency_statistics.h"
 
 #include <algorithm>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Weight in the calm average of an answer that is longer than it: a busy minute hardly moves it.
@@ -15,7 +15,7 @@
 
 void learnSlowness(Endpoint& endpoint, double ratio, Micros now) {
   endpoint.logSlowness = std::log(slowness(endpoint, now));  // what is not forgotten yet
-  smooth(endpoint.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
+  util::smooth(endpoint.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
   endpoint.slownessAt = now;
 }
 
@@ -27,10 +27,11 @@
   if (usual > 0) learnSlowness(endpoint, span / usual / request.relativeWork, now);
   endpoint.minLatency = std::min(endpoint.minLatency, latency);
   ++answers_;
-  smooth(usual, span, std::max(kLatencyGain, 1.0 / ++classAnswers_[request.requestClass]));
-  smooth(overallLatency_, span, std::max(kLatencyGain, 1.0 / answers_));
-  smooth(baselineLatency_, overallLatency_,
-         overallLatency_ < baselineLatency_ ? std::max(kLatencyGain, 1.0 / answers_) : kBaselineRiseGain);
+  util::smooth(usual, span, std::max(kLatencyGain, 1.0 / ++classAnswers_[request.requestClass]));
+  util::smooth(overallLatency_, span, std::max(kLatencyGain, 1.0 / answers_));
+  util::smooth(
+      baselineLatency_, overallLatency_,
+      overallLatency_ < baselineLatency_ ? std::max(kLatencyGain, 1.0 / answers_) : kBaselineRiseGain);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_LATENCY_STATISTICS_H_
-#define ORCHIDDRUM_BALANCER_LATENCY_STATISTICS_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_LATENCY_STATISTICS_H_
+#define IVYPOST_BALANCER_LATENCY_STATISTICS_H_
 
 #include <cstdint>
 #include <vector>
 
 #include "balancer/decay.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Weight of one sample in a smoothed figure that has many: about the last twenty count.
 constexpr double kLatencyGain = 0.05;
@@ -56,6 +56,6 @@
   double answers_ = 0;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_LATENCY_STATISTICS_H_
+#endif  // IVYPOST_BALANCER_LATENCY_STATISTICS_H_
--- a/src/balancer/load_information.h
+++ b/src/balancer/load_information.h
@@ -1,14 +1,14 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
-#define ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_LOAD_INFORMATION_H_
+#define IVYPOST_BALANCER_LOAD_INFORMATION_H_
 
 #include <cstddef>
 
 #include "balancer/latency_statistics.h"
 #include "balancer/send_rate.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// For so many sidecars or fewer each sees enough of the load: own requests in flight tell of the endpoints,
 /// a limit grows by one, and nobody needs to spread calls to discovery.
@@ -27,6 +27,6 @@
          kMinInFlightPerEndpoint * static_cast<double>(listed);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_LOAD_INFORMATION_H_
+#endif  // IVYPOST_BALANCER_LOAD_INFORMATION_H_
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/load_reports.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Overloaded is one with more in hand than it works on at once and so many times the root of that, for
@@ -29,8 +29,8 @@
 // that of calm times (Little's law).
 void LoadReports::learn(Endpoint& endpoint, const LoadReport& report) {
   if (report.cpuShare) {
-    endpoint.cpuShare = within(*report.cpuShare, 0, 1);
-    if (endpoint.zone == settings_.zone) smooth(ownZoneCpu_, *endpoint.cpuShare, kZoneCpuGain);
+    endpoint.cpuShare = util::within(*report.cpuShare, 0, 1);
+    if (endpoint.zone == settings_.zone) util::smooth(ownZoneCpu_, *endpoint.cpuShare, kZoneCpuGain);
   }
   if (!report.busyRequests) return;
   endpoint.hasReported = true;
@@ -46,7 +46,7 @@
   parallelism /= endpoint.size;
   if (!(parallelism > 0)) return;  // nothing, or not a number
   const double known = parallelism < parallelism_ ? kParallelismFallGain : kParallelismRiseGain;
-  smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : known);
+  util::smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : known);
 }
 
 bool LoadReports::isOverloaded(const Request& request, const Endpoint& endpoint,
@@ -61,4 +61,4 @@
   return parallelism > 0 && busy + 1 > parallelism + kQueueingTolerance * std::sqrt(parallelism);
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -1,13 +1,13 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_LOAD_REPORTS_H_
-#define ORCHIDDRUM_BALANCER_LOAD_REPORTS_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_LOAD_REPORTS_H_
+#define IVYPOST_BALANCER_LOAD_REPORTS_H_
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/latency_statistics.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// An answer is slow that took more than this part of its latency objective beyond the shortest from that
 /// endpoint: what is lost to queueing then begins to cost the objective.
@@ -41,6 +41,6 @@
   double ownZoneCpu_ = 0;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_LOAD_REPORTS_H_
+#endif  // IVYPOST_BALANCER_LOAD_REPORTS_H_
--- a/src/balancer/load_shedding.cpp
+++ b/src/balancer/load_shedding.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/load_shedding.h"
 
 #include <algorithm>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 void LoadShedding::hold(RequestId id, const Request& request, const EventContext& context) {
   held_.push_back(id);
@@ -24,7 +24,7 @@
   const double wait = latency_.overallLatency() *
                       (1 + static_cast<double>(held_.size() + 1) / std::max(1.0, sidecarLimit_.inFlight()));
   if (most < 1) return 0;
-  return static_cast<Micros>(within(wait * (0.5 + context.random.uniform()), 1, most));
+  return static_cast<Micros>(util::within(wait * (0.5 + context.random.uniform()), 1, most));
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
-#define ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_LOAD_SHEDDING_H_
+#define IVYPOST_BALANCER_LOAD_SHEDDING_H_
 
 #include <optional>
 #include <vector>
@@ -10,9 +10,9 @@
 #include "balancer/priority.h"
 #include "balancer/request.h"
 #include "balancer/sidecar_limit.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Requests that are held because nobody is ready for them, and what a rejected one is advised.
 ///
@@ -65,6 +65,6 @@
   std::vector<RequestId> held_;  // in the order they came to be held
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
+#endif  // IVYPOST_BALANCER_LOAD_SHEDDING_H_
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/outlier_detection.h"
 
 #include <algorithm>
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "balancer/endpoint_backoff.h"
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // The failure rate of an endpoint is smoothed with this weight for one outcome; this far above that of all
@@ -34,8 +34,8 @@
   const double failed = outcome == Outcome::Ok ? 0 : 1;
   endpoint.isAnswering = outcome == Outcome::Ok || outcome == Outcome::Error;
   const auto listed = static_cast<double>(std::max<std::size_t>(1, endpoints_.listed().size()));
-  smooth(fleetFailureRate_, failed, kFailureGain / listed);
-  smooth(endpoint.failureRate, failed, kFailureGain);
+  util::smooth(fleetFailureRate_, failed, kFailureGain / listed);
+  util::smooth(endpoint.failureRate, failed, kFailureGain);
   if (failed == 0) {
     endpoint.rejectionsInRow = 0;
     endpoint.lastServedAt = context.now;
@@ -94,4 +94,4 @@
   return true;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -1,14 +1,14 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_OUTLIER_DETECTION_H_
-#define ORCHIDDRUM_BALANCER_OUTLIER_DETECTION_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_OUTLIER_DETECTION_H_
+#define IVYPOST_BALANCER_OUTLIER_DETECTION_H_
 
 #include "balancer/endpoint_readiness.h"
 #include "balancer/endpoint_registry.h"
 #include "balancer/event_context.h"
 #include "balancer/latency_statistics.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Ejects endpoints that fail what they get (errors, resets, no connection, silence), by own attempts or by
 /// what enough other sidecars have found, and takes them back after trials.
@@ -41,6 +41,6 @@
   double fleetFailureRate_ = 0;  // smoothed over all endpoints, 0 to 1
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_OUTLIER_DETECTION_H_
+#endif  // IVYPOST_BALANCER_OUTLIER_DETECTION_H_
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/priority.h"
 
 #include <algorithm>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // A request is never given less than this part of the greatest weight.
@@ -28,7 +28,7 @@
 double Priority::relativeWeight(const Request& request) const {
   double most = 0;
   for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWeight(cls));
-  return within(weight(request) / most, kMinRelativeWeight, 1);
+  return util::within(weight(request) / most, kMinRelativeWeight, 1);
 }
 
 // By the request, or by its time to an answer where weight does not go by work; a class not answered yet
@@ -49,4 +49,4 @@
   totalUsage_ += 1;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_PRIORITY_H_
-#define ORCHIDDRUM_BALANCER_PRIORITY_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_PRIORITY_H_
+#define IVYPOST_BALANCER_PRIORITY_H_
 
 #include <cstdint>
 #include <vector>
 
 #include "balancer/latency_statistics.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// What a request weighs against others when not all can be served: by the weight of its class, which falls
 /// as far as its tenant has lately sent more than its share through this sidecar.
@@ -37,6 +37,6 @@
   Micros usageAt_ = 0;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_PRIORITY_H_
+#endif  // IVYPOST_BALANCER_PRIORITY_H_
--- a/src/balancer/random_source.h
+++ b/src/balancer/random_source.h
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_RANDOM_SOURCE_H_
-#define ORCHIDDRUM_BALANCER_RANDOM_SOURCE_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_RANDOM_SOURCE_H_
+#define IVYPOST_BALANCER_RANDOM_SOURCE_H_
 
 #include <cstdint>
 #include <random>
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// The balancer's one source of random numbers. The same seed gives the same numbers, so the order in which
 /// the decisions draw from it is part of the module's behaviour.
@@ -23,6 +23,6 @@
   std::mt19937_64 engine_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_RANDOM_SOURCE_H_
+#endif  // IVYPOST_BALANCER_RANDOM_SOURCE_H_
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_REQUEST_H_
-#define ORCHIDDRUM_BALANCER_REQUEST_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_REQUEST_H_
+#define IVYPOST_BALANCER_REQUEST_H_
 
 #include <cstdint>
 #include <optional>
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "balancer/endpoint_registry.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// One attempt of a request at an endpoint. Times are microseconds.
 struct Attempt {
@@ -50,6 +50,6 @@
 /// decides nothing.
 using RequestTable = std::unordered_map<RequestId, Request>;
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_REQUEST_H_
+#endif  // IVYPOST_BALANCER_REQUEST_H_
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -1,12 +1,12 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/request_estimates.h"
 
 #include <algorithm>
 
 #include "balancer/latency_statistics.h"
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // A request is never taken for this many times heavier or lighter than its class: hints of work are rough.
@@ -23,7 +23,7 @@
   request.latencyObjective = latencyObjectiveOf(event);
   request.relativeWork = relativeWork(event);
   request.timeliness = timeliness(event, request.latencyObjective);
-  request.deadline = now + std::clamp<Micros>(event.expiresIn, 0, kLongest);
+  request.deadline = now + std::clamp<Micros>(event.expiresIn, 0, util::kLongest);
   return request;
 }
 
@@ -39,7 +39,7 @@
   if (!event.work || *event.work <= 0) return 1;
   const auto work = static_cast<double>(*event.work);
   double& usual = typicalWork_[event.requestClass];
-  smooth(usual, work, usual > 0 ? kLatencyGain : 1);
+  util::smooth(usual, work, usual > 0 ? kLatencyGain : 1);
   return std::clamp(work / usual, 1 / kMaxRelativeWork, kMaxRelativeWork);
 }
 
@@ -50,11 +50,11 @@
   const RequestClass& cls = settings_.classes[event.requestClass];
   const auto span = static_cast<double>(event.expiresIn);
   double& usual = typicalPatience_[event.requestClass];
-  smooth(usual, span, kLatencyGain);
+  util::smooth(usual, span, kLatencyGain);
   usual = std::max(span, usual);
   const bool isShortened = span < kShortenedAttempt * usual;
   if (isShortened && cls.deadline - event.expiresIn >= latencyObjective) return cls.lateWorth;
   return isShortened || event.resent ? (1 + cls.lateWorth) / 2 : 1;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/request_estimates.h
+++ b/src/balancer/request_estimates.h
@@ -1,13 +1,13 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
-#define ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_REQUEST_ESTIMATES_H_
+#define IVYPOST_BALANCER_REQUEST_ESTIMATES_H_
 
 #include <vector>
 
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// What is known of a request as it arrives, by its hints and by those of its class before it.
 class RequestEstimates {
@@ -32,6 +32,6 @@
   std::vector<double> typicalWork_;  // smoothed hint of work, by class
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_REQUEST_ESTIMATES_H_
+#endif  // IVYPOST_BALANCER_REQUEST_ESTIMATES_H_
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/request_lifecycle.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 #include "balancer/endpoint_backoff.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Cancels every attempt that is out.
@@ -288,4 +288,4 @@
   }
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
-#define ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_REQUEST_LIFECYCLE_H_
+#define IVYPOST_BALANCER_REQUEST_LIFECYCLE_H_
 
 #include <cstddef>
 #include <vector>
@@ -8,9 +8,9 @@
 #include "balancer/decisions.h"
 #include "balancer/event_context.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// The way of every request from its arrival to its final answer: sent, held, probed for, sent again,
 /// answered.
@@ -66,6 +66,6 @@
   std::size_t open_ = 0;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
+#endif  // IVYPOST_BALANCER_REQUEST_LIFECYCLE_H_
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/retry_policy.h"
 
 #include <algorithm>
 
-#include "figures.h"
+#include "util/bounded_math.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // The retry budget where none is stated: so many repeats, and so many for each request taken, in this span.
@@ -20,8 +20,8 @@
 RetryBudget::RetryBudget(const Settings& settings)
     : stated_(settings.lookBack > 0),
       lookBack_(stated_ ? settings.lookBack : kRetryLookBack),
-      extraFloor_(stated_ ? within(settings.extraFloor, 0, kMaxBudget) : kRetryFloor),
-      furtherRatio_(stated_ ? within(settings.furtherRatio, 0, kMaxBudget) : kRetryRatio) {}
+      extraFloor_(stated_ ? util::within(settings.extraFloor, 0, kMaxBudget) : kRetryFloor),
+      furtherRatio_(stated_ ? util::within(settings.furtherRatio, 0, kMaxBudget) : kRetryRatio) {}
 
 void RetryBudget::forgetTaken(Micros now) {
   while (!taken_.empty() && taken_.front() <= now - lookBack_) taken_.pop_front();
@@ -85,4 +85,4 @@
   return false;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,15 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
-#define ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_RETRY_POLICY_H_
+#define IVYPOST_BALANCER_RETRY_POLICY_H_
 
 #include <deque>
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/request.h"
 #include "balancer/slow_start.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Whether the outcome proves that the attempt never ran.
 [[nodiscard]] inline bool provesNeverRan(Outcome outcome) {
@@ -97,6 +97,6 @@
   RetryBudget budget_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_RETRY_POLICY_H_
+#endif  // IVYPOST_BALANCER_RETRY_POLICY_H_
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -1,11 +1,11 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_SEND_RATE_H_
-#define ORCHIDDRUM_BALANCER_SEND_RATE_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_SEND_RATE_H_
+#define IVYPOST_BALANCER_SEND_RATE_H_
 
 #include "balancer/decay.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// How many attempts this sidecar has lately sent, faded exponentially over the time for which an idle
 /// connection is kept (Settings::idleClose; kDefaultIdleTime where that is unknown).
@@ -48,6 +48,6 @@
   Micros sendsAt_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_SEND_RATE_H_
+#endif  // IVYPOST_BALANCER_SEND_RATE_H_
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/sidecar_limit.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 #include "balancer/concurrency_limit.h"
 #include "balancer/endpoint_backoff.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // So many attempts in a row that meet overload (a rejection, a time-out, or an answer that took more than
@@ -62,4 +62,4 @@
   return working > 0 && working + 1 > limit_;
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -1,6 +1,6 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
-#define ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_SIDECAR_LIMIT_H_
+#define IVYPOST_BALANCER_SIDECAR_LIMIT_H_
 
 #include "balancer/endpoint_readiness.h"
 #include "balancer/endpoint_registry.h"
@@ -9,9 +9,9 @@
 #include "balancer/priority.h"
 #include "balancer/request.h"
 #include "balancer/send_rate.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// A limit and backoff of the whole sidecar, which bind it while it is without load information. Guards
 /// against storms when everybody is full: backoff and limits of single endpoints do not bind such a sidecar,
@@ -64,6 +64,6 @@
   double backoffFor_ = 0;    // ... for this long, in microseconds, a request of half the greatest weight
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
+#endif  // IVYPOST_BALANCER_SIDECAR_LIMIT_H_
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -1,7 +1,7 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "balancer/slow_start.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 namespace {
 
 // Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
@@ -34,4 +34,4 @@
   }
 }
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -1,14 +1,14 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#ifndef ORCHIDDRUM_BALANCER_SLOW_START_H_
-#define ORCHIDDRUM_BALANCER_SLOW_START_H_
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_BALANCER_SLOW_START_H_
+#define IVYPOST_BALANCER_SLOW_START_H_
 
 #include <algorithm>
 
 #include "balancer/endpoint_registry.h"
 #include "balancer/request.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum::internal {
+namespace ivypost::balancer::internal {
 
 /// Keeps an endpoint that is warming up, one that was launched less than Settings::coldFor ago, from being
 /// pushed over by all sidecars together.
@@ -50,6 +50,6 @@
   const Settings& settings_;
 };
 
-}  // namespace orchiddrum::internal
+}  // namespace ivypost::balancer::internal
 
-#endif  // ORCHIDDRUM_BALANCER_SLOW_START_H_
+#endif  // IVYPOST_BALANCER_SLOW_START_H_
--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -18,7 +18,7 @@
 
 #include "etcd.grpc.pb.h"
 #include "etcd/wire.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::etcd {
 namespace {
@@ -41,7 +41,7 @@
   if (path.empty()) return "";
   std::ifstream file(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-  if (!file || text.empty()) orchiddrum::bad(std::string(what) + " can't be read or is empty:", path);
+  if (!file || text.empty()) settings::bad(std::string(what) + " can't be read or is empty:", path);
   return text;
 }
 
@@ -425,7 +425,7 @@
     Files files = readFiles(options_);
     if (files == files_) return;
     files_ = std::move(files);
-  } catch (const orchiddrum::FormatError& error) {
+  } catch (const settings::FormatError& error) {
     return callbacks_.log(std::string("etcd: ") + error.what() + "; the old one stays");
   }
   callbacks_.log("etcd: certificates or password have changed and are taken");
--- a/src/etcd/client.h
+++ b/src/etcd/client.h
@@ -24,7 +24,7 @@
     std::function<void(const std::string&)> log;  // one line
   };
 
-  // Throws orchiddrum::FormatError, one line, for a file of the options that can't be read or is empty. `io`
+  // Throws settings::FormatError, one line, for a file of the options that can't be read or is empty. `io`
   // has to outlive it.
   Client(boost::asio::io_context& io, const Options& options, Callbacks callbacks);
   // Ends all calls, and waits for the few milliseconds until gRPC has let go of them. Nobody is called back
--- a/src/etcd/entries.cpp
+++ b/src/etcd/entries.cpp
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::etcd {
 
-using orchiddrum::bad;
+using settings::bad;
 
 std::optional<std::string> idOf(std::string_view prefix, std::string_view key) {
   if (key.substr(0, prefix.size()) != prefix) return std::nullopt;
@@ -28,7 +28,7 @@
     if (!item.contains("instanceId")) item["instanceId"] = id;
     Instance instance = toInstance(item);
     if (instance.id != id) bad("the value names another instance:", instance.id);
-    if (instance.state == orchiddrum::UpstreamState::Gone) bad("a key can't say that it is", "removed");
+    if (instance.state == balancer::UpstreamState::Gone) bad("a key can't say that it is", "removed");
     return instance;
   } catch (const nlohmann::json::exception& error) {
     bad("the value is no instance:", error.what());
--- a/src/etcd/entries.h
+++ b/src/etcd/entries.h
@@ -20,7 +20,7 @@
 // with control characters, over kMaxId).
 std::optional<std::string> idOf(std::string_view prefix, std::string_view key);
 
-// Throws orchiddrum::FormatError with one line for a value that is no JSON, too long, or no instance (also
+// Throws settings::FormatError with one line for a value that is no JSON, too long, or no instance (also
 // one whose lifecycle is "removed": an instance that has gone is a key that has gone).
 Instance toEntry(const std::string& id, const std::string& value);
 
--- a/src/etcd/follower.cpp
+++ b/src/etcd/follower.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "etcd/entries.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::etcd {
 namespace {
@@ -342,7 +342,7 @@
   if (before == after) return;
   if (!after) {
     after = std::move(before);
-    after->state = orchiddrum::UpstreamState::Gone;
+    after->state = balancer::UpstreamState::Gone;
   }
   std::string id = after->id;
   changed.insert_or_assign(std::move(id), *std::move(after));
@@ -353,9 +353,9 @@
   if (held.created != kv.createRevision) held.instance.reset();
   try {
     const auto id = idOf(prefix_, kv.key);
-    if (!id) orchiddrum::bad("the key names no instance:", shown(kv.key));
+    if (!id) settings::bad("the key names no instance:", shown(kv.key));
     held.instance = toEntry(*id, kv.value);
-  } catch (const orchiddrum::FormatError& error) {
+  } catch (const settings::FormatError& error) {
     if (badReports_++ < kMaxBadReports)
       report("etcd: " + shown(kv.key) + " stays as it was: " + error.what());
   }
--- a/src/etcd/follower.h
+++ b/src/etcd/follower.h
@@ -29,8 +29,8 @@
 
 #include "etcd/messages.h"
 #include "etcd/options.h"
-#include "figures.h"
 #include "membership/source.h"
+#include "util/bounded_math.h"
 
 namespace ivypost::etcd {
 
@@ -216,7 +216,7 @@
   Micros phaseUntil_ = 0;   // of Waiting and Opening
   std::size_t endpoint_;
   std::uint64_t lastNumber_ = 0;  // of calls and streams
-  orchiddrum::DecorrelatedJitter backoff_;
+  util::DecorrelatedJitter backoff_;
   bool failing_ = false;  // since the last audit that agreed
   bool fetching_ = false;
 
--- a/src/etcd/source.cpp
+++ b/src/etcd/source.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::etcd {
 namespace {
@@ -18,7 +18,7 @@
 }
 
 const Options& checked(const Options& options) {
-  if (const auto flaw = flawOf(options)) throw orchiddrum::FormatError("etcd: " + *flaw);
+  if (const auto flaw = flawOf(options)) throw settings::FormatError("etcd: " + *flaw);
   return options;
 }
 
--- a/src/etcd/source.h
+++ b/src/etcd/source.h
@@ -19,7 +19,7 @@
 
 class Source final : public membership::Source {
  public:
-  // `log` gets one line at a time. Throws orchiddrum::FormatError, one line, for options with a flaw or files
+  // `log` gets one line at a time. Throws settings::FormatError, one line, for options with a flaw or files
   // that can't be read.
   Source(boost::asio::io_context& io, const Options& options, std::uint64_t seed, Callbacks callbacks,
          std::function<void(const std::string&)> log);
--- a/src/membership/instance.cpp
+++ b/src/membership/instance.cpp
@@ -9,13 +9,13 @@
 #include <set>
 #include <string_view>
 
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost {
 namespace {
 
 using nlohmann::json;
-using orchiddrum::bad;
+using settings::bad;
 
 constexpr double kMaxWeight = 1e6;
 
@@ -38,22 +38,22 @@
   if (item.contains("cell") && !item["cell"].is_null()) instance.cell = item["cell"].get<std::uint32_t>();
   const auto state = item.at("lifecycle").get<std::string>();
   if (state == "up") {
-    instance.state = orchiddrum::UpstreamState::Serving;
+    instance.state = balancer::UpstreamState::Serving;
   } else if (state == "draining") {
-    instance.state = orchiddrum::UpstreamState::Draining;
+    instance.state = balancer::UpstreamState::Draining;
   } else if (state == "removed") {
-    instance.state = orchiddrum::UpstreamState::Gone;
+    instance.state = balancer::UpstreamState::Gone;
   } else {
     bad("unknown lifecycle", state);
   }
   // One that is removed has no use for an address.
-  if (instance.state != orchiddrum::UpstreamState::Gone || item.contains("hostPort"))
+  if (instance.state != balancer::UpstreamState::Gone || item.contains("hostPort"))
     instance.address = parseEndpoint(item.at("hostPort").get<std::string>());
   instance.weight = item.value("weight", 1.0);
   if (!std::isfinite(instance.weight) || instance.weight < 0 || instance.weight > kMaxWeight)
     bad("weight is out of range:", item["weight"].dump());
   instance.startedAtMs = item.value("startedAtMs", std::int64_t{0});
-  if (instance.startedAtMs < 0 || instance.startedAtMs > orchiddrum::kMaxTime / 1000)
+  if (instance.startedAtMs < 0 || instance.startedAtMs > settings::kMaxTime / 1000)
     bad("startedAtMs is out of range:", item["startedAtMs"].dump());
   return instance;
 }
--- a/src/membership/instance.h
+++ b/src/membership/instance.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
 namespace ivypost {
 
@@ -22,7 +22,7 @@
   Endpoint address;
   std::string zone, kind;
   std::optional<std::uint32_t> cell;
-  orchiddrum::UpstreamState state = orchiddrum::UpstreamState::Serving;
+  balancer::UpstreamState state = balancer::UpstreamState::Serving;
   double weight = 1;
   std::int64_t startedAtMs = 0;  // Unix time; 0: long ago
 
@@ -38,7 +38,7 @@
   std::optional<std::int64_t> previousUntil = std::nullopt;
 };
 
-// All of these throw orchiddrum::FormatError with a message for one line of the log; those that take JSON may
+// All of these throw settings::FormatError with a message for one line of the log; those that take JSON may
 // throw nlohmann::json::exception for a member that is missing or of another type.
 
 // The form of the platform's discovery (docs of its protocol, "Discovery").
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -12,9 +12,9 @@
 #include <memory>
 #include <random>
 
-#include "figures.h"
 #include "membership/handover.h"
 #include "membership/source.h"
+#include "util/bounded_math.h"
 
 namespace ivypost::membership {
 
@@ -52,7 +52,7 @@
   std::unique_ptr<Source> current_, next_;
   boost::asio::steady_timer again_;
   std::mt19937_64 random_;
-  orchiddrum::DecorrelatedJitter wait_;
+  util::DecorrelatedJitter wait_;
 };
 
 }  // namespace ivypost::membership
--- a/src/membership/platform.cpp
+++ b/src/membership/platform.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "network/nonblocking_io.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::membership {
 namespace {
@@ -206,8 +206,8 @@
   try {
     list = parseInstances(text);
     if ((fetching_ || !generation_ || doubted_) && !list.whole)
-      throw orchiddrum::FormatError("the whole list was asked for, and not sent");
-  } catch (const orchiddrum::FormatError& error) {
+      throw settings::FormatError("the whole list was asked for, and not sent");
+  } catch (const settings::FormatError& error) {
     return failed(error.what());
   }
   // Guards against a copy of discovery that lags behind, and would bring removed upstreams back. Where the
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -12,7 +12,7 @@
 
 namespace ivypost::membership {
 
-using Micros = orchiddrum::Micros;
+using Micros = balancer::Micros;
 
 // What a source can say of its list at a moment.
 struct Freshness {
--- a/src/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,5 +1,5 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#include "settings.h"
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "settings/settings.h"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 
 #include "util/fnv1a.h"
 
-namespace orchiddrum {
+namespace ivypost::settings {
 
 void bad(std::string_view what, std::string_view value) {
   throw FormatError(std::string(what) + " '" + std::string(value.substr(0, 80)) + "'");
@@ -68,17 +68,17 @@
   return names;
 }
 
-Semantics toSemantics(std::string_view value) {
-  if (value == "free") return Semantics::Idempotent;
-  if (value == "guarded") return Semantics::Keyed;
-  if (value == "single_shot") return Semantics::Unsafe;
+balancer::Semantics toSemantics(std::string_view value) {
+  if (value == "free") return balancer::Semantics::Idempotent;
+  if (value == "guarded") return balancer::Semantics::Keyed;
+  if (value == "single_shot") return balancer::Semantics::Unsafe;
   bad("unknown semantics", value);
 }
 
-RepeatGroup toGroup(std::string_view value) {
-  if (value == "all") return RepeatGroup::All;
-  if (value == "zone") return RepeatGroup::Zone;
-  if (value == "cell") return RepeatGroup::Cell;
+balancer::RepeatGroup toGroup(std::string_view value) {
+  if (value == "all") return balancer::RepeatGroup::All;
+  if (value == "zone") return balancer::RepeatGroup::Zone;
+  if (value == "cell") return balancer::RepeatGroup::Cell;
   bad("unknown repeat group", value);
 }
 
@@ -134,12 +134,12 @@
   return value && toFlag(key, *value);
 }
 
-RequestId Line::request(std::string_view key) const {
+balancer::RequestId Line::request(std::string_view key) const {
   const std::string_view value = text(key);
-  RequestId id = 0;
+  balancer::RequestId id = 0;
   for (const char c : value) {
     if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'))) bad("request id is not lower-case hex:", value);
-    id = id << 4 | static_cast<RequestId>(c <= '9' ? c - '0' : c - 'a' + 10);
+    id = id << 4 | static_cast<balancer::RequestId>(c <= '9' ? c - '0' : c - 'a' + 10);
   }
   if (value.size() != 16) bad("request id has not 16 digits:", value);
   return id;
@@ -149,11 +149,11 @@
   Site site;
   site.zones = numbered(create, "zones");
   site.kinds = numbered(create, "skus");
-  Settings& s = site.settings;
+  balancer::Settings& s = site.settings;
   const std::int64_t classes = create.integer("classes.count", 1, 10'000);
   for (std::int64_t n = 0; n < classes; ++n) {
     const std::string at = "classes." + std::to_string(n) + ".";
-    RequestClass c;
+    balancer::RequestClass c;
     c.aim = create.integer(at + "aim", 1, kMaxTime);
     c.aimStretch = create.number(at + "aimStretch", 0);
     c.deadline = create.integer(at + "deadline", 1, kMaxTime);
@@ -207,12 +207,12 @@
   s.probePrice = create.number("prices.probe", 0);
   s.wastePrice = create.number("prices.waste", 0);
   const std::string_view how = create.find("report.how").value_or("none");
-  s.reports = how == "answers" ? ReportSource::Answers
-              : how == "probe" ? ReportSource::Probes
-                               : ReportSource::None;
+  s.reports = how == "answers" ? balancer::ReportSource::Answers
+              : how == "probe" ? balancer::ReportSource::Probes
+                               : balancer::ReportSource::None;
   for (const std::string_view column : split(create.find("report.columns").value_or(""), ',')) {
     site.columns.push_back(toColumn(column));
-    s.reportsBusy |= site.columns.back() == ReportColumn::BusyRequests;
+    s.reportsBusy |= site.columns.back() == balancer::ReportColumn::BusyRequests;
   }
   s.answerSlack = create.integer("contract.answerSlack", 0, kMaxTime, 0);
   s.askWithin = create.integer("contract.askWithin", 0, kMaxTime, 0);
@@ -229,37 +229,37 @@
 }
 
 // The settings' words first, then those that upstreams use on sockets.
-std::optional<ReportColumn> toColumn(std::string_view name) {
-  if (name == "busy_reqs" || name == "inflight") return ReportColumn::BusyRequests;
-  if (name == "pending" || name == "queue") return ReportColumn::Queued;
-  if (name == "cpu_share" || name == "util") return ReportColumn::CpuShare;
-  if (name == "svc_ms" || name == "latency_ms") return ReportColumn::ServiceMillis;
-  if (name == "served_ps" || name == "qps") return ReportColumn::ServedPerSecond;
-  if (name == "failed_ps" || name == "eps") return ReportColumn::FailedPerSecond;
+std::optional<balancer::ReportColumn> toColumn(std::string_view name) {
+  if (name == "busy_reqs" || name == "inflight") return balancer::ReportColumn::BusyRequests;
+  if (name == "pending" || name == "queue") return balancer::ReportColumn::Queued;
+  if (name == "cpu_share" || name == "util") return balancer::ReportColumn::CpuShare;
+  if (name == "svc_ms" || name == "latency_ms") return balancer::ReportColumn::ServiceMillis;
+  if (name == "served_ps" || name == "qps") return balancer::ReportColumn::ServedPerSecond;
+  if (name == "failed_ps" || name == "eps") return balancer::ReportColumn::FailedPerSecond;
   return std::nullopt;
 }
 
-void setColumn(LoadReport& report, ReportColumn column, double value) {
+void setColumn(balancer::LoadReport& report, balancer::ReportColumn column, double value) {
   switch (column) {
-    case ReportColumn::BusyRequests:
+    case balancer::ReportColumn::BusyRequests:
       report.busyRequests = value;
       break;
-    case ReportColumn::Queued:
+    case balancer::ReportColumn::Queued:
       report.queued = value;
       break;
-    case ReportColumn::CpuShare:
+    case balancer::ReportColumn::CpuShare:
       report.cpuShare = value;
       break;
-    case ReportColumn::ServiceMillis:
+    case balancer::ReportColumn::ServiceMillis:
       report.serviceMillis = value;
       break;
-    case ReportColumn::ServedPerSecond:
+    case balancer::ReportColumn::ServedPerSecond:
       report.servedPerSecond = value;
       break;
-    case ReportColumn::FailedPerSecond:
+    case balancer::ReportColumn::FailedPerSecond:
       report.failedPerSecond = value;
       break;
   }
 }
 
-}  // namespace orchiddrum
+}  // namespace ivypost::settings
--- a/src/settings.h
+++ b/src/settings/settings.h
@@ -1,9 +1,9 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // What the simulator's wire and the real sidecar's configuration share: lines of name=value pairs, and the
 // one place that knows the settings by name and unit.
-#ifndef ORCHIDDRUM_SETTINGS_H_
-#define ORCHIDDRUM_SETTINGS_H_
+#ifndef IVYPOST_SETTINGS_SETTINGS_H_
+#define IVYPOST_SETTINGS_SETTINGS_H_
 
 #include <map>
 #include <optional>
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum {
+namespace ivypost::settings {
 
 constexpr std::int64_t kMaxTime = std::int64_t{1} << 53;
 constexpr std::int64_t kMaxCount = 1'000'000'000;
@@ -46,7 +46,7 @@
   std::int64_t integer(std::string_view key, std::int64_t low, std::int64_t high, std::int64_t absent) const;
   double number(std::string_view key, double absent) const;
   bool flag(std::string_view key) const;
-  RequestId request(std::string_view key) const;
+  balancer::RequestId request(std::string_view key) const;
 
  private:
   std::string_view name_;
@@ -55,16 +55,17 @@
 
 // The settings of one sidecar, with the names and columns that its messages use.
 struct Site {
-  Settings settings;
+  balancer::Settings settings;
   Numbering classes, tenants, zones, kinds;
-  std::vector<std::optional<ReportColumn>> columns;  // of a load report, in its order; none: unknown
+  std::vector<std::optional<balancer::ReportColumn>>
+      columns;  // of a load report, in its order; none: unknown
   // What was told and can't be meant, and what is taken instead: a line each, for the program's log.
   std::vector<std::string> remarks;
 };
 Site readSite(const Line& create);
-std::optional<ReportColumn> toColumn(std::string_view name);
-void setColumn(LoadReport& report, ReportColumn column, double value);
+std::optional<balancer::ReportColumn> toColumn(std::string_view name);
+void setColumn(balancer::LoadReport& report, balancer::ReportColumn column, double value);
 
-}  // namespace orchiddrum
+}  // namespace ivypost::settings
 
-#endif  // ORCHIDDRUM_SETTINGS_H_
+#endif  // IVYPOST_SETTINGS_SETTINGS_H_
--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -27,7 +27,7 @@
 };
 
 struct ClientRequest {
-  orchiddrum::RequestId id = 0;  // the server's own number, never given twice; a client's may come again
+  balancer::RequestId id = 0;  // the server's own number, never given twice; a client's may come again
   std::uint32_t requestClass = 0;
   std::optional<std::uint32_t> tenant;
   std::optional<std::uint64_t> key;
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 using nlohmann::json;
-using orchiddrum::bad;
-using orchiddrum::FormatError;
+using settings::bad;
+using settings::FormatError;
 
 // Descriptors of the process itself: its log, the loop's own, signals, what it listens on, discovery, files.
 constexpr double kOwnSockets = 16;
@@ -175,7 +175,7 @@
     std::string line = "settings";
     const json& settings = file.at("settings");
     flatten(settings, "", line);
-    config.site = orchiddrum::readSite(orchiddrum::Line(line));
+    config.site = settings::readSite(settings::Line(line));
     config.listener = toListener(config.listen, config.site.remarks);
     readPeers(file, config);
     if (file.contains("known")) config.known = toKnown(file["known"], config.site.remarks);
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -11,12 +11,12 @@
 
 #include "membership/instance.h"
 #include "peers/message.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost {
 
-using orchiddrum::Micros;
-using orchiddrum::UpstreamId;
+using balancer::Micros;
+using balancer::UpstreamId;
 
 struct Config {
   std::string name;
@@ -34,7 +34,7 @@
   double memoryMb = 192;              // that the process may use
   std::size_t sockets = 1024;         // file descriptors that the process may hold
   std::optional<InstanceList> known;  // none: there was none, or it could not be read
-  orchiddrum::Site site;
+  settings::Site site;
   std::vector<std::string> classNames;  // by number
 
   // Descriptors that connections of clients and to upstreams may hold. The rest is the process's own, and the
@@ -44,7 +44,7 @@
   std::size_t relayBytes() const;
 };
 
-// All of these throw orchiddrum::FormatError with a message for one line of the log.
+// All of these throw settings::FormatError with a message for one line of the log.
 Config readConfig();  // from the environment and the file that it names
 Config parseConfig(const std::string& text);
 
--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -11,8 +11,8 @@
 namespace ivypost {
 namespace {
 
-using orchiddrum::bad;
-using orchiddrum::Outcome;
+using balancer::Outcome;
+using settings::bad;
 
 // Members and judgements that GET /status/peers tells at the most.
 constexpr std::size_t kShown = 256;
@@ -73,7 +73,7 @@
   try {
     return {settings, listen.value_or(settings.address), peers::Seal::read(options.keyFile)};
   } catch (const std::runtime_error& error) {
-    throw orchiddrum::FormatError(error.what());
+    throw settings::FormatError(error.what());
   }
 }
 
@@ -178,7 +178,7 @@
   for (const Listed& one : listed) {
     if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
     const auto said = healthReports_.summarize(one.incarnation, heard, timePoint(at));
-    orchiddrum::Hearsay hearsay;
+    balancer::Hearsay hearsay;
     hearsay.upstream = one.upstream;
     hearsay.launchedAt = one.launchedAt;
     hearsay.sidecars = static_cast<std::uint32_t>(members.heard());
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/fleet_view.h
@@ -22,7 +22,7 @@
 #include "clock.h"
 #include "config.h"
 #include "health_reports/health_report_table.h"
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 #include "peers/options.h"
 #include "peers/peers_io.h"
 
@@ -43,7 +43,7 @@
   };
   struct Callbacks {
     std::function<std::vector<Listed>()> listed;
-    std::function<void(const orchiddrum::Hearsay&)> hearsay;
+    std::function<void(const balancer::Hearsay&)> hearsay;
     std::function<void(const std::string&)> log;
   };
   // What the options come to for this sidecar.
@@ -53,14 +53,14 @@
     peers::Seal seal;
   };
 
-  // Throws orchiddrum::FormatError, one line that names the key and the mend, where they can't be used here:
+  // Throws settings::FormatError, one line that names the key and the mend, where they can't be used here:
   // no own address, or a key file that can't be read.
   static Place placeOf(const peers::Options& options, const Config& config);
 
   FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks);
 
   // The end of an attempt at an upstream in this life, so long after it was sent.
-  void attempted(const health_reports::Incarnation& incarnation, orchiddrum::Outcome outcome, Micros lag);
+  void attempted(const health_reports::Incarnation& incarnation, balancer::Outcome outcome, Micros lag);
   // This sidecar ends, or the operator has switched it off.
   void leave();
 
--- a/src/sidecar/gate.cpp
+++ b/src/sidecar/gate.cpp
@@ -10,7 +10,7 @@
 
 using admission::Decision;
 using admission::Verdict;
-using orchiddrum::RequestId;
+using balancer::RequestId;
 
 // The least that a client is told to stay away, where it may be told: a turn of the queue's overload.
 constexpr Micros kLeastAway = 100'000;
@@ -50,7 +50,7 @@
   for (std::size_t n = 0; n < order.size(); ++n) {
     const auto found = config_.site.classes.find(order[n]);
     if (found == config_.site.classes.end())
-      orchiddrum::bad("admission.order names a class that the platform doesn't have:", order[n]);
+      settings::bad("admission.order names a class that the platform doesn't have:", order[n]);
     worth.at(found->second) = most + static_cast<double>(order.size() - n);
   }
   return worth;
--- a/src/sidecar/gate.h
+++ b/src/sidecar/gate.h
@@ -27,10 +27,10 @@
  public:
   struct Callbacks {
     std::function<void(ClientRequest)> handOn;
-    std::function<void(orchiddrum::RequestId, admission::Verdict)> refuse;
+    std::function<void(balancer::RequestId, admission::Verdict)> refuse;
   };
 
-  // Throws orchiddrum::FormatError for an order with a class that the platform doesn't have.
+  // Throws settings::FormatError for an order with a class that the platform doesn't have.
   Gate(boost::asio::io_context& io, const Config& config, const op::File& file, Callbacks callbacks);
   Gate(const Gate&) = delete;
   Gate& operator=(const Gate&) = delete;
@@ -46,7 +46,7 @@
   // `crowded`: there is no place for one more, so the least worthy is refused for it.
   void offer(ClientRequest request, bool crowded);
   // Its client left or was answered. False if it does not wait here.
-  bool withdraw(orchiddrum::RequestId id);
+  bool withdraw(balancer::RequestId id);
   // Since it was handed on.
   void served(Micros took) { answer_.add(took, now()); }
 
@@ -81,7 +81,7 @@
     ClientRequest request;
     admission::Waiting waiting;
   };
-  std::unordered_map<orchiddrum::RequestId, Held> held_;
+  std::unordered_map<balancer::RequestId, Held> held_;
   degradation::Restrictions restrictions_;
   std::int64_t handedOn_ = 0;  // in this turn of the loop
   bool turnSet_ = false;
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -26,9 +26,9 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using asio::ip::tcp;
+using balancer::RequestId;
+using balancer::Semantics;
 using beast::error_code;
-using orchiddrum::RequestId;
-using orchiddrum::Semantics;
 using std::chrono::milliseconds;
 
 // The server answers by itself when the module's answer is this much late.
@@ -1015,8 +1015,8 @@
   }
   if (!effects_.takes) return refusal("refused: clients are sent away");
   if (repeatsAHeader(message)) return plain(400, "a header stands there twice");
-  const orchiddrum::Site& site = config_.site;
-  const auto parts = orchiddrum::split(path.substr(path.empty() ? 0 : 1), '/');
+  const settings::Site& site = config_.site;
+  const auto parts = settings::split(path.substr(path.empty() ? 0 : 1), '/');
   const auto inPath = parts.empty() ? site.classes.end() : site.classes.find(parts.front());
   const auto qos = header(message, "X-Qos");
   const auto named = qos ? site.classes.find(*qos) : site.classes.end();
@@ -1056,7 +1056,7 @@
     request.work = toNumber<Micros>(*hint);
     if (!request.work || *request.work < 0) return plain(400, "X-Size-Hint is no time in microseconds");
   }
-  if (parts.size() > 1) request.key = orchiddrum::identity(parts.back());
+  if (parts.size() > 1) request.key = settings::identity(parts.back());
   request.resent = header(message, "X-Second-Try").value_or("") == "1";
   request.arrived = Clock::now() - unread;
   if (unread > milliseconds(0) && request.expiresIn == 0)
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -44,7 +44,7 @@
   struct Callbacks {
     std::function<void(ClientRequest)> taken;
     // The client has left, or the deadline passed with no answer and the server gave one itself.
-    std::function<void(orchiddrum::RequestId)> over;
+    std::function<void(balancer::RequestId)> over;
     // What GET /status/level and /status/peers answer, as JSON; asked only where the operator has switched it
     // on.
     std::function<std::string()> status, peers;
@@ -62,12 +62,12 @@
   ~Server();
 
   // Gives the request its final answer. Ignored when the request is over.
-  void answer(orchiddrum::RequestId id, Answer answer);
+  void answer(balancer::RequestId id, Answer answer);
 
   // Whether nobody waits for this request's answer any more: it is over, or the client has closed or reset
   // its connection or ended its sending, as the kernel knows it now (one system call). A connection that was
   // left is closed soon after, from the loop, which ends the request.
-  bool isClientGone(orchiddrum::RequestId id);
+  bool isClientGone(balancer::RequestId id);
 
   // What holds from now on.
   void follow(const lifecycle::Effects& effects);
@@ -104,7 +104,7 @@
   Answer refusal(std::string text) const;
   // From the head alone: the refusal of a request whose body need not be read.
   std::optional<Answer> refusesFromHead(const RequestHead& head, std::chrono::milliseconds unread) const;
-  void over(orchiddrum::RequestId id);
+  void over(balancer::RequestId id);
   bool full() const;
 
   boost::asio::io_context& io_;
@@ -124,8 +124,8 @@
   bool tending_ = false;
   admission::VisitorId lastVisitor_ = 0;
   std::unordered_map<admission::VisitorId, std::shared_ptr<Session>> sessions_;
-  orchiddrum::RequestId lastId_ = 0;
-  std::unordered_map<orchiddrum::RequestId, std::shared_ptr<Session>> open_;
+  balancer::RequestId lastId_ = 0;
+  std::unordered_map<balancer::RequestId, std::shared_ptr<Session>> open_;
   admission::TraceIds traces_;
 };
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 namespace asio = boost::asio;
-using orchiddrum::MembershipUpdate;
-using orchiddrum::Outcome;
-using orchiddrum::RequestId;
+using balancer::MembershipUpdate;
+using balancer::Outcome;
+using balancer::RequestId;
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
@@ -44,7 +44,7 @@
 }
 
 // None: the settings name no class.
-std::optional<Micros> longestDeadline(const orchiddrum::Settings& settings) {
+std::optional<Micros> longestDeadline(const balancer::Settings& settings) {
   std::optional<Micros> longest;
   for (const auto& cls : settings.classes) longest = std::max(longest.value_or(0), cls.deadline);
   return longest;
@@ -165,8 +165,8 @@
   membership_.begin([&](membership::Source::Callbacks callbacks) -> std::unique_ptr<membership::Source> {
     if (wanted.source == From::Etcd) {
       if (!makeEtcd_)
-        orchiddrum::bad("membership.source: this program is built without etcd, ivypost-etcd is with it:",
-                        "etcd");
+        settings::bad("membership.source: this program is built without etcd, ivypost-etcd is with it:",
+                      "etcd");
       return makeEtcd_(io_, wanted.etcd, config_.seed, std::move(callbacks));
     }
     membership::Platform::Settings settings;
@@ -186,8 +186,8 @@
 
 // ---- Events -----------------------------------------------------------------------------------------------
 
-void Sidecar::handle(const orchiddrum::Event& event) {
-  std::vector<orchiddrum::Action> actions;
+void Sidecar::handle(const balancer::Event& event) {
+  std::vector<balancer::Action> actions;
   const Micros at = now();
   balancer_.handle(event, at, actions);
   for (const auto& action : actions) {
@@ -197,7 +197,7 @@
 }
 
 void Sidecar::onTaken(ClientRequest client) {
-  orchiddrum::NewRequest event;
+  balancer::NewRequest event;
   event.request = client.id;
   event.requestClass = client.requestClass;
   event.tenant = client.tenant;
@@ -216,7 +216,7 @@
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   found->second.over = true;
-  handle(orchiddrum::Withdrawn{id});
+  handle(balancer::Withdrawn{id});
   upstreams_.withdraw(id);
   forget(id);
 }
@@ -237,7 +237,7 @@
     fleet_->attempted(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
-  orchiddrum::AttemptOutcome event;
+  balancer::AttemptOutcome event;
   event.request = end.id.request;
   event.attempt = end.id.number;
   event.upstream = attempt.upstream;
@@ -262,7 +262,7 @@
 void Sidecar::onBegan(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
   if (found == requests_.end() || found->second.over) return begin.body->abandon();
-  handle(orchiddrum::AttemptStarted{begin.id.request, begin.id.number});
+  handle(balancer::AttemptStarted{begin.id.request, begin.id.number});
   Answer answer;
   answer.status = 200;
   if (!begin.contentType.empty()) answer.contentType = std::move(begin.contentType);
@@ -272,7 +272,7 @@
 }
 
 void Sidecar::onProbed(const ProbeEnd& end) {
-  orchiddrum::ProbeResult event;
+  balancer::ProbeResult event;
   event.upstream = end.upstream;
   event.ok = end.ok;
   event.lag = duration_cast<microseconds>(end.lag).count();
@@ -293,8 +293,8 @@
     Instance overlaid;
     if (!exclusions_.isEmpty()) overlaid = overlay(told);
     const Instance& instance = exclusions_.isEmpty() ? told : overlaid;
-    if (instance.state == orchiddrum::UpstreamState::Gone && ids_.count(instance.id) == 0) continue;
-    orchiddrum::UpstreamEntry entry;
+    if (instance.state == balancer::UpstreamState::Gone && ids_.count(instance.id) == 0) continue;
+    balancer::UpstreamEntry entry;
     entry.upstream = intern(instance.id);
     // A zone or a kind that the settings don't name tells nothing, but the upstream can serve.
     if (const auto zone = site.zones.find(instance.zone); zone != site.zones.end()) entry.zone = zone->second;
@@ -302,7 +302,7 @@
     entry.cell = instance.cell;
     entry.state = instance.state;
     entry.size = instance.weight;
-    entry.identity = orchiddrum::identity(instance.id);
+    entry.identity = settings::identity(instance.id);
     Known& known = known_[entry.upstream];
     if (known.startedAtMs != instance.startedAtMs)
       known.launchedAt = starts_.startOf(entry.identity, instance.startedAtMs);
@@ -311,22 +311,22 @@
     known.address = instance.address;
     known.startedAtMs = instance.startedAtMs;
     if (config_.console) known.told = told;  // only operators' calls need it
-    known.listed = instance.state != orchiddrum::UpstreamState::Gone;
+    known.listed = instance.state != balancer::UpstreamState::Gone;
     if (known.listed && !takesItsAddress(entry.upstream, update)) {
       known.listed = false;
-      entry.state = orchiddrum::UpstreamState::Gone;
+      entry.state = balancer::UpstreamState::Gone;
     }
     if (known.listed) upstreams_.setAddress(entry.upstream, instance.address);
     update.entries.push_back(entry);
   }
   // It is followed all the same: what drains or is gone gets nothing new, whatever is left.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
-    return entry.state == orchiddrum::UpstreamState::Serving;
+    return entry.state == balancer::UpstreamState::Serving;
   });
   if (list.whole && !anyUp) std::fprintf(stderr, "the whole list names no upstream that is up\n");
   handle(update);
   for (const auto& entry : update.entries) {
-    if (entry.state != orchiddrum::UpstreamState::Draining) continue;
+    if (entry.state != balancer::UpstreamState::Draining) continue;
     upstreams_.takeBack(entry.upstream);
     if (exclusions_.isExcluded(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
   }
@@ -339,7 +339,7 @@
 
 void Sidecar::onTimer() {
   armedFor_ = Clock::time_point::max();
-  handle(orchiddrum::TimerDue{});
+  handle(balancer::TimerDue{});
 }
 
 // ---- Operators
@@ -365,8 +365,8 @@
 // An entry as the module hears of it: out by hand is a drain, back by hand a start.
 Instance Sidecar::overlay(const Instance& told) const {
   Instance overlaid = told;
-  if (overlaid.state == orchiddrum::UpstreamState::Serving && exclusions_.isExcluded(overlaid.id))
-    overlaid.state = orchiddrum::UpstreamState::Draining;
+  if (overlaid.state == balancer::UpstreamState::Serving && exclusions_.isExcluded(overlaid.id))
+    overlaid.state = balancer::UpstreamState::Draining;
   const auto start = exclusions_.effectiveStart(overlaid.id, wallTime(overlaid.startedAtMs));
   overlaid.startedAtMs = start.time_since_epoch().count();
   return overlaid;
@@ -489,11 +489,11 @@
   return std::make_unique<FleetView>(
       io_, FleetView::placeOf(options, config_), config_.seed,
       FleetView::Callbacks{[this] { return listed(); },
-                           [this](const orchiddrum::Hearsay& hearsay) { handle(hearsay); }, log});
+                           [this](const balancer::Hearsay& hearsay) { handle(hearsay); }, log});
 }
 
 health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
-  return {orchiddrum::identity(known.id),
+  return {settings::identity(known.id),
           health_reports::WallTime(std::chrono::milliseconds(known.startedAtMs))};
 }
 
@@ -512,7 +512,7 @@
 void Sidecar::onLevel(degradation::Level level) {
   const degradation::Restrictions restrictions = degradation::restrictionsAt(level);
   server_.gate().reduce(restrictions);
-  handle(orchiddrum::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
+  handle(balancer::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
 }
 
 degradation::Measurements Sidecar::gauges() {
@@ -545,7 +545,7 @@
 
 // ---- Actions ----------------------------------------------------------------------------------------------
 
-void Sidecar::carryOut(const orchiddrum::Send& send) {
+void Sidecar::carryOut(const balancer::Send& send) {
   Request& request = requests_.at(send.request);
   AttemptOrder order;
   order.id = {send.request, static_cast<std::uint32_t>(request.attempts.size())};
@@ -558,7 +558,7 @@
   // Guards against a connection that comes up slowly and carries a repeat past its window. The window opens
   // with the first attempt that may have run, which has been written if so.
   const auto& cls = config_.site.settings.classes.at(request.client.requestClass);
-  if (cls.semantics == orchiddrum::Semantics::Keyed) {
+  if (cls.semantics == balancer::Semantics::Keyed) {
     for (const Attempt& earlier : request.attempts) {
       if (!earlier.mayHaveRun || earlier.writtenAt == Clock::time_point{}) continue;
       order.writeBy =
@@ -573,7 +573,7 @@
   upstreams_.send(std::move(order));
 }
 
-void Sidecar::carryOut(const orchiddrum::Cancel& cancel) {
+void Sidecar::carryOut(const balancer::Cancel& cancel) {
   upstreams_.cancel({cancel.request, cancel.attempt});
 }
 
@@ -582,7 +582,7 @@
   if (const char* line = shedding_.turnedAway(now())) log(line);
 }
 
-void Sidecar::carryOut(const orchiddrum::Refuse& refuse) {
+void Sidecar::carryOut(const balancer::Refuse& refuse) {
   noteUnsent(refuse.request);
   Answer answer;
   answer.status = 503;
@@ -592,7 +592,7 @@
   forget(refuse.request);
 }
 
-void Sidecar::carryOut(const orchiddrum::Fail& fail) {
+void Sidecar::carryOut(const balancer::Fail& fail) {
   noteUnsent(fail.request);
   Answer answer;
   answer.status = 502;
@@ -601,7 +601,7 @@
   forget(fail.request);
 }
 
-void Sidecar::carryOut(const orchiddrum::SetTimer& timer) {
+void Sidecar::carryOut(const balancer::SetTimer& timer) {
   const auto at = Clock::now() + microseconds(timer.delay);
   if (at >= armedFor_) return;  // the module asks again whenever it is woken
   armedFor_ = at;
@@ -611,24 +611,24 @@
   });
 }
 
-void Sidecar::carryOut(const orchiddrum::Probe& probe) {
+void Sidecar::carryOut(const balancer::Probe& probe) {
   ++known_[probe.upstream].uses;
   upstreams_.probe(probe.upstream);
 }
 
-void Sidecar::carryOut(const orchiddrum::CloseIdle& close) {
+void Sidecar::carryOut(const balancer::CloseIdle& close) {
   upstreams_.closeIdle(close.upstream);
 }
 
-void Sidecar::carryOut(const orchiddrum::Subscribe& /*subscribe*/) {
+void Sidecar::carryOut(const balancer::Subscribe& /*subscribe*/) {
   membership_.watch();
 }
 
-void Sidecar::carryOut(const orchiddrum::Fetch& /*fetch*/) {
+void Sidecar::carryOut(const balancer::Fetch& /*fetch*/) {
   membership_.fetch();
 }
 
-void Sidecar::carryOut(const orchiddrum::Log& log) {
+void Sidecar::carryOut(const balancer::Log& log) {
   std::fprintf(stderr, "%s\n", log.text.c_str());
 }
 
@@ -677,11 +677,11 @@
     return false;
   }
   other.listed = false;
-  orchiddrum::UpstreamEntry gone;
+  balancer::UpstreamEntry gone;
   gone.upstream = id;
-  gone.state = orchiddrum::UpstreamState::Gone;
+  gone.state = balancer::UpstreamState::Gone;
   gone.launchedAt = other.launchedAt;
-  gone.identity = orchiddrum::identity(other.id);
+  gone.identity = settings::identity(other.id);
   update.entries.push_back(gone);
   return true;
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -36,17 +36,17 @@
 class Sidecar {
  public:
   // Makes the source that follows etcd; empty where this program is built without it. Throws
-  // orchiddrum::FormatError, one line, for options that can't be used.
+  // settings::FormatError, one line, for options that can't be used.
   using MakeEtcd = std::function<std::unique_ptr<membership::Source>(
       boost::asio::io_context&, const etcd::Options&, std::uint64_t seed, membership::Source::Callbacks)>;
 
-  // Throws orchiddrum::FormatError for an operator's file that does not fit the configuration or this
+  // Throws settings::FormatError for an operator's file that does not fit the configuration or this
   // program, and what the server throws.
   explicit Sidecar(boost::asio::io_context& io, Config config, const op::File& file = {},
                    MakeEtcd makeEtcd = {});
 
   // Takes over what may change while it runs: where discovery is, and the operator's file. The rest waits for
-  // the next start. Throws orchiddrum::FormatError, and then nothing has changed.
+  // the next start. Throws settings::FormatError, and then nothing has changed.
   void reload(const Config& config, const op::File& file);
 
   // SIGTERM: answers all that was taken, then calls back once.
@@ -98,12 +98,12 @@
   };
 
   void onTaken(ClientRequest client);
-  void onOver(orchiddrum::RequestId id);
+  void onOver(balancer::RequestId id);
   void onWritten(AttemptId id);
   void onEnded(AttemptEnd end);
   void onBegan(StreamBegin begin);
   void onProbed(const ProbeEnd& end);
-  void onList(const InstanceList& list, orchiddrum::MembershipUpdate::Kind kind);
+  void onList(const InstanceList& list, balancer::MembershipUpdate::Kind kind);
   void onTimer();
   void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
@@ -122,24 +122,24 @@
   std::vector<FleetView::Listed> listed() const;
 
   // Gives the module one event and carries out what it answers.
-  void handle(const orchiddrum::Event& event);
-  void carryOut(const orchiddrum::Send& send);
-  void carryOut(const orchiddrum::Cancel& cancel);
-  void carryOut(const orchiddrum::Refuse& refuse);
-  void carryOut(const orchiddrum::Fail& fail);
-  void carryOut(const orchiddrum::SetTimer& timer);
-  void carryOut(const orchiddrum::Probe& probe);
-  void carryOut(const orchiddrum::CloseIdle& close);
-  void carryOut(const orchiddrum::Subscribe& subscribe);
-  void carryOut(const orchiddrum::Fetch& fetch);
-  void carryOut(const orchiddrum::Log& log);
+  void handle(const balancer::Event& event);
+  void carryOut(const balancer::Send& send);
+  void carryOut(const balancer::Cancel& cancel);
+  void carryOut(const balancer::Refuse& refuse);
+  void carryOut(const balancer::Fail& fail);
+  void carryOut(const balancer::SetTimer& timer);
+  void carryOut(const balancer::Probe& probe);
+  void carryOut(const balancer::CloseIdle& close);
+  void carryOut(const balancer::Subscribe& subscribe);
+  void carryOut(const balancer::Fetch& fetch);
+  void carryOut(const balancer::Log& log);
 
   // Of a refusal or failure that the module has decided.
-  void noteUnsent(orchiddrum::RequestId id);
-  void finish(orchiddrum::RequestId id, Answer answer);
-  void forget(orchiddrum::RequestId id);
+  void noteUnsent(balancer::RequestId id);
+  void finish(balancer::RequestId id, Answer answer);
+  void forget(balancer::RequestId id);
   UpstreamId intern(const std::string& instanceId);
-  bool takesItsAddress(UpstreamId upstream, orchiddrum::MembershipUpdate& update);
+  bool takesItsAddress(UpstreamId upstream, balancer::MembershipUpdate& update);
   void leaveAddress(UpstreamId upstream);
   void dropUse(UpstreamId upstream);
   void freeUnused(UpstreamId upstream);
@@ -149,10 +149,10 @@
   boost::asio::io_context& io_;
   const Config config_;
   StartTimeEstimator starts_;
-  orchiddrum::Balancer balancer_;
+  balancer::Balancer balancer_;
   boost::asio::steady_timer timer_;
   Clock::time_point armedFor_ = Clock::time_point::max();
-  std::unordered_map<orchiddrum::RequestId, Request> requests_;
+  std::unordered_map<balancer::RequestId, Request> requests_;
   std::unordered_map<std::string, UpstreamId> ids_;
   std::vector<Known> known_;                // by number
   std::vector<UpstreamId> spare_;           // free numbers
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -22,8 +22,8 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using asio::ip::tcp;
+using balancer::Outcome;
 using beast::error_code;
-using orchiddrum::Outcome;
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
@@ -603,7 +603,7 @@
   end(*job, outcome);
 }
 
-void Upstreams::withdraw(orchiddrum::RequestId request) {
+void Upstreams::withdraw(balancer::RequestId request) {
   std::vector<std::shared_ptr<Job>> unsent;
   for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
        ++at)
@@ -646,22 +646,22 @@
 
 // `TEXT inflight=7, queue=2`; what is not asked for is passed over. A report with a figure that can't be read
 // or meant tells nothing.
-std::optional<orchiddrum::LoadReport> Upstreams::report(std::string_view text) const {
-  orchiddrum::LoadReport report;
+std::optional<balancer::LoadReport> Upstreams::report(std::string_view text) const {
+  balancer::LoadReport report;
   bool any = false;
   std::string words(text);
   std::replace(words.begin(), words.end(), ',', ' ');
-  for (const std::string_view part : orchiddrum::split(words, ' ')) {
+  for (const std::string_view part : settings::split(words, ' ')) {
     const std::size_t equals = part.find('=');
     if (equals == std::string_view::npos) continue;
-    const auto column = orchiddrum::toColumn(part.substr(0, equals));
+    const auto column = settings::toColumn(part.substr(0, equals));
     if (!column) continue;
     try {
-      const double figure = orchiddrum::toNumber("load", part.substr(equals + 1));
+      const double figure = settings::toNumber("load", part.substr(equals + 1));
       if (figure < 0 || figure > kMaxFigure) return std::nullopt;
-      orchiddrum::setColumn(report, *column, figure);
+      settings::setColumn(report, *column, figure);
       any = true;
-    } catch (const orchiddrum::FormatError&) {
+    } catch (const settings::FormatError&) {
       return std::nullopt;
     }
   }
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -26,7 +26,7 @@
 namespace ivypost {
 
 struct AttemptId {
-  orchiddrum::RequestId request = 0;
+  balancer::RequestId request = 0;
   std::uint32_t number = 0;
   auto operator<=>(const AttemptId&) const = default;
 };
@@ -42,13 +42,13 @@
 
 struct AttemptEnd {
   AttemptId id;
-  orchiddrum::Outcome outcome = orchiddrum::Outcome::Ok;
+  balancer::Outcome outcome = balancer::Outcome::Ok;
   Clock::duration lag{};
   std::string body, contentType;  // of an Ok that did not begin to stream
   bool streamed = false;          // its answer was passed on by `began`
   bool spent = false;             // of the request's body, some has gone out and is no longer at hand
   Clock::duration transfer{};     // of the lag, the time in which bodies went through in pieces
-  std::optional<orchiddrum::LoadReport> report;
+  std::optional<balancer::LoadReport> report;
 };
 
 // An answer of 200 that is too large to be read whole.
@@ -63,7 +63,7 @@
   UpstreamId upstream = 0;
   bool ok = false;
   Clock::duration lag{};
-  std::optional<orchiddrum::LoadReport> report;
+  std::optional<balancer::LoadReport> report;
 };
 
 class Upstreams {
@@ -77,7 +77,7 @@
     std::function<void(ProbeEnd)> probed;
     // Whether this request's client has closed its connection. Asked right before an attempt's first byte; it
     // must not call back into this class. If so, the attempt ends as Moot and nothing is sent. May be empty.
-    std::function<bool(orchiddrum::RequestId)> isClientGone{};
+    std::function<bool(balancer::RequestId)> isClientGone{};
   };
 
   // `budget` is for answers that stream.
@@ -97,7 +97,7 @@
   void cancel(AttemptId id);  // closes its connection at once; ignored when it has ended
   // The request is over: its attempts of which the last byte has not gone out yet end as never sent, whether
   // or not those that run may be cancelled.
-  void withdraw(orchiddrum::RequestId request);
+  void withdraw(balancer::RequestId request);
   void probe(UpstreamId upstream);
   void closeIdle(UpstreamId upstream);
 
@@ -114,8 +114,8 @@
   std::shared_ptr<Connection> reuse(UpstreamId upstream);
   bool makeRoom();
   bool isClientGone(const Job& job) const;
-  void end(Job& job, orchiddrum::Outcome outcome);
-  std::optional<orchiddrum::LoadReport> report(std::string_view text) const;
+  void end(Job& job, balancer::Outcome outcome);
+  std::optional<balancer::LoadReport> report(std::string_view text) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
--- a/src/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Hosts the balancers of many simulated sidecars on the simulator's wire: standard input to standard output.
 // Each instance has its own Balancer and its own Wire; nothing is shared between instances but the sheets.
@@ -10,17 +10,17 @@
 #include <string>
 #include <vector>
 
-#include "wire.h"
+#include "simulator/wire.h"
 
 namespace {
 
-using orchiddrum::Action;
-using orchiddrum::Balancer;
-using orchiddrum::Line;
-using orchiddrum::Micros;
-using orchiddrum::wire::SheetEntry;
-using orchiddrum::wire::Wire;
-using orchiddrum::wire::WireError;
+using ivypost::balancer::Action;
+using ivypost::balancer::Balancer;
+using ivypost::balancer::Micros;
+using ivypost::settings::Line;
+using ivypost::simulator::SheetEntry;
+using ivypost::simulator::Wire;
+using ivypost::simulator::WireError;
 
 struct Instance {
   explicit Instance(const Line& create, Micros now)
@@ -35,7 +35,7 @@
   bool take(const std::string& text) {
     const Line line(text);
     if (entriesLeft_ > 0) {
-      sheets_[openSheet_]->push_back(orchiddrum::wire::parseSheetEntry(line));
+      sheets_[openSheet_]->push_back(ivypost::simulator::parseSheetEntry(line));
       --entriesLeft_;
       return false;
     }
@@ -118,7 +118,8 @@
     }
     if (host.midBatch()) throw WireError("input ended inside a batch");
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "orchiddrum_adapter: line %ld: %s: %.120s\n", number, error.what(), line.c_str());
+    std::fprintf(stderr, "ivypost-simulator-adapter: line %ld: %s: %.120s\n", number, error.what(),
+                 line.c_str());
     return 1;
   }
   return 0;
--- a/src/figures.h
+++ b/src/util/bounded_math.h
@@ -1,13 +1,13 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Arithmetic on figures from outside, which may be extreme or not numbers at all, and on smoothed ones.
-#ifndef ORCHIDDRUM_FIGURES_H_
-#define ORCHIDDRUM_FIGURES_H_
+#ifndef IVYPOST_UTIL_BOUNDED_MATH_H_
+#define IVYPOST_UTIL_BOUNDED_MATH_H_
 
 #include <algorithm>
 #include <cstdint>
 
-namespace orchiddrum {
+namespace ivypost::util {
 
 // Spans of time (in microseconds) are brought below this, far above any sensible one: sums of a few stay far
 // from overflow.
@@ -45,6 +45,6 @@
   double last_ = 0;
 };
 
-}  // namespace orchiddrum
+}  // namespace ivypost::util
 
-#endif  // ORCHIDDRUM_FIGURES_H_
+#endif  // IVYPOST_UTIL_BOUNDED_MATH_H_
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -36,9 +36,9 @@
                                       [this](AttemptEnd end) { ends.push_back(std::move(end)); },
                                       {},
                                       {},
-                                      [this](orchiddrum::RequestId id) { return gone.count(id) > 0; }});
+                                      [this](balancer::RequestId id) { return gone.count(id) > 0; }});
   }
-  void send(orchiddrum::RequestId id, const std::string& body, const std::string& padding = "") {
+  void send(balancer::RequestId id, const std::string& body, const std::string& padding = "") {
     auto message = std::make_shared<Message>();
     message->method(http::verb::post);
     message->target("/cambio/7");
@@ -57,7 +57,7 @@
   std::optional<Config> config;
   std::optional<Upstreams> pool;
   std::vector<AttemptEnd> ends;
-  std::set<orchiddrum::RequestId> gone;  // whose clients have left
+  std::set<balancer::RequestId> gone;  // whose clients have left
 };
 
 // First attempts, retries and hedged requests all begin here: nobody's goes out on an idle connection, and
--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Golden trace of the decision module. Each stream plays one sidecar under settings of its own against a
 // small simulated fleet (simulated clock, fixed seed) and folds every action with all its fields, doubles by
@@ -20,9 +20,9 @@
 #include <set>
 #include <stdexcept>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 constexpr Micros kMillisecond = 1000;
@@ -520,4 +520,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include <array>
 #include <deque>
 #include <limits>
@@ -7,7 +7,7 @@
 
 #include "rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 using Kind = MembershipUpdate::Kind;
@@ -1478,4 +1478,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fleet_rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 struct Start {
@@ -166,4 +166,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/compatibility/platform_settings_test.cpp
+++ b/tests/compatibility/platform_settings_test.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-void printSettings(const orchiddrum::Settings& settings, Printer& to) {
+void printSettings(const ivypost::balancer::Settings& settings, Printer& to) {
   for (std::size_t n = 0; n < settings.classes.size(); ++n) {
     const auto& one = settings.classes.at(n);
     const std::string at = "classes." + std::to_string(n) + ".";
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -79,7 +79,7 @@
     try {
       sidecar->reload(config, bad);
       ADD_FAILURE() << "taken over";
-    } catch (const orchiddrum::FormatError& error) {
+    } catch (const settings::FormatError& error) {
       EXPECT_STREQ(error.what(), "admission.order names a class that the platform doesn't have: 'nosuch'");
     }
     EXPECT_EQ(sidecar->level(), level);
--- a/tests/e2e/matrix_test.cpp
+++ b/tests/e2e/matrix_test.cpp
@@ -368,11 +368,11 @@
     // A changed byte of the content itself can't be noticed; one of the reason, an extension or a trailer
     // need not be.
     const std::string got = end->body;
-    if (end->outcome == orchiddrum::Outcome::Ok) {
+    if (end->outcome == balancer::Outcome::Ok) {
       EXPECT_EQ(got.size(), 11u) << "flaw at " << flaw;
     }
     if (flaw == whole.size()) {
-      EXPECT_EQ(end->outcome, orchiddrum::Outcome::Ok);
+      EXPECT_EQ(end->outcome, balancer::Outcome::Ok);
       EXPECT_EQ(got, "hello world");
     }
   }
--- a/tests/etcd/follower_test.cpp
+++ b/tests/etcd/follower_test.cpp
@@ -8,7 +8,7 @@
 
 #include "etcd/entries.h"
 #include "etcd/follower_rig.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::etcd {
 namespace {
@@ -35,7 +35,7 @@
       try {
         const std::string id = *idOf("/ivypost/nodes/", key);
         want[id] = toEntry(id, value).address.port();
-      } catch (const orchiddrum::FormatError&) {
+      } catch (const settings::FormatError&) {
         return false;
       }
     }
--- a/tests/etcd/membership_test.cpp
+++ b/tests/etcd/membership_test.cpp
@@ -20,7 +20,7 @@
 
 #include "etcd/source.h"
 #include "operator/file.h"
-#include "settings.h"
+#include "settings/settings.h"
 #include "sidecar.h"
 #include "standins/client.h"
 #include "standins/clock.h"
@@ -311,7 +311,7 @@
   op::File bad = play.file;
   bad.membership.etcd.ca = "/nowhere";
   bad.membership.etcd.endpoints = {"https://127.0.0.1:1"};
-  EXPECT_THROW(play.sidecar->reload(config, bad), orchiddrum::FormatError);
+  EXPECT_THROW(play.sidecar->reload(config, bad), settings::FormatError);
   play.sidecar->reload(config, play.file);
   EXPECT_TRUE(play.until([&] { return play.nodes[3]->arrivals() > 0; })) << "etcd counts now";
   // Back: the node that discovery has not got is gone.
@@ -330,7 +330,7 @@
   try {
     const Sidecar sidecar(play.io, parseConfig(play.configuration().dump()), play.file);
     FAIL();
-  } catch (const orchiddrum::FormatError& error) {
+  } catch (const settings::FormatError& error) {
     EXPECT_NE(std::string(error.what()).find("ivypost-etcd"), std::string::npos);
   }
 }
--- a/tests/etcd/source_test.cpp
+++ b/tests/etcd/source_test.cpp
@@ -16,7 +16,7 @@
 #include "etcd.grpc.pb.h"
 #include "etcd/certificates.h"
 #include "fault/proxy.h"
-#include "settings.h"
+#include "settings/settings.h"
 #include "standins/etcd/cluster.h"
 #include "standins/etcd/commands.h"
 
@@ -65,7 +65,7 @@
         membership::Source::Callbacks{[this](InstanceList update) {
                                         if (update.whole) list.clear();
                                         for (const auto& one : update.instances) {
-                                          if (one.state == orchiddrum::UpstreamState::Gone) {
+                                          if (one.state == balancer::UpstreamState::Gone) {
                                             list.erase(one.id);
                                           } else {
                                             list[one.id] = one.address.port();
@@ -300,7 +300,7 @@
   try {
     follow();
     FAIL();
-  } catch (const orchiddrum::FormatError& error) {
+  } catch (const settings::FormatError& error) {
     EXPECT_STREQ(error.what(), "ca can't be read or is empty: '/nowhere/ca.pem'");
   }
 }
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "configfile/table.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::fleet {
 namespace {
@@ -191,14 +191,14 @@
         }
       };
   flatten(settings, "");
-  const auto site = orchiddrum::readSite(orchiddrum::Line(line));
+  const auto site = settings::readSite(settings::Line(line));
   EXPECT_EQ(site.settings.sidecars, 4u);
   EXPECT_EQ(site.settings.kinds, 2u);
-  EXPECT_EQ(site.settings.classes[0].semantics, orchiddrum::Semantics::Keyed);
-  EXPECT_EQ(site.settings.classes[0].group, orchiddrum::RepeatGroup::Cell);
+  EXPECT_EQ(site.settings.classes[0].semantics, balancer::Semantics::Keyed);
+  EXPECT_EQ(site.settings.classes[0].group, balancer::RepeatGroup::Cell);
   EXPECT_EQ(site.settings.classes[0].repeatWindow, 600'000);
   EXPECT_EQ(site.settings.classes[0].value, 5);
-  EXPECT_EQ(site.settings.classes[1].semantics, orchiddrum::Semantics::Unsafe);
+  EXPECT_EQ(site.settings.classes[1].semantics, balancer::Semantics::Unsafe);
   EXPECT_EQ(site.settings.startCapacity, 0.25);
   EXPECT_EQ(site.settings.coldFor, 6'000'000);
   EXPECT_EQ(site.settings.fallMultiple, 3);
@@ -206,7 +206,7 @@
   EXPECT_TRUE(site.settings.mayProbe);
   EXPECT_TRUE(site.settings.mayCancel);
   EXPECT_EQ(site.settings.maxAttempts, 3u);
-  EXPECT_EQ(site.settings.reports, orchiddrum::ReportSource::Probes);
+  EXPECT_EQ(site.settings.reports, balancer::ReportSource::Probes);
 }
 
 }  // namespace
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -3,8 +3,8 @@
 // Many balancers and the upstreams they share, in made-up time: what each does alone shows what it adds up
 // to. An upstream serves `cores` requests at once and the rest in turn; a cold one is slower. Everything
 // follows from one seed.
-#ifndef ORCHIDDRUM_TESTS_FLEET_RIG_H_
-#define ORCHIDDRUM_TESTS_FLEET_RIG_H_
+#ifndef IVYPOST_TESTS_FLEET_RIG_H_
+#define IVYPOST_TESTS_FLEET_RIG_H_
 
 #include <algorithm>
 #include <deque>
@@ -18,7 +18,7 @@
 
 #include "rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 
 class Fleet {
  public:
@@ -319,6 +319,6 @@
   Count count_;
 };
 
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
 
-#endif  // ORCHIDDRUM_TESTS_FLEET_RIG_H_
+#endif  // IVYPOST_TESTS_FLEET_RIG_H_
--- a/tests/grown_fleet_test.cpp
+++ b/tests/grown_fleet_test.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet_rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 Settings grownSettings(std::uint32_t sidecars = 100) {
@@ -315,4 +315,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // What the module does with what other sidecars have found.
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 
 #include "rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 constexpr Micros kHolds = 500 * kMs;
@@ -209,4 +209,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // What a sidecar does that has little traffic among many: connections and home, looks, rest.
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 #include "rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 Settings manySettings() {
@@ -707,4 +707,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -19,7 +19,7 @@
 
 namespace ivypost {
 
-using orchiddrum::Outcome;
+using balancer::Outcome;
 using std::chrono::milliseconds;
 
 inline std::string traceOf(int n) {
@@ -114,7 +114,7 @@
     config.emplace(configure(json::object()));
     server.emplace(io, *config, file, *budget,
                    Server::Callbacks{[this](ClientRequest request) { taken.push_back(std::move(request)); },
-                                     [this](orchiddrum::RequestId id) { over.push_back(id); },
+                                     [this](balancer::RequestId id) { over.push_back(id); },
                                      {},
                                      {},
                                      [this] { ended = true; }});
@@ -143,7 +143,7 @@
   std::optional<Config> config;
   std::optional<Server> server;
   std::vector<ClientRequest> taken;
-  std::vector<orchiddrum::RequestId> over;
+  std::vector<balancer::RequestId> over;
   bool ended = false;
 };
 
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -11,7 +11,7 @@
 
 #include "health_reports/health_report_table.h"
 #include "plays.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::fleet {
 namespace {
@@ -102,7 +102,7 @@
       const health_reports::TimePoint now{std::chrono::microseconds(standins::nowMicros())};
       for (int node = 1; node <= 8; ++node)
         for (int failures = 0; failures < 3; ++failures)
-          reports.recordAttempt({orchiddrum::identity("n" + std::to_string(node)), {}},
+          reports.recordAttempt({settings::identity("n" + std::to_string(node)), {}},
                                 health_reports::AttemptHistory::Outcome::Failed, std::chrono::milliseconds(1),
                                 now);
       ++told;
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,4 +1,4 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // Random legal event streams, judged by an oracle that shares no code with the module. The oracle itself is
 // shown to catch a module that breaks each rule.
@@ -13,7 +13,7 @@
 
 #include "rig.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 // A cold upstream may get so many times what it would of warm ones only.
@@ -602,4 +602,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -1,8 +1,8 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // A balancer on fake time, for tests.
-#ifndef ORCHIDDRUM_TESTS_RIG_H_
-#define ORCHIDDRUM_TESTS_RIG_H_
+#ifndef IVYPOST_TESTS_RIG_H_
+#define IVYPOST_TESTS_RIG_H_
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "orchiddrum/balancer.h"
+#include "ivypost/balancer.h"
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 
 constexpr Micros kMs = 1'000;
 constexpr Micros kSecond = 1'000'000;
@@ -139,6 +139,6 @@
   std::vector<Action> actions;
 };
 
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
 
-#endif  // ORCHIDDRUM_TESTS_RIG_H_
+#endif  // IVYPOST_TESTS_RIG_H_
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -31,7 +31,7 @@
 # What was compiled before with the same flags and text is taken from the cache, also from another folder.
 export CCACHE_BASEDIR=$PWD CCACHE_NOHASHDIR=1 CCACHE_SLOPPINESS=pch_defines,time_macros,include_file_mtime,include_file_ctime
 # Little optimisation and few debug symbols or none: the tests don't wait for the processor, the compiler does.
-common=(-DCMAKE_BUILD_TYPE=Debug -DORCHIDDRUM_TESTS=ON -DCMAKE_CXX_COMPILER_LAUNCHER=ccache)
+common=(-DCMAKE_BUILD_TYPE=Debug -DIVYPOST_TESTS=ON -DCMAKE_CXX_COMPILER_LAUNCHER=ccache)
 # The sources of a room are compiled as one: most of a compile is Boost's headers.
 common+=(-DCMAKE_UNITY_BUILD=ON)
 for sanitize in OFF ON; do
@@ -40,7 +40,7 @@
   # Under sanitizers not even that much: it would double the compiler's time. Lines for their reports, though.
   flags="-O1 -g0"
   if [ $sanitize = ON ]; then flags="-O0 -g1"; fi
-  cmake -S . -B "$dir" "${common[@]}" "-DCMAKE_CXX_FLAGS_DEBUG=$flags" -DORCHIDDRUM_SANITIZE=$sanitize >/dev/null
+  cmake -S . -B "$dir" "${common[@]}" "-DCMAKE_CXX_FLAGS_DEBUG=$flags" -DIVYPOST_SANITIZE=$sanitize >/dev/null
   cmake --build "$dir" -j"$jobs" -- --no-print-directory -s
   stage "tests, sanitizers $sanitize"
   # Many of them wait for a deadline to pass, so more of them than there are cores. Those that are known to fail for
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -7,7 +7,7 @@
 namespace ivypost {
 namespace {
 
-using orchiddrum::Outcome;
+using balancer::Outcome;
 
 std::string traceOf(int n) {
   std::string digits = std::to_string(n);
@@ -515,11 +515,11 @@
 // Guards the last answer against a module, a timer or a core that is late: the server gives it by itself.
 TEST_F(SidecarTest, ServerAnswersAtTheDeadlineByItself) {
   const Config config = configure(json::object());
-  std::vector<orchiddrum::RequestId> taken, over;
+  std::vector<balancer::RequestId> taken, over;
   relay::Budget budget(1'000'000);
   Server server(io, config, op::File{}, budget,
                 {[&](const ClientRequest& request) { taken.push_back(request.id); },
-                 [&](orchiddrum::RequestId id) { over.push_back(id); },
+                 [&](balancer::RequestId id) { over.push_back(id); },
                  {},
                  {},
                  {}});
@@ -616,7 +616,7 @@
   EXPECT_EQ(config.site.settings.zone, 1u);
   EXPECT_EQ(config.site.settings.maxAttempts, 3u);
   EXPECT_EQ(config.site.settings.connectTimeout, 250000);
-  EXPECT_EQ(config.site.settings.classes.at(0).semantics, orchiddrum::Semantics::Keyed);
+  EXPECT_EQ(config.site.settings.classes.at(0).semantics, balancer::Semantics::Keyed);
   EXPECT_EQ(config.site.settings.classes.at(0).repeatWindow, 4);
 }
 
--- a/tests/adapter_test.sh
+++ b/tests/simulator/adapter_test.sh
@@ -9,25 +9,25 @@
 registry i=1 mode=SAVED generation=1 sheet=0'
 
 accepts() {
-  if ! printf '%s\n' "$2" | "$adapter" >/tmp/orchiddrum_out.$$ 2>&1; then
-    echo "FAILED: $1 was rejected: $(cat /tmp/orchiddrum_out.$$)"
+  if ! printf '%s\n' "$2" | "$adapter" >/tmp/ivypost_adapter_out.$$ 2>&1; then
+    echo "FAILED: $1 was rejected: $(cat /tmp/ivypost_adapter_out.$$)"
     failures=$((failures + 1))
-  elif ! grep -q "$3" /tmp/orchiddrum_out.$$; then
+  elif ! grep -q "$3" /tmp/ivypost_adapter_out.$$; then
     echo "FAILED: $1: no '$3' in the reply"
     failures=$((failures + 1))
   fi
-  rm -f /tmp/orchiddrum_out.$$
+  rm -f /tmp/ivypost_adapter_out.$$
 }
 
 rejects() {
-  if printf '%s\n' "$2" | "$adapter" >/dev/null 2>/tmp/orchiddrum_err.$$; then
+  if printf '%s\n' "$2" | "$adapter" >/dev/null 2>/tmp/ivypost_adapter_err.$$; then
     echo "FAILED: $1 was accepted"
     failures=$((failures + 1))
-  elif ! grep -q "line [0-9]*: .*$3" /tmp/orchiddrum_err.$$; then
-    echo "FAILED: $1: message was: $(cat /tmp/orchiddrum_err.$$)"
+  elif ! grep -q "line [0-9]*: .*$3" /tmp/ivypost_adapter_err.$$; then
+    echo "FAILED: $1: message was: $(cat /tmp/ivypost_adapter_err.$$)"
     failures=$((failures + 1))
   fi
-  rm -f /tmp/orchiddrum_err.$$
+  rm -f /tmp/ivypost_adapter_err.$$
 }
 
 accepts 'an empty batch' 'mark now=5
--- a/tests/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -1,11 +1,15 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#include "wire.h"
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "simulator/wire.h"
 
 #include <gtest/gtest.h>
 
-namespace orchiddrum::wire {
+namespace ivypost::simulator {
 namespace {
 
+using namespace ivypost::balancer;
+using settings::FormatError;
+using settings::Line;
+
 const std::string kCreate =
     "create i=3 entropy=8565319633688438 balancers=4 classes.count=2 classes.0.aim=250000 "
     "classes.0.deadline=500000 classes.0.group=all classes.0.name=look classes.0.semantics=free "
@@ -138,4 +142,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum::wire
+}  // namespace ivypost::simulator
--- a/tests/figures_test.cpp
+++ b/tests/util/bounded_math_test.cpp
@@ -1,5 +1,5 @@
-// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
-#include "figures.h"
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "util/bounded_math.h"
 
 #include <gtest/gtest.h>
 
@@ -9,27 +9,27 @@
 #include <random>
 #include <vector>
 
-namespace orchiddrum {
+namespace ivypost::balancer {
 namespace {
 
 TEST(Figures, WhatIsNoNumberBecomesTheSafeBound) {
   const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
-  EXPECT_EQ(within(nan, 2, 5), 2);
-  EXPECT_EQ(within(-inf, 2, 5), 2);
-  EXPECT_EQ(within(inf, 2, 5), 5);
-  EXPECT_EQ(within(3, 2, 5), 3);
+  EXPECT_EQ(util::within(nan, 2, 5), 2);
+  EXPECT_EQ(util::within(-inf, 2, 5), 2);
+  EXPECT_EQ(util::within(inf, 2, 5), 5);
+  EXPECT_EQ(util::within(3, 2, 5), 3);
   std::int64_t span = std::numeric_limits<std::int64_t>::max();
-  bound(span);
-  EXPECT_EQ(span, kLongest);
+  util::bound(span);
+  EXPECT_EQ(span, util::kLongest);
   span = -1;
-  bound(span);
+  util::bound(span);
   EXPECT_EQ(span, 0);
 }
 
 TEST(DecorrelatedJitter, StaysBetweenItsBaseAndThreeTimesTheLastAndItsLongest) {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> uniform(0, 1);
-  DecorrelatedJitter jitter;
+  util::DecorrelatedJitter jitter;
   double last = 0;
   bool longestMet = false;
   for (int n = 0; n < 1000; ++n) {
@@ -43,7 +43,7 @@
 }
 
 TEST(DecorrelatedJitter, BeginsAnewAfterAReset) {
-  DecorrelatedJitter jitter;
+  util::DecorrelatedJitter jitter;
   EXPECT_FALSE(jitter.waits());
   for (int n = 0; n < 5; ++n) jitter.next(2, 50, 0.999);
   EXPECT_TRUE(jitter.waits());
@@ -59,7 +59,7 @@
   constexpr int kMany = 200;
   std::vector<int> perSecond(100);
   for (int n = 0; n < kMany; ++n) {
-    DecorrelatedJitter jitter;
+    util::DecorrelatedJitter jitter;
     double at = 0;
     for (int tries = 0; tries < 8; ++tries) {
       at += jitter.next(1, 20, uniform(random));
@@ -71,4 +71,4 @@
 }
 
 }  // namespace
-}  // namespace orchiddrum
+}  // namespace ivypost::balancer
--- a/tests/util/fnv1a_test.cpp
+++ b/tests/util/fnv1a_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "peers/message.h"
-#include "settings.h"
+#include "settings/settings.h"
 
 namespace ivypost::util {
 namespace {
@@ -24,7 +24,7 @@
 // Sidecars of all versions tell these to each other.
 TEST(Fnv1a, IsTheIdOfEndpointsAndOfSidecars) {
   for (const std::string name : {"", "s1", "sidecar-0042", "node-1", "caf\xc3\xa9"}) {
-    EXPECT_EQ(orchiddrum::identity(name), fnv1a(name)) << name;
+    EXPECT_EQ(settings::identity(name), fnv1a(name)) << name;
     EXPECT_EQ(peers::idOf(name), fnv1a(name)) << name;
   }
 }
