--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -29,6 +29,10 @@
   return static_cast<std::uint64_t>(std::max<Micros>(1000, unixNow()));
 }
 
+health_reports::TimePoint timePoint(Micros at) {
+  return health_reports::TimePoint(std::chrono::microseconds(at));
+}
+
 const char* nameOf(peers::State state) {
   constexpr std::array<const char*, 3> kNames = {"alive", "suspect", "dead"};
   return kNames.at(static_cast<std::size_t>(state));
@@ -75,14 +79,12 @@
 
 FleetView::FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks)
     : callbacks_(std::move(callbacks)),
-      judgements_(place.settings.self, lifeNumber()),
+      healthReports_(place.settings.self, lifeNumber()),
       timer_(io),
       io_(io, place.settings, place.listen, place.seal, seed,
-          {[this](std::size_t room) { return judgements_.tell(room, now()); },
+          {[this](std::size_t room) { return healthReports_.encodeNext(room, timePoint(now())); },
            [this](std::span<const std::uint8_t> facts, Micros late) {
-             const auto news = judgements_.take(facts, late, now());
-             if (news.value_or(false)) lookLater(std::chrono::milliseconds(0));
-             return news;
+             return receive(facts, std::chrono::microseconds(late));
            },
            [this](const peers::Change& change) {
              // A suspicion is nothing that an operator could act on.
@@ -95,27 +97,39 @@
   lookLater(kEvery);
 }
 
-void FleetView::attempted(const shared::Life& life, Outcome outcome, Micros lag) {
-  using Evidence = shared::Evidence::Outcome;
-  std::optional<Evidence> evidence;
+void FleetView::attempted(const health_reports::Incarnation& incarnation, Outcome outcome, Micros lag) {
+  using Result = health_reports::AttemptHistory::Outcome;
+  std::optional<Result> result;
   switch (outcome) {
     case Outcome::Ok:
-      evidence = Evidence::Served;
+      result = Result::Succeeded;
       break;
     case Outcome::Error:
     case Outcome::Reset:
     case Outcome::ConnectFailed:
-      evidence = Evidence::Failed;
+      result = Result::Failed;
       break;
     case Outcome::Timeout:
-      evidence = Evidence::Silent;
+      result = Result::Unanswered;
       break;
     case Outcome::Full:  // it answers, and says that it is busy
     case Outcome::Cancelled:
     case Outcome::Moot:
       break;
   }
-  if (evidence && judgements_.attempted(life, *evidence, lag, now())) io_.announce();
+  const std::chrono::microseconds sinceSent(lag);
+  if (result && healthReports_.recordAttempt(incarnation, *result, sinceSent, timePoint(now())))
+    io_.announce();
+}
+
+std::optional<bool> FleetView::receive(std::span<const std::uint8_t> reports,
+                                       std::chrono::microseconds delay) {
+  using health_reports::ReceiveResult;
+  const ReceiveResult result = healthReports_.receive(reports, delay, timePoint(now()));
+  if (result == ReceiveResult::Malformed) return std::nullopt;
+  const bool isChanged = result == ReceiveResult::Changed;
+  if (isChanged) lookLater(std::chrono::milliseconds(0));
+  return isChanged;
 }
 
 void FleetView::leave() {
@@ -149,27 +163,28 @@
     callbacks_.log(line.data());
   }
   wasDeaf_ = deaf;
-  if (judgements_.size() == 0) return;
-  judgements_.fleetIs(members.heard());
+  if (healthReports_.size() == 0) return;
+  healthReports_.setFleetSize(members.heard());
   const std::vector<Listed> listed = callbacks_.listed();
   const auto heard = [&](peers::PeerId id) { return members.isHeard(id); };
-  judgements_.forget(
-      [&](const shared::Life& life) {
-        return std::any_of(listed.begin(), listed.end(), [&](const Listed& one) { return one.life == life; });
+  healthReports_.removeStale(
+      [&](const health_reports::Incarnation& incarnation) {
+        return std::any_of(listed.begin(), listed.end(),
+                           [&](const Listed& one) { return one.incarnation == incarnation; });
       },
-      heard, at);
+      heard, timePoint(at));
   if (deaf) return;
-  const std::vector<shared::Life> judged = judgements_.judged();
+  const std::vector<health_reports::Incarnation> judged = healthReports_.incarnations();
   for (const Listed& one : listed) {
-    if (!std::binary_search(judged.begin(), judged.end(), one.life)) continue;
-    const auto said = judgements_.ask(one.life, heard, at);
+    if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
+    const auto said = healthReports_.summarize(one.incarnation, heard, timePoint(at));
     balancer::Hearsay hearsay;
     hearsay.upstream = one.upstream;
     hearsay.launchedAt = one.launchedAt;
     hearsay.sidecars = static_cast<std::uint32_t>(members.heard());
-    hearsay.witnesses = said.bad;
-    hearsay.well = said.well > 0;
-    hearsay.turn = members.turnAt(one.life.upstream) == members.settings().self;
+    hearsay.witnesses = said.unhealthy;
+    hearsay.well = said.healthy > 0;
+    hearsay.turn = members.turnAt(one.incarnation.endpoint) == members.settings().self;
     hearsay.holds = kHolds;
     callbacks_.hearsay(hearsay);
   }
@@ -205,17 +220,18 @@
   }
   auto& judged = status["judgements"] = nlohmann::json::array();
   const std::vector<Listed> listed = callbacks_.listed();
-  for (const shared::Judgement& one : judgements_.all(at)) {
+  for (const health_reports::HealthReport& one : healthReports_.reports(timePoint(at))) {
     if (judged.size() == kShown) break;
-    const auto found = std::find_if(listed.begin(), listed.end(),
-                                    [&](const Listed& other) { return other.life == one.life; });
-    judged.push_back({{"upstream", found == listed.end() ? hex(one.life.upstream) : found->id},
-                      {"started_at_ms", one.life.startedAtMs},
-                      {"witness", hex(one.witness)},
-                      {"finding", shared::nameOf(one.finding)},
+    const auto found = std::find_if(listed.begin(), listed.end(), [&](const Listed& other) {
+      return other.incarnation == one.incarnation;
+    });
+    judged.push_back({{"upstream", found == listed.end() ? hex(one.incarnation.endpoint) : found->id},
+                      {"started_at_ms", one.incarnation.startedAt.time_since_epoch().count()},
+                      {"witness", hex(one.reporter)},
+                      {"finding", health_reports::nameOf(one.status)},
                       {"attempts", one.attempts},
                       {"failures", one.failures},
-                      {"age_ms", one.age / 1000}});
+                      {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.age).count()}});
   }
   return status;
 }
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/fleet_view.h
@@ -15,15 +15,16 @@
 #include <functional>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
+#include <span>
 #include <string>
 #include <vector>
 
 #include "clock.h"
 #include "config.h"
+#include "health_reports/health_report_table.h"
 #include "ivypost/balancer.h"
 #include "peers/options.h"
 #include "peers/peers_io.h"
-#include "shared/judgements.h"
 
 namespace ivypost {
 
@@ -35,7 +36,7 @@
 
   // An upstream of the list, by what others call it.
   struct Listed {
-    shared::Life life;
+    health_reports::Incarnation incarnation;
     UpstreamId upstream = 0;
     Micros launchedAt = 0;  // as the module was told
     std::string id;
@@ -59,22 +60,24 @@
   FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks);
 
   // The end of an attempt at an upstream in this life, so long after it was sent.
-  void attempted(const shared::Life& life, balancer::Outcome outcome, Micros lag);
+  void attempted(const health_reports::Incarnation& incarnation, balancer::Outcome outcome, Micros lag);
   // This sidecar ends, or the operator has switched it off.
   void leave();
 
   bool deaf() const { return io_.members().deaf(now()); }
   const peers::PeersIo& peers() const { return io_; }
-  const shared::Judgements& judgements() const { return judgements_; }
+  const health_reports::HealthReportTable& healthReports() const { return healthReports_; }
   // For GET /status/peers: whom it hears, what part that is, judgements with witnesses and ages, bytes.
   nlohmann::json status() const;
 
  private:
+  // What others have sent. Whether it changes anything; none if it can't be read.
+  std::optional<bool> receive(std::span<const std::uint8_t> reports, std::chrono::microseconds delay);
   void look();
   void lookLater(std::chrono::milliseconds wait);
 
   Callbacks callbacks_;
-  shared::Judgements judgements_;
+  health_reports::HealthReportTable healthReports_;
   boost::asio::steady_timer timer_;
   peers::PeersIo io_;
   bool wasDeaf_ = true;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -239,7 +239,7 @@
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
   if (const Known& known = known_[attempt.upstream]; fleet_ && known.listed)
-    fleet_->attempted(lifeOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
+    fleet_->attempted(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   balancer::AttemptOutcome event;
@@ -498,15 +498,16 @@
                            [this](const balancer::Hearsay& hearsay) { handle(hearsay); }, log});
 }
 
-shared::Life Sidecar::lifeOf(const Known& known) const {
-  return {settings::identity(known.id), known.startedAtMs};
+health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
+  return {settings::identity(known.id),
+          health_reports::WallTime(std::chrono::milliseconds(known.startedAtMs))};
 }
 
 std::vector<FleetView::Listed> Sidecar::listed() const {
   std::vector<FleetView::Listed> all;
   for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
     const Known& known = known_[upstream];
-    if (known.listed) all.push_back({lifeOf(known), upstream, known.launchedAt, known.id});
+    if (known.listed) all.push_back({incarnationOf(known), upstream, known.launchedAt, known.id});
   }
   return all;
 }
