--- a/bench/list_scale.cpp
+++ b/bench/list_scale.cpp
@@ -14,8 +14,8 @@
 
 constexpr Micros kMs = 1000;
 
-UpstreamEntry entry(UpstreamId id, Micros launchedAt) {
-  UpstreamEntry e;
+EndpointEntry entry(EndpointId id, Micros launchedAt) {
+  EndpointEntry e;
   e.upstream = id;
   e.size = 1 + id % 3;
   e.launchedAt = launchedAt;
@@ -27,18 +27,18 @@
   double request = 0, oneChange = 0, hundredChanges = 0, whole = 0;  // in microseconds
 };
 
-Costs measure(UpstreamId upstreams) {
+Costs measure(EndpointId upstreams) {
   Settings s;
   RequestClass cls;
-  cls.aim = 400 * kMs;
+  cls.latencyObjective = 400 * kMs;
   cls.deadline = 1000 * kMs;
   cls.semantics = Semantics::Idempotent;
   s.classes = {cls};
   s.sidecars = 100;
-  s.idleClose = 30'000 * kMs;
-  s.maxStreams = 1;
+  s.idleTimeout = 30'000 * kMs;
+  s.maxStreamsPerConnection = 1;
   s.startCapacity = 0.3;
-  s.coldFor = 8'000 * kMs;
+  s.slowStartWindow = 8'000 * kMs;
   s.fallMultiple = 2.5;
   Micros now = 1'000'000 * kMs;
   Balancer balancer(s, 1, now);
@@ -49,7 +49,7 @@
   };
   MembershipUpdate list;
   list.kind = MembershipUpdate::Kind::Saved;
-  for (UpstreamId id = 0; id < upstreams; ++id) list.entries.push_back(entry(id, 0));
+  for (EndpointId id = 0; id < upstreams; ++id) list.entries.push_back(entry(id, 0));
   feed(list);
   const auto time = [](int rounds, const auto& what) {
     const auto start = std::chrono::steady_clock::now();
@@ -66,13 +66,13 @@
     feed(AttemptOutcome{id, 0, send->upstream, Outcome::Ok, 30 * kMs, true, {}});
     now += 30 * kMs;
   });
-  const auto restarts = [&](UpstreamId count) {
+  const auto restarts = [&](EndpointId count) {
     return time(2'000, [&, count](int n) {
       MembershipUpdate changes;
       changes.kind = MembershipUpdate::Kind::Changes;
       now += kMs;
-      for (UpstreamId k = 0; k < count; ++k)
-        changes.entries.push_back(entry((static_cast<UpstreamId>(n) * count + k) % upstreams, now));
+      for (EndpointId k = 0; k < count; ++k)
+        changes.entries.push_back(entry((static_cast<EndpointId>(n) * count + k) % upstreams, now));
       feed(changes);
     });
   };
@@ -89,7 +89,7 @@
   measure(10);  // warms up
   const Costs ten = measure(10);
   std::printf("upstreams  us a request (x ten's)  a push of 1  of 100  of the whole list\n");
-  for (const UpstreamId upstreams : {10U, 60U, 330U, 660U, 1000U, 1320U}) {
+  for (const EndpointId upstreams : {10U, 60U, 330U, 660U, 1000U, 1320U}) {
     const Costs c = measure(upstreams);
     std::printf("%9u  %8.2f (%6.1f)  %8.2f (%6.1f)  %8.2f (%6.1f)  %8.2f (%6.1f)\n", upstreams, c.request,
                 c.request / ten.request, c.oneChange, c.oneChange / ten.oneChange, c.hundredChanges,
--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -16,15 +16,15 @@
 //
 // Memory. Grows with the requests that are open or have an attempt out, and by about 200 bytes for each
 // number that the caller has given to an upstream; the retry budget keeps a time for each request of the last
-// lookBack.
+// retryBudgetWindow.
 //
 // Connections. The caller opens them as needed; CloseIdle asks to close those to an upstream that are not in
-// use. Where nothing is known of them (idleClose 0) the balancer keeps no home and closes on drains only.
+// use. Where nothing is known of them (idleTimeout 0) the balancer keeps no home and closes on drains only.
 //
 // Probes. Probe asks for one ProbeResult, whatever comes of it; a result that never comes is given up.
 //
 // Not decided on yet. Some settings are part of the interface, but no decision reads them: kinds (checked
-// only), keysWarm and with it key, maxOpen, reports, wastePrice, answerSlack, drainGrace, fallWindow,
+// only), hasKeyAffinity and with it key, maxOpen, reports, wastePrice, answerSlack, drainGrace, fallWindow,
 // quotaPerSecond. The module is stricter than the last ones ask: it answers by the deadline, stops sending at
 // once, and keeps slow start over any window.
 //
@@ -49,25 +49,26 @@
 // A small number the caller gives to each upstream: 0, 1, 2 ... in the order this sidecar first heard of
 // them. It stays with the upstream when its process restarts. One that has left the list, with no attempt,
 // probe or open request that refers to it, may pass to an upstream of another identity.
-using UpstreamId = std::uint32_t;
+using EndpointId = std::uint32_t;
 
 // ---- Settings -------------------------------------------------------------------------------------------
 
 enum class Semantics {
   Idempotent,  // may run any number of times
-  Keyed,       // upstreams of one group drop a repeat for repeatWindow after the first send
+  Keyed,       // upstreams of one group drop a repeat for retryWindow after the first send
   Unsafe,      // must never run twice
 };
-enum class RepeatGroup { All, Zone, Cell };
+enum class RetryGroup { All, Zone, Cell };
 
 struct RequestClass {
-  Micros aim = 0;         // an answer inside this time earns the full worth
-  double aimStretch = 0;  // the aim grows by this many times the request's own work, up to the deadline
-  Micros deadline = 0;    // the client's patience over all its tries
+  Micros latencyObjective = 0;  // an answer inside this time earns the full worth
+  double objectiveStretch =
+      0;  // the latencyObjective grows by this many times the request's own work, up to the deadline
+  Micros deadline = 0;  // the client's patience over all its tries
   Semantics semantics = Semantics::Unsafe;
-  RepeatGroup group = RepeatGroup::All;
-  Micros repeatWindow = 0;
-  double lateWorth = 0;
+  RetryGroup group = RetryGroup::All;
+  Micros retryWindow = 0;
+  double lateWeight = 0;
   double value = 1;
   bool stream = false;
 };
@@ -92,18 +93,18 @@
   Micros resolution = 1000;    // the shortest gap between two calls with a later `now`
 
   Micros connectTimeout = 0;
-  Micros idleClose = 0;          // an idle connection closes by itself after this long; 0: unknown
-  std::uint32_t maxStreams = 0;  // attempts that one connection carries at once; 0: unknown
+  Micros idleTimeout = 0;  // an idle connection closes by itself after this long; 0: unknown
+  std::uint32_t maxStreamsPerConnection = 0;  // attempts that one connection carries at once; 0: unknown
   std::uint32_t maxAttempts = 1;
   std::uint32_t maxOpen = 0;  // requests held open at once; 0 means no limit
   Micros maxRetryAfter = 0;
   bool retryAfter = false;
   bool mayCancel = false;
   bool mayProbe = false;
-  bool secondCopies = false;
-  bool keysWarm = false;  // serving a key again soon costs an upstream less
-  bool worthByWork = false;
-  double overShareWorth = 1;  // worth of traffic beyond a tenant's share, as part of its class's worth
+  bool mayHedge = false;
+  bool hasKeyAffinity = false;  // serving a key again soon costs an upstream less
+  bool weightByWork = false;
+  double overShareWeight = 1;  // worth of traffic beyond a tenant's share, as part of its class's worth
   double crossZonePrice = 0;
   double probePrice = 0;
   double wastePrice = 0;
@@ -111,30 +112,32 @@
   bool reportsBusy = false;  // reports tell the requests that an upstream has in hand
 
   Micros answerSlack = 0;
-  Micros askWithin = 0;
-  double startCapacity = 1;  // part of its capacity that a cold upstream has at least
-  Micros coldFor = 0;        // and it is warm after this long
+  Micros pollWithin = 0;
+  double startCapacity = 1;    // part of its capacity that a cold upstream has at least
+  Micros slowStartWindow = 0;  // and it is warm after this long
   Micros drainGrace = 0;
   double fallMultiple = 0;  // 0: a cold upstream cannot be pushed over
   Micros fallWindow = 0;
-  // In any span of lookBack, attempts beyond each request's first number at most extraFloor + furtherRatio x
-  // the requests taken in it. lookBack 0: no such rule; the module then keeps a budget of its own.
-  Micros lookBack = 0;
-  double extraFloor = 0;
-  double furtherRatio = 0;
-  Micros hangUpWithin = 0;  // idle connections to a draining upstream are closed within it; 0: no such rule
+  // In any span of retryBudgetWindow, attempts beyond each request's first number at most retryBudgetFloor +
+  // retryBudgetRatio x the requests taken in it. retryBudgetWindow 0: no such rule; the module then keeps a
+  // budget of its own.
+  Micros retryBudgetWindow = 0;
+  double retryBudgetFloor = 0;
+  double retryBudgetRatio = 0;
+  Micros closeDrainingWithin =
+      0;  // idle connections to a draining upstream are closed within it; 0: no such rule
 };
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
-enum class UpstreamState { Serving, Draining, Gone };
+enum class EndpointState { Serving, Draining, Gone };
 
-struct UpstreamEntry {
-  UpstreamId upstream = 0;
+struct EndpointEntry {
+  EndpointId upstream = 0;
   std::uint32_t zone = 0;
   std::uint32_t kind = 0;
   std::optional<std::uint32_t> cell;
-  UpstreamState state = UpstreamState::Serving;
+  EndpointState state = EndpointState::Serving;
   double size = 1;
   Micros launchedAt = 0;       // 0: long ago
   std::uint64_t identity = 0;  // the same at every sidecar, such as a hash of its address
@@ -143,7 +146,7 @@
 struct MembershipUpdate {
   enum class Kind { Changes, Full, Saved, Failed };
   Kind kind = Kind::Full;
-  std::vector<UpstreamEntry> entries;  // none for Failed
+  std::vector<EndpointEntry> entries;  // none for Failed
 };
 
 struct NewRequest {
@@ -153,7 +156,7 @@
   std::optional<std::uint64_t> key;
   Micros expiresIn = 0;
   std::optional<Micros> work;  // expected work, rough
-  bool resent = false;         // the client says that it repeats itself
+  bool isRetry = false;        // the client says that it repeats itself
 };
 
 // Only full, connect failure and moot prove that the attempt never ran.
@@ -166,7 +169,7 @@
 struct AttemptOutcome {
   RequestId request = 0;
   std::uint32_t attempt = 0;
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   Outcome outcome = Outcome::Ok;
   Micros lag = 0;     // since it was sent
   bool last = false;  // the request is over
@@ -187,7 +190,7 @@
 };
 
 struct ProbeResult {
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   bool ok = false;
   Micros lag = 0;
   std::optional<LoadReport> report;
@@ -198,15 +201,15 @@
 // Takes away from what the settings allow, until the next such event; the default takes nothing. For a
 // sidecar that is itself short of something.
 struct ReducedService {
-  bool secondCopies = true;  // a second attempt beside one that is out
-  double probes = 1;         // the part of the usual probes; 0 to 1, others are brought into range
+  bool mayHedge = true;  // a second attempt beside one that is out
+  double probes = 1;     // the part of the usual probes; 0 to 1, others are brought into range
 };
 
 // What the other sidecars that this one hears say of an upstream. It counts for `holds` and is told anew for
 // as long as there is something to say; who never tells it has the module as it is without. It can take an
 // upstream out or permit a trial of one that is out, and never lets anything go to one that the rules forbid.
-struct Hearsay {
-  UpstreamId upstream = 0;
+struct HealthReport {
+  EndpointId upstream = 0;
   Micros launchedAt = 0;        // the life it is said of, as the list has it; of another it counts nothing
   std::uint32_t sidecars = 0;   // that are heard, this one among them
   std::uint32_t witnesses = 0;  // others that find it bad, each by attempts of its own
@@ -216,20 +219,20 @@
 };
 
 using Event = std::variant<MembershipUpdate, NewRequest, AttemptStarted, AttemptOutcome, Withdrawn,
-                           ProbeResult, TimerDue, ReducedService, Hearsay>;
+                           ProbeResult, TimerDue, ReducedService, HealthReport>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
 
 struct Send {  // the attempts of a request are numbered 0, 1, 2 ... in the order of their Send
   RequestId request = 0;
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   Micros timeout = 0;  // 0: until the client gives up
 };
 struct Cancel {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
-struct Refuse {  // final answer: trying again is harmless
+struct Reject {  // final answer: trying again is harmless
   RequestId request = 0;
   Micros retryAfter = 0;  // 0: no advice
 };
@@ -240,10 +243,10 @@
   Micros delay = 0;
 };
 struct Probe {
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
 };
 struct CloseIdle {  // close this sidecar's idle connections to the upstream
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
 };
 struct Subscribe {};
 struct Fetch {};
@@ -251,7 +254,7 @@
   std::string text;
 };
 
-using Action = std::variant<Send, Cancel, Refuse, Fail, SetTimer, Probe, CloseIdle, Subscribe, Fetch, Log>;
+using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer, Probe, CloseIdle, Subscribe, Fetch, Log>;
 
 // ---- The balancer ---------------------------------------------------------------------------------------
 
@@ -267,9 +270,9 @@
   void handle(const Event& event, Micros now, std::vector<Action>& actions);
 
   // For tests and dashboards; nothing decides by them from outside.
-  std::uint32_t inFlight(UpstreamId upstream) const;
-  bool ready(UpstreamId upstream, Micros now) const;
-  std::optional<UpstreamId> remembered() const;
+  std::uint32_t inFlight(EndpointId upstream) const;
+  bool ready(EndpointId upstream, Micros now) const;
+  std::optional<EndpointId> remembered() const;
   std::size_t openRequests() const;
   std::size_t heldRequests() const;
 
--- a/src/admission/queue.h
+++ b/src/admission/queue.h
@@ -38,7 +38,8 @@
   std::size_t most = 256;    // requests that wait; at least 1
   double schoolShare = 0.5;  // of `most`, for the requests of one school; 1: no bound of its own
   // Under overload the longest wait in all lanes but the worthiest. More than a pause of a sidecar that may
-  // use a tenth of a core (its scheduler's period is 100 ms), little against the shortest aim of 500 ms.
+  // use a tenth of a core (its scheduler's period is 100 ms), little against the shortest latencyObjective of
+  // 500 ms.
   Micros target = 50'000;
   Micros interval = 150'000;  // at least `target`
   Micros answerTime = 5'000;  // of a request's time, that has to be left when it is handed on; less: refused
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -42,13 +42,13 @@
     if (const auto timer = deadlines_.arm(now_)) context.act(*timer);
   }
 
-  [[nodiscard]] std::uint32_t inFlight(UpstreamId id) const {
+  [[nodiscard]] std::uint32_t inFlight(EndpointId id) const {
     return decisions_.endpoints.contains(id) ? decisions_.endpoints[id].inFlight : 0;
   }
-  [[nodiscard]] bool ready(UpstreamId id, Micros now) const {
+  [[nodiscard]] bool ready(EndpointId id, Micros now) const {
     return decisions_.endpoints.contains(id) && decisions_.readiness.isReady(decisions_.endpoints[id], now);
   }
-  [[nodiscard]] std::optional<UpstreamId> remembered() const { return decisions_.selection.remembered(); }
+  [[nodiscard]] std::optional<EndpointId> remembered() const { return decisions_.selection.remembered(); }
   [[nodiscard]] std::size_t openRequests() const { return lifecycle_.open(); }
   [[nodiscard]] std::size_t heldRequests() const { return decisions_.loadShedding.size(); }
 
@@ -61,7 +61,7 @@
   }
 
   void validate(const MembershipUpdate& update) const {
-    for (const UpstreamEntry& entry : update.entries) {
+    for (const EndpointEntry& entry : update.entries) {
       if (entry.zone >= decisions_.settings.zones || entry.kind >= decisions_.settings.kinds ||
           entry.size < 0 || !std::isfinite(entry.size))
         throw std::invalid_argument("list entry outside the settings");
@@ -73,7 +73,7 @@
     started_ = true;
     if (update.kind == MembershipUpdate::Kind::Failed) return discovery_.callFailed(context);
     discovery_.listReceived(context);
-    for (const UpstreamId id :
+    for (const EndpointId id :
          decisions_.endpoints.apply(update, decisions_.concurrencyLimit.startLimit(), random_))
       decisions_.subset.closeDraining(id, context);
     decisions_.selection.forgetUnlisted();
@@ -85,7 +85,7 @@
     decisions_.reduced.probes = util::within(event.probes, 0, 1);
   }
 
-  void on(const Hearsay& event, const EventContext& context) {
+  void on(const HealthReport& event, const EventContext& context) {
     decisions_.outlierDetection.apply(event, context);
   }
 
@@ -97,7 +97,7 @@
           discovery_.poll(context);
           break;
         case Wake::What::CloseDraining:
-          decisions_.subset.closeDrainingAgain(static_cast<UpstreamId>(wake->request), context);
+          decisions_.subset.closeDrainingAgain(static_cast<EndpointId>(wake->request), context);
           break;
         case Wake::What::Ready:
           break;  // held requests are tried again after every event
@@ -134,13 +134,13 @@
 void Balancer::handle(const Event& event, Micros now, std::vector<Action>& actions) {
   impl_->handle(event, now, actions);
 }
-std::uint32_t Balancer::inFlight(UpstreamId upstream) const {
+std::uint32_t Balancer::inFlight(EndpointId upstream) const {
   return impl_->inFlight(upstream);
 }
-bool Balancer::ready(UpstreamId upstream, Micros now) const {
+bool Balancer::ready(EndpointId upstream, Micros now) const {
   return impl_->ready(upstream, now);
 }
-std::optional<UpstreamId> Balancer::remembered() const {
+std::optional<EndpointId> Balancer::remembered() const {
   return impl_->remembered();
 }
 std::size_t Balancer::openRequests() const {
--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -21,11 +21,11 @@
   settings.resolution = std::max<Micros>(settings.resolution, 1);
   settings.startCapacity = util::within(settings.startCapacity, kMinStartCapacity, 1);
   for (RequestClass& cls : settings.classes) {
-    for (Micros* span : {&cls.aim, &cls.deadline, &cls.repeatWindow}) util::bound(*span);
-    cls.aimStretch = util::within(cls.aimStretch, 0, kMaxObjectiveStretch);
+    for (Micros* span : {&cls.latencyObjective, &cls.deadline, &cls.retryWindow}) util::bound(*span);
+    cls.objectiveStretch = util::within(cls.objectiveStretch, 0, kMaxObjectiveStretch);
   }
-  for (Micros* span : {&settings.askWithin, &settings.coldFor, &settings.idleClose, &settings.lookBack,
-                       &settings.hangUpWithin}) {
+  for (Micros* span : {&settings.pollWithin, &settings.slowStartWindow, &settings.idleTimeout,
+                       &settings.retryBudgetWindow, &settings.closeDrainingWithin}) {
     util::bound(*span);
   }
   settings.sidecars = std::max<std::uint32_t>(settings.sidecars, 1);
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -24,7 +24,7 @@
 }
 
 bool ConnectionSubset::isPartial(Micros now) const {
-  return settings_.idleClose > 0 && targetSize(now) < static_cast<double>(endpoints_.listed().size());
+  return settings_.idleTimeout > 0 && targetSize(now) < static_cast<double>(endpoints_.listed().size());
 }
 
 bool ConnectionSubset::isConnected(const Endpoint& endpoint, Micros now) const {
@@ -33,8 +33,9 @@
 
 // Whether a send finds a free stream on an open connection; where nothing is known of them it does.
 bool ConnectionSubset::reuses(const Endpoint& endpoint, Micros now) const {
-  if (settings_.idleClose <= 0 || settings_.maxStreams == 0) return true;
-  return isConnected(endpoint, now) && endpoint.inFlight / settings_.maxStreams < endpoint.connections;
+  if (settings_.idleTimeout <= 0 || settings_.maxStreamsPerConnection == 0) return true;
+  return isConnected(endpoint, now) &&
+         endpoint.inFlight / settings_.maxStreamsPerConnection < endpoint.connections;
 }
 
 bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
@@ -44,7 +45,7 @@
 }
 
 void ConnectionSubset::join(Endpoint& endpoint, Micros now) const {
-  if (settings_.idleClose > 0 && freeSlots(now) >= 1) endpoint.isInSubset = true;
+  if (settings_.idleTimeout > 0 && freeSlots(now) >= 1) endpoint.isInSubset = true;
 }
 
 // Guards against what died with all its connections: a reset, or the second failed connect in a row.
@@ -63,31 +64,31 @@
   const auto& listed = endpoints_.listed();
   return targetSize(now) -
          static_cast<double>(std::count_if(listed.begin(), listed.end(),
-                                           [this](UpstreamId id) { return endpoints_[id].isInSubset; }));
+                                           [this](EndpointId id) { return endpoints_[id].isInSubset; }));
 }
 
 void ConnectionSubset::leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome,
                                     Micros latency, Micros now) const {
-  if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
+  if (settings_.idleTimeout <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
   const double usual = latency_.typicalLatency(request.requestClass) * request.relativeWork;
   const bool late = usual > 0 && static_cast<double>(latency) > kSilenceMultiple * usual;
   if (outcome != Outcome::Ok || late || !endpoint.isListed || freeSlots(now) < 0) endpoint.isInSubset = false;
 }
 
-void ConnectionSubset::closeUnused(UpstreamId id, const EventContext& context) const {
+void ConnectionSubset::closeUnused(EndpointId id, const EventContext& context) const {
   if (endpoints_[id].inFlight > 0 || endpoints_[id].isInSubset || !isPartial(context.now)) return;
   endpoints_[id].connections = 0;
   context.act(CloseIdle{id});
 }
 
-void ConnectionSubset::closeDraining(UpstreamId id, const EventContext& context) const {
-  if (settings_.hangUpWithin <= 0) return;
+void ConnectionSubset::closeDraining(EndpointId id, const EventContext& context) const {
+  if (settings_.closeDrainingWithin <= 0) return;
   context.act(CloseIdle{id});
-  const Micros again = settings_.hangUpWithin - 2 * settings_.resolution;
+  const Micros again = settings_.closeDrainingWithin - 2 * settings_.resolution;
   if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::CloseDraining});
 }
 
-void ConnectionSubset::closeDrainingAgain(UpstreamId id, const EventContext& context) const {
+void ConnectionSubset::closeDrainingAgain(EndpointId id, const EventContext& context) const {
   if (!endpoints_[id].isListed) context.act(CloseIdle{id});
 }
 
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -14,7 +14,7 @@
 /// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a
 /// subset; connections to other endpoints, and to those that drain, are closed.
 ///
-/// Where nothing is known of connections (Settings::idleClose 0) there is no subset and only drains close.
+/// Where nothing is known of connections (Settings::idleTimeout 0) there is no subset and only drains close.
 class ConnectionSubset {
  public:
   /// All must outlive it.
@@ -40,13 +40,13 @@
 
   /// Guards against connections that many sidecars with little traffic keep open to no use: they fill the
   /// endpoints' tables. One that will idle out before its next use is closed at once.
-  void closeUnused(UpstreamId id, const EventContext& context) const;
+  void closeUnused(EndpointId id, const EventContext& context) const;
   /// Guards against idle connections that hold up a drain: they are closed at the notice, at each outcome
-  /// there, and once more shortly before the time is up (Settings::hangUpWithin): some become idle without an
-  /// outcome.
-  void closeDraining(UpstreamId id, const EventContext& context) const;
+  /// there, and once more shortly before the time is up (Settings::closeDrainingWithin): some become idle
+  /// without an outcome.
+  void closeDraining(EndpointId id, const EventContext& context) const;
   /// That time is nearly up.
-  void closeDrainingAgain(UpstreamId id, const EventContext& context) const;
+  void closeDrainingAgain(EndpointId id, const EventContext& context) const;
 
  private:
   [[nodiscard]] bool reuses(const Endpoint& endpoint, Micros now) const;
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 // At their start all sidecars ask discovery by their numbers, one in this time (microseconds), but all within
-// this part of askWithin. Failed calls back off from these parts of askWithin or that spread, up to these.
+// this part of pollWithin. Failed calls back off from these parts of pollWithin or that spread, up to these.
 constexpr double kFleetCallGap = 35'000;
 constexpr double kDiscoverySpread = 0.5;
 constexpr double kDiscoveryRetry = 1.0 / 32;
 constexpr double kSpreadRetry = 0.25;
 constexpr double kDiscoveryLongest = 0.25;
 constexpr double kSpreadLongest = 1.5;
-// askWithin counts for at least so many steps of the clock.
+// pollWithin counts for at least so many steps of the clock.
 constexpr Micros kMinSteps = 32;
 
 }  // namespace
@@ -32,7 +32,7 @@
 
 void DiscoveryPolling::callFailed(const EventContext& context) {
   const auto pollWithin =
-      static_cast<double>(std::max(settings_.askWithin, kMinSteps * settings_.resolution));
+      static_cast<double>(std::max(settings_.pollWithin, kMinSteps * settings_.resolution));
   const double base = std::max(pollWithin * kDiscoveryRetry, spread() * kSpreadRetry);
   const double longest = std::max(pollWithin * kDiscoveryLongest, spread() * kSpreadLongest);
   if (!wait_.waits()) context.act(Log{"discovery lost: deciding on the last list"});
@@ -46,7 +46,7 @@
 
 double DiscoveryPolling::spread() const {
   if (!settings_.mustSubscribe || settings_.sidecars <= kSmallFleet) return 0;
-  return std::min(kDiscoverySpread * static_cast<double>(settings_.askWithin),
+  return std::min(kDiscoverySpread * static_cast<double>(settings_.pollWithin),
                   kFleetCallGap * settings_.sidecars);
 }
 
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -47,7 +47,7 @@
   /// Whether at least one listed endpoint is ready, so that trying held requests again can be of use.
   [[nodiscard]] bool anyReady(const EndpointRegistry& endpoints, Micros now) const {
     return std::any_of(endpoints.listed().begin(), endpoints.listed().end(),
-                       [&](UpstreamId id) { return isReady(endpoints[id], now); });
+                       [&](EndpointId id) { return isReady(endpoints[id], now); });
   }
 
  private:
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -3,22 +3,22 @@
 
 namespace ivypost::balancer::internal {
 
-std::vector<UpstreamId> EndpointRegistry::apply(const MembershipUpdate& update, double startLimit,
+std::vector<EndpointId> EndpointRegistry::apply(const MembershipUpdate& update, double startLimit,
                                                 RandomSource& random) {
-  std::vector<UpstreamId> before = listed_;
+  std::vector<EndpointId> before = listed_;
   if (update.kind != MembershipUpdate::Kind::Changes) {
     // Whoever is missing from a full list is gone.
-    for (const UpstreamId id : listed_) endpoints_[id].isListed = false;
+    for (const EndpointId id : listed_) endpoints_[id].isListed = false;
     listed_.clear();
   }
-  for (const UpstreamEntry& entry : update.entries) apply(entry, startLimit, random);
+  for (const EndpointEntry& entry : update.entries) apply(entry, startLimit, random);
   meanSize_ = 0;
-  for (const UpstreamId id : listed_) meanSize_ += endpoints_[id].size / static_cast<double>(listed_.size());
-  std::erase_if(before, [this](UpstreamId id) { return endpoints_[id].isListed; });
+  for (const EndpointId id : listed_) meanSize_ += endpoints_[id].size / static_cast<double>(listed_.size());
+  std::erase_if(before, [this](EndpointId id) { return endpoints_[id].isListed; });
   return before;
 }
 
-void EndpointRegistry::apply(const UpstreamEntry& entry, double startLimit, RandomSource& random) {
+void EndpointRegistry::apply(const EndpointEntry& entry, double startLimit, RandomSource& random) {
   if (!contains(entry.upstream)) endpoints_.resize(entry.upstream + 1);
   Endpoint& endpoint = endpoints_[entry.upstream];
   const bool was = endpoint.isListed;
@@ -36,7 +36,7 @@
   endpoint.zone = entry.zone;
   endpoint.cell = entry.cell;
   endpoint.size = entry.size > 0 ? entry.size : 1;
-  endpoint.isListed = entry.state == UpstreamState::Serving;
+  endpoint.isListed = entry.state == EndpointState::Serving;
   if (endpoint.isListed && !was) listed_.push_back(entry.upstream);
   if (!endpoint.isListed && was) std::erase(listed_, entry.upstream);
 }
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -13,7 +13,7 @@
 namespace ivypost::balancer::internal {
 
 /// No endpoint: the value of an id that names none.
-constexpr UpstreamId kNoEndpoint = static_cast<UpstreamId>(-1);
+constexpr EndpointId kNoEndpoint = static_cast<EndpointId>(-1);
 
 /// An answer of this sidecar's own counts for more than what others say of an endpoint for so long, in
 /// microseconds: about as long as it takes others to meet the endpoint too.
@@ -76,14 +76,14 @@
  public:
   /// Whether the id is within range. One that is may still never have been named by a list
   /// (Endpoint::isKnown).
-  [[nodiscard]] bool contains(UpstreamId id) const { return id < endpoints_.size(); }
+  [[nodiscard]] bool contains(EndpointId id) const { return id < endpoints_.size(); }
   /// `id` must be contained.
-  Endpoint& operator[](UpstreamId id) { return endpoints_[id]; }
+  Endpoint& operator[](EndpointId id) { return endpoints_[id]; }
   /// `id` must be contained. For the parts that only read.
-  const Endpoint& operator[](UpstreamId id) const { return endpoints_[id]; }
+  const Endpoint& operator[](EndpointId id) const { return endpoints_[id]; }
 
   /// Those that serve, in the order they were listed.
-  [[nodiscard]] const std::vector<UpstreamId>& listed() const { return listed_; }
+  [[nodiscard]] const std::vector<EndpointId>& listed() const { return listed_; }
   /// The mean size of those listed; 0 while there are none.
   [[nodiscard]] double meanSize() const { return meanSize_; }
 
@@ -91,13 +91,13 @@
   /// starts without a history: with `startLimit`, and a random part of a slow-start credit, since sidecars
   /// that hear of a start together must not all send at once.
   /// @return those that were listed and are no more, in the order they were listed
-  std::vector<UpstreamId> apply(const MembershipUpdate& update, double startLimit, RandomSource& random);
+  std::vector<EndpointId> apply(const MembershipUpdate& update, double startLimit, RandomSource& random);
 
  private:
-  void apply(const UpstreamEntry& entry, double startLimit, RandomSource& random);
+  void apply(const EndpointEntry& entry, double startLimit, RandomSource& random);
 
   std::vector<Endpoint> endpoints_;  // by id
-  std::vector<UpstreamId> listed_;
+  std::vector<EndpointId> listed_;
   double meanSize_ = 0;
 };
 
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-const std::vector<UpstreamId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
+const std::vector<EndpointId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
                                                            Micros now) {
   eligible_.clear();
   if (!allowed.send) return eligible_;
-  for (const UpstreamId id : endpoints_.listed()) {
+  for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     // A ready one is listed and has its credit: of the rules only the repeat group is left.
     if (readiness_.isReady(endpoint, now) && retryPolicy_.isInGroup(id, endpoint, request, allowed))
@@ -41,7 +41,7 @@
   }
   if (request.attempts.empty()) return eligible_;
   // A repeat goes to an endpoint that this request has not met, as long as there is one.
-  const auto met = [&](UpstreamId id) {
+  const auto met = [&](EndpointId id) {
     return std::any_of(request.attempts.begin(), request.attempts.end(),
                        [id](const Attempt& attempt) { return attempt.endpoint == id; });
   };
@@ -50,10 +50,10 @@
   return eligible_;
 }
 
-const std::vector<UpstreamId>& EndpointSelection::lastResort(const Request& request,
+const std::vector<EndpointId>& EndpointSelection::lastResort(const Request& request,
                                                              const Permission& allowed, Micros now) {
   eligible_.clear();
-  for (const UpstreamId id : endpoints_.listed()) {
+  for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
                       EndpointReadiness::mayBeTried(endpoint, now);
@@ -67,7 +67,7 @@
                   std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kOverloadCpuThreshold)));
 }
 
-UpstreamId EndpointSelection::draw(const std::vector<UpstreamId>& eligible, const Request& request,
+EndpointId EndpointSelection::draw(const std::vector<EndpointId>& eligible, const Request& request,
                                    const EventContext& context) {
   const Micros now = context.now;
   odds_.clear();
@@ -75,7 +75,7 @@
   double outside = 0;
   const double meanSize = endpoints_.meanSize();
   const double exponent = std::sqrt(request.relativeWork);
-  for (const UpstreamId id : eligible) {
+  for (const EndpointId id : eligible) {
     const Endpoint& endpoint = endpoints_[id];
     odds_.push_back(suitability(endpoint, meanSize, exponent, now) * zoneOdds(endpoint));
     if (slowStart_.capacityFraction(endpoint, now) >= 1)
@@ -99,14 +99,14 @@
   return eligible[std::min<std::size_t>(static_cast<std::size_t>(at), eligible.size() - 1)];
 }
 
-UpstreamId EndpointSelection::pick(const std::vector<UpstreamId>& eligible, const Request& request,
+EndpointId EndpointSelection::pick(const std::vector<EndpointId>& eligible, const Request& request,
                                    const EventContext& context) {
-  const UpstreamId drawn = draw(eligible, request, context);
+  const EndpointId drawn = draw(eligible, request, context);
   const bool comparable = std::find(eligible.begin(), eligible.end(), remembered_) != eligible.end();
   const bool rememberedLighter = comparable && endpoints_[remembered_].inFlight < endpoints_[drawn].inFlight;
   const bool drawnLighter =
       remembered_ == kNoEndpoint || endpoints_[drawn].inFlight < endpoints_[remembered_].inFlight;
-  const UpstreamId picked = rememberedLighter ? remembered_ : drawn;
+  const EndpointId picked = rememberedLighter ? remembered_ : drawn;
   if (drawnLighter) remembered_ = drawn;
   return picked;
 }
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -36,19 +36,19 @@
 
   /// The ready endpoints that the rules allow the request; those it has not met, as long as there is one.
   /// @return a list that is valid until the next call of eligible() or lastResort()
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed, Micros now);
+  const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
   /// Ejected endpoints that answer at all, are free, and that the rules allow the request.
   /// @return as eligible()
-  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& allowed, Micros now);
+  const std::vector<EndpointId>& lastResort(const Request& request, const Permission& allowed, Micros now);
 
   /// One of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
-  UpstreamId pick(const std::vector<UpstreamId>& eligible, const Request& request,
+  EndpointId pick(const std::vector<EndpointId>& eligible, const Request& request,
                   const EventContext& context);
 
   /// The remembered endpoint, if there is one.
-  [[nodiscard]] std::optional<UpstreamId> remembered() const {
-    return remembered_ == kNoEndpoint ? std::nullopt : std::optional<UpstreamId>(remembered_);
+  [[nodiscard]] std::optional<EndpointId> remembered() const {
+    return remembered_ == kNoEndpoint ? std::nullopt : std::optional<EndpointId>(remembered_);
   }
   /// The list has changed: one that left it is remembered no more.
   void forgetUnlisted() {
@@ -62,7 +62,7 @@
     return settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
   }
   [[nodiscard]] double crossZoneOdds() const;
-  UpstreamId draw(const std::vector<UpstreamId>& eligible, const Request& request,
+  EndpointId draw(const std::vector<EndpointId>& eligible, const Request& request,
                   const EventContext& context);
 
   const Settings& settings_;
@@ -72,8 +72,8 @@
   const RetryPolicy& retryPolicy_;
   const LoadReports& loadReports_;
   const ConnectionSubset& subset_;
-  UpstreamId remembered_ = kNoEndpoint;  // the remembered endpoint
-  std::vector<UpstreamId> eligible_;
+  EndpointId remembered_ = kNoEndpoint;  // the remembered endpoint
+  std::vector<EndpointId> eligible_;
   std::vector<double> odds_;  // running sums, for the draw
 };
 
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -55,7 +55,7 @@
   return std::max(patience, 2 * settings_.resolution);
 }
 
-void HealthCheck::startProbe(RequestId id, Request& request, UpstreamId to, const EventContext& context) {
+void HealthCheck::startProbe(RequestId id, Request& request, EndpointId to, const EventContext& context) {
   if (request.probes++ == 0) context.deadlines.push({request.holdUntil, id, Wake::What::Hold});
   request.probedEndpoint = to;
   request.probeDeadline = context.now + probeTimeout(endpoints_[to]);
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -34,7 +34,7 @@
   /// evenly.
   bool shouldProbe(const Request& request, const ReducedService& reduced, const EventContext& context);
   /// Asks for a probe of the endpoint; the request waits for it.
-  void startProbe(RequestId id, Request& request, UpstreamId to, const EventContext& context);
+  void startProbe(RequestId id, Request& request, EndpointId to, const EventContext& context);
 
   /// The requests that wait for a probe, in the order they began to.
   [[nodiscard]] const std::vector<RequestId>& waiting() const { return waiting_; }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void OutlierDetection::observe(UpstreamId id, Outcome outcome, const EventContext& context) {
+void OutlierDetection::observe(EndpointId id, Outcome outcome, const EventContext& context) {
   Endpoint& endpoint = endpoints_[id];
   if (outcome == Outcome::Cancelled || outcome == Outcome::Moot || outcome == Outcome::Full) return;
   const double failed = outcome == Outcome::Ok ? 0 : 1;
@@ -54,7 +54,7 @@
   }
 }
 
-void OutlierDetection::apply(const Hearsay& event, const EventContext& context) {
+void OutlierDetection::apply(const HealthReport& event, const EventContext& context) {
   if (!endpoints_.contains(event.upstream)) return;
   Endpoint& endpoint = endpoints_[event.upstream];
   if (!endpoint.isListed || event.launchedAt != endpoint.launchedAt) return;
@@ -65,7 +65,7 @@
   if (event.well || endpoint.isHalfOpen || context.now - endpoint.lastServedAt < kOwnEvidenceLasts ||
       event.witnesses < enough)
     return;
-  const auto another = [&](UpstreamId id) {
+  const auto another = [&](EndpointId id) {
     return id != event.upstream && readiness_.isReady(endpoints_[id], context.now);
   };
   if (std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(), another))
@@ -73,9 +73,9 @@
 }
 
 // False if so many are out already, of `most` of the listed, that this one has to stay.
-bool OutlierDetection::eject(UpstreamId id, double most, const EventContext& context) {
+bool OutlierDetection::eject(EndpointId id, double most, const EventContext& context) {
   const auto& listed = endpoints_.listed();
-  const auto out = std::count_if(listed.begin(), listed.end(), [&](UpstreamId other) {
+  const auto out = std::count_if(listed.begin(), listed.end(), [&](EndpointId other) {
     return endpoints_[other].isHalfOpen || context.now < endpoints_[other].ejectedUntil;
   });
   Endpoint& endpoint = endpoints_[id];
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -24,15 +24,15 @@
       : settings_(settings), endpoints_(endpoints), readiness_(readiness), latency_(latency) {}
 
   /// An own attempt at the endpoint has this outcome.
-  void observe(UpstreamId id, Outcome outcome, const EventContext& context);
+  void observe(EndpointId id, Outcome outcome, const EventContext& context);
 
   /// Others have said something of an endpoint. Own fresh evidence beats it. What enough others have found is
   /// an ejection like one's own, but of fewer endpoints and never of the last ready; that one of them was
   /// served since only permits a trial.
-  void apply(const Hearsay& event, const EventContext& context);
+  void apply(const HealthReport& event, const EventContext& context);
 
  private:
-  bool eject(UpstreamId id, double most, const EventContext& context);
+  bool eject(EndpointId id, double most, const EventContext& context);
 
   const Settings& settings_;
   EndpointRegistry& endpoints_;
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -20,7 +20,7 @@
   if (request.tenant) {
     const double share = settings_.tenants[*request.tenant].share * totalUsage_;
     const double usage = tenantUsage_[*request.tenant];
-    if (usage > share) weight *= (share + (usage - share) * settings_.overShareWorth) / usage;
+    if (usage > share) weight *= (share + (usage - share) * settings_.overShareWeight) / usage;
   }
   return weight;
 }
@@ -36,7 +36,7 @@
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
   const double latency = typical > 0 ? typical : latency_.overallLatency();
-  return settings_.classes[cls].value / (settings_.worthByWork ? 1 : std::max(1.0, latency));
+  return settings_.classes[cls].value / (settings_.weightByWork ? 1 : std::max(1.0, latency));
 }
 
 void Priority::countUsage(const Request& request, Micros now) {
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -14,7 +14,7 @@
 
 /// One attempt of a request at an endpoint. Times are microseconds.
 struct Attempt {
-  UpstreamId endpoint = kNoEndpoint;  ///< where it was sent; always one that the registry contains
+  EndpointId endpoint = kNoEndpoint;  ///< where it was sent; always one that the registry contains
   std::uint32_t zone = 0;             ///< the endpoint's, at the time
   std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
   Micros sentAt = 0;                  ///< the time of the event that led to it; repeat windows begin here
@@ -34,7 +34,7 @@
   Micros latencyObjective = 0;  ///< a span since its arrival: an answer inside it earns the full weight
   Micros deadline = 0;          ///< the moment by which it must have its final answer, unless it is streaming
   Micros holdUntil = 0;         ///< not worth holding any longer
-  UpstreamId probedEndpoint = kNoEndpoint;  ///< waits for a probe of this endpoint
+  EndpointId probedEndpoint = kNoEndpoint;  ///< waits for a probe of this endpoint
   Micros probeDeadline = 0;                 ///< the moment from which that probe counts as unanswered
   int probes = 0;                     ///< how many were started for it, by HealthCheck; bounded by kMaxProbes
   int overloadedProbes = 0;           ///< how many of them found overload or went unanswered
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -29,9 +29,10 @@
 
 Micros RequestEstimates::latencyObjectiveOf(const NewRequest& event) const {
   const RequestClass& cls = settings_.classes[event.requestClass];
-  const double stretch = cls.aimStretch * static_cast<double>(std::max<Micros>(0, event.work.value_or(0)));
-  const auto allowance = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.aim));
-  return cls.aim + static_cast<Micros>(std::min(stretch, allowance));
+  const double stretch =
+      cls.objectiveStretch * static_cast<double>(std::max<Micros>(0, event.work.value_or(0)));
+  const auto allowance = static_cast<double>(std::max<Micros>(0, cls.deadline - cls.latencyObjective));
+  return cls.latencyObjective + static_cast<Micros>(std::min(stretch, allowance));
 }
 
 // How heavy a request is within its class, where it brings a hint of its work.
@@ -53,8 +54,8 @@
   util::smooth(usual, span, kLatencyGain);
   usual = std::max(span, usual);
   const bool isShortened = span < kShortenedAttempt * usual;
-  if (isShortened && cls.deadline - event.expiresIn >= latencyObjective) return cls.lateWorth;
-  return isShortened || event.resent ? (1 + cls.lateWorth) / 2 : 1;
+  if (isShortened && cls.deadline - event.expiresIn >= latencyObjective) return cls.lateWeight;
+  return isShortened || event.isRetry ? (1 + cls.lateWeight) / 2 : 1;
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -32,7 +32,7 @@
   return decisions_.retryPolicy.permission(request, decisions_.reduced, context.now);
 }
 
-const std::vector<UpstreamId>& RequestLifecycle::eligible(const Request& request, const Permission& allowed,
+const std::vector<EndpointId>& RequestLifecycle::eligible(const Request& request, const Permission& allowed,
                                                           const EventContext& context) {
   const bool mustWait = allowed.send && decisions_.sidecarLimit.mustWait(request, context);
   return decisions_.selection.eligible(request, mustWait ? Permission{} : allowed, context.now);
@@ -56,9 +56,9 @@
 // answers it.
 void RequestLifecycle::dispatch(RequestId id, Request& request, const EventContext& context) {
   const Permission allowed = permission(request, context);
-  const std::vector<UpstreamId>& choice = eligible(request, allowed, context);
+  const std::vector<EndpointId>& choice = eligible(request, allowed, context);
   if (!choice.empty()) {
-    const UpstreamId to = decisions_.selection.pick(choice, request, context);
+    const EndpointId to = decisions_.selection.pick(choice, request, context);
     if (decisions_.healthCheck.shouldProbe(request, decisions_.reduced, context)) {
       decisions_.healthCheck.startProbe(id, request, to, context);
     } else {
@@ -77,7 +77,7 @@
 // Guards against rejecting what an ejected endpoint might still serve: one that answers at all answers some.
 // That is its trial. One that is silent gets nothing: a rejection lets the client try again.
 void RequestLifecycle::attemptLastResort(RequestId id, Request& request, const EventContext& context) {
-  const std::vector<UpstreamId>& choice =
+  const std::vector<EndpointId>& choice =
       decisions_.selection.lastResort(request, permission(request, context), context.now);
   if (choice.empty()) return answer(id, request, context);
   decisions_.loadShedding.release(id);
@@ -86,7 +86,7 @@
   send(id, request, choice[static_cast<std::size_t>(at)], context);
 }
 
-void RequestLifecycle::send(RequestId id, Request& request, UpstreamId to, const EventContext& context) {
+void RequestLifecycle::send(RequestId id, Request& request, EndpointId to, const EventContext& context) {
   const Micros now = context.now;
   Endpoint& endpoint = decisions_.endpoints[to];
   // Guards the rules against every other part of this module: they have the last word.
@@ -111,7 +111,7 @@
   const Permission allowed = permission(request, context);
   if (!allowed.refuse && !allowed.fail) return;
   if (allowed.refuse) {
-    context.act(Refuse{id, decisions_.loadShedding.retryAfter(context)});
+    context.act(Reject{id, decisions_.loadShedding.retryAfter(context)});
   } else {
     context.act(Fail{id});
   }
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -53,11 +53,11 @@
 
  private:
   [[nodiscard]] Permission permission(const Request& request, const EventContext& context);
-  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& allowed,
+  const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed,
                                           const EventContext& context);
   void dispatch(RequestId id, Request& request, const EventContext& context);
   void attemptLastResort(RequestId id, Request& request, const EventContext& context);
-  void send(RequestId id, Request& request, UpstreamId to, const EventContext& context);
+  void send(RequestId id, Request& request, EndpointId to, const EventContext& context);
   void finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
   void answer(RequestId id, Request& request, const EventContext& context);
   void close(RequestId id, Request& request, const EventContext& context);
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -18,10 +18,10 @@
 }  // namespace
 
 RetryBudget::RetryBudget(const Settings& settings)
-    : stated_(settings.lookBack > 0),
-      retryBudgetWindow_(stated_ ? settings.lookBack : kDefaultRetryBudgetWindow),
-      extraFloor_(stated_ ? util::within(settings.extraFloor, 0, kMaxBudget) : kRetryFloor),
-      furtherRatio_(stated_ ? util::within(settings.furtherRatio, 0, kMaxBudget) : kRetryRatio) {}
+    : stated_(settings.retryBudgetWindow > 0),
+      retryBudgetWindow_(stated_ ? settings.retryBudgetWindow : kDefaultRetryBudgetWindow),
+      extraFloor_(stated_ ? util::within(settings.retryBudgetFloor, 0, kMaxBudget) : kRetryFloor),
+      furtherRatio_(stated_ ? util::within(settings.retryBudgetRatio, 0, kMaxBudget) : kRetryRatio) {}
 
 void RetryBudget::forgetTaken(Micros now) {
   while (!taken_.empty() && taken_.front() <= now - retryBudgetWindow_) taken_.pop_front();
@@ -48,7 +48,7 @@
   allowed.fail = true;
   allowed.send = now < request.deadline && !request.isBodySpent &&
                  request.attempts.size() < settings_.maxAttempts &&
-                 (request.pendingAttempts == 0 || (settings_.secondCopies && reduced.secondCopies)) &&
+                 (request.pendingAttempts == 0 || (settings_.mayHedge && reduced.mayHedge)) &&
                  (!isCharged(request) || budget_.left(now));
   if (first == request.attempts.end() || cls.semantics == Semantics::Idempotent) {
     allowed.refuse = true;
@@ -56,11 +56,11 @@
     allowed.send = false;
   } else {
     // Strictly inside the window, one step of the clock early: the endpoint's clock starts with our send.
-    const bool inWindow = now + settings_.resolution < first->sentAt + cls.repeatWindow;
+    const bool inWindow = now + settings_.resolution < first->sentAt + cls.retryWindow;
     allowed.send = allowed.send && inWindow;
     allowed.anchor = &*first;
     // A rejection invites the client to send again to any endpoint, so it needs the widest group, and time.
-    allowed.refuse = cls.group == RepeatGroup::All && inWindow;
+    allowed.refuse = cls.group == RetryGroup::All && inWindow;
   }
   return allowed;
 }
@@ -73,13 +73,13 @@
                                           [](const Attempt& attempt) { return attempt.mayHaveRun; });
 }
 
-bool RetryPolicy::inGroup(RepeatGroup group, const Attempt& anchor, const Endpoint& endpoint, UpstreamId id) {
+bool RetryPolicy::inGroup(RetryGroup group, const Attempt& anchor, const Endpoint& endpoint, EndpointId id) {
   switch (group) {
-    case RepeatGroup::All:
+    case RetryGroup::All:
       return true;
-    case RepeatGroup::Zone:
+    case RetryGroup::Zone:
       return anchor.zone == endpoint.zone;
-    case RepeatGroup::Cell:
+    case RetryGroup::Cell:
       return anchor.cell ? anchor.cell == endpoint.cell : anchor.endpoint == id;
   }
   return false;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -19,10 +19,10 @@
 /// The retry budget: an exact sliding window over requests taken and further attempts. It looks back from
 /// each further attempt, which counts the oldest moment for attempts but not for requests.
 ///
-/// Grows with the requests of the last Settings::lookBack.
+/// Grows with the requests of the last Settings::retryBudgetWindow.
 class RetryBudget {
  public:
-  /// Where the settings state no budget (lookBack 0) it is one of the module's own.
+  /// Where the settings state no budget (retryBudgetWindow 0) it is one of the module's own.
   explicit RetryBudget(const Settings& settings);
 
   /// Whether the settings state it. A stated one counts every attempt beyond a request's first.
@@ -52,7 +52,7 @@
   bool fail = false;                ///< it may be failed; false once it has its answer or is streaming
 };
 
-/// The rules on attempts and final answers. Every Send, Refuse and Fail asks here first: the rules have the
+/// The rules on attempts and final answers. Every Send, Reject and Fail asks here first: the rules have the
 /// last word against every other part of the module.
 ///
 /// Invariant: no effect twice. An unsafe request is sent again or rejected only when every earlier attempt is
@@ -70,14 +70,14 @@
 
   /// The rules on where it may go: no draining or gone endpoint, none that is warming up beyond its credit,
   /// no other repeat group.
-  [[nodiscard]] bool mayGoTo(UpstreamId id, const Endpoint& endpoint, const Request& request,
+  [[nodiscard]] bool mayGoTo(EndpointId id, const Endpoint& endpoint, const Request& request,
                              const Permission& allowed, Micros now) const {
     return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
            isInGroup(id, endpoint, request, allowed);
   }
 
   /// The last of them alone: whether the endpoint is in the repeat group that the request is bound to.
-  [[nodiscard]] bool isInGroup(UpstreamId id, const Endpoint& endpoint, const Request& request,
+  [[nodiscard]] bool isInGroup(EndpointId id, const Endpoint& endpoint, const Request& request,
                                const Permission& allowed) const {
     return allowed.anchor == nullptr ||
            inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id);
@@ -91,7 +91,7 @@
   }
 
  private:
-  static bool inGroup(RepeatGroup group, const Attempt& anchor, const Endpoint& endpoint, UpstreamId id);
+  static bool inGroup(RetryGroup group, const Attempt& anchor, const Endpoint& endpoint, EndpointId id);
   [[nodiscard]] bool isCharged(const Request& request) const;
 
   const Settings& settings_;
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -8,14 +8,14 @@
 namespace ivypost::balancer::internal {
 
 /// How many attempts this sidecar has lately sent, faded exponentially over the time for which an idle
-/// connection is kept (Settings::idleClose; kDefaultIdleTime where that is unknown).
+/// connection is kept (Settings::idleTimeout; kDefaultIdleTime where that is unknown).
 class SendRate {
  public:
   /// `startedAt`: when the balancer began, in microseconds; until idleTime() has
   /// passed since then, what was counted is scaled up to it.
   SendRate(const Settings& settings, Micros startedAt)
       : resolution_(settings.resolution),
-        idleTime_(settings.idleClose > 0 ? static_cast<double>(settings.idleClose) : kDefaultIdleTime),
+        idleTime_(settings.idleTimeout > 0 ? static_cast<double>(settings.idleTimeout) : kDefaultIdleTime),
         startedAt_(startedAt),
         sendsAt_(startedAt) {}
 
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -56,7 +56,7 @@
 bool SidecarLimit::isAtLimit(const EventContext& context) const {
   if (!context.lacksLoadInformation || inFlight_ + 1 <= limit_) return false;
   double working = inFlight_;
-  for (const UpstreamId id : endpoints_.listed()) {
+  for (const EndpointId id : endpoints_.listed()) {
     if (readiness_.isSilent(endpoints_[id], context.now)) working -= endpoints_[id].inFlight;
   }
   return working > 0 && working + 1 > limit_;
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -22,7 +22,7 @@
   request.hasEarnedCredit = true;
   double present = 0;
   double total = 0;
-  for (const UpstreamId id : endpoints.listed()) {
+  for (const EndpointId id : endpoints.listed()) {
     const Endpoint& endpoint = endpoints[id];
     present += endpoint.size * capacityFraction(endpoint, now);
     total += endpoint.size;
@@ -30,7 +30,7 @@
   if (present == total) return;  // the usual case: all are warm
   const double maxLoadShare = std::min(kMaxLoadShare, kMaxPartOfMultiple * settings_.fallMultiple);
   const double share = std::min(1 / present, maxLoadShare / total);
-  for (const UpstreamId id : endpoints.listed()) {
+  for (const EndpointId id : endpoints.listed()) {
     Endpoint& endpoint = endpoints[id];
     const double part = capacityFraction(endpoint, now);
     if (part < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.backoffUntil))
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -10,8 +10,8 @@
 
 namespace ivypost::balancer::internal {
 
-/// Keeps an endpoint that is warming up, one that was launched less than Settings::coldFor ago, from being
-/// pushed over by all sidecars together.
+/// Keeps an endpoint that is warming up, one that was launched less than Settings::slowStartWindow ago, from
+/// being pushed over by all sidecars together.
 ///
 /// Invariant: an attempt goes to an endpoint that is warming up only for a credit of one. With every request
 /// that may go out it earns its part of what all listed ones can do now, so if all sidecars do so it is
@@ -23,12 +23,12 @@
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
   /// The part of its capacity that an endpoint surely has, from Settings::startCapacity to 1 (warm): it grows
-  /// no slower than evenly over coldFor.
+  /// no slower than evenly over slowStartWindow.
   [[nodiscard]] double capacityFraction(const Endpoint& endpoint, Micros now) const {
-    if (settings_.fallMultiple <= 0 || settings_.coldFor <= 0 || endpoint.launchedAt <= 0) return 1;
+    if (settings_.fallMultiple <= 0 || settings_.slowStartWindow <= 0 || endpoint.launchedAt <= 0) return 1;
     const Micros age = std::max<Micros>(0, now - endpoint.launchedAt);
-    if (age >= settings_.coldFor) return 1;
-    const double part = static_cast<double>(age) / static_cast<double>(settings_.coldFor);
+    if (age >= settings_.slowStartWindow) return 1;
+    const double part = static_cast<double>(age) / static_cast<double>(settings_.slowStartWindow);
     return settings_.startCapacity + (1 - settings_.startCapacity) * part;
   }
 
--- a/src/etcd/entries.cpp
+++ b/src/etcd/entries.cpp
@@ -28,7 +28,7 @@
     if (!item.contains("instanceId")) item["instanceId"] = id;
     Instance instance = toInstance(item);
     if (instance.id != id) bad("the value names another instance:", instance.id);
-    if (instance.state == balancer::UpstreamState::Gone) bad("a key can't say that it is", "removed");
+    if (instance.state == balancer::EndpointState::Gone) bad("a key can't say that it is", "removed");
     return instance;
   } catch (const nlohmann::json::exception& error) {
     bad("the value is no instance:", error.what());
--- a/src/etcd/follower.cpp
+++ b/src/etcd/follower.cpp
@@ -342,7 +342,7 @@
   if (before == after) return;
   if (!after) {
     after = std::move(before);
-    after->state = balancer::UpstreamState::Gone;
+    after->state = balancer::EndpointState::Gone;
   }
   std::string id = after->id;
   changed.insert_or_assign(std::move(id), *std::move(after));
--- a/src/fault/connection.cpp
+++ b/src/fault/connection.cpp
@@ -127,7 +127,7 @@
                    f.gap = a.gap;
                    if (!f.queue.empty()) f.queue.back().joins = false;
                  },
-                 [&](const Refuse&) { refused_ = true; },
+                 [&](const Reject&) { refused_ = true; },
                  [&](const Silent&) { silent_ = true; },
              },
              step.action);
--- a/src/fault/plan.h
+++ b/src/fault/plan.h
@@ -105,13 +105,13 @@
   Micros gap = 0;
 };
 // Only at connect, and for the whole connection. TCP knows no refusal of a single connection by a listener,
-// so this one is accepted and reset before a byte has gone either way; Listener::Refuse refuses.
-struct Refuse {};
+// so this one is accepted and reset before a byte has gone either way; Listener::Reject refuses.
+struct Reject {};
 // Accepted, never connected on, never read.
 struct Silent {};
 
 using Action = std::variant<Delay, Throttle, StopReading, Swallow, Pass, Reset, End, HalfClose, Garble, Split,
-                            Refuse, Silent>;
+                            Reject, Silent>;
 
 // The word that plans and logs use for it.
 const char* nameOf(const Action& action);
@@ -140,7 +140,7 @@
 // What becomes of connections that are not accepted yet.
 enum class Listener : std::uint8_t {
   Accept,
-  Refuse,  // the address is kept, and refuses: nobody listens
+  Reject,  // the address is kept, and refuses: nobody listens
   Full,    // the backlog is full: a connect gets no answer
 };
 
--- a/src/fault/plan_reader.cpp
+++ b/src/fault/plan_reader.cpp
@@ -55,7 +55,7 @@
   const std::vector<std::string_view> words = {"stop-reading", "swallow",    "pass",   "reset",
                                                "end",          "half-close", "refuse", "silent"};
   const std::array<Action, 8> actions = {StopReading{}, Swallow{},   Pass{},   Reset{},
-                                         End{},         HalfClose{}, Refuse{}, Silent{}};
+                                         End{},         HalfClose{}, Reject{}, Silent{}};
   return actions.at(step.choice("do", words));
 }
 
@@ -112,7 +112,7 @@
     step.trigger = readTrigger(table);
     step.action = readAction(table);
     const bool whole =
-        std::holds_alternative<Refuse>(step.action) || std::holds_alternative<Silent>(step.action);
+        std::holds_alternative<Reject>(step.action) || std::holds_alternative<Silent>(step.action);
     if (whole && !std::holds_alternative<AtConnect>(step.trigger.when))
       table.fail("at", "refuse and silent are for at = \"connect\" only");
     table.finish();
@@ -124,7 +124,7 @@
 
 Plan readPlan(Table& table) {
   Plan plan;
-  const std::array<Listener, 3> listeners = {Listener::Accept, Listener::Refuse, Listener::Full};
+  const std::array<Listener, 3> listeners = {Listener::Accept, Listener::Reject, Listener::Full};
   plan.listener = listeners.at(table.choice("listener", {"accept", "refuse", "full"}, 0));
   for (Table& one : table.tables("rule", kMaxRules)) {
     Rule rule;
--- a/src/fault/proxy.cpp
+++ b/src/fault/proxy.cpp
@@ -357,10 +357,10 @@
 
 void Proxy::listen(Listener mode) {
   if (mode == mode_) return;
-  if (mode == Listener::Refuse) {
+  if (mode == Listener::Reject) {
     open(false, 0);
   } else {
-    if (mode_ == Listener::Refuse) open(true, kBacklog);
+    if (mode_ == Listener::Reject) open(true, kBacklog);
     const int backlog = mode == Listener::Full ? 0 : kBacklog;
     if (::listen(listener_->native_handle(), backlog) != 0) fail("listen");
   }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -278,7 +278,7 @@
         call.effect = cls.effect;
         call.tenant = one.name;
         call.deadline = cls.deadline;
-        call.aim = cls.aim;
+        call.latencyObjective = cls.latencyObjective;
         load.shares.push_back({call, cls.share * weight(one)});
       }
     }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -34,8 +34,8 @@
   bool crashed = false;  // a process ended unasked, or not with 0 at SIGTERM
 };
 
-// Of one class of one tenant: first tries, and what of them was served within the aim at the first try or
-// later.
+// Of one class of one tenant: first tries, and what of them was served within the latencyObjective at the
+// first try or later.
 struct Share {
   std::string requestClass, tenant;
   std::uint64_t offered = 0, inAim = 0;
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -54,7 +54,7 @@
   cls.share = table.number("share", 0, 1e6, 1);
   cls.worth = table.number("worth", 0, 1e6, 1);
   cls.work = within(table, "work", 0, 60'000'000, cls.work);
-  cls.aim = within(table, "aim", 1000, 600'000'000, cls.aim);
+  cls.latencyObjective = within(table, "aim", 1000, 600'000'000, cls.latencyObjective);
   cls.deadline = within(table, "deadline", 1000, 600'000'000, cls.deadline);
   if (cls.name.empty() || cls.name.find_first_of("/ ,=?#") != std::string::npos)
     table.fail("name", "a class's name is one word and part of paths");
@@ -232,7 +232,7 @@
   scenario.notice = within(root, "notice", 0, 600'000'000, scenario.notice);
   scenario.probes = root.flag("probes", true);
   scenario.peers = root.flag("peers", false);
-  scenario.secondCopies = root.flag("second_copies", true);
+  scenario.mayHedge = root.flag("second_copies", true);
   readPlaces(root, scenario);
   auto& rules = scenario.rules;
   rules.keyWindow = within(root, "key_window", 0, 600'000'000, rules.keyWindow);
@@ -285,8 +285,8 @@
     const char* const semantics = cls.effect == Effect::Safe    ? "free"
                                   : cls.effect == Effect::Keyed ? "guarded"
                                                                 : "single_shot";
-    json one = {{"name", cls.name},       {"aim", cls.aim},     {"deadline", cls.deadline},
-                {"semantics", semantics}, {"value", cls.worth}, {"group", "cell"}};
+    json one = {{"name", cls.name},       {"aim", cls.latencyObjective}, {"deadline", cls.deadline},
+                {"semantics", semantics}, {"value", cls.worth},          {"group", "cell"}};
     if (cls.effect == Effect::Keyed) one["repeatWindow"] = scenario.rules.keyWindow;
     classes.push_back(std::move(one));
   }
@@ -316,7 +316,7 @@
             {"maxAttempts", 3},
             {"mayCancel", true},
             {"probing", scenario.probes},
-            {"secondCopies", scenario.secondCopies},
+            {"secondCopies", scenario.mayHedge},
             {"retryAfter", false}}},
           {"report", {{"how", "probe"}, {"columns", {"failed_ps", "svc_ms", "served_ps", "busy_reqs"}}}},
           {"overShareWorth", 0.05},
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -32,7 +32,7 @@
   double share = 1;  // of the arrivals, relative to the others
   double worth = 1;
   Micros work = 10'000;  // mean, of a core at speed 1
-  Micros aim = 500'000, deadline = 1'000'000;
+  Micros latencyObjective = 500'000, deadline = 1'000'000;
 };
 
 struct Tenant {
@@ -90,7 +90,7 @@
   Micros backoff = 50'000;
   double impatient = 0;
   Micros notice = 1'000'000;  // from a change to when discovery tells it
-  bool probes = true, secondCopies = true;
+  bool probes = true, mayHedge = true;
   bool peers = false;  // sidecars find each other and share judgements; each way between two has its faults
   // Sidecars go to the zones in turn, and zones to the regions; a zone is in one region. Zones only name
   // groups for events; the region is told to each sidecar, with how many are in it. 0: none.
--- a/src/membership/instance.cpp
+++ b/src/membership/instance.cpp
@@ -38,16 +38,16 @@
   if (item.contains("cell") && !item["cell"].is_null()) instance.cell = item["cell"].get<std::uint32_t>();
   const auto state = item.at("lifecycle").get<std::string>();
   if (state == "up") {
-    instance.state = balancer::UpstreamState::Serving;
+    instance.state = balancer::EndpointState::Serving;
   } else if (state == "draining") {
-    instance.state = balancer::UpstreamState::Draining;
+    instance.state = balancer::EndpointState::Draining;
   } else if (state == "removed") {
-    instance.state = balancer::UpstreamState::Gone;
+    instance.state = balancer::EndpointState::Gone;
   } else {
     bad("unknown lifecycle", state);
   }
   // One that is removed has no use for an address.
-  if (instance.state != balancer::UpstreamState::Gone || item.contains("hostPort"))
+  if (instance.state != balancer::EndpointState::Gone || item.contains("hostPort"))
     instance.address = parseEndpoint(item.at("hostPort").get<std::string>());
   instance.weight = item.value("weight", 1.0);
   if (!std::isfinite(instance.weight) || instance.weight < 0 || instance.weight > kMaxWeight)
--- a/src/membership/instance.h
+++ b/src/membership/instance.h
@@ -22,7 +22,7 @@
   Endpoint address;
   std::string zone, kind;
   std::optional<std::uint32_t> cell;
-  balancer::UpstreamState state = balancer::UpstreamState::Serving;
+  balancer::EndpointState state = balancer::EndpointState::Serving;
   double weight = 1;
   std::int64_t startedAtMs = 0;  // Unix time; 0: long ago
 
--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -73,7 +73,7 @@
       hollow.view = std::make_unique<FleetView>(
           io_, FleetView::Place{settings, settings.address, seal_}, plan_.seed * 0x9e3779b97f4a7c15u + n,
           FleetView::Callbacks{[] { return std::vector<FleetView::Listed>(); },
-                               [](const balancer::Hearsay&) {}, [](const std::string&) {}});
+                               [](const balancer::HealthReport&) {}, [](const std::string&) {}});
       hollows_.push_back(std::move(hollow));
     }
     nextReport_ = now();
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -75,10 +75,10 @@
   bad("unknown semantics", value);
 }
 
-balancer::RepeatGroup toGroup(std::string_view value) {
-  if (value == "all") return balancer::RepeatGroup::All;
-  if (value == "zone") return balancer::RepeatGroup::Zone;
-  if (value == "cell") return balancer::RepeatGroup::Cell;
+balancer::RetryGroup toGroup(std::string_view value) {
+  if (value == "all") return balancer::RetryGroup::All;
+  if (value == "zone") return balancer::RetryGroup::Zone;
+  if (value == "cell") return balancer::RetryGroup::Cell;
   bad("unknown repeat group", value);
 }
 
@@ -154,13 +154,13 @@
   for (std::int64_t n = 0; n < classes; ++n) {
     const std::string at = "classes." + std::to_string(n) + ".";
     balancer::RequestClass c;
-    c.aim = create.integer(at + "aim", 1, kMaxTime);
-    c.aimStretch = create.number(at + "aimStretch", 0);
+    c.latencyObjective = create.integer(at + "aim", 1, kMaxTime);
+    c.objectiveStretch = create.number(at + "aimStretch", 0);
     c.deadline = create.integer(at + "deadline", 1, kMaxTime);
     c.semantics = toSemantics(create.text(at + "semantics"));
     c.group = toGroup(create.find(at + "group").value_or("all"));
-    c.repeatWindow = create.integer(at + "repeatWindow", 0, kMaxTime, 0);
-    c.lateWorth = create.number(at + "lateWorth", 0);
+    c.retryWindow = create.integer(at + "repeatWindow", 0, kMaxTime, 0);
+    c.lateWeight = create.number(at + "lateWorth", 0);
     c.value = create.number(at + "value", 1);
     c.stream = create.flag(at + "stream");
     site.classes.emplace(create.text(at + "name"), static_cast<std::uint32_t>(n));
@@ -191,18 +191,19 @@
   s.mustSubscribe = create.find("membershipMode").value_or("") == "subscribe";
   s.resolution = create.integer("resolution", 1, kMaxTime, s.resolution);
   s.connectTimeout = create.integer("limits.connectTimeout", 0, kMaxTime, 0);
-  s.idleClose = create.integer("limits.idleClose", 0, kMaxTime, 0);
-  s.maxStreams = static_cast<std::uint32_t>(create.integer("limits.maxStreams", 0, kMaxCount, 0));
+  s.idleTimeout = create.integer("limits.idleClose", 0, kMaxTime, 0);
+  s.maxStreamsPerConnection =
+      static_cast<std::uint32_t>(create.integer("limits.maxStreams", 0, kMaxCount, 0));
   s.maxAttempts = static_cast<std::uint32_t>(create.integer("limits.maxAttempts", 0, 1'000'000, 1));
   s.maxOpen = static_cast<std::uint32_t>(create.integer("limits.maxOpen", 0, kMaxCount, 0));
   s.maxRetryAfter = create.integer("limits.maxRetryAfter", 0, kMaxTime, 0);
   s.retryAfter = create.flag("limits.retryAfter");
   s.mayCancel = create.flag("limits.mayCancel");
   s.mayProbe = create.flag("limits.probing");
-  s.secondCopies = create.flag("limits.secondCopies");
-  s.keysWarm = create.flag("familyInfo.warmKeys");
-  s.worthByWork = create.find("worthBy").value_or("request") == "work";
-  s.overShareWorth = create.number("overShareWorth", 1);
+  s.mayHedge = create.flag("limits.secondCopies");
+  s.hasKeyAffinity = create.flag("familyInfo.warmKeys");
+  s.weightByWork = create.find("worthBy").value_or("request") == "work";
+  s.overShareWeight = create.number("overShareWorth", 1);
   s.crossZonePrice = create.number("prices.crossZone", 0);
   s.probePrice = create.number("prices.probe", 0);
   s.wastePrice = create.number("prices.waste", 0);
@@ -215,16 +216,16 @@
     s.reportsBusy |= site.columns.back() == balancer::ReportColumn::BusyRequests;
   }
   s.answerSlack = create.integer("contract.answerSlack", 0, kMaxTime, 0);
-  s.askWithin = create.integer("contract.askWithin", 0, kMaxTime, 0);
+  s.pollWithin = create.integer("contract.askWithin", 0, kMaxTime, 0);
   s.startCapacity = create.number("contract.startCapacity", 1);
-  s.coldFor = create.integer("contract.cold", 0, kMaxTime, 0);
+  s.slowStartWindow = create.integer("contract.cold", 0, kMaxTime, 0);
   s.drainGrace = create.integer("contract.stopSendingWithin", 0, kMaxTime, 0);
   s.fallMultiple = create.number("contract.fallMultiple", 0);
   s.fallWindow = create.integer("contract.fall", 0, kMaxTime, 0);
-  s.lookBack = create.integer("contract.lookBack", 0, kMaxTime, 0);
-  s.extraFloor = create.number("contract.extraFloor", 0);
-  s.furtherRatio = create.number("contract.furtherRatio", 0);
-  s.hangUpWithin = create.integer("contract.hangUpWithin", 0, kMaxTime, 0);
+  s.retryBudgetWindow = create.integer("contract.lookBack", 0, kMaxTime, 0);
+  s.retryBudgetFloor = create.number("contract.extraFloor", 0);
+  s.retryBudgetRatio = create.number("contract.furtherRatio", 0);
+  s.closeDrainingWithin = create.integer("contract.hangUpWithin", 0, kMaxTime, 0);
   return site;
 }
 
--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -32,7 +32,7 @@
   std::optional<std::uint32_t> tenant;
   std::optional<std::uint64_t> key;
   std::optional<Micros> work;
-  bool resent = false;
+  bool isRetry = false;
   std::uint64_t trace = 0;  // the client's X-Trace-Id
   Micros expiresIn = 0;     // from when it was read
   Clock::time_point arrived, deadline;
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -15,8 +15,8 @@
 
 namespace ivypost {
 
+using balancer::EndpointId;
 using balancer::Micros;
-using balancer::UpstreamId;
 
 struct Config {
   std::string name;
--- a/src/sidecar/fleet_view.cpp
+++ b/src/sidecar/fleet_view.cpp
@@ -178,7 +178,7 @@
   for (const Listed& one : listed) {
     if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
     const auto said = healthReports_.summarize(one.incarnation, heard, timePoint(at));
-    balancer::Hearsay hearsay;
+    balancer::HealthReport hearsay;
     hearsay.upstream = one.upstream;
     hearsay.launchedAt = one.launchedAt;
     hearsay.sidecars = static_cast<std::uint32_t>(members.heard());
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/fleet_view.h
@@ -37,13 +37,13 @@
   // An upstream of the list, by what others call it.
   struct Listed {
     health_reports::Incarnation incarnation;
-    UpstreamId upstream = 0;
+    EndpointId upstream = 0;
     Micros launchedAt = 0;  // as the module was told
     std::string id;
   };
   struct Callbacks {
     std::function<std::vector<Listed>()> listed;
-    std::function<void(const balancer::Hearsay&)> hearsay;
+    std::function<void(const balancer::HealthReport&)> hearsay;
     std::function<void(const std::string&)> log;
   };
   // What the options come to for this sidecar.
--- a/src/sidecar/request_validator.cpp
+++ b/src/sidecar/request_validator.cpp
@@ -105,7 +105,7 @@
   if (const auto error = readTenant(head, request)) return *error;
   if (const auto error = readSizeHint(head, request)) return *error;
   if (segments.size() > 1) request.key = settings::identity(segments.back());
-  request.resent = header(head, "X-Second-Try").value_or("") == "1";
+  request.isRetry = header(head, "X-Second-Try").value_or("") == "1";
   if (unread > milliseconds(0) && request.expiresIn == 0)
     return RequestError{503, "refused: its time was over when it was read"};
   return request;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -209,8 +209,8 @@
   event.key = client.key;
   event.expiresIn = client.expiresIn;
   event.work = client.work;
-  event.resent = client.resent;
-  degradation_.onRequest(client.resent);
+  event.isRetry = client.isRetry;
+  degradation_.onRequest(client.isRetry);
   Request request;
   request.client = std::move(client);
   requests_.emplace(event.request, std::move(request));
@@ -298,8 +298,8 @@
     Instance overlaid;
     if (!exclusions_.isEmpty()) overlaid = overlay(told);
     const Instance& instance = exclusions_.isEmpty() ? told : overlaid;
-    if (instance.state == balancer::UpstreamState::Gone && ids_.count(instance.id) == 0) continue;
-    balancer::UpstreamEntry entry;
+    if (instance.state == balancer::EndpointState::Gone && ids_.count(instance.id) == 0) continue;
+    balancer::EndpointEntry entry;
     entry.upstream = intern(instance.id);
     // A zone or a kind that the settings don't name tells nothing, but the upstream can serve.
     if (const auto zone = site.zones.find(instance.zone); zone != site.zones.end()) entry.zone = zone->second;
@@ -316,26 +316,26 @@
     known.address = instance.address;
     known.startedAtMs = instance.startedAtMs;
     if (config_.console) known.told = told;  // only operators' calls need it
-    known.listed = instance.state != balancer::UpstreamState::Gone;
+    known.listed = instance.state != balancer::EndpointState::Gone;
     if (known.listed && !takesItsAddress(entry.upstream, update)) {
       known.listed = false;
-      entry.state = balancer::UpstreamState::Gone;
+      entry.state = balancer::EndpointState::Gone;
     }
     if (known.listed) upstreams_.setAddress(entry.upstream, instance.address);
     update.entries.push_back(entry);
   }
   // It is followed all the same: what drains or is gone gets nothing new, whatever is left.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
-    return entry.state == balancer::UpstreamState::Serving;
+    return entry.state == balancer::EndpointState::Serving;
   });
   if (list.whole && !anyUp) std::fprintf(stderr, "the whole list names no upstream that is up\n");
   handle(update);
   for (const auto& entry : update.entries) {
-    if (entry.state != balancer::UpstreamState::Draining) continue;
+    if (entry.state != balancer::EndpointState::Draining) continue;
     upstreams_.takeBack(entry.upstream);
     if (exclusions_.isExcluded(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
   }
-  for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
+  for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
     if (known_[upstream].listed || known_[upstream].id.empty()) continue;
     upstreams_.remove(upstream);
     freeUnused(upstream);
@@ -370,8 +370,8 @@
 // An entry as the module hears of it: out by hand is a drain, back by hand a start.
 Instance Sidecar::overlay(const Instance& told) const {
   Instance overlaid = told;
-  if (overlaid.state == balancer::UpstreamState::Serving && exclusions_.isExcluded(overlaid.id))
-    overlaid.state = balancer::UpstreamState::Draining;
+  if (overlaid.state == balancer::EndpointState::Serving && exclusions_.isExcluded(overlaid.id))
+    overlaid.state = balancer::EndpointState::Draining;
   const auto start = exclusions_.effectiveStart(overlaid.id, wallTime(overlaid.startedAtMs));
   overlaid.startedAtMs = start.time_since_epoch().count();
   return overlaid;
@@ -495,7 +495,7 @@
   return std::make_unique<FleetView>(
       io_, FleetView::placeOf(options, config_), config_.seed,
       FleetView::Callbacks{[this] { return listed(); },
-                           [this](const balancer::Hearsay& hearsay) { handle(hearsay); }, log});
+                           [this](const balancer::HealthReport& hearsay) { handle(hearsay); }, log});
 }
 
 health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
@@ -505,7 +505,7 @@
 
 std::vector<FleetView::Listed> Sidecar::listed() const {
   std::vector<FleetView::Listed> all;
-  for (UpstreamId upstream = 0; upstream < known_.size(); ++upstream) {
+  for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
     const Known& known = known_[upstream];
     if (known.listed) all.push_back({incarnationOf(known), upstream, known.launchedAt, known.id});
   }
@@ -568,7 +568,7 @@
     for (const Attempt& earlier : request.attempts) {
       if (!earlier.mayHaveRun || earlier.writtenAt == Clock::time_point{}) continue;
       order.writeBy =
-          std::min(order.writeBy, earlier.writtenAt + microseconds(cls.repeatWindow) - kWindowMargin);
+          std::min(order.writeBy, earlier.writtenAt + microseconds(cls.retryWindow) - kWindowMargin);
     }
   }
   Attempt attempt;
@@ -588,7 +588,7 @@
   if (const char* line = shedding_.turnedAway(now())) log(line);
 }
 
-void Sidecar::carryOut(const balancer::Refuse& refuse) {
+void Sidecar::carryOut(const balancer::Reject& refuse) {
   noteUnsent(refuse.request);
   Answer answer;
   answer.status = 503;
@@ -656,13 +656,13 @@
   for (const Attempt& attempt : attempts) dropUse(attempt.upstream);
 }
 
-UpstreamId Sidecar::intern(const std::string& instanceId) {
+EndpointId Sidecar::intern(const std::string& instanceId) {
   if (const auto found = ids_.find(instanceId); found != ids_.end()) return found->second;
   if (spare_.empty()) {
-    spare_.push_back(static_cast<UpstreamId>(known_.size()));
+    spare_.push_back(static_cast<EndpointId>(known_.size()));
     known_.emplace_back();
   }
-  const UpstreamId upstream = spare_.back();
+  const EndpointId upstream = spare_.back();
   spare_.pop_back();
   known_[upstream] = Known{};
   known_[upstream].id = instanceId;
@@ -672,10 +672,10 @@
 
 // Guards against sending to a process under the id of the one that stood at its address before: the process
 // that started last has it, the other has gone whatever the list still says. False if that is this one.
-bool Sidecar::takesItsAddress(UpstreamId upstream, MembershipUpdate& update) {
+bool Sidecar::takesItsAddress(EndpointId upstream, MembershipUpdate& update) {
   const Known& own = known_[upstream];
   const auto holder = holders_.try_emplace(own.address, upstream).first;
-  const UpstreamId id = std::exchange(holder->second, upstream);
+  const EndpointId id = std::exchange(holder->second, upstream);
   Known& other = known_[id];
   if (id == upstream || !other.listed) return true;
   if (other.startedAtMs > own.startedAtMs) {
@@ -683,26 +683,26 @@
     return false;
   }
   other.listed = false;
-  balancer::UpstreamEntry gone;
+  balancer::EndpointEntry gone;
   gone.upstream = id;
-  gone.state = balancer::UpstreamState::Gone;
+  gone.state = balancer::EndpointState::Gone;
   gone.launchedAt = other.launchedAt;
   gone.identity = settings::identity(other.id);
   update.entries.push_back(gone);
   return true;
 }
 
-void Sidecar::leaveAddress(UpstreamId upstream) {
+void Sidecar::leaveAddress(EndpointId upstream) {
   const auto holder = holders_.find(known_[upstream].address);
   if (holder != holders_.end() && holder->second == upstream) holders_.erase(holder);
 }
 
-void Sidecar::dropUse(UpstreamId upstream) {
+void Sidecar::dropUse(EndpointId upstream) {
   --known_[upstream].uses;
   freeUnused(upstream);
 }
 
-void Sidecar::freeUnused(UpstreamId upstream) {
+void Sidecar::freeUnused(EndpointId upstream) {
   Known& known = known_[upstream];
   if (known.listed || known.uses > 0 || known.id.empty()) return;
   ids_.erase(known.id);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -66,7 +66,7 @@
 
  private:
   struct Attempt {
-    UpstreamId upstream = 0;
+    EndpointId upstream = 0;
     Clock::time_point writtenAt{};  // its last byte; none: not written
     bool mayHaveRun = true;         // until its outcome proves otherwise
   };
@@ -125,7 +125,7 @@
   void handle(const balancer::Event& event);
   void carryOut(const balancer::Send& send);
   void carryOut(const balancer::Cancel& cancel);
-  void carryOut(const balancer::Refuse& refuse);
+  void carryOut(const balancer::Reject& refuse);
   void carryOut(const balancer::Fail& fail);
   void carryOut(const balancer::SetTimer& timer);
   void carryOut(const balancer::Probe& probe);
@@ -138,11 +138,11 @@
   void noteUnsent(balancer::RequestId id);
   void finish(balancer::RequestId id, Answer answer);
   void forget(balancer::RequestId id);
-  UpstreamId intern(const std::string& instanceId);
-  bool takesItsAddress(UpstreamId upstream, balancer::MembershipUpdate& update);
-  void leaveAddress(UpstreamId upstream);
-  void dropUse(UpstreamId upstream);
-  void freeUnused(UpstreamId upstream);
+  EndpointId intern(const std::string& instanceId);
+  bool takesItsAddress(EndpointId upstream, balancer::MembershipUpdate& update);
+  void leaveAddress(EndpointId upstream);
+  void dropUse(EndpointId upstream);
+  void freeUnused(EndpointId upstream);
   health_reports::Incarnation incarnationOf(const Known& known) const;
   Instance overlay(const Instance& told) const;
 
@@ -153,11 +153,11 @@
   boost::asio::steady_timer timer_;
   Clock::time_point armedFor_ = Clock::time_point::max();
   std::unordered_map<balancer::RequestId, Request> requests_;
-  std::unordered_map<std::string, UpstreamId> ids_;
+  std::unordered_map<std::string, EndpointId> ids_;
   std::vector<Known> known_;                // by number
-  std::vector<UpstreamId> spare_;           // free numbers
+  std::vector<EndpointId> spare_;           // free numbers
   relay::Budget budget_;                    // of bodies in transit
-  std::map<Endpoint, UpstreamId> holders_;  // of each address, the upstream that was listed there last
+  std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
   Upstreams upstreams_;
   const MakeEtcd makeEtcd_;
   membership::Membership membership_;
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -54,7 +54,7 @@
 // An attempt or a probe, until it has ended.
 struct Upstreams::Job {
   std::optional<AttemptOrder> attempt;  // none: a probe
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   Clock::time_point startedAt, deadline, writeBy;
   bool written = false;
   bool ended = false;
@@ -68,10 +68,10 @@
 // One connection to an upstream. It carries one job at a time, and is listed by the pool until it is closed.
 class Upstreams::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Upstreams& pool, UpstreamId upstream)
+  Connection(Upstreams& pool, EndpointId upstream)
       : pool_(pool), upstream_(upstream), socket_(pool.io_), deadline_(pool.deadlines_) {}
 
-  UpstreamId upstream() const { return upstream_; }
+  EndpointId upstream() const { return upstream_; }
   Clock::time_point idleSince() const { return idleSince_; }
 
   void open(std::shared_ptr<Job> job) {
@@ -426,7 +426,7 @@
   }
 
   Upstreams& pool_;
-  const UpstreamId upstream_;
+  const EndpointId upstream_;
   Endpoint address_;
   tcp::socket socket_;
   Deadlines::Deadline deadline_;
@@ -457,15 +457,15 @@
       idleTime_(kDefaultIdleTime) {
   const auto& settings = config.site.settings;
   if (settings.connectTimeout > 0) connectTimeout_ = microseconds(settings.connectTimeout);
-  if (settings.idleClose > 0)
-    idleTime_ = microseconds(static_cast<Micros>(kIdlePart * static_cast<double>(settings.idleClose)));
+  if (settings.idleTimeout > 0)
+    idleTime_ = microseconds(static_cast<Micros>(kIdlePart * static_cast<double>(settings.idleTimeout)));
 }
 
 Upstreams::~Upstreams() {
   deadlines_->stop();
 }
 
-void Upstreams::setAddress(UpstreamId upstream, const Endpoint& address) {
+void Upstreams::setAddress(EndpointId upstream, const Endpoint& address) {
   if (upstream >= addresses_.size()) {
     addresses_.resize(upstream + 1);
     idle_.resize(upstream + 1);
@@ -476,7 +476,7 @@
   addresses_[upstream] = address;
 }
 
-void Upstreams::remove(UpstreamId upstream) {
+void Upstreams::remove(EndpointId upstream) {
   if (upstream >= addresses_.size()) return;
   addresses_[upstream].reset();
   closeIdle(upstream);
@@ -488,7 +488,7 @@
                                                 [](const auto& one) { return one.second->comingUp(); }));
 }
 
-void Upstreams::takeBack(UpstreamId upstream) {
+void Upstreams::takeBack(EndpointId upstream) {
   std::vector<std::shared_ptr<Connection>> comingUp;
   for (const auto& [key, connection] : connections_) {
     if (connection->upstream() == upstream && connection->comingUp()) comingUp.push_back(connection);
@@ -506,7 +506,7 @@
   start(std::move(job));
 }
 
-void Upstreams::probe(UpstreamId upstream) {
+void Upstreams::probe(EndpointId upstream) {
   auto job = std::make_shared<Job>();
   job->upstream = upstream;
   job->deadline = job->writeBy = Clock::now() + kProbeTimeout;
@@ -529,7 +529,7 @@
   return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
 }
 
-std::shared_ptr<Upstreams::Connection> Upstreams::reuse(UpstreamId upstream) {
+std::shared_ptr<Upstreams::Connection> Upstreams::reuse(EndpointId upstream) {
   auto& idle = idle_[upstream];
   const auto since = [](const auto& one) { return one->idleSince(); };
   while (!idle.empty()) {
@@ -584,7 +584,7 @@
   }
 }
 
-void Upstreams::closeIdle(UpstreamId upstream) {
+void Upstreams::closeIdle(EndpointId upstream) {
   const auto idle = idle_[upstream];
   for (const auto& connection : idle) connection->close();
 }
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -33,7 +33,7 @@
 
 struct AttemptOrder {
   AttemptId id;
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   std::shared_ptr<const Message> message;
   std::shared_ptr<Upload> upload;  // of the body; none: it stands in the message
   Clock::time_point deadline;      // not waited for any longer
@@ -60,7 +60,7 @@
 };
 
 struct ProbeEnd {
-  UpstreamId upstream = 0;
+  EndpointId upstream = 0;
   bool ok = false;
   Clock::duration lag{};
   std::optional<balancer::LoadReport> report;
@@ -86,20 +86,20 @@
   Upstreams& operator=(const Upstreams&) = delete;
   ~Upstreams();
 
-  void setAddress(UpstreamId upstream, const Endpoint& address);
+  void setAddress(EndpointId upstream, const Endpoint& address);
   // It has gone: its idle connections are closed, the others when their attempts end; what waits for one that
   // is coming up is taken back.
-  void remove(UpstreamId upstream);
+  void remove(EndpointId upstream);
   // Ends, as never sent, what waits for a connection to it to come up. For an upstream that wants nothing
   // new: a connection that comes up late would carry a request there after the time in which that is allowed.
-  void takeBack(UpstreamId upstream);
+  void takeBack(EndpointId upstream);
   void send(AttemptOrder order);
   void cancel(AttemptId id);  // closes its connection at once; ignored when it has ended
   // The request is over: its attempts of which the last byte has not gone out yet end as never sent, whether
   // or not those that run may be cancelled.
   void withdraw(balancer::RequestId request);
-  void probe(UpstreamId upstream);
-  void closeIdle(UpstreamId upstream);
+  void probe(EndpointId upstream);
+  void closeIdle(EndpointId upstream);
 
   std::size_t connections() const { return connections_.size(); }
   std::size_t comingUp() const;  // of them, those that carry a job but are not up yet
@@ -111,7 +111,7 @@
   struct Job;
 
   void start(std::shared_ptr<Job> job);
-  std::shared_ptr<Connection> reuse(UpstreamId upstream);
+  std::shared_ptr<Connection> reuse(EndpointId upstream);
   bool makeRoom();
   bool isClientGone(const Job& job) const;
   void end(Job& job, balancer::Outcome outcome);
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -32,11 +32,11 @@
     entry.cell = static_cast<std::uint32_t>(line.integer("group", 0, settings::kMaxCount));
   const std::string_view mode = line.text("mode");
   if (mode == "SERVING") {
-    entry.state = balancer::UpstreamState::Serving;
+    entry.state = balancer::EndpointState::Serving;
   } else if (mode == "DRAINING") {
-    entry.state = balancer::UpstreamState::Draining;
+    entry.state = balancer::EndpointState::Draining;
   } else if (mode == "DELETED") {
-    entry.state = balancer::UpstreamState::Gone;
+    entry.state = balancer::EndpointState::Gone;
   } else {
     settings::bad("unknown upstream mode", mode);
   }
@@ -51,13 +51,13 @@
       seed_(static_cast<std::uint64_t>(
           create.integer("entropy", 0, std::numeric_limits<std::int64_t>::max()))) {}
 
-balancer::UpstreamId Wire::intern(const std::string& name) {
-  const auto [at, fresh] = ids_.emplace(name, static_cast<balancer::UpstreamId>(upstreams_.size()));
+balancer::EndpointId Wire::intern(const std::string& name) {
+  const auto [at, fresh] = ids_.emplace(name, static_cast<balancer::EndpointId>(upstreams_.size()));
   if (fresh) upstreams_.push_back(name);
   return at->second;
 }
 
-balancer::UpstreamId Wire::known(const settings::Line& line) const {
+balancer::EndpointId Wire::known(const settings::Line& line) const {
   const std::string name(line.text("upstream"));
   const auto found = ids_.find(name);
   if (found == ids_.end()) settings::bad("upstream was in no list of this instance:", name);
@@ -90,7 +90,7 @@
     }
     e.expiresIn = line.integer("expiresIn", -settings::kMaxTime, settings::kMaxTime);
     if (line.find("work")) e.work = line.integer("work", 0, settings::kMaxTime);
-    e.resent = line.flag("resent");
+    e.isRetry = line.flag("resent");
     return e;
   }
   if (name == "response") {
@@ -169,7 +169,7 @@
 
 void Wire::print(int instance, const balancer::Action& action, std::string& out) const {
   const auto begin = [&](std::string_view name) { put(out.append(name), " i=", instance); };
-  const auto upstream = [&](balancer::UpstreamId id) { out.append(" upstream=").append(upstreams_.at(id)); };
+  const auto upstream = [&](balancer::EndpointId id) { out.append(" upstream=").append(upstreams_.at(id)); };
   if (const auto* send = std::get_if<balancer::Send>(&action)) {
     begin("call_out");
     put(out, send->request);
@@ -182,7 +182,7 @@
     begin("cancel");
     put(out, cancel->request);
     put(out, " go=", cancel->attempt);
-  } else if (const auto* refuse = std::get_if<balancer::Refuse>(&action)) {
+  } else if (const auto* refuse = std::get_if<balancer::Reject>(&action)) {
     begin("deny");
     put(out, refuse->request);
     if (refuse->retryAfter > 0) put(out, " retryAfter=", refuse->retryAfter);
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -20,7 +20,7 @@
 struct SheetEntry {
   std::string upstream, zone, kind;
   std::optional<std::uint32_t> cell;
-  balancer::UpstreamState state = balancer::UpstreamState::Serving;
+  balancer::EndpointState state = balancer::EndpointState::Serving;
   double size = 1;
   balancer::Micros launchedAt = 0;
 };
@@ -39,14 +39,14 @@
   void print(int instance, const balancer::Action& action, std::string& out) const;
 
  private:
-  balancer::UpstreamId intern(const std::string& name);
-  balancer::UpstreamId known(const settings::Line& line) const;
+  balancer::EndpointId intern(const std::string& name);
+  balancer::EndpointId known(const settings::Line& line) const;
   std::optional<balancer::LoadReport> report(const settings::Line& line) const;
 
   settings::Site site_;
   std::uint64_t seed_ = 0;
   std::vector<std::string> upstreams_;
-  std::unordered_map<std::string, balancer::UpstreamId> ids_;  // looked up only, never iterated
+  std::unordered_map<std::string, balancer::EndpointId> ids_;  // looked up only, never iterated
 };
 
 }  // namespace ivypost::simulator
--- a/src/standins/client.cpp
+++ b/src/standins/client.cpp
@@ -28,14 +28,14 @@
 // A client waits so much longer than the ledger's allowance, so that an answer within it is always seen.
 constexpr Micros kBeyondSlack = 10'000;
 
-std::string textOf(const Call& call, const std::string& id, std::uint64_t number, bool resent,
+std::string textOf(const Call& call, const std::string& id, std::uint64_t number, bool isRetry,
                    Micros patience) {
   std::string text =
       (call.effect == Effect::Safe ? "GET /" : "POST /") + call.requestClass + "/aula-" +
       std::to_string(number % 97) + " HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: " + id +
       "\r\nX-Qos: " + call.requestClass + "\r\nX-Expires-In-Ms: " + std::to_string(patience / 1000) + "\r\n";
   if (!call.tenant.empty()) text += "X-Customer: " + call.tenant + "\r\n";
-  if (resent) text += "X-Second-Try: 1\r\n";
+  if (isRetry) text += "X-Second-Try: 1\r\n";
   if (call.effect == Effect::Keyed) text += "Idempotency-Key: k" + id + "\r\n";
   if (call.effect == Effect::Safe) return text + "\r\n";
   return text + "Content-Length: " + std::to_string(call.bodyBytes) + "\r\n\r\n" +
@@ -205,7 +205,7 @@
   return sendOn(call, std::move(done), call.deadline, false);
 }
 
-std::string Client::sendOn(const Call& call, Done done, Micros patience, bool resent) {
+std::string Client::sendOn(const Call& call, Done done, Micros patience, bool isRetry) {
   std::string id = newId();
   std::shared_ptr<Line> line;
   while (!line && !idle_.empty()) {
@@ -237,7 +237,7 @@
   const bool leaves = load_.impatient > 0 && unit(random_) < load_.impatient;
   const Micros leaveAt = leaves ? now + static_cast<Micros>(unit(random_) * static_cast<double>(patience))
                                 : now + patience + ledger_.slack() + kBeyondSlack;
-  line->send(id, call.effect, textOf(call, id, lastId_, resent, patience), now + patience, leaveAt,
+  line->send(id, call.effect, textOf(call, id, lastId_, isRetry, patience), now + patience, leaveAt,
              std::move(done));
   return id;
 }
@@ -290,7 +290,7 @@
       call,
       [this, call, tries](const Result& result) {
         if (result.status == 200) {
-          if (result.took > call.aim) return;
+          if (result.took > call.latencyObjective) return;
           ++counts_.inAim;
           ++byShare_[{call.requestClass, call.tenant}].inAim;
           return;
--- a/src/standins/client.h
+++ b/src/standins/client.h
@@ -27,9 +27,9 @@
   std::string requestClass;
   Effect effect = Effect::Safe;
   std::string tenant;
-  Micros deadline = 1'000'000;  // the client waits so long
-  Micros aim = 500'000;         // and wants its answer within this
-  std::size_t bodyBytes = 100;  // of those that have a body
+  Micros deadline = 1'000'000;        // the client waits so long
+  Micros latencyObjective = 500'000;  // and wants its answer within this
+  std::size_t bodyBytes = 100;        // of those that have a body
 };
 
 class Client {
@@ -89,7 +89,7 @@
   void arrive();
   void schedule();
   void attempt(const Call& call, std::uint32_t tries);
-  std::string sendOn(const Call& call, Done done, Micros patience, bool resent);
+  std::string sendOn(const Call& call, Done done, Micros patience, bool isRetry);
   std::string newId();
 
   boost::asio::io_context& io_;
--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -63,13 +63,13 @@
 
 RequestClass randomClass(Dice& dice, std::uint64_t semantics) {
   RequestClass cls;
-  cls.aim = static_cast<Micros>(50 + dice.below(500)) * kMillisecond;
-  cls.aimStretch = dice.oneIn(3) ? 2.0 * dice.unit() : 0;
-  cls.deadline = cls.aim * static_cast<Micros>(2 + dice.below(6));
+  cls.latencyObjective = static_cast<Micros>(50 + dice.below(500)) * kMillisecond;
+  cls.objectiveStretch = dice.oneIn(3) ? 2.0 * dice.unit() : 0;
+  cls.deadline = cls.latencyObjective * static_cast<Micros>(2 + dice.below(6));
   cls.semantics = static_cast<Semantics>(semantics);
-  cls.group = static_cast<RepeatGroup>(dice.below(3));
-  cls.repeatWindow = static_cast<Micros>(1 + dice.below(3000)) * kMillisecond;
-  cls.lateWorth = dice.unit() / 2;
+  cls.group = static_cast<RetryGroup>(dice.below(3));
+  cls.retryWindow = static_cast<Micros>(1 + dice.below(3000)) * kMillisecond;
+  cls.lateWeight = dice.unit() / 2;
   cls.value = 0.2 + 5 * dice.unit();
   cls.stream = dice.oneIn(4);
   return cls;
@@ -89,34 +89,34 @@
   s.mustSubscribe = dice.oneIn(2);
   s.resolution = static_cast<Micros>(dice.oneIn(2) ? 1 : 1000);
   s.connectTimeout = static_cast<Micros>(dice.below(200)) * kMillisecond;
-  s.idleClose = dice.oneIn(3) ? 0 : static_cast<Micros>(1 + dice.below(20)) * kSecond;
-  s.maxStreams = static_cast<std::uint32_t>(dice.below(4));
+  s.idleTimeout = dice.oneIn(3) ? 0 : static_cast<Micros>(1 + dice.below(20)) * kSecond;
+  s.maxStreamsPerConnection = static_cast<std::uint32_t>(dice.below(4));
   s.maxAttempts = static_cast<std::uint32_t>(1 + dice.below(5));
   s.maxRetryAfter = static_cast<Micros>(dice.below(10)) * kSecond;
   s.retryAfter = !dice.oneIn(3);
   s.mayCancel = !dice.oneIn(3);
   s.mayProbe = !dice.oneIn(3);
-  s.secondCopies = dice.oneIn(2);
-  s.worthByWork = dice.oneIn(2);
-  s.overShareWorth = dice.unit();
+  s.mayHedge = dice.oneIn(2);
+  s.weightByWork = dice.oneIn(2);
+  s.overShareWeight = dice.unit();
   s.crossZonePrice = dice.oneIn(2) ? 0 : 0.1;
   s.probePrice = dice.oneIn(3) ? 0 : 0.02 * dice.unit();
   s.reports = static_cast<ReportSource>(dice.below(3));
   s.reportsBusy = !dice.oneIn(3);
-  s.askWithin = static_cast<Micros>(1 + dice.below(20)) * kSecond;
+  s.pollWithin = static_cast<Micros>(1 + dice.below(20)) * kSecond;
   s.startCapacity = 0.1 + 0.5 * dice.unit();
-  s.coldFor = dice.oneIn(5) ? 0 : static_cast<Micros>(2 + dice.below(20)) * kSecond;
+  s.slowStartWindow = dice.oneIn(5) ? 0 : static_cast<Micros>(2 + dice.below(20)) * kSecond;
   s.fallMultiple = dice.oneIn(4) ? 0 : 2;
-  s.lookBack = dice.oneIn(2) ? 0 : static_cast<Micros>(1 + dice.below(10)) * kSecond;
-  s.extraFloor = static_cast<double>(dice.below(10));
-  s.furtherRatio = 0.3 * dice.unit();
+  s.retryBudgetWindow = dice.oneIn(2) ? 0 : static_cast<Micros>(1 + dice.below(10)) * kSecond;
+  s.retryBudgetFloor = static_cast<double>(dice.below(10));
+  s.retryBudgetRatio = 0.3 * dice.unit();
   if (dice.oneIn(3)) {  // one of many sidecars, with little traffic, that probes before it sends
     s.sidecars = dice.oneIn(2) ? 40 : 300;
     s.mayProbe = s.reportsBusy = true;
     s.reports = ReportSource::Probes;
     s.probePrice = dice.oneIn(2) ? 0 : 0.016 * dice.unit();
   }
-  s.hangUpWithin = dice.oneIn(3) ? 0 : static_cast<Micros>(dice.below(3000)) * kMillisecond;
+  s.closeDrainingWithin = dice.oneIn(3) ? 0 : static_cast<Micros>(dice.below(3000)) * kMillisecond;
   return s;
 }
 
@@ -171,7 +171,7 @@
     What what = What::Arrival;
     RequestId request = 0;
     std::uint32_t attempt = 0;
-    UpstreamId upstream = 0;
+    EndpointId upstream = 0;
     std::uint64_t life = 0;
     bool operator>(const Due& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
@@ -183,7 +183,7 @@
   };
 
   void schedule(Micros delay, What what, RequestId request = 0, std::uint32_t attempt = 0,
-                UpstreamId upstream = 0) {
+                EndpointId upstream = 0) {
     due_.push({now_ + std::max<Micros>(0, delay), order_++, what, request, attempt, upstream, life_});
   }
 
@@ -219,7 +219,7 @@
     if (!dice_.oneIn(4)) request.tenant = static_cast<std::uint32_t>(dice_.below(dice_.oneIn(2) ? 1 : 3));
     if (dice_.oneIn(2)) request.key = dice_.below(50);
     if (dice_.oneIn(3)) request.work = static_cast<Micros>(dice_.below(150)) * kMillisecond;
-    request.resent = dice_.oneIn(8);
+    request.isRetry = dice_.oneIn(8);
     const RequestClass& cls = settings_.classes[request.requestClass];
     request.expiresIn =
         dice_.oneIn(5) ? static_cast<Micros>(dice_.unit() * static_cast<double>(cls.deadline)) : cls.deadline;
@@ -239,7 +239,7 @@
       bad.requestClass = 0;
       bad.tenant = 99;
       checkMisuse(bad);
-      UpstreamEntry abroad = entry(0, UpstreamState::Serving);
+      EndpointEntry abroad = entry(0, EndpointState::Serving);
       abroad.zone = settings_.zones;
       checkMisuse(MembershipUpdate{MembershipUpdate::Kind::Changes, {abroad}});
     }
@@ -253,20 +253,20 @@
 
   MembershipUpdate list(MembershipUpdate::Kind kind) {
     MembershipUpdate update{kind, {}};
-    for (UpstreamId id = 0; id < upstreams_.size(); ++id) {
-      if (upstreams_[id].listed) update.entries.push_back(entry(id, UpstreamState::Serving));
+    for (EndpointId id = 0; id < upstreams_.size(); ++id) {
+      if (upstreams_[id].listed) update.entries.push_back(entry(id, EndpointState::Serving));
     }
     return update;
   }
 
-  [[nodiscard]] UpstreamEntry entry(UpstreamId id, UpstreamState state) const {
+  [[nodiscard]] EndpointEntry entry(EndpointId id, EndpointState state) const {
     const Upstream& upstream = upstreams_[id];
     return {id, upstream.zone, id % 2, upstream.cell, state, upstream.size, upstream.launchedAt, 1000 + id};
   }
 
   void changeWeather() {
     schedule(static_cast<Micros>(dice_.below(3'000)) * kMillisecond, What::Weather);
-    const auto id = static_cast<UpstreamId>(dice_.below(upstreams_.size()));
+    const auto id = static_cast<EndpointId>(dice_.below(upstreams_.size()));
     Upstream& upstream = upstreams_[id];
     const std::uint64_t what = dice_.below(20);
     if (what < 5) {
@@ -283,18 +283,18 @@
     }
   }
 
-  void changeFleet(UpstreamId id, Upstream& upstream, std::uint64_t what) {
+  void changeFleet(EndpointId id, Upstream& upstream, std::uint64_t what) {
     if (what < 12) {
       upstream.listed = !upstream.listed;
       if (upstream.listed) upstream.launchedAt = now_ - static_cast<Micros>(dice_.below(2000)) * kMillisecond;
-      const UpstreamState gone = dice_.oneIn(2) ? UpstreamState::Draining : UpstreamState::Gone;
+      const EndpointState gone = dice_.oneIn(2) ? EndpointState::Draining : EndpointState::Gone;
       feed(MembershipUpdate{MembershipUpdate::Kind::Changes,
-                            {entry(id, upstream.listed ? UpstreamState::Serving : gone)}});
+                            {entry(id, upstream.listed ? EndpointState::Serving : gone)}});
     } else if (what < 13) {
       upstream.launchedAt = now_;  // restarted in place
       upstream.listed = true;
       upstream.mood = Upstream::Mood::Well;
-      feed(MembershipUpdate{MembershipUpdate::Kind::Changes, {entry(id, UpstreamState::Serving)}});
+      feed(MembershipUpdate{MembershipUpdate::Kind::Changes, {entry(id, EndpointState::Serving)}});
     } else if (what < 14) {
       for (Upstream& each : upstreams_) {
         if (dice_.oneIn(8)) each.listed = !each.listed;
@@ -304,7 +304,7 @@
       feed(MembershipUpdate{MembershipUpdate::Kind::Failed, {}});
       if (dice_.oneIn(2)) feed(list(MembershipUpdate::Kind::Full));
     } else if (what < 18) {
-      Hearsay healthReport;
+      HealthReport healthReport;
       healthReport.upstream = dice_.oneIn(10) ? 999 : id;
       healthReport.launchedAt = dice_.oneIn(6) ? 77 : upstream.launchedAt;
       healthReport.sidecars = static_cast<std::uint32_t>(1 + dice_.below(12));
@@ -343,7 +343,7 @@
     return load;
   }
 
-  void probed(UpstreamId id) {
+  void probed(EndpointId id) {
     const Upstream& upstream = upstreams_[id];
     ProbeResult result;
     result.upstream = id;
@@ -421,7 +421,7 @@
     digest_.fold(static_cast<std::uint64_t>(balancer_.remembered().value_or(999)));
     digest_.fold(static_cast<std::uint64_t>(balancer_.openRequests()));
     digest_.fold(static_cast<std::uint64_t>(balancer_.heldRequests()));
-    for (UpstreamId id = 0; id < upstreams_.size(); ++id) {
+    for (EndpointId id = 0; id < upstreams_.size(); ++id) {
       digest_.fold(std::uint64_t{2} * balancer_.inFlight(id) + (balancer_.ready(id, now_) ? 1 : 0));
     }
   }
@@ -453,7 +453,7 @@
     digest_.fold(cancel.request);
     digest_.fold(static_cast<std::uint64_t>(cancel.attempt));
   }
-  void execute(const Refuse& refuse) {
+  void execute(const Reject& refuse) {
     digest_.fold(refuse.request);
     digest_.fold(refuse.retryAfter);
     clients_.at(refuse.request).finished = true;
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -18,7 +18,7 @@
   Rig rig;
   rig.start(4);
   EXPECT_FALSE(rig.balancer.remembered().has_value());
-  const UpstreamId to = rig.sent(1);
+  const EndpointId to = rig.sent(1);
   EXPECT_EQ(rig.balancer.remembered(), to);
   EXPECT_EQ(rig.balancer.inFlight(to), 1u);
 }
@@ -28,11 +28,11 @@
 TEST(Pick, FollowsTheRuleOnEveryRequest) {
   Rig rig;
   rig.start(6);
-  std::vector<std::pair<RequestId, UpstreamId>> out;
+  std::vector<std::pair<RequestId, EndpointId>> out;
   int ties = 0, toSlot = 0, moves = 0;
   for (RequestId id = 1; id <= 2000; ++id) {
     std::array<std::uint32_t, 6> before{};
-    for (UpstreamId u = 0; u < 6; ++u) before[u] = rig.balancer.inFlight(u);
+    for (EndpointId u = 0; u < 6; ++u) before[u] = rig.balancer.inFlight(u);
     const auto slot = rig.balancer.remembered();
     const bool slotReady = slot && rig.balancer.ready(*slot, rig.now);
     rig.request(id);
@@ -40,7 +40,7 @@
       rig.feed(Withdrawn{id});
       continue;
     }
-    const UpstreamId to = rig.first<Send>().upstream;
+    const EndpointId to = rig.first<Send>().upstream;
     out.emplace_back(id, to);
     if (slotReady) {
       const auto after = rig.balancer.remembered();
@@ -75,7 +75,7 @@
   rig.list(Kind::Saved, {serving(0, 1), serving(1, 2), serving(2, 5)});
   std::array<int, 3> got{};
   for (RequestId id = 1; id <= 8000; ++id) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     ++got[to];
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -89,7 +89,7 @@
   rig.list(Kind::Saved, {serving(0, 1e-9), serving(1, 1e9), serving(2, 1)});
   std::array<int, 3> got{};
   for (RequestId id = 1; id <= 3000; ++id) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     ++got[to];
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -108,7 +108,7 @@
     rig.start(2);
     RequestId id = 1;
     for (int round = 0; round < 60; ++round) {
-      const UpstreamId to = round % 2;
+      const EndpointId to = round % 2;
       rig.list(Kind::Full, {serving(to)});
       rig.feed(NewRequest{id, kSafe, 0, {}, kSecond, to == 0 ? first : second, false});
       rig.now += to == 0 ? lag0 : lag1;
@@ -119,7 +119,7 @@
     rig.wait(pause);
     int to0 = 0;
     for (int n = 0; n < 1000; ++n, ++id) {
-      const UpstreamId to = rig.sent(id);
+      const EndpointId to = rig.sent(id);
       to0 += to == 0;
       rig.feed(AttemptOutcome{id, 0, to, Outcome::Cancelled, 0, true, std::nullopt});
     }
@@ -139,7 +139,7 @@
     NewRequest r{id, kSafe, 0, {}, kSecond, (id % 2 == 0 ? 190 : 10) * kMs, false};
     rig.feed(r);
     ASSERT_EQ(rig.count<Send>(), 1u);
-    const UpstreamId to = rig.first<Send>().upstream;
+    const EndpointId to = rig.first<Send>().upstream;
     (id % 2 == 0 ? heavy : light) += to == 2;
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -154,7 +154,7 @@
   rig.start(2);
   std::array<int, 2> got{};
   for (RequestId id = 1; id <= 2000; ++id) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     if (id > 500) ++got[to];
     rig.now += to == 0 ? 40 * kMs : 5 * kMs;
     rig.outcome(id, to, Outcome::Ok);
@@ -173,7 +173,7 @@
     rig.start(4);
     int own = 0;
     for (RequestId id = 1; id <= 2000; ++id) {
-      const UpstreamId to = rig.sent(id);
+      const EndpointId to = rig.sent(id);
       own += to % 2 == 0;
       rig.outcome(id, to, Outcome::Ok);
     }
@@ -185,9 +185,9 @@
   for (const bool drains : {true, false}) {
     Rig rig;
     rig.start(3);
-    const UpstreamId slot = rig.sent(1);
+    const EndpointId slot = rig.sent(1);
     if (drains) {
-      rig.list(Kind::Changes, {leaving(slot, UpstreamState::Draining)});
+      rig.list(Kind::Changes, {leaving(slot, EndpointState::Draining)});
     } else {
       rig.list(Kind::Full, {serving((slot + 1) % 3), serving((slot + 2) % 3)});
     }
@@ -199,7 +199,7 @@
 
 struct RepeatCase {
   std::uint32_t cls;
-  RepeatGroup group;
+  RetryGroup group;
   Outcome outcome;
 };
 
@@ -209,7 +209,7 @@
   rig.start(2);
   rig.outcome(1, rig.sent(1), Outcome::Ok);
   ASSERT_TRUE(rig.balancer.remembered().has_value());
-  const UpstreamId gone = *rig.balancer.remembered();
+  const EndpointId gone = *rig.balancer.remembered();
   rig.list(Kind::Full, {serving(1 - gone)});
   EXPECT_FALSE(rig.balancer.remembered().has_value());
   EXPECT_FALSE(rig.balancer.ready(gone, rig.now));
@@ -217,7 +217,7 @@
 
 TEST(Repeats, TableOverSemanticsGroupAndOutcome) {
   for (const std::uint32_t cls : {kSafe, kKeyed, kUnsafe}) {
-    for (const RepeatGroup group : {RepeatGroup::All, RepeatGroup::Zone, RepeatGroup::Cell}) {
+    for (const RetryGroup group : {RetryGroup::All, RetryGroup::Zone, RetryGroup::Cell}) {
       for (const Outcome outcome : {Outcome::Error, Outcome::Full, Outcome::Timeout, Outcome::ConnectFailed,
                                     Outcome::Reset, Outcome::Cancelled, Outcome::Moot}) {
         for (const Micros after : {10 * kMs, 650 * kMs}) {
@@ -225,29 +225,29 @@
           s.classes[cls].group = group;
           Rig rig(s, 7);
           rig.start(8);
-          const UpstreamId at = rig.sent(1, cls);
+          const EndpointId at = rig.sent(1, cls);
           rig.now += after;
           rig.outcome(1, at, outcome);
           const bool neverRan =
               outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
-          const bool late = after > s.classes[kKeyed].repeatWindow;
+          const bool late = after > s.classes[kKeyed].retryWindow;
           const bool maySend = cls == kSafe || neverRan || (cls == kKeyed && !late);
           SCOPED_TRACE(testing::Message() << "class " << cls << " group " << static_cast<int>(group)
                                           << " outcome " << static_cast<int>(outcome) << " after " << after);
           ASSERT_EQ(rig.count<Send>(), maySend ? 1u : 0u);
           if (maySend) {
-            const UpstreamId to = rig.first<Send>().upstream;
+            const EndpointId to = rig.first<Send>().upstream;
             EXPECT_NE(to, at);
-            if (cls == kKeyed && !neverRan && group == RepeatGroup::Zone) {
+            if (cls == kKeyed && !neverRan && group == RetryGroup::Zone) {
               EXPECT_EQ(to % 2, at % 2);
             }
-            if (cls == kKeyed && !neverRan && group == RepeatGroup::Cell) {
+            if (cls == kKeyed && !neverRan && group == RetryGroup::Cell) {
               EXPECT_EQ(to / 2, at / 2);
             }
           } else {
             // A refusal would invite a repeat, so what may have run gets a failure.
             EXPECT_EQ(rig.count<Fail>(), 1u);
-            EXPECT_EQ(rig.count<Refuse>(), 0u);
+            EXPECT_EQ(rig.count<Reject>(), 0u);
           }
         }
       }
@@ -260,40 +260,40 @@
   const auto repeated = [](Micros after) {
     Rig rig;
     rig.start(4);
-    const UpstreamId to = rig.sent(1, kKeyed);
+    const EndpointId to = rig.sent(1, kKeyed);
     rig.now += after;
     rig.outcome(1, to, Outcome::Error);
     return rig.count<Send>() == 1;
   };
-  const Micros window = plainSettings().classes[kKeyed].repeatWindow, step = plainSettings().resolution;
+  const Micros window = plainSettings().classes[kKeyed].retryWindow, step = plainSettings().resolution;
   EXPECT_TRUE(repeated(window - 2 * step));
   EXPECT_FALSE(repeated(window - step));
 }
 
 TEST(Repeats, KeyedRefusalNeedsTheWidestGroup) {
-  for (const RepeatGroup group : {RepeatGroup::All, RepeatGroup::Zone, RepeatGroup::Cell}) {
+  for (const RetryGroup group : {RetryGroup::All, RetryGroup::Zone, RetryGroup::Cell}) {
     Settings s = plainSettings();
     s.classes[kKeyed].group = group;
     s.maxAttempts = 1;
     Rig rig(s);
     rig.start(4);
-    const UpstreamId at = rig.sent(1, kKeyed);
+    const EndpointId at = rig.sent(1, kKeyed);
     rig.now += 10 * kMs;
     rig.outcome(1, at, Outcome::Error);
-    EXPECT_EQ(rig.count<Refuse>(), group == RepeatGroup::All ? 1u : 0u);
-    EXPECT_EQ(rig.count<Fail>(), group == RepeatGroup::All ? 0u : 1u);
+    EXPECT_EQ(rig.count<Reject>(), group == RetryGroup::All ? 1u : 0u);
+    EXPECT_EQ(rig.count<Fail>(), group == RetryGroup::All ? 0u : 1u);
   }
 }
 
 TEST(Repeats, AnUpstreamWithoutACellRepeatsOnlyToItself) {
   Rig rig;
-  std::vector<UpstreamEntry> entries;
-  for (UpstreamId id = 0; id < 4; ++id) {
+  std::vector<EndpointEntry> entries;
+  for (EndpointId id = 0; id < 4; ++id) {
     entries.push_back(serving(id));
     entries.back().cell.reset();
   }
   rig.list(Kind::Saved, entries);
-  const UpstreamId at = rig.sent(1, kKeyed);
+  const EndpointId at = rig.sent(1, kKeyed);
   rig.now += 10 * kMs;
   rig.outcome(1, at, Outcome::Error);
   for (const Send& send : rig.all<Send>()) EXPECT_EQ(send.upstream, at);
@@ -302,7 +302,7 @@
 TEST(Repeats, StopAtMaxAttempts) {
   Rig rig;
   rig.start(8);
-  UpstreamId at = rig.sent(1);
+  EndpointId at = rig.sent(1);
   std::size_t sends = 1;
   for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {
     rig.outcome(1, at, Outcome::ConnectFailed, attempt);
@@ -311,7 +311,7 @@
     ++sends;
   }
   EXPECT_EQ(sends, 3u);
-  EXPECT_EQ(rig.count<Refuse>(), 1u);
+  EXPECT_EQ(rig.count<Reject>(), 1u);
 }
 
 TEST(Repeats, BudgetBoundsRepeatsOfWhatMayHaveRun) {
@@ -327,7 +327,7 @@
     // Fail every attempt of this request until it has its answer.
     std::uint32_t attempt = 0;
     while (rig.count<Send>() > 0) {
-      const UpstreamId at = rig.first<Send>().upstream;
+      const EndpointId at = rig.first<Send>().upstream;
       rig.outcome(id, at, Outcome::Error, attempt++);
       sends += rig.count<Send>();
     }
@@ -339,9 +339,9 @@
 
 Settings budgetSettings() {
   Settings s = plainSettings();
-  s.lookBack = 2 * kSecond;
-  s.extraFloor = 2;
-  s.furtherRatio = 0.1;
+  s.retryBudgetWindow = 2 * kSecond;
+  s.retryBudgetFloor = 2;
+  s.retryBudgetRatio = 0.1;
   return s;
 }
 
@@ -351,7 +351,7 @@
   std::size_t sends = 0;
   rig.request(id);
   while (rig.count<Send>() > 0) {
-    const UpstreamId at = rig.first<Send>().upstream;
+    const EndpointId at = rig.first<Send>().upstream;
     rig.outcome(id, at, how, static_cast<std::uint32_t>(sends++));
   }
   return sends > 0 ? sends - 1 : 0;
@@ -380,14 +380,14 @@
 
 TEST(Repeats, WithTheBudgetSpentTheAnswerGoesByWhatMayHaveRun) {
   Settings s = budgetSettings();
-  s.extraFloor = 0;
+  s.retryBudgetFloor = 0;
   for (const Outcome how : {Outcome::Error, Outcome::Full}) {
     for (const std::uint32_t cls : {kSafe, kKeyed, kUnsafe}) {
       Rig rig(s);
       rig.start(10);
       rig.outcome(1, rig.sent(1, cls), how);
       const bool refused = how == Outcome::Full || cls == kSafe;
-      EXPECT_EQ(rig.count<Refuse>(), refused ? 1u : 0u) << cls;
+      EXPECT_EQ(rig.count<Reject>(), refused ? 1u : 0u) << cls;
       EXPECT_EQ(rig.count<Fail>(), refused ? 0u : 1u) << cls;
     }
   }
@@ -399,11 +399,11 @@
   for (const int how : {0, 1, 2}) {
     Rig rig;
     rig.start(2);
-    if (how == 0) rig.list(Kind::Changes, {leaving(0, UpstreamState::Draining)});
-    if (how == 1) rig.list(Kind::Changes, {leaving(0, UpstreamState::Gone)});
+    if (how == 0) rig.list(Kind::Changes, {leaving(0, EndpointState::Draining)});
+    if (how == 1) rig.list(Kind::Changes, {leaving(0, EndpointState::Gone)});
     if (how == 2) rig.list(Kind::Full, {serving(1)});
     for (RequestId id = 1; id <= 50; ++id) {
-      const UpstreamId to = rig.sent(id);
+      const EndpointId to = rig.sent(id);
       EXPECT_EQ(to, 1u);
       rig.outcome(id, to, Outcome::Ok);
     }
@@ -413,14 +413,14 @@
 // Found on the first score of ulaanbaatar-archive: connections stayed open on draining upstreams.
 TEST(Membership, IdleConnectionsAreClosedOnDrains) {
   Settings s = plainSettings();
-  s.hangUpWithin = 800 * kMs;
+  s.closeDrainingWithin = 800 * kMs;
   for (const int how : {0, 1, 2}) {
     Rig rig(s);
     rig.start(2);
-    const UpstreamId to = rig.sent(1);
-    const UpstreamId other = 1 - to;
-    if (how == 0) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, UpstreamState::Draining)});
-    if (how == 1) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, UpstreamState::Gone)});
+    const EndpointId to = rig.sent(1);
+    const EndpointId other = 1 - to;
+    if (how == 0) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, EndpointState::Draining)});
+    if (how == 1) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, EndpointState::Gone)});
     if (how == 2) rig.list(MembershipUpdate::Kind::Full, {serving(other)});
     ASSERT_EQ(rig.count<CloseIdle>(), 1u) << "at the notice";
     EXPECT_EQ(rig.first<CloseIdle>().upstream, to);
@@ -436,10 +436,10 @@
 
 TEST(Membership, AnUpstreamBackInServiceKeepsItsConnections) {
   Settings s = plainSettings();
-  s.hangUpWithin = 800 * kMs;
+  s.closeDrainingWithin = 800 * kMs;
   Rig rig(s);
   rig.start(2);
-  rig.list(MembershipUpdate::Kind::Changes, {leaving(0, UpstreamState::Draining)});
+  rig.list(MembershipUpdate::Kind::Changes, {leaving(0, EndpointState::Draining)});
   EXPECT_EQ(rig.count<CloseIdle>(), 1u);
   rig.list(MembershipUpdate::Kind::Changes, {serving(0)});
   EXPECT_EQ(rig.count<CloseIdle>(), 0u);
@@ -450,8 +450,8 @@
 TEST(Membership, RetriesAndHeldRequestsSeeTheDrainToo) {
   Rig rig;
   rig.start(2);
-  const UpstreamId at = rig.sent(1);
-  rig.list(Kind::Changes, {leaving(1 - at, UpstreamState::Draining)});
+  const EndpointId at = rig.sent(1);
+  rig.list(Kind::Changes, {leaving(1 - at, EndpointState::Draining)});
   rig.outcome(1, at, Outcome::Reset);
   for (const Send& send : rig.all<Send>()) EXPECT_EQ(send.upstream, at);
 }
@@ -468,7 +468,7 @@
       waited += 50 * kMs;
       rig.wait(50 * kMs);
     } while (rig.count<Subscribe>() == 0 && waited < 20 * kSecond);
-    EXPECT_LE(waited, plainSettings().askWithin / 3);
+    EXPECT_LE(waited, plainSettings().pollWithin / 3);
   }
 }
 
@@ -492,9 +492,9 @@
   Rig rig;
   rig.start(0);
   rig.request(1);
-  EXPECT_EQ(rig.count<Refuse>() + rig.count<Send>() + rig.count<Fail>(), 0u);
+  EXPECT_EQ(rig.count<Reject>() + rig.count<Send>() + rig.count<Fail>(), 0u);
   rig.wait(kSecond);
-  EXPECT_EQ(rig.count<Refuse>(), 1u);
+  EXPECT_EQ(rig.count<Reject>(), 1u);
   rig.request(2);
   rig.list(Kind::Full, {serving(0)});
   EXPECT_EQ(rig.count<Send>(), 1u) << "a held request goes as soon as somebody is listed";
@@ -508,7 +508,7 @@
   rig.list(Kind::Changes, {serving(3, 1, rig.now)});
   std::array<int, 4> got{};
   for (RequestId id = 1; id <= 100; ++id) {  // one second of a start: warmth 0.3 to 0.39
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     ++got[to];
     rig.outcome(id, to, Outcome::Ok);
     rig.now += 10 * kMs;
@@ -529,7 +529,7 @@
       r.work = heavy && rig.balancer.ready(1, rig.now) ? 80 * kMs : 10 * kMs;
       rig.feed(r);
       if (rig.count<Send>() == 0) continue;
-      const UpstreamId to = rig.first<Send>().upstream;
+      const EndpointId to = rig.first<Send>().upstream;
       sends += to == 1;
       rig.outcome(id, to, Outcome::Ok);
       rig.now += kMs;
@@ -545,7 +545,7 @@
   rig.list(Kind::Saved, {serving(0), serving(1)});
   rig.list(Kind::Changes, {serving(1, 1, rig.now)});
   for (RequestId id = 1; id <= 40; ++id) {  // earn credit while upstream 1 stays unchosen or not
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     rig.outcome(id, to, Outcome::Ok);
   }
   int burst = 0;
@@ -558,8 +558,8 @@
 
 TEST(SlowStart, AFleetThatIsAllColdIsSentOnlyItsWarmth) {
   Rig rig;
-  std::vector<UpstreamEntry> entries;
-  for (UpstreamId id = 0; id < 4; ++id) entries.push_back(serving(id, 1, rig.now));
+  std::vector<EndpointEntry> entries;
+  for (EndpointId id = 0; id < 4; ++id) entries.push_back(serving(id, 1, rig.now));
   rig.list(Kind::Saved, entries);
   std::size_t sends = 0;
   for (RequestId id = 1; id <= 100; ++id) {
@@ -589,7 +589,7 @@
   Rig rig;
   rig.start(2);
   for (RequestId id = 1; id <= 60; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.outcome(id, to, to == 0 ? Outcome::Error : Outcome::Ok);
   }
   EXPECT_FALSE(rig.balancer.ready(0, rig.now));
@@ -604,7 +604,7 @@
   rig.start(4);
   int refused = 0;
   for (RequestId id = 1; id <= 400; ++id) {
-    UpstreamId to = rig.sent(id);
+    EndpointId to = rig.sent(id);
     std::uint32_t attempt = 0;
     rig.now += 10 * kMs;
     while (to == 0) {
@@ -683,7 +683,7 @@
   Rig rig;
   rig.list(Kind::Saved, {serving(0, 1), serving(1, 3)});
   for (RequestId id = 1; id <= 100; ++id) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     rig.now += (to == 0 && id > 20 ? 100 : 10) * kMs;
     rig.outcome(id, to, Outcome::Ok);
     rig.wait(kSecond);
@@ -699,11 +699,11 @@
   s.sidecars = 16;
   Rig rig(s);
   rig.start(2);
-  const UpstreamId first = rig.sent(1);  // until an answer has come the sidecar is blind
+  const EndpointId first = rig.sent(1);  // until an answer has come the sidecar is blind
   rig.now += 10 * kMs;
   rig.outcome(1, first, Outcome::Ok);
-  const UpstreamId other = 1 - first;
-  UpstreamId to = first;
+  const EndpointId other = 1 - first;
+  EndpointId to = first;
   for (RequestId id = 2; to == first; ++id) {
     to = rig.sent(id);
     rig.now += 10 * kMs;
@@ -753,7 +753,7 @@
   EXPECT_TRUE(rig.balancer.ready(0, rig.now + kSecond)) << "but not for long";
 }
 
-// Found on bilbao: a far zone's answers took a fifth of the aim on an idle upstream.
+// Found on bilbao: a far zone's answers took a fifth of the latencyObjective on an idle upstream.
 TEST(Limits, TheNetworksPartDoesNotMakeAnAnswerSlow) {
   Rig rig;
   rig.start(1);
@@ -804,16 +804,16 @@
   EXPECT_LE(slowAnswers(0.95), 1u);
 }
 
-// Settings may let the aim grow with a request's own work: its hold and its slow line grow too.
+// Settings may let the latencyObjective grow with a request's own work: its hold and its slow line grow too.
 TEST(Admission, AnAimThatGrowsWithTheWorkLengthensTheHold) {
-  const auto heldFor = [](double aimStretch) {
+  const auto heldFor = [](double objectiveStretch) {
     Settings s = plainSettings();
-    s.classes[kSafe].aimStretch = aimStretch;
+    s.classes[kSafe].objectiveStretch = objectiveStretch;
     Rig rig(s);
     rig.list(Kind::Saved, {});
     rig.feed(NewRequest{1, kSafe, 0, {}, kSecond, 100 * kMs, false});
     Micros waited = 0;
-    while (rig.count<Refuse>() == 0 && waited < 2 * kSecond) {
+    while (rig.count<Reject>() == 0 && waited < 2 * kSecond) {
       rig.wait(10 * kMs);
       waited += 10 * kMs;
     }
@@ -850,7 +850,7 @@
 // Found on oviedo: one tenant's burst filled the hold, and the others were refused with it.
 TEST(Admission, ATenantWithinItsShareGoesBeforeOneBeyondIt) {
   Settings s = plainSettings();
-  s.overShareWorth = 0.1;
+  s.overShareWeight = 0.1;
   Rig rig(s);
   rig.start(1);
   const auto ask = [&](RequestId id, std::uint32_t tenant) {
@@ -881,7 +881,7 @@
 TEST(Admission, WhatATenantSentIsForgotten) {
   const auto first = [](Micros since) {
     Settings s = plainSettings();
-    s.overShareWorth = 0.1;
+    s.overShareWeight = 0.1;
     Rig rig(s);
     rig.start(1);
     const auto ask = [&](RequestId id, std::uint32_t tenant) {
@@ -922,7 +922,7 @@
 TEST(Admission, TheWorthierClassGoesFirstThenTheNewest) {
   Settings s = plainSettings();
   s.classes[kUnsafe].value = 5;
-  s.worthByWork = true;
+  s.weightByWork = true;
   Rig rig(s);
   rig.start(1);
   rig.sent(1000);
@@ -949,7 +949,8 @@
   EXPECT_EQ(order, (std::vector<RequestId>{101, 102, 100}));
 }
 
-// Found on incident i45d928: repeats of clients, whose aim was half gone, were served before fresh requests.
+// Found on incident i45d928: repeats of clients, whose latencyObjective was half gone, were served before
+// fresh requests.
 TEST(Admission, AFreshRequestGoesBeforeANewerRepeat) {
   Rig rig;
   rig.start(1);
@@ -965,14 +966,15 @@
 }
 
 // Found on santander overload: where clients do not mark repeats, a try that their deadline cut short tells
-// that its aim is gone.
+// that its latencyObjective is gone.
 TEST(Admission, ATryCutShortByTheDeadlineCountsAsLate) {
   Rig rig;
   rig.start(1);
   rig.sent(1);
   rig.request(9, kUnsafe, 500 * kMs);
   rig.request(10, kUnsafe, 500 * kMs);
-  rig.request(11, kUnsafe, 300 * kMs);  // 700 ms of its client's second are over, and its aim was 400
+  rig.request(11, kUnsafe,
+              300 * kMs);  // 700 ms of its client's second are over, and its latencyObjective was 400
   rig.request(12, kUnsafe, 470 * kMs);  // a little shorter is no sign
   std::vector<RequestId> order = {1};
   for (std::size_t n = 0; n < order.size(); ++n) {
@@ -995,9 +997,9 @@
   }
   rig.list(Kind::Full, {});
   rig.request(500, kSafe, 30 * kMs);
-  EXPECT_EQ(rig.count<Refuse>(), 1u);
+  EXPECT_EQ(rig.count<Reject>(), 1u);
   rig.request(501, kSafe, 300 * kMs);
-  EXPECT_EQ(rig.count<Refuse>(), 0u);
+  EXPECT_EQ(rig.count<Reject>(), 0u);
 }
 
 // A held request is refused while its client can still use the time, not at the edge.
@@ -1013,7 +1015,7 @@
   while (rig.balancer.ready(0, rig.now)) rig.sent(id++, kUnsafe);
   rig.request(500, kUnsafe);
   Micros waited = 0;
-  while (rig.count<Refuse>() == 0 && waited < kSecond) {
+  while (rig.count<Reject>() == 0 && waited < kSecond) {
     rig.wait(10 * kMs);
     waited += 10 * kMs;
   }
@@ -1027,13 +1029,13 @@
   rig.start(4);
   RequestId id = 1;
   for (; id <= 200; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.now += 20 * kMs;
     rig.outcome(id, to, Outcome::Ok);
   }
-  const UpstreamId hung = rig.sent(1000, kUnsafe);
+  const EndpointId hung = rig.sent(1000, kUnsafe);
   for (; id <= 260; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.now += 20 * kMs;
     if (to != hung) rig.outcome(id, to, Outcome::Ok);
   }
@@ -1050,7 +1052,7 @@
   const auto run = [&](int requests, bool broken) {
     int got = 0;
     for (int n = 0; n < requests; ++n, ++id) {
-      const UpstreamId to = rig.sent(id, kUnsafe);
+      const EndpointId to = rig.sent(id, kUnsafe);
       got += to == 0;
       rig.outcome(id, to, to == 0 && broken ? Outcome::Error : Outcome::Ok);
       rig.now += 10 * kMs;
@@ -1071,25 +1073,25 @@
     rig.now += 10 * kMs;
   }
   int ready = 0;
-  for (UpstreamId u = 0; u < 4; ++u) ready += rig.balancer.ready(u, rig.now);
+  for (EndpointId u = 0; u < 4; ++u) ready += rig.balancer.ready(u, rig.now);
   EXPECT_GE(ready, 2);
 }
 
 // Found on corrib-quotes: nine of eighteen answered two thirds of all requests with a quick error. Eight were
 // ejected, the cap on ejections left the ninth, its count was always the lowest, and it got a third of all.
 TEST(Health, OneThatTheCapOnEjectionsLeavesInIsRested) {
-  constexpr UpstreamId kBroken = 5;
+  constexpr EndpointId kBroken = 5;
   Rig rig;
   rig.start(8);
   struct Out {
     RequestId id;
-    UpstreamId to;
+    EndpointId to;
     Micros until;
   };
   std::deque<Out> out;
   std::array<int, 8> got{};
   for (RequestId id = 1; id <= 2000; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     if (id > 1000) ++got.at(to);
     out.push_back({id, to, rig.now + (to < kBroken ? 5 : 30) * kMs});
     rig.now += 5 * kMs;
@@ -1102,7 +1104,7 @@
     }
   }
   int failed = 0;
-  for (UpstreamId broken = 0; broken < kBroken; ++broken) failed += got.at(broken);
+  for (EndpointId broken = 0; broken < kBroken; ++broken) failed += got.at(broken);
   EXPECT_LE(failed, 60) << "of 1000 in 5 s; a fair share of each would be 125";
   EXPECT_GE(failed, 5) << "it is tried again now and then";
 }
@@ -1129,7 +1131,7 @@
     for (; rig.balancer.ready(0, rig.now) && id < 200; ++id) {
       rig.request(id, kUnsafe);
       if (rig.count<Send>() == 0) continue;
-      const UpstreamId to = rig.first<Send>().upstream;
+      const EndpointId to = rig.first<Send>().upstream;
       rig.outcome(id, to, to == 0 ? row.failure : Outcome::Ok);
       rig.now += 20 * kMs;
     }
@@ -1138,13 +1140,13 @@
     while (rig.balancer.ready(1, rig.now)) ASSERT_EQ(rig.sent(++id, kUnsafe), 1u);
     const RequestId last = ++id;
     rig.request(last, row.cls);
-    EXPECT_EQ(rig.count<Send>() + rig.count<Refuse>(), 0u)
+    EXPECT_EQ(rig.count<Send>() + rig.count<Reject>(), 0u)
         << "it waits for the other as long as there is time";
     std::size_t sent = 0, refused = 0;
     for (int n = 0; n < 80 && sent + refused == 0; ++n) {
       rig.wait(5 * kMs);
       sent = rig.count<Send>();
-      refused = rig.count<Refuse>();
+      refused = rig.count<Reject>();
     }
     EXPECT_EQ(sent, row.tried ? 1u : 0u);
     EXPECT_EQ(refused, row.tried ? 0u : 1u);
@@ -1168,7 +1170,7 @@
   rig.start(2);
   RequestId id = 1;
   for (; rig.balancer.ready(0, rig.now) && id < 200; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.now += 20 * kMs;
     rig.outcome(id, to, to == 0 ? Outcome::Error : Outcome::Ok);
   }
@@ -1189,18 +1191,18 @@
   Rig rig;
   rig.start(6);
   RequestId id = 1;
-  for (UpstreamId broken = 1; broken <= 5; ++broken) {
+  for (EndpointId broken = 1; broken <= 5; ++broken) {
     for (int n = 0; n < 300; ++n, ++id) {
       rig.request(id, kUnsafe);
       rig.now += 10 * kMs;
       if (rig.count<Send>() == 0) continue;
-      const UpstreamId to = rig.first<Send>().upstream;
+      const EndpointId to = rig.first<Send>().upstream;
       rig.outcome(id, to, to < broken ? Outcome::Reset : Outcome::Ok);
     }
   }
   int ready = 0;
   // The one that the cap leaves in rests for some answer times at the most.
-  for (UpstreamId u = 0; u < 6; ++u) ready += rig.balancer.ready(u, rig.now + 120 * kMs);
+  for (EndpointId u = 0; u < 6; ++u) ready += rig.balancer.ready(u, rig.now + 120 * kMs);
   EXPECT_GE(ready, 3);
 }
 
@@ -1209,7 +1211,7 @@
   rig.start(3);
   RequestId id = 1;
   for (; rig.balancer.ready(0, rig.now) && id < 500; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.now += 10 * kMs;
     rig.outcome(id, to, to == 0 ? Outcome::Error : Outcome::Ok);
   }
@@ -1224,7 +1226,7 @@
   Rig rig;
   rig.start(4);
   for (RequestId id = 1; id <= 400; ++id) {
-    const UpstreamId to = rig.sent(id, kUnsafe);
+    const EndpointId to = rig.sent(id, kUnsafe);
     rig.outcome(id, to, id % 40 == 0 ? Outcome::Error : Outcome::Ok);
     EXPECT_TRUE(rig.balancer.ready(to, rig.now));
     rig.now += 10 * kMs;
@@ -1236,12 +1238,12 @@
 TEST(Answers, TimeoutAtTheDeadlineStillOwesTheAnswer) {
   Rig rig;
   rig.start(2);
-  const UpstreamId at = rig.sent(1, kUnsafe);
+  const EndpointId at = rig.sent(1, kUnsafe);
   rig.now += kSecond + 2 * kMs;
   rig.outcome(1, at, Outcome::Timeout);
   EXPECT_EQ(rig.count<Fail>(), 1u);
   rig.wait(kSecond);
-  EXPECT_EQ(rig.count<Fail>() + rig.count<Refuse>() + rig.count<Send>(), 0u);
+  EXPECT_EQ(rig.count<Fail>() + rig.count<Reject>() + rig.count<Send>(), 0u);
 }
 
 TEST(Answers, TheTimerAnswersWhenNothingElseDoes) {
@@ -1258,7 +1260,7 @@
     Rig rig;
     rig.start(2);
     rig.request(1, kSafe, expiresIn);
-    EXPECT_EQ(rig.count<Refuse>(), 1u);
+    EXPECT_EQ(rig.count<Reject>(), 1u);
     EXPECT_EQ(rig.count<Send>(), 0u);
   }
 }
@@ -1276,8 +1278,8 @@
     while (rig.balancer.ready(0, rig.now)) rig.sent(++id);  // all that fits is out
     for (RequestId n = 0; n < held; ++n) rig.request(++id);
     rig.request(++id, kSafe, 0);
-    EXPECT_EQ(rig.count<Refuse>(), 1u);
-    return rig.first<Refuse>().retryAfter;
+    EXPECT_EQ(rig.count<Reject>(), 1u);
+    return rig.first<Reject>().retryAfter;
   };
   Settings s = plainSettings();
   Micros fewest = kSecond, most = 0, short_ = 0, long_ = 0;
@@ -1299,13 +1301,13 @@
 TEST(Answers, WithdrawnRequestsAreLeftAlone) {
   Rig rig;
   rig.start(2);
-  const UpstreamId at = rig.sent(1);
+  const EndpointId at = rig.sent(1);
   rig.feed(Withdrawn{1});
   EXPECT_EQ(rig.count<Cancel>(), 1u);
   rig.feed(Withdrawn{1});
   EXPECT_TRUE(rig.actions.empty());
   rig.outcome(1, at, Outcome::Cancelled);
-  EXPECT_EQ(rig.count<Send>() + rig.count<Fail>() + rig.count<Refuse>(), 0u);
+  EXPECT_EQ(rig.count<Send>() + rig.count<Fail>() + rig.count<Reject>(), 0u);
   EXPECT_EQ(rig.balancer.inFlight(at), 0u);
   rig.feed(Withdrawn{99});
   EXPECT_EQ(rig.balancer.openRequests(), 0u);
@@ -1326,12 +1328,12 @@
   s.classes[kSafe].stream = true;
   Rig rig(s);
   rig.start(2);
-  const UpstreamId at = rig.sent(1);
+  const EndpointId at = rig.sent(1);
   rig.feed(AttemptStarted{1, 0});
   rig.wait(5 * kSecond);
-  EXPECT_EQ(rig.count<Fail>() + rig.count<Refuse>() + rig.count<Cancel>(), 0u);
+  EXPECT_EQ(rig.count<Fail>() + rig.count<Reject>() + rig.count<Cancel>(), 0u);
   rig.feed(AttemptOutcome{1, 0, at, Outcome::Reset, 0, true, std::nullopt});
-  EXPECT_EQ(rig.count<Fail>() + rig.count<Refuse>() + rig.count<Send>(), 0u);
+  EXPECT_EQ(rig.count<Fail>() + rig.count<Reject>() + rig.count<Send>(), 0u);
   EXPECT_EQ(rig.balancer.openRequests(), 0u);
 }
 
@@ -1339,7 +1341,7 @@
 TEST(Answers, AStreamThatHasBegunLeavesTheCountOnce) {
   Rig rig;
   rig.start(1);
-  const UpstreamId at = rig.sent(1);
+  const EndpointId at = rig.sent(1);
   EXPECT_EQ(rig.balancer.inFlight(at), 1u);
   rig.feed(AttemptStarted{1, 0});
   EXPECT_EQ(rig.balancer.inFlight(at), 0u);
@@ -1372,12 +1374,12 @@
                           Case{kSafe, Outcome::Reset, true}, Case{kUnsafe, Outcome::Reset, false}}) {
     Rig rig;
     rig.start(3);
-    const UpstreamId at = rig.sent(1, one.cls);
+    const EndpointId at = rig.sent(1, one.cls);
     AttemptOutcome end{1, 0, at, one.outcome, 0, false, std::nullopt};
     end.spent = true;
     rig.feed(end);
     EXPECT_EQ(rig.count<Send>(), 0u);
-    EXPECT_EQ(rig.count<Refuse>(), one.refused ? 1u : 0u);
+    EXPECT_EQ(rig.count<Reject>(), one.refused ? 1u : 0u);
     EXPECT_EQ(rig.count<Fail>(), one.refused ? 0u : 1u);
   }
 }
@@ -1389,7 +1391,7 @@
     rig.start(1);
     RequestId id = 1;
     for (; id <= 20; ++id) {
-      const UpstreamId at = rig.sent(id);
+      const EndpointId at = rig.sent(id);
       rig.now += 20 * kMs;
       rig.outcome(id, at, Outcome::Ok);
     }
@@ -1416,7 +1418,7 @@
     s.maxAttempts = 1;
     Rig rig(s);
     rig.start(3);
-    const UpstreamId at = rig.sent(1);
+    const EndpointId at = rig.sent(1);
     rig.outcome(1, at, outcome);
     EXPECT_EQ(rig.balancer.inFlight(at), 0u);
     EXPECT_EQ(rig.balancer.openRequests(), 0u);
@@ -1437,7 +1439,7 @@
   bad.request = 2;
   bad.tenant = 9;
   EXPECT_THROW(rig.feed(bad), std::invalid_argument);
-  UpstreamEntry entry = serving(0);
+  EndpointEntry entry = serving(0);
   entry.zone = 7;
   EXPECT_THROW(rig.list(Kind::Full, {entry}), std::invalid_argument);
   entry = serving(0);
@@ -1459,14 +1461,14 @@
   rig.sent(1);
   rig.now -= 500 * kSecond;
   rig.wait(0);
-  EXPECT_EQ(rig.count<Fail>() + rig.count<Refuse>(), 0u);
+  EXPECT_EQ(rig.count<Fail>() + rig.count<Reject>(), 0u);
 }
 
 TEST(Determinism, SameSeedAndEventsGiveTheSameActions) {
   const auto run = [](std::uint64_t seed) {
     Rig rig(plainSettings(), seed);
     rig.start(9);
-    std::vector<UpstreamId> picks;
+    std::vector<EndpointId> picks;
     for (RequestId id = 1; id <= 200; ++id) {
       picks.push_back(rig.sent(id));
       rig.outcome(id, picks.back(), Outcome::Ok);
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -13,7 +13,7 @@
 
 struct Start {
   const char* name;
-  Micros coldFor;
+  Micros slowStartWindow;
   double startCapacity;
   double fallMultiple;
 };
@@ -58,10 +58,10 @@
   Settings s = plainSettings();
   s.zones = 1;
   s.sidecars = sidecars;
-  s.idleClose = 30 * kSecond;
-  s.maxStreams = 1;
+  s.idleTimeout = 30 * kSecond;
+  s.maxStreamsPerConnection = 1;
   s.mustSubscribe = false;
-  s.coldFor = start.coldFor;
+  s.slowStartWindow = start.slowStartWindow;
   s.startCapacity = start.startCapacity;
   s.fallMultiple = start.fallMultiple;
   s.fallWindow = kSecond;
@@ -82,10 +82,10 @@
       from = n + 1;
       continue;
     }
-    if (at >= node.launchedAt + s.coldFor) break;
+    if (at >= node.launchedAt + s.slowStartWindow) break;
     work += node.work[n];
     while (node.sentAt[from] <= at - s.fallWindow) work -= node.work[from++];
-    const double part = static_cast<double>(at - node.launchedAt) / static_cast<double>(s.coldFor);
+    const double part = static_cast<double>(at - node.launchedAt) / static_cast<double>(s.slowStartWindow);
     const double warmth = s.startCapacity + (1 - s.startCapacity) * part;
     const double seconds = static_cast<double>(s.fallWindow) / 1e6;
     worst = std::max(worst, work / allowedOf(s.fallMultiple * warmth * warmPerSecond * seconds));
@@ -95,7 +95,7 @@
 
 struct Shape {
   std::uint32_t sidecars;
-  UpstreamId upstreams;
+  EndpointId upstreams;
   Micros work;  // of a request on a warm core, of which an upstream has two
 };
 
@@ -113,10 +113,10 @@
   fleet.hints = course == Course::Hints;
   fleet.play(5 * kSecond);
   const bool many = course == Course::ManyCold || course == Course::ManyColdAnswerAtOnce;
-  const UpstreamId some = many ? shape.upstreams * 6 / 10 : std::max(1U, shape.upstreams / 10);
-  const UpstreamId cold =
+  const EndpointId some = many ? shape.upstreams * 6 / 10 : std::max(1U, shape.upstreams / 10);
+  const EndpointId cold =
       course == Course::AllCold || course == Course::AllColdAnswerAtOnce ? shape.upstreams : some;
-  for (UpstreamId id = 0; id < cold; ++id) {
+  for (EndpointId id = 0; id < cold; ++id) {
     fleet.node(id).launchedAt = fleet.now;
     if (course == Course::Errors) fleet.node(id).mode = Fleet::Mode::Errors;
   }
@@ -130,8 +130,8 @@
   if (doubled) fleet.doubleAll(1);
   if (course == Course::HalfEach) fleet.doubleAll(0.5);
   if (course == Course::WarmGo) {
-    for (UpstreamId id = cold; id < cold + (shape.upstreams - cold) / 2; ++id)
-      fleet.node(id).state = UpstreamState::Gone;
+    for (EndpointId id = cold; id < cold + (shape.upstreams - cold) / 2; ++id)
+      fleet.node(id).state = EndpointState::Gone;
     fleet.tellAll(50 * kMs);
   }
   fleet.burst = doubled || course == Course::WarmGo ? 1.5 : 3;
@@ -141,7 +141,7 @@
   }
   fleet.play(3 * kSecond);
   double worst = 0;
-  for (UpstreamId id = 0; id < cold; ++id)
+  for (EndpointId id = 0; id < cold; ++id)
     worst = std::max(worst, worstSpan(fleet.node(id), s, warmPerSecond));
   return worst;
 }
--- a/tests/compatibility/platform_settings_test.cpp
+++ b/tests/compatibility/platform_settings_test.cpp
@@ -58,13 +58,13 @@
   for (std::size_t n = 0; n < settings.classes.size(); ++n) {
     const auto& one = settings.classes.at(n);
     const std::string at = "classes." + std::to_string(n) + ".";
-    to.put(at + "aim", one.aim);
-    to.put(at + "aimStretch", one.aimStretch);
+    to.put(at + "aim", one.latencyObjective);
+    to.put(at + "aimStretch", one.objectiveStretch);
     to.put(at + "deadline", one.deadline);
     to.put(at + "semantics", static_cast<int>(one.semantics));
     to.put(at + "group", static_cast<int>(one.group));
-    to.put(at + "repeatWindow", one.repeatWindow);
-    to.put(at + "lateWorth", one.lateWorth);
+    to.put(at + "repeatWindow", one.retryWindow);
+    to.put(at + "lateWorth", one.lateWeight);
     to.put(at + "value", one.value);
     to.put(at + "stream", one.stream);
   }
@@ -80,34 +80,34 @@
   to.put("membershipMode", settings.mustSubscribe);
   to.put("resolution", settings.resolution);
   to.put("limits.connectTimeout", settings.connectTimeout);
-  to.put("limits.idleClose", settings.idleClose);
-  to.put("limits.maxStreams", settings.maxStreams);
+  to.put("limits.idleClose", settings.idleTimeout);
+  to.put("limits.maxStreams", settings.maxStreamsPerConnection);
   to.put("limits.maxAttempts", settings.maxAttempts);
   to.put("limits.maxOpen", settings.maxOpen);
   to.put("limits.maxRetryAfter", settings.maxRetryAfter);
   to.put("limits.retryAfter", settings.retryAfter);
   to.put("limits.mayCancel", settings.mayCancel);
   to.put("limits.probing", settings.mayProbe);
-  to.put("limits.secondCopies", settings.secondCopies);
-  to.put("familyInfo.warmKeys", settings.keysWarm);
-  to.put("worthBy", settings.worthByWork);
-  to.put("overShareWorth", settings.overShareWorth);
+  to.put("limits.secondCopies", settings.mayHedge);
+  to.put("familyInfo.warmKeys", settings.hasKeyAffinity);
+  to.put("worthBy", settings.weightByWork);
+  to.put("overShareWorth", settings.overShareWeight);
   to.put("prices.crossZone", settings.crossZonePrice);
   to.put("prices.probe", settings.probePrice);
   to.put("prices.waste", settings.wastePrice);
   to.put("report.how", static_cast<int>(settings.reports));
   to.put("report.columns holds busy_reqs", settings.reportsBusy);
   to.put("contract.answerSlack", settings.answerSlack);
-  to.put("contract.askWithin", settings.askWithin);
+  to.put("contract.askWithin", settings.pollWithin);
   to.put("contract.startCapacity", settings.startCapacity);
-  to.put("contract.cold", settings.coldFor);
+  to.put("contract.cold", settings.slowStartWindow);
   to.put("contract.stopSendingWithin", settings.drainGrace);
   to.put("contract.fallMultiple", settings.fallMultiple);
   to.put("contract.fall", settings.fallWindow);
-  to.put("contract.lookBack", settings.lookBack);
-  to.put("contract.extraFloor", settings.extraFloor);
-  to.put("contract.furtherRatio", settings.furtherRatio);
-  to.put("contract.hangUpWithin", settings.hangUpWithin);
+  to.put("contract.lookBack", settings.retryBudgetWindow);
+  to.put("contract.extraFloor", settings.retryBudgetFloor);
+  to.put("contract.furtherRatio", settings.retryBudgetRatio);
+  to.put("contract.hangUpWithin", settings.closeDrainingWithin);
 }
 
 // Each key with the value that the program works with.
--- a/tests/e2e/matrix_test.cpp
+++ b/tests/e2e/matrix_test.cpp
@@ -43,7 +43,7 @@
     all.push_back({name, {d, std::move(trigger), std::move(action)}, knows});
   };
   // Before a byte has gone.
-  add("refused", kIn, {}, Refuse{},
+  add("refused", kIn, {}, Reject{},
       Knows::MayHaveRun);  // accepted and reset: the first bytes may be on their way
   // Cuts while the request goes out. It is written at once, so that each of them may have run.
   const std::vector<std::pair<const char*, Trigger>> inRequest = {{"at the head", {AtHead{1, 0}, {}}},
@@ -278,7 +278,7 @@
   EXPECT_EQ(world.judged(), "");
 }
 INSTANTIATE_TEST_SUITE_P(Listeners, NoConnectionTest,
-                         testing::Combine(testing::Values(Listener::Refuse, Listener::Full),
+                         testing::Combine(testing::Values(Listener::Reject, Listener::Full),
                                           testing::Values(Effect::Safe, Effect::Keyed, Effect::Unsafe)));
 
 // Guards drains and departures where a connection may take longer to come up than the grace: corrib-quotes
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -8,7 +8,7 @@
 int main() {
   ivypost::balancer::Settings settings;
   ivypost::balancer::RequestClass lookups;
-  lookups.aim = 200'000;  // microseconds
+  lookups.latencyObjective = 200'000;  // microseconds
   lookups.deadline = 500'000;
   lookups.semantics = ivypost::balancer::Semantics::Idempotent;
   settings.classes = {lookups};
--- a/tests/etcd/follower_rig.h
+++ b/tests/etcd/follower_rig.h
@@ -250,7 +250,7 @@
   void carryOut(Sidecar& sidecar, const Follower::Publish& publish) {
     if (publish.whole) sidecar.list.clear();
     for (const Instance& instance : publish.instances) {
-      if (instance.state == balancer::UpstreamState::Gone) {
+      if (instance.state == balancer::EndpointState::Gone) {
         sidecar.list.erase(instance.id);
       } else {
         sidecar.list.insert_or_assign(instance.id, instance);
--- a/tests/etcd/source_test.cpp
+++ b/tests/etcd/source_test.cpp
@@ -65,7 +65,7 @@
         membership::Source::Callbacks{[this](InstanceList update) {
                                         if (update.whole) list.clear();
                                         for (const auto& one : update.instances) {
-                                          if (one.state == balancer::UpstreamState::Gone) {
+                                          if (one.state == balancer::EndpointState::Gone) {
                                             list.erase(one.id);
                                           } else {
                                             list[one.id] = one.address.port();
--- a/tests/fault/proxy_test.cpp
+++ b/tests/fault/proxy_test.cpp
@@ -158,7 +158,7 @@
 }
 
 TEST_F(ProxyTest, RefusesAndStaysSilent) {
-  Plan plan = one(Direction::Request, {}, Refuse{});
+  Plan plan = one(Direction::Request, {}, Reject{});
   plan.rules[0].connections.numbers = {1};
   plan.rules.push_back({{{2}, 1, 1}, {{Direction::Request, {}, Silent{}}}});
   start(std::move(plan));
@@ -177,7 +177,7 @@
 
 TEST_F(ProxyTest, ListenerRefusesAndFillsUp) {
   Plan plan;
-  plan.listener = Listener::Refuse;
+  plan.listener = Listener::Reject;
   start(plan);
   const auto address = proxy->address();
   error_code error;
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -195,12 +195,12 @@
   EXPECT_EQ(site.settings.sidecars, 4u);
   EXPECT_EQ(site.settings.kinds, 2u);
   EXPECT_EQ(site.settings.classes[0].semantics, balancer::Semantics::Keyed);
-  EXPECT_EQ(site.settings.classes[0].group, balancer::RepeatGroup::Cell);
-  EXPECT_EQ(site.settings.classes[0].repeatWindow, 600'000);
+  EXPECT_EQ(site.settings.classes[0].group, balancer::RetryGroup::Cell);
+  EXPECT_EQ(site.settings.classes[0].retryWindow, 600'000);
   EXPECT_EQ(site.settings.classes[0].value, 5);
   EXPECT_EQ(site.settings.classes[1].semantics, balancer::Semantics::Unsafe);
   EXPECT_EQ(site.settings.startCapacity, 0.25);
-  EXPECT_EQ(site.settings.coldFor, 6'000'000);
+  EXPECT_EQ(site.settings.slowStartWindow, 6'000'000);
   EXPECT_EQ(site.settings.fallMultiple, 3);
   EXPECT_EQ(site.settings.drainGrace, 2'000'000);
   EXPECT_TRUE(site.settings.mayProbe);
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -27,7 +27,7 @@
     double size = 1;  // as the list tells, and the true speed of each of its cores
     Micros launchedAt = 0;
     Mode mode = Mode::Sound;
-    UpstreamState state = UpstreamState::Serving;
+    EndpointState state = EndpointState::Serving;
     std::vector<Micros> sentAt;  // each attempt that went there
     std::vector<double> work;    // of each of these, against the mean
     double worst = 0;            // the most attempts of one window, against what it could do at its end
@@ -106,22 +106,22 @@
   }
 
   // A new process, cold from now on; its number.
-  UpstreamId launch(double size, Mode mode = Mode::Sound) {
+  EndpointId launch(double size, Mode mode = Mode::Sound) {
     Node node;
     node.size = size;
     node.launchedAt = now;
     node.mode = mode;
     nodes_.push_back(node);
     state_.emplace_back();
-    return static_cast<UpstreamId>(nodes_.size() - 1);
+    return static_cast<EndpointId>(nodes_.size() - 1);
   }
 
-  Node& node(UpstreamId id) { return nodes_[id]; }
+  Node& node(EndpointId id) { return nodes_[id]; }
   std::size_t nodes() const { return nodes_.size(); }
   Count take() { return std::exchange(count_, Count{}); }
 
   // The attempts of all sidecars there in [from, to).
-  int sends(UpstreamId id, Micros from, Micros to) const {
+  int sends(EndpointId id, Micros from, Micros to) const {
     const auto& times = nodes_[id].sentAt;
     return static_cast<int>(std::lower_bound(times.begin(), times.end(), to) -
                             std::lower_bound(times.begin(), times.end(), from));
@@ -137,8 +137,9 @@
   // What a node of size one could do at the most, in seconds of work a second, times the warmth of this one.
   double capacity(const Node& node) const {
     double warmth = 1;
-    if (node.launchedAt > 0 && settings_.coldFor > 0) {
-      const double part = static_cast<double>(now - node.launchedAt) / static_cast<double>(settings_.coldFor);
+    if (node.launchedAt > 0 && settings_.slowStartWindow > 0) {
+      const double part =
+          static_cast<double>(now - node.launchedAt) / static_cast<double>(settings_.slowStartWindow);
       warmth = settings_.startCapacity + (1 - settings_.startCapacity) * std::clamp(part, 0.0, 1.0);
     }
     return kCores * node.size * warmth;
@@ -168,7 +169,7 @@
       bool over = false;
     };
     std::unordered_map<RequestId, Open> requests;
-    std::map<std::pair<RequestId, std::uint32_t>, UpstreamId> out;
+    std::map<std::pair<RequestId, std::uint32_t>, EndpointId> out;
   };
   struct Queue {
     std::deque<Attempt> waiting;
@@ -197,9 +198,9 @@
   void tell(std::uint32_t n, MembershipUpdate::Kind kind) {
     MembershipUpdate update;
     update.kind = kind;
-    for (UpstreamId id = 0; id < nodes_.size(); ++id) {
-      if (nodes_[id].state == UpstreamState::Gone) continue;
-      UpstreamEntry entry;
+    for (EndpointId id = 0; id < nodes_.size(); ++id) {
+      if (nodes_[id].state == EndpointState::Gone) continue;
+      EndpointEntry entry;
       entry.upstream = id;
       entry.cell = id / 8;
       entry.state = nodes_[id].state;
@@ -236,7 +237,7 @@
       if (const auto* send = std::get_if<Send>(&action)) sendTo(n, *send);
       if (const auto* cancel = std::get_if<Cancel>(&action))
         end(n, cancel->request, cancel->attempt, Outcome::Cancelled);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) close(n, refuse->request, &Count::refused);
+      if (const auto* refuse = std::get_if<Reject>(&action)) close(n, refuse->request, &Count::refused);
       if (const auto* fail = std::get_if<Fail>(&action)) close(n, fail->request, &Count::failed);
       if (const auto* timer = std::get_if<SetTimer>(&action))
         at(timer->delay, [this, n] { feed(n, TimerDue{}); });
@@ -267,7 +268,7 @@
     begin(send.upstream);
   }
 
-  void begin(UpstreamId id) {
+  void begin(EndpointId id) {
     Queue& queue = state_[id];
     while (queue.running < kCores && !queue.waiting.empty()) {
       const Attempt attempt = queue.waiting.front();
@@ -288,14 +289,15 @@
     Sidecar& sidecar = *sidecars_[n];
     const auto found = sidecar.out.find({request, number});
     if (found == sidecar.out.end()) return;
-    const UpstreamId upstream = found->second;
+    const EndpointId upstream = found->second;
     sidecar.out.erase(found);
     const auto& open = sidecar.requests.at(request);
     AttemptOutcome event{request, number, upstream, outcome, 0, open.over, std::nullopt};
     if (outcome == Outcome::Ok && !open.over) {
       event.last = true;
       close(n, request,
-            now - open.came <= settings_.classes[requestClass].aim ? &Count::inTime : &Count::late);
+            now - open.came <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
+                                                                                : &Count::late);
     }
     // Later, as on a socket: the balancer is not called from within itself.
     push(now, [this, n, event] { feed(n, event); });
--- a/tests/grown_fleet_test.cpp
+++ b/tests/grown_fleet_test.cpp
@@ -14,8 +14,8 @@
   Settings s = plainSettings();
   s.zones = 1;
   s.sidecars = sidecars;
-  s.idleClose = 30 * kSecond;
-  s.maxStreams = 1;
+  s.idleTimeout = 30 * kSecond;
+  s.maxStreamsPerConnection = 1;
   s.mustSubscribe = false;
   s.fallMultiple = 2.5;
   return s;
@@ -42,8 +42,8 @@
     const double rate = 0.55 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
     Fleet fleet(grownSettings(sidecars), nodes, rate, sidecars);
     fleet.play(5 * kSecond);
-    for (UpstreamId id = 0; id < 36; ++id) {
-      fleet.node(id).state = UpstreamState::Gone;
+    for (EndpointId id = 0; id < 36; ++id) {
+      fleet.node(id).state = EndpointState::Gone;
       fleet.launch(fleet.node(id).size);
     }
     fleet.tellAll(300 * kMs);
@@ -51,7 +51,7 @@
     const Micros told = fleet.now;
     fleet.play(4 * kSecond);
     double toCold = 0, toAll = 0;
-    for (UpstreamId id = 36; id < fleet.nodes(); ++id) {
+    for (EndpointId id = 36; id < fleet.nodes(); ++id) {
       const int sends = fleet.sends(id, told + kSecond, fleet.now);
       toAll += sends;
       if (id < 60) continue;
@@ -73,15 +73,15 @@
   Fleet fleet(grownSettings(), nodes, rate, 1, 0.6);
   fleet.work *= 14;  // as busy, with fewer requests
   fleet.play(5 * kSecond);
-  for (UpstreamId id = 0; id < 36; ++id) {
-    fleet.node(id).state = UpstreamState::Gone;
+  for (EndpointId id = 0; id < 36; ++id) {
+    fleet.node(id).state = EndpointState::Gone;
     fleet.launch(fleet.node(id).size);
   }
   fleet.tellAll(300 * kMs);
   const Micros told = fleet.now;
   fleet.play(4 * kSecond);
   int toCold = 0, toAll = 0;
-  for (UpstreamId id = 36; id < fleet.nodes(); ++id) {
+  for (EndpointId id = 36; id < fleet.nodes(); ++id) {
     const int sends = fleet.sends(id, told, fleet.now);
     toAll += sends;
     if (id >= 60) toCold += sends;
@@ -98,7 +98,7 @@
   const double rate = 0.75 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
   Fleet fleet(grownSettings(), nodes, rate);
   fleet.play(8 * kSecond);
-  for (UpstreamId id = 0; id < 60; id += 3) fleet.node(id + 2).state = UpstreamState::Gone;  // the fast ones
+  for (EndpointId id = 0; id < 60; id += 3) fleet.node(id + 2).state = EndpointState::Gone;  // the fast ones
   fleet.tellAll(200 * kMs);
   double most = 0;
   for (int n = 0; n < 50; ++n) {
@@ -118,13 +118,13 @@
     const double rate = 0.5 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
     Fleet fleet(grownSettings(sidecars), nodes, rate, sidecars);
     fleet.play(8 * kSecond);
-    for (UpstreamId id = 0; id < 20; ++id) fleet.node(id).mode = Fleet::Mode::Hangs;
+    for (EndpointId id = 0; id < 20; ++id) fleet.node(id).mode = Fleet::Mode::Hangs;
     fleet.take();
     fleet.play(5 * kSecond);
     const auto lost = fleet.take();
     // Keyed requests that may have run go again within their group and window only: those that hang are lost.
     EXPECT_GT(lost.part(lost.inTime), 0.8);
-    for (UpstreamId id = 0; id < 20; ++id) {
+    for (EndpointId id = 0; id < 20; ++id) {
       Fleet::Node& node = fleet.node(id);
       node.mode = Fleet::Mode::Sound;
       node.launchedAt = fleet.now;
@@ -134,7 +134,7 @@
     const Micros back = fleet.now;
     fleet.play(8 * kSecond);
     int used = 0;
-    for (UpstreamId id = 0; id < 20; ++id) {
+    for (EndpointId id = 0; id < 20; ++id) {
       EXPECT_LT(fleet.node(id).worst, 2.5) << "upstream " << id;
       used += fleet.sends(id, back + 4 * kSecond, fleet.now) > 0;
     }
@@ -154,7 +154,7 @@
     const double rate = 0.5 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
     Fleet fleet(grownSettings(), nodes, rate, seed);
     fleet.play(8 * kSecond);
-    for (UpstreamId id = 0; id < 20; ++id) fleet.node(id).launchedAt = fleet.now;
+    for (EndpointId id = 0; id < 20; ++id) fleet.node(id).launchedAt = fleet.now;
     fleet.tellAll(300 * kMs);
     fleet.burst = 4;
     fleet.play(kSecond);
@@ -163,7 +163,7 @@
     fleet.play(4 * kSecond);
     int toCold = 0, toAll = 0;
     double cold = 0, all = 0;
-    for (UpstreamId id = 0; id < 60; ++id) {
+    for (EndpointId id = 0; id < 60; ++id) {
       const int sends = fleet.sends(id, from, fleet.now);
       toAll += sends;
       all += fleet.capacity(fleet.node(id));
@@ -185,10 +185,10 @@
   Fleet fleet(grownSettings(), nodes, rate);
   fleet.play(8 * kSecond);
   const Micros from = fleet.now;
-  for (UpstreamId id = 0; id < 6; ++id) fleet.node(id).mode = Fleet::Mode::Errors;
+  for (EndpointId id = 0; id < 6; ++id) fleet.node(id).mode = Fleet::Mode::Errors;
   fleet.play(10 * kSecond);
   int bad = 0, all = 0;
-  for (UpstreamId id = 0; id < 60; ++id) {
+  for (EndpointId id = 0; id < 60; ++id) {
     const int sends = fleet.sends(id, from + 5 * kSecond, fleet.now);
     all += sends;
     if (id < 6) bad += sends;
@@ -310,7 +310,7 @@
   EXPECT_LE(calls.most(kSecond), 500);
   for (const Micros at : calls.first) {
     EXPECT_GT(at, 0) << "one never asked";
-    EXPECT_LE(at, 1000 * kSecond + grownSettings().askWithin) << "its list counted as told before";
+    EXPECT_LE(at, 1000 * kSecond + grownSettings().pollWithin) << "its list counted as told before";
   }
 }
 
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -12,8 +12,8 @@
 
 constexpr Micros kHolds = 500 * kMs;
 
-Hearsay bad(UpstreamId upstream, std::uint32_t witnesses, bool turn = false) {
-  Hearsay hearsay;
+HealthReport bad(EndpointId upstream, std::uint32_t witnesses, bool turn = false) {
+  HealthReport hearsay;
   hearsay.upstream = upstream;
   hearsay.sidecars = 12;
   hearsay.witnesses = witnesses;
@@ -23,10 +23,10 @@
 }
 
 // Where 40 requests go that are served at once.
-std::multiset<UpstreamId> draws(Rig& rig, RequestId& id) {
-  std::multiset<UpstreamId> to;
+std::multiset<EndpointId> draws(Rig& rig, RequestId& id) {
+  std::multiset<EndpointId> to;
   for (int n = 0; n < 40; ++n) {
-    const UpstreamId upstream = rig.sent(++id);
+    const EndpointId upstream = rig.sent(++id);
     to.insert(upstream);
     rig.now += kMs;
     rig.outcome(id, upstream, Outcome::Ok);
@@ -34,7 +34,7 @@
   return to;
 }
 
-TEST(Hearsay, EnoughWitnessesTakeAnUpstreamOutAndOneOrTwoDoNot) {
+TEST(HealthReport, EnoughWitnessesTakeAnUpstreamOutAndOneOrTwoDoNot) {
   const struct {
     std::uint32_t sidecars, witnesses;
     bool out;
@@ -43,18 +43,18 @@
   for (const auto& row : rows) {
     Rig rig;
     rig.start(10);
-    Hearsay hearsay = bad(4, row.witnesses);
+    HealthReport hearsay = bad(4, row.witnesses);
     hearsay.sidecars = row.sidecars;
     rig.feed(hearsay);
     EXPECT_EQ(rig.balancer.ready(4, rig.now), !row.out) << row.sidecars << " " << row.witnesses;
   }
 }
 
-TEST(Hearsay, AnOwnAnswerCountsForMore) {
+TEST(HealthReport, AnOwnAnswerCountsForMore) {
   Rig rig;
   rig.start(10);
   RequestId id = 0;
-  UpstreamId served = rig.sent(++id);
+  EndpointId served = rig.sent(++id);
   rig.outcome(id, served, Outcome::Ok);
   rig.feed(bad(served, 11));
   EXPECT_TRUE(rig.balancer.ready(served, rig.now));
@@ -63,28 +63,28 @@
   EXPECT_FALSE(rig.balancer.ready(served, rig.now));
 }
 
-TEST(Hearsay, TakesOutAQuarterAtTheMostAndNeverTheLastReadyOnes) {
+TEST(HealthReport, TakesOutAQuarterAtTheMostAndNeverTheLastReadyOnes) {
   Rig rig;
   rig.start(10);
-  for (UpstreamId id = 0; id < 10; ++id) rig.feed(bad(id, 11));
+  for (EndpointId id = 0; id < 10; ++id) rig.feed(bad(id, 11));
   int out = 0;
-  for (UpstreamId id = 0; id < 10; ++id) out += rig.balancer.ready(id, rig.now) ? 0 : 1;
+  for (EndpointId id = 0; id < 10; ++id) out += rig.balancer.ready(id, rig.now) ? 0 : 1;
   EXPECT_EQ(out, 2);
   // All others drain: of the two that are left none is ready, and a third that comes stays whatever is said.
   Rig few;
   few.start(3);
-  for (UpstreamId id = 0; id < 3; ++id) few.feed(bad(id, 11));
-  for (UpstreamId id = 0; id < 3; ++id) EXPECT_TRUE(few.balancer.ready(id, few.now));
+  for (EndpointId id = 0; id < 3; ++id) few.feed(bad(id, 11));
+  for (EndpointId id = 0; id < 3; ++id) EXPECT_TRUE(few.balancer.ready(id, few.now));
 }
 
 // The judgement of an earlier life, or of one that this sidecar has not been told of.
-TEST(Hearsay, CountsForOneLifeAlone) {
+TEST(HealthReport, CountsForOneLifeAlone) {
   Rig rig;
   rig.start(10);
   rig.list(MembershipUpdate::Kind::Changes, {serving(4, 1, rig.now - 100 * kSecond)});
   rig.feed(bad(4, 11));
   EXPECT_TRUE(rig.balancer.ready(4, rig.now));
-  Hearsay hearsay = bad(4, 11);
+  HealthReport hearsay = bad(4, 11);
   hearsay.launchedAt = rig.now - 100 * kSecond;
   rig.feed(hearsay);
   EXPECT_FALSE(rig.balancer.ready(4, rig.now));
@@ -94,7 +94,7 @@
 }
 
 // Out by hearsay: while it is told, only the one whose turn it is tries it, once it may be tried at all.
-TEST(Hearsay, ATrialIsOneSidecarsTurn) {
+TEST(HealthReport, ATrialIsOneSidecarsTurn) {
   for (const bool turn : {false, true}) {
     Rig rig;
     rig.start(10);
@@ -110,12 +110,12 @@
   }
 }
 
-TEST(Hearsay, ThatSomebodyWasServedPermitsATrialAndNoMore) {
+TEST(HealthReport, ThatSomebodyWasServedPermitsATrialAndNoMore) {
   Rig rig;
   rig.start(10);
   rig.feed(bad(4, 3));
   ASSERT_FALSE(rig.balancer.ready(4, rig.now));
-  Hearsay well = bad(4, 3);
+  HealthReport well = bad(4, 3);
   well.well = true;
   rig.feed(well);
   EXPECT_TRUE(rig.balancer.ready(4, rig.now));
@@ -123,7 +123,7 @@
   RequestId id = 0;
   std::size_t at4 = 0;
   for (int n = 0; n < 60; ++n) {
-    const UpstreamId to = rig.sent(++id);
+    const EndpointId to = rig.sent(++id);
     at4 += to == 4 ? 1 : 0;
     if (to != 4) rig.outcome(id, to, Outcome::Ok);
   }
@@ -132,7 +132,7 @@
 
 // Deaf, or stopped for a while: nothing is told, and it decides as without others when what was told has
 // lapsed, before any other event.
-TEST(Hearsay, LapsesByItself) {
+TEST(HealthReport, LapsesByItself) {
   Rig rig;
   rig.start(10);
   for (int n = 0; n < 30; ++n) {
@@ -141,7 +141,7 @@
   }
   EXPECT_FALSE(rig.balancer.ready(4, rig.now));
   EXPECT_TRUE(rig.balancer.ready(4, rig.now + kHolds));
-  Hearsay forever = bad(4, 3);
+  HealthReport forever = bad(4, 3);
   forever.holds = 3600 * kSecond;
   rig.feed(forever);
   EXPECT_FALSE(rig.balancer.ready(4, rig.now + kSecond));
@@ -149,21 +149,21 @@
 }
 
 // Rules 3 and 4: nothing that is told brings back what drains or lets a cold one have more than its credit.
-TEST(Hearsay, LoosensNoRule) {
+TEST(HealthReport, LoosensNoRule) {
   Rig rig;
   rig.start(4);
-  rig.list(MembershipUpdate::Kind::Changes, {leaving(2, UpstreamState::Draining)});
-  Hearsay well = bad(2, 0, true);
+  rig.list(MembershipUpdate::Kind::Changes, {leaving(2, EndpointState::Draining)});
+  HealthReport well = bad(2, 0, true);
   well.well = true;
   rig.feed(well);
   EXPECT_FALSE(rig.balancer.ready(2, rig.now));
   Rig cold;
-  std::vector<UpstreamEntry> entries = {serving(0, 1, cold.now)};
+  std::vector<EndpointEntry> entries = {serving(0, 1, cold.now)};
   cold.list(MembershipUpdate::Kind::Saved, entries);
   RequestId id = 0;
   std::size_t sent = 0;
   for (int n = 0; n < 50; ++n) {
-    Hearsay one = bad(0, 0, true);
+    HealthReport one = bad(0, 0, true);
     one.launchedAt = cold.now;
     one.well = true;
     cold.feed(one);
@@ -182,7 +182,7 @@
 
 // A fleet of sidecars around one upstream that fails four in five: trials a second do not go with their
 // number.
-TEST(Hearsay, TrialsDoNotGoWithTheNumberOfSidecars) {
+TEST(HealthReport, TrialsDoNotGoWithTheNumberOfSidecars) {
   for (const std::size_t sidecars : {3, 12, 48}) {
     std::vector<Rig> rigs;
     for (std::size_t n = 0; n < sidecars; ++n) rigs.emplace_back(plainSettings(), n + 1);
@@ -195,7 +195,7 @@
         rig.now += 100 * kMs;
         rig.feed(bad(4, 3, n == 1));
         for (int requests = 0; requests < 5; ++requests) {
-          const UpstreamId to = rig.sent(++id);
+          const EndpointId to = rig.sent(++id);
           trials += step >= 20 && to == 4 ? 1 : 0;
           rig.outcome(id, to, to == 4 ? Outcome::Error : Outcome::Ok);
           if (to == 4)  // goes elsewhere, where it is served
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -14,22 +14,22 @@
 Settings manySettings() {
   Settings s = plainSettings();
   s.sidecars = 1000;
-  s.idleClose = 10 * kSecond;
+  s.idleTimeout = 10 * kSecond;
   s.resolution = 5 * kMs;
   return s;
 }
 
 // One request that is answered after `lag`; tells where it was sent, and leaves the actions of its end.
-UpstreamId answered(Rig& rig, RequestId id, Micros lag = 50 * kMs, Micros every = kSecond) {
-  const UpstreamId to = rig.sent(id);
+EndpointId answered(Rig& rig, RequestId id, Micros lag = 50 * kMs, Micros every = kSecond) {
+  const EndpointId to = rig.sent(id);
   rig.now += lag;
   rig.outcome(id, to, Outcome::Ok);
   rig.now += every - lag;
   return to;
 }
 
-std::map<UpstreamId, int> tally(Rig& rig, RequestId& id, int requests) {
-  std::map<UpstreamId, int> sends;
+std::map<EndpointId, int> tally(Rig& rig, RequestId& id, int requests) {
+  std::map<EndpointId, int> sends;
   for (int n = 0; n < requests; ++n) ++sends[answered(rig, id++)];
   return sends;
 }
@@ -39,8 +39,8 @@
  public:
   Steady(Rig& rig, Micros every, Micros answerAfter) : lag(answerAfter), rig_(rig), every_(every) {}
 
-  std::map<UpstreamId, int> play(int requests) {
-    std::map<UpstreamId, int> sends;
+  std::map<EndpointId, int> play(int requests) {
+    std::map<EndpointId, int> sends;
     for (int n = 0; n < requests; ++n) {
       rig_.request(id_++);
       note(sends);
@@ -64,10 +64,10 @@
  private:
   struct Out {
     RequestId id;
-    UpstreamId to;
+    EndpointId to;
     Micros sentAt;
   };
-  void note(std::map<UpstreamId, int>& sends) {
+  void note(std::map<EndpointId, int>& sends) {
     for (const Send& send : rig_.all<Send>()) {
       out_.push_back({send.request, send.upstream, rig_.now});
       ++sends[send.upstream];
@@ -101,7 +101,7 @@
   rig.start(40);
   int closed = 0;
   for (RequestId id = 1; id <= 100; ++id) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     rig.now += 50 * kMs;
     rig.outcome(id, to, Outcome::Ok);
     for (const CloseIdle& close : rig.all<CloseIdle>()) {
@@ -125,11 +125,11 @@
 
 TEST(Connections, AFailedConnectBesideAnOpenOneSaysNothingOfTheUpstream) {
   Settings s = manySettings();
-  s.maxStreams = 1;
+  s.maxStreamsPerConnection = 1;
   s.maxAttempts = 1;
   Rig rig(s);
   rig.start(1);
-  const UpstreamId to = answered(rig, 1, 50 * kMs, 100 * kMs);
+  const EndpointId to = answered(rig, 1, 50 * kMs, 100 * kMs);
   rig.outcome(2, rig.sent(2), Outcome::ConnectFailed);
   EXPECT_TRUE(rig.balancer.ready(to, rig.now));
   rig.wait(kSecond);
@@ -143,7 +143,7 @@
   Rig rig(manySettings());
   rig.start(10);
   answered(rig, 1);
-  const UpstreamId to = rig.sent(2);
+  const EndpointId to = rig.sent(2);
   rig.outcome(2, to, Outcome::ConnectFailed);
   EXPECT_FALSE(rig.balancer.ready(to, rig.now));
   EXPECT_TRUE(rig.balancer.ready(to, rig.now + kSecond));
@@ -160,7 +160,7 @@
   const auto home = mostUsed(sends, 2000);
   EXPECT_EQ(home.size(), 4u);
   int atHome = 0;
-  for (const UpstreamId up : home) atHome += sends.at(up);
+  for (const EndpointId up : home) atHome += sends.at(up);
   EXPECT_GE(atHome, 19200);
   EXPECT_LE(atHome, 19800);
 }
@@ -175,10 +175,10 @@
       tally(rig, id, 50);
       const auto home = mostUsed(tally(rig, id, 100), 12);
       ASSERT_FALSE(home.empty());
-      const UpstreamId bad = *home.begin();
+      const EndpointId bad = *home.begin();
       before += tally(rig, id, 20)[bad];
       for (bool met = false; !met;) {
-        const UpstreamId to = rig.sent(id);
+        const EndpointId to = rig.sent(id);
         met = to == bad;
         rig.now += met && late ? 390 * kMs : 50 * kMs;
         rig.outcome(id++, to, met && !late ? Outcome::Error : Outcome::Ok);
@@ -196,7 +196,7 @@
 TEST(Home, GrowsWithRequestsInFlightNotWithRequests) {
   for (const Micros lag : {5 * kMs, 50 * kMs}) {
     Settings s = manySettings();
-    s.idleClose = 60 * kSecond;
+    s.idleTimeout = 60 * kSecond;
     Rig rig(s);
     rig.start(40);
     Steady steady(rig, 5 * kMs, lag);
@@ -222,7 +222,7 @@
   return s;
 }
 
-std::vector<Action>& report(Rig& rig, UpstreamId id, double busy, double served = 40) {
+std::vector<Action>& report(Rig& rig, EndpointId id, double busy, double served = 40) {
   ProbeResult r;
   r.upstream = id;
   r.ok = true;
@@ -239,7 +239,7 @@
   rig.request(1);
   ASSERT_EQ(rig.count<Probe>(), 1u);
   EXPECT_EQ(rig.count<Send>(), 0u);
-  const UpstreamId to = rig.first<Probe>().upstream;
+  const EndpointId to = rig.first<Probe>().upstream;
   report(rig, to, 1);
   ASSERT_EQ(rig.count<Send>(), 1u);
   EXPECT_EQ(rig.first<Send>().upstream, to);
@@ -249,13 +249,13 @@
   Rig rig(lookingSettings());
   rig.start(10);
   rig.request(1);
-  const UpstreamId usual = rig.first<Probe>().upstream;
+  const EndpointId usual = rig.first<Probe>().upstream;
   report(rig, usual, 1);
   rig.now += 50 * kMs;
   rig.outcome(1, usual, Outcome::Ok);
   rig.now += kSecond;
   rig.request(2);
-  UpstreamId to = rig.first<Probe>().upstream;
+  EndpointId to = rig.first<Probe>().upstream;
   report(rig, to, 5, 100);
   EXPECT_EQ(rig.count<Send>(), 0u);
   ASSERT_EQ(rig.count<Probe>(), 1u);
@@ -275,10 +275,11 @@
   rig.request(1);
   for (int looks = 0; looks < 4; ++looks) {
     ASSERT_EQ(rig.count<Probe>(), 1u);
-    report(rig, rig.first<Probe>().upstream, 12);  // 300 ms of work in hand, with an aim of 400 ms
+    report(rig, rig.first<Probe>().upstream,
+           12);  // 300 ms of work in hand, with an latencyObjective of 400 ms
   }
   EXPECT_EQ(rig.count<Send>(), 0u);
-  EXPECT_EQ(rig.count<Refuse>(), 1u);
+  EXPECT_EQ(rig.count<Reject>(), 1u);
   EXPECT_EQ(rig.balancer.openRequests(), 0u);
 }
 
@@ -299,12 +300,12 @@
       const bool crowded = looks == crowdedAt;
       report(rig, rig.first<Probe>().upstream, crowded ? 12 : 2, crowded ? 40 : 100);
     }
-    EXPECT_EQ(rig.count<Refuse>(), 0u) << crowdedAt;
+    EXPECT_EQ(rig.count<Reject>(), 0u) << crowdedAt;
     EXPECT_EQ(rig.count<Send>(), 1u) << crowdedAt;
   }
 }
 
-std::vector<Action>& bareReport(Rig& rig, UpstreamId id, double busy, std::optional<double> cpu,
+std::vector<Action>& bareReport(Rig& rig, EndpointId id, double busy, std::optional<double> cpu,
                                 std::optional<double> queued) {
   ProbeResult r;
   r.upstream = id;
@@ -324,7 +325,7 @@
     bareReport(rig, rig.first<Probe>().upstream, busy, cpu, queued);
   const bool sent = rig.count<Send>() == 1;
   if (sent) {
-    const UpstreamId to = rig.first<Send>().upstream;
+    const EndpointId to = rig.first<Send>().upstream;
     rig.now += 50 * kMs;
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -353,7 +354,7 @@
 // Found on varahlutir-main big-2: answers of a second made sidecars take their own jam for knowledge.
 TEST(Looks, GoOnWhenAJamStretchesTheAnswers) {
   Settings s = lookingSettings();
-  for (RequestClass& cls : s.classes) cls.aim = cls.deadline = 2 * kSecond;
+  for (RequestClass& cls : s.classes) cls.latencyObjective = cls.deadline = 2 * kSecond;
   Rig rig(s);
   rig.start(10);
   Steady steady(rig, 200 * kMs, 100 * kMs);
@@ -388,7 +389,7 @@
     Rig rig(s);
     rig.start(10);
     const auto answer = [&](RequestId id, double inHand, double cpu) {
-      const UpstreamId to = rig.sent(id);
+      const EndpointId to = rig.sent(id);
       rig.now += 50 * kMs;
       AttemptOutcome ok{id, 0, to, Outcome::Ok, 50 * kMs, true, LoadReport{}};
       ok.report->busyRequests = inHand;
@@ -397,7 +398,7 @@
       return to;
     };
     answer(1, 4, 0.5);  // eight at once
-    const UpstreamId to = answer(2, busy, 0.95);
+    const EndpointId to = answer(2, busy, 0.95);
     EXPECT_EQ(rig.balancer.ready(to, rig.now), busy < 10);
     EXPECT_TRUE(rig.balancer.ready(to, rig.now + kSecond)) << "for about an answer time";
   }
@@ -407,7 +408,7 @@
   Rig rig(lookingSettings());
   rig.start(10);
   rig.request(1);
-  const UpstreamId silent = rig.first<Probe>().upstream;
+  const EndpointId silent = rig.first<Probe>().upstream;
   rig.wait(50 * kMs);
   ASSERT_EQ(rig.count<Probe>(), 1u);
   EXPECT_NE(rig.first<Probe>().upstream, silent);
@@ -431,7 +432,7 @@
   for (RequestId id = 1; id <= 40; ++id) {
     rig.request(id);
     ASSERT_EQ(rig.count<Probe>(), 1u);
-    const UpstreamId to = rig.first<Probe>().upstream;
+    const EndpointId to = rig.first<Probe>().upstream;
     const std::uint32_t zone = to % 2;  // as serving() has it
     const bool first = tried.insert(zone).second;
     const Micros patience = first ? s.connectTimeout : 4 * lagOf[zone];
@@ -471,7 +472,7 @@
 TEST(Looks, WhereTheyAreDearOneCrowdedLookRefusesNothing) {
   for (const double price : {0.004, 0.008, 0.01, 0.016}) {
     Settings s = lookingSettings();
-    s.worthByWork = true;
+    s.weightByWork = true;
     s.probePrice = price;
     s.classes[kUnsafe].value = 0.1;
     const std::size_t affordable = price < 0.005 ? 4 : price < 0.009 ? 2 : 1;
@@ -485,7 +486,7 @@
       EXPECT_EQ(looks, worthy ? affordable : 1) << price;
       // What is worth the least gives way after one look at any price.
       const bool refused = !worthy || affordable == 4;
-      EXPECT_EQ(rig.count<Refuse>(), refused ? 1u : 0u) << price;
+      EXPECT_EQ(rig.count<Reject>(), refused ? 1u : 0u) << price;
       EXPECT_EQ(rig.count<Send>(), refused ? 0u : 1u) << price;
     }
   }
@@ -495,8 +496,8 @@
   Rig rig(lookingSettings());
   rig.start(10);
   rig.request(1);
-  const UpstreamId to = rig.first<Probe>().upstream;
-  rig.list(MembershipUpdate::Kind::Changes, {leaving(to, UpstreamState::Draining)});
+  const EndpointId to = rig.first<Probe>().upstream;
+  rig.list(MembershipUpdate::Kind::Changes, {leaving(to, EndpointState::Draining)});
   report(rig, to, 0);
   EXPECT_EQ(rig.count<Send>(), 0u);
   ASSERT_EQ(rig.count<Probe>(), 1u);
@@ -507,7 +508,7 @@
   Rig rig(lookingSettings());
   rig.start(10);
   rig.request(1);
-  const UpstreamId to = rig.first<Probe>().upstream;
+  const EndpointId to = rig.first<Probe>().upstream;
   rig.feed(Withdrawn{1});
   report(rig, to, 0);
   EXPECT_EQ(rig.count<Send>(), 0u);
@@ -534,7 +535,7 @@
     rig.request(id);
     if (rig.count<Probe>() > 0) report(rig, rig.first<Probe>().upstream, 0);
     ASSERT_EQ(rig.count<Send>(), 1u);
-    const UpstreamId to = rig.first<Send>().upstream;
+    const EndpointId to = rig.first<Send>().upstream;
     rig.now += 50 * kMs;
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -570,13 +571,13 @@
   RequestId id = 1;
   for (; id <= 20; ++id) answered(rig, id);
   const auto readyAfter = [&](Micros lag) {
-    const UpstreamId to = rig.sent(id);
+    const EndpointId to = rig.sent(id);
     rig.now += lag;
     rig.outcome(id++, to, Outcome::Ok);
     rig.request(id);  // nobody else is in flight
     const bool ready = rig.count<Send>() == 1;
     if (ready) {
-      const UpstreamId next = rig.first<Send>().upstream;
+      const EndpointId next = rig.first<Send>().upstream;
       rig.feed(Withdrawn{id});
       rig.outcome(id, next, Outcome::Cancelled);
     }
@@ -597,7 +598,7 @@
 TEST(Rest, ABlindSidecarStartsWithOneInFlightOverAllUpstreamsAndGrowsByTimelyAnswers) {
   Rig rig(manySettings());
   rig.start(60);
-  const UpstreamId first = rig.sent(1);
+  const EndpointId first = rig.sent(1);
   rig.request(2);
   EXPECT_EQ(rig.balancer.heldRequests(), 1u);
   rig.now += 50 * kMs;
@@ -613,7 +614,7 @@
 TEST(Rest, IsLongerForARequestOfLittleWorth) {
   Settings s = manySettings();
   s.maxAttempts = 6;
-  s.worthByWork = true;
+  s.weightByWork = true;
   s.classes[kUnsafe].value = 0.1;
   const auto heldFor = [&](std::uint32_t cls) {
     Rig rig(s);
@@ -641,7 +642,7 @@
 // Found on the grown oviedo: in a tenant's burst all requests met the same crowding.
 TEST(Looks, AreFewerForARequestOfLittleWorth) {
   Settings s = lookingSettings();
-  s.worthByWork = true;
+  s.weightByWork = true;
   s.classes[kUnsafe].value = 0.25;
   const auto looks = [&](std::uint32_t cls) {
     Rig rig(s);
@@ -692,7 +693,7 @@
     rig.start(10);
     int far = 0;
     for (RequestId id = 1; id <= 600; ++id) {
-      const UpstreamId to = rig.sent(id);
+      const EndpointId to = rig.sent(id);
       if (id > 100) far += to % 2;
       rig.now += 20 * kMs;
       AttemptOutcome ok{id, 0, to, Outcome::Ok, 0, true, LoadReport{}};
--- a/tests/membership/platform_test.cpp
+++ b/tests/membership/platform_test.cpp
@@ -60,7 +60,7 @@
   EXPECT_FALSE(platform->freshness().sure);
   discovery.requests[1].reply(200, listOf(42, "draining"));
   ASSERT_TRUE(until(io, [&] { return lists.size() == 1; }));
-  EXPECT_EQ(lists[0].instances.at(0).state, balancer::UpstreamState::Draining);
+  EXPECT_EQ(lists[0].instances.at(0).state, balancer::EndpointState::Draining);
   EXPECT_TRUE(platform->freshness().sure);
 }
 INSTANTIATE_TEST_SUITE_P(From, SilentWatchTest,
@@ -154,7 +154,7 @@
   discovery.requests[1].reply(200, listOf(43, "removed"));
   ASSERT_TRUE(calls(3));
   EXPECT_EQ(lists.size(), 2u);
-  EXPECT_EQ(lists[1].instances.at(0).state, balancer::UpstreamState::Gone);
+  EXPECT_EQ(lists[1].instances.at(0).state, balancer::EndpointState::Gone);
 }
 
 // Nor is a connection used that discovery has closed behind its answer: the call would fail for nothing.
@@ -258,7 +258,7 @@
       return !lists.empty();
     }));
     EXPECT_GE(calls, 4u);
-    EXPECT_EQ(lists[0].instances.at(0).state, balancer::UpstreamState::Draining);
+    EXPECT_EQ(lists[0].instances.at(0).state, balancer::EndpointState::Draining);
     EXPECT_TRUE(platform->freshness().sure);
     if (pushed) {
       EXPECT_GE(Clock::now() - from, milliseconds(3 * 100 - 5)) << "an agent is called without pause";
