--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -33,27 +33,27 @@
     if (const auto* list = std::get_if<MembershipUpdate>(&event)) {
       if (list->kind == MembershipUpdate::Kind::Failed) return;
       if (list->kind != MembershipUpdate::Kind::Changes) allowed_.clear();
-      const std::set<UpstreamId> before = allowed_;
-      for (const UpstreamEntry& e : list->entries) {
+      const std::set<EndpointId> before = allowed_;
+      for (const EndpointEntry& e : list->entries) {
         const auto known = entries_.find(e.upstream);
         if (known == entries_.end() || known->second.launchedAt != e.launchedAt) {
           // What went to the process before this one does not count.
           std::erase_if(recent_, [&](const auto& sentTo) { return sentTo.second == e.upstream; });
         }
         entries_[e.upstream] = e;
-        if (e.state == UpstreamState::Serving) {
+        if (e.state == EndpointState::Serving) {
           allowed_.insert(e.upstream);
         } else {
           allowed_.erase(e.upstream);
         }
       }
-      for (const UpstreamId id : before) {
+      for (const EndpointId id : before) {
         if (allowed_.count(id) == 0) idleSince_[id] = now;  // the notice
       }
-      for (const UpstreamId id : allowed_) idleSince_.erase(id);
+      for (const EndpointId id : allowed_) idleSince_.erase(id);
     } else if (const auto* r = std::get_if<NewRequest>(&event)) {
       double sizes = 0;
-      for (const UpstreamId id : allowed_) sizes += entries_.at(id).size;
+      for (const EndpointId id : allowed_) sizes += entries_.at(id).size;
       arrivals_.push_back({now, sizes > 0 ? kColdShare / sizes : 0});
       takenAt_.push_back(now);
       requests_[r->request] = {r->requestClass, now + std::max<Micros>(0, r->expiresIn), {}, false, false};
@@ -78,9 +78,9 @@
     arrivals_.clear();
     recent_.clear();
   }
-  std::vector<UpstreamEntry> saved() const {
-    std::vector<UpstreamEntry> list;
-    for (const UpstreamId id : allowed_) list.push_back(entries_.at(id));
+  std::vector<EndpointEntry> saved() const {
+    std::vector<EndpointEntry> list;
+    for (const EndpointId id : allowed_) list.push_back(entries_.at(id));
     return list;
   }
 
@@ -88,14 +88,14 @@
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         sent(*send);
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         Known& k = requests_.at(refuse->request);
         finish(k);
         const Sent* ran = firstThatMayHaveRun(k);
         const RequestClass& c = s_.classes[k.cls];
         if (ran && c.semantics == Semantics::Unsafe)
           broken("an unsafe request that may have run was refused");
-        if (ran && c.semantics == Semantics::Keyed && c.group != RepeatGroup::All) {
+        if (ran && c.semantics == Semantics::Keyed && c.group != RetryGroup::All) {
           broken("a keyed request that may have run was refused");
         }
         if (refuse->retryAfter > s_.maxRetryAfter || (refuse->retryAfter > 0 && !s_.retryAfter)) {
@@ -113,7 +113,8 @@
       }
     }
     for (const auto& [id, since] : idleSince_) {
-      if (s_.hangUpWithin > 0 && now_ > since + s_.hangUpWithin) broken("a connection left open on a drain");
+      if (s_.closeDrainingWithin > 0 && now_ > since + s_.closeDrainingWithin)
+        broken("a connection left open on a drain");
     }
     for (auto at = requests_.begin(); at != requests_.end();) {
       const Known& k = at->second;
@@ -128,7 +129,7 @@
 
  private:
   struct Sent {
-    UpstreamEntry to;
+    EndpointEntry to;
     Micros at = 0;
     std::optional<Outcome> outcome;
   };
@@ -161,26 +162,27 @@
     if (!k.attempts.empty()) {
       furtherAt_.push_back(now_);
       const auto further = std::count_if(furtherAt_.begin(), furtherAt_.end(),
-                                         [this](Micros t) { return now_ - t <= s_.lookBack; });
+                                         [this](Micros t) { return now_ - t <= s_.retryBudgetWindow; });
       const auto taken = std::count_if(takenAt_.begin(), takenAt_.end(),
-                                       [this](Micros t) { return now_ - t < s_.lookBack; });
-      if (s_.lookBack > 0 &&
-          static_cast<double>(further) > s_.extraFloor + s_.furtherRatio * static_cast<double>(taken)) {
+                                       [this](Micros t) { return now_ - t < s_.retryBudgetWindow; });
+      if (s_.retryBudgetWindow > 0 &&
+          static_cast<double>(further) >
+              s_.retryBudgetFloor + s_.retryBudgetRatio * static_cast<double>(taken)) {
         broken("further attempts beyond the budget");
       }
     }
     if (allowed_.count(send.upstream) == 0) broken("sent to an upstream that drains or is gone");
-    const UpstreamEntry& to = entries_.at(send.upstream);
+    const EndpointEntry& to = entries_.at(send.upstream);
     const bool out =
         std::any_of(k.attempts.begin(), k.attempts.end(), [](const Sent& a) { return !a.outcome; });
-    if (out && !s_.secondCopies) broken("two attempts at once");
+    if (out && !s_.mayHedge) broken("two attempts at once");
     if (const Sent* ran = firstThatMayHaveRun(k)) {
       const RequestClass& c = s_.classes[k.cls];
       if (c.semantics == Semantics::Unsafe) broken("an unsafe request ran twice");
       if (c.semantics == Semantics::Keyed) {
-        if (now_ > ran->at + c.repeatWindow) broken("repeat after the window");
-        if (c.group == RepeatGroup::Zone && to.zone != ran->to.zone) broken("repeat outside the group");
-        if (c.group == RepeatGroup::Cell && to.upstream != ran->to.upstream && to.cell != ran->to.cell) {
+        if (now_ > ran->at + c.retryWindow) broken("repeat after the window");
+        if (c.group == RetryGroup::Zone && to.zone != ran->to.zone) broken("repeat outside the group");
+        if (c.group == RetryGroup::Cell && to.upstream != ran->to.upstream && to.cell != ran->to.cell) {
           broken("repeat outside the group");
         }
       }
@@ -191,14 +193,14 @@
 
   // Within any fall window a cold upstream may get its share of all attempts by size, times its warmth and
   // what the warm ones' lack may add, plus the credit that can have been saved up.
-  void checkCold(const UpstreamEntry& to) {
+  void checkCold(const EndpointEntry& to) {
     recent_.push_back({now_, to.upstream});
     while (!recent_.empty() && recent_.front().first + s_.fallWindow < now_) recent_.pop_front();
     while (!arrivals_.empty() && arrivals_.front().first + s_.fallWindow < now_) arrivals_.pop_front();
-    if (to.launchedAt == 0 || now_ >= to.launchedAt + s_.coldFor) return;
+    if (to.launchedAt == 0 || now_ >= to.launchedAt + s_.slowStartWindow) return;
     const double warmth = s_.startCapacity + (1 - s_.startCapacity) *
                                                  static_cast<double>(now_ - to.launchedAt) /
-                                                 static_cast<double>(s_.coldFor);
+                                                 static_cast<double>(s_.slowStartWindow);
     double share = 0, mine = 0;
     for (const auto& arrival : arrivals_) share += to.size * arrival.second;
     for (const auto& sentTo : recent_) {
@@ -211,13 +213,13 @@
 
   Settings s_;
   Micros now_ = 0;
-  std::map<UpstreamId, UpstreamEntry> entries_;
-  std::set<UpstreamId> allowed_;
-  std::map<UpstreamId, Micros> idleSince_;  // draining or gone: the notice or the last outcome there
+  std::map<EndpointId, EndpointEntry> entries_;
+  std::set<EndpointId> allowed_;
+  std::map<EndpointId, Micros> idleSince_;  // draining or gone: the notice or the last outcome there
   std::vector<Micros> takenAt_, furtherAt_;
   std::map<RequestId, Known> requests_;
   std::deque<std::pair<Micros, double>> arrivals_;  // with the share of one unit of size then
-  std::deque<std::pair<Micros, UpstreamId>> recent_;
+  std::deque<std::pair<Micros, EndpointId>> recent_;
 };
 
 using Mutation = std::function<void(std::vector<Action>&, Rig&)>;
@@ -232,7 +234,7 @@
   struct Out {
     RequestId request;
     std::uint32_t attempt;
-    UpstreamId upstream;
+    EndpointId upstream;
     Micros until;
   };
   std::vector<Out> out;
@@ -240,7 +242,7 @@
   std::map<RequestId, std::uint32_t> attempts;
   std::set<RequestId> streaming;
   std::vector<Micros> timers;
-  std::vector<UpstreamId> probed;  // some are answered, late or never
+  std::vector<EndpointId> probed;  // some are answered, late or never
   RequestId next = 1;
 
   const auto feed = [&](const Event& event) {
@@ -253,7 +255,7 @@
         const Micros limit = send->timeout > 0 ? rig.now + send->timeout : open[send->request];
         out.push_back(
             {send->request, attempts[send->request]++, send->upstream, std::min(limit, open[send->request])});
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         open.erase(refuse->request);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         open.erase(fail->request);
@@ -277,14 +279,14 @@
     feed(
         AttemptOutcome{done.request, done.attempt, done.upstream, outcome, 5 * kMs, !isOpen || ends, report});
   };
-  const auto entry = [&](UpstreamId id, Micros launched) {
-    UpstreamEntry e = serving(id, 1 + 0.5 * (id % 3), launched);
+  const auto entry = [&](EndpointId id, Micros launched) {
+    EndpointEntry e = serving(id, 1 + 0.5 * (id % 3), launched);
     return e;
   };
-  std::vector<UpstreamEntry> first;
-  for (UpstreamId id = 0; id < 8; ++id) first.push_back(entry(id, 0));
+  std::vector<EndpointEntry> first;
+  for (EndpointId id = 0; id < 8; ++id) first.push_back(entry(id, 0));
   feed(MembershipUpdate{MembershipUpdate::Kind::Saved, first});
-  std::map<UpstreamId, Micros> launched;
+  std::map<EndpointId, Micros> launched;
 
   for (int step = 0; step < 3000; ++step) {
     rig.now += roll(3) == 0 ? settings.resolution * (1 + roll(3)) : 0;
@@ -320,7 +322,7 @@
       if (roll(2) == 0) r.key = roll(50);
       if (roll(2) == 0) r.work = static_cast<Micros>(roll(200)) * kMs;
       r.expiresIn = roll(50) == 0 ? 0 : static_cast<Micros>(20 + roll(900)) * kMs;
-      r.resent = roll(5) == 0;
+      r.isRetry = roll(5) == 0;
       open[r.request] = rig.now + r.expiresIn;
       feed(r);
     } else if (what < 85) {
@@ -352,16 +354,16 @@
       streaming.insert(o.request);
       feed(AttemptStarted{o.request, o.attempt});
     } else if (what < 95) {
-      const UpstreamId id = roll(10);
-      UpstreamEntry e = entry(id, launched[id]);
+      const EndpointId id = roll(10);
+      EndpointEntry e = entry(id, launched[id]);
       const unsigned to = roll(4);
-      if (to == 0) e.state = UpstreamState::Draining;
-      if (to == 1) e.state = UpstreamState::Gone;
+      if (to == 0) e.state = EndpointState::Draining;
+      if (to == 1) e.state = EndpointState::Gone;
       if (to == 2) e.launchedAt = launched[id] = rig.now - static_cast<Micros>(roll(2000)) * kMs;
       feed(MembershipUpdate{MembershipUpdate::Kind::Changes, {e}});
     } else if (what < 97) {
-      std::vector<UpstreamEntry> all;
-      for (UpstreamId id = 0; id < 10; ++id) {
+      std::vector<EndpointEntry> all;
+      for (EndpointId id = 0; id < 10; ++id) {
         if (roll(4) != 0) all.push_back(entry(id, launched[id]));
       }
       feed(MembershipUpdate{MembershipUpdate::Kind::Full, all});
@@ -391,7 +393,7 @@
   }
   if (!mutate) {
     EXPECT_EQ(rig.balancer.openRequests(), 0u);
-    for (UpstreamId id = 0; id < 10; ++id) EXPECT_EQ(rig.balancer.inFlight(id), 0u);
+    for (EndpointId id = 0; id < 10; ++id) EXPECT_EQ(rig.balancer.inFlight(id), 0u);
   }
 }
 
@@ -409,26 +411,26 @@
 Settings variant(unsigned n) {
   Settings s = plainSettings();
   s.resolution = 5 * kMs;
-  s.secondCopies = n & 1;
+  s.mayHedge = n & 1;
   s.mayCancel = !(n & 2);
   s.mayProbe = n & 4;
   s.retryAfter = n & 8;
   s.mustSubscribe = n & 16;
-  s.keysWarm = n & 32;
+  s.hasKeyAffinity = n & 32;
   s.reports = n & 64 ? ReportSource::Answers : n & 4 ? ReportSource::Probes : ReportSource::None;
-  s.classes[kKeyed].group = static_cast<RepeatGroup>(n % 3);
+  s.classes[kKeyed].group = static_cast<RetryGroup>(n % 3);
   s.classes[0].stream = n % 5 == 0;
   s.maxAttempts = 1 + n % 6;
   s.reportsBusy = s.mayProbe && n % 7 < 4;
-  s.maxStreams = n % 4;
-  s.idleClose = n % 3 == 0 ? 0 : 10 * kSecond;
+  s.maxStreamsPerConnection = n % 4;
+  s.idleTimeout = n % 3 == 0 ? 0 : 10 * kSecond;
   s.sidecars = n % 2 == 0 ? 1 : 1000;
   if (n % 4 < 2) {
-    s.lookBack = n % 8 < 4 ? 200 * kMs : 2 * kSecond;
-    s.extraFloor = n % 3;
-    s.furtherRatio = 0.03 * (n % 5);
+    s.retryBudgetWindow = n % 8 < 4 ? 200 * kMs : 2 * kSecond;
+    s.retryBudgetFloor = n % 3;
+    s.retryBudgetRatio = 0.03 * (n % 5);
   }
-  if (n % 8 < 5) s.hangUpWithin = (1 + n % 2 * 100) * s.resolution;
+  if (n % 8 < 5) s.closeDrainingWithin = (1 + n % 2 * 100) * s.resolution;
   return s;
 }
 
@@ -453,38 +455,38 @@
         s.maxAttempts = 0;
         break;
       case 1:
-        s.askWithin = 0;
+        s.pollWithin = 0;
         break;
       case 2:
         s.startCapacity = 0;
         s.answerSlack = 25 * kMs;
         break;
       case 3:
-        s.classes[kKeyed].repeatWindow = 0;
+        s.classes[kKeyed].retryWindow = 0;
         break;
       case 4:
-        s.classes[0].aim = 100 * kSecond;
+        s.classes[0].latencyObjective = 100 * kSecond;
         break;
       case 5:
         s.tenants = {{0, 0}, {1e300, 7}};
         break;
       case 6:
-        s.coldFor = 0;
+        s.slowStartWindow = 0;
         break;
       case 7:
-        s.classes[0].aim = s.classes[1].deadline = s.classes[2].aim = kEver;
-        s.askWithin = kEver;
+        s.classes[0].latencyObjective = s.classes[1].deadline = s.classes[2].latencyObjective = kEver;
+        s.pollWithin = kEver;
         break;
       case 8:
-        s.classes[0].aimStretch = kNone;
-        s.classes[1].aimStretch = std::numeric_limits<double>::infinity();
-        s.classes[1].lateWorth = s.classes[2].value = kNone;
-        s.overShareWorth = s.crossZonePrice = kNone;
+        s.classes[0].objectiveStretch = kNone;
+        s.classes[1].objectiveStretch = std::numeric_limits<double>::infinity();
+        s.classes[1].lateWeight = s.classes[2].value = kNone;
+        s.overShareWeight = s.crossZonePrice = kNone;
         break;
       case 9:
-        s.classes[0].aim = s.classes[1].aim = s.classes[1].deadline = -kEver;
+        s.classes[0].latencyObjective = s.classes[1].latencyObjective = s.classes[1].deadline = -kEver;
         s.classes[0].value = -1;
-        s.askWithin = -kEver;
+        s.pollWithin = -kEver;
         break;
       case 10:
         s.fallMultiple = kNone;
@@ -493,15 +495,15 @@
         break;
       case 11:
         s.tenants = {{kNone, kNone}, {-1, -1}};
-        s.worthByWork = true;
+        s.weightByWork = true;
         s.sidecars = 4'000'000'000u;
-        s.lookBack = n < 13 ? kEver : -1;
-        s.extraFloor = s.furtherRatio = kNone;
-        s.hangUpWithin = n < 26 ? kEver : -1;
-        s.maxStreams = 4'000'000'000u;
+        s.retryBudgetWindow = n < 13 ? kEver : -1;
+        s.retryBudgetFloor = s.retryBudgetRatio = kNone;
+        s.closeDrainingWithin = n < 26 ? kEver : -1;
+        s.maxStreamsPerConnection = 4'000'000'000u;
         break;
       default:
-        s.classes[0].aim = 0;
+        s.classes[0].latencyObjective = 0;
         s.maxRetryAfter = 0;
         break;
     }
@@ -517,12 +519,12 @@
 
 TEST(Property, TheOracleCatchesAModuleThatWasToldNoBudgetOrHangUp) {
   const Settings told = variant(14);  // neither is stated
-  ASSERT_EQ(told.lookBack + told.hangUpWithin, 0);
+  ASSERT_EQ(told.retryBudgetWindow + told.closeDrainingWithin, 0);
   Settings judged = told;
-  judged.lookBack = kSecond;
-  judged.extraFloor = 1;
-  judged.hangUpWithin = 50 * kMs;
-  judged.furtherRatio = 0.02;
+  judged.retryBudgetWindow = kSecond;
+  judged.retryBudgetFloor = 1;
+  judged.closeDrainingWithin = 50 * kMs;
+  judged.retryBudgetRatio = 0.02;
   Oracle oracle(judged);
   playDay(oracle, told, 1, nullptr, nullptr);
   EXPECT_EQ(oracle.complaints, (std::set<std::string>{"a connection left open on a drain",
@@ -544,14 +546,14 @@
       {"two final answers",
        [&](std::vector<Action>& a, Rig&) {
          for (const Action& x : std::vector<Action>(a)) {
-           if (std::holds_alternative<Refuse>(x)) a.push_back(x);
+           if (std::holds_alternative<Reject>(x)) a.push_back(x);
          }
        }},
       {"sent to an upstream that drains or is gone",
        [&](std::vector<Action>& a, Rig& rig) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x); send && everySo(20)) {
-             for (UpstreamId id = 0; id < 8; ++id) {
+             for (EndpointId id = 0; id < 8; ++id) {
                if (!rig.balancer.ready(id, rig.now)) send->upstream = id;
              }
            }
@@ -560,7 +562,7 @@
       {"an unsafe request that may have run was refused",
        [&](std::vector<Action>& a, Rig&) {
          for (Action& x : a) {
-           if (const auto* fail = std::get_if<Fail>(&x)) x = Refuse{fail->request, 0};
+           if (const auto* fail = std::get_if<Fail>(&x)) x = Reject{fail->request, 0};
          }
        }},
       {"an unsafe request ran twice",
@@ -579,7 +581,7 @@
        [&](std::vector<Action>& a, Rig&) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x))
-             send->upstream = static_cast<UpstreamId>(everySo(2) ? 0 : 7);
+             send->upstream = static_cast<EndpointId>(everySo(2) ? 0 : 7);
          }
        }},
       {"a cold upstream was pushed",
@@ -594,7 +596,7 @@
     for (unsigned seed = 0; seed < 40 && !caught; ++seed) {
       Settings s = variant(8);
       s.maxAttempts = 6;
-      s.classes[kKeyed].group = RepeatGroup::Cell;
+      s.classes[kKeyed].group = RetryGroup::Cell;
       caught = day(s, 40 + seed, mutation).count(complaint) != 0;
     }
     EXPECT_TRUE(caught) << complaint;
--- a/tests/request_validator_test.cpp
+++ b/tests/request_validator_test.cpp
@@ -75,7 +75,7 @@
   EXPECT_EQ(request.tenant, 7U);
   EXPECT_EQ(request.key, settings::identity("42"));
   EXPECT_EQ(request.work, 250);
-  EXPECT_TRUE(request.resent);
+  EXPECT_TRUE(request.isRetry);
   EXPECT_EQ(request.expiresIn, 1'000'000);
   EXPECT_EQ(request.deadline, kTime + milliseconds(1000));
   EXPECT_EQ(request.arrived, kTime - milliseconds(500));
@@ -86,7 +86,7 @@
   ASSERT_TRUE(std::holds_alternative<ClientRequest>(read));
   EXPECT_EQ(std::get<ClientRequest>(read).key, std::nullopt);
   EXPECT_EQ(std::get<ClientRequest>(read).work, std::nullopt);
-  EXPECT_FALSE(std::get<ClientRequest>(read).resent);
+  EXPECT_FALSE(std::get<ClientRequest>(read).isRetry);
 }
 
 TEST(RequestValidator, TakesNoTenantWhereThePlatformHasNone) {
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -20,13 +20,13 @@
 inline Settings plainSettings() {
   Settings s;
   RequestClass safe;
-  safe.aim = 400 * kMs;
+  safe.latencyObjective = 400 * kMs;
   safe.deadline = kSecond;
   safe.semantics = Semantics::Idempotent;
   RequestClass keyed = safe;
   keyed.semantics = Semantics::Keyed;
-  keyed.group = RepeatGroup::Cell;
-  keyed.repeatWindow = 600 * kMs;
+  keyed.group = RetryGroup::Cell;
+  keyed.retryWindow = 600 * kMs;
   RequestClass unsafe = safe;
   unsafe.semantics = Semantics::Unsafe;
   s.classes = {safe, keyed, unsafe};
@@ -38,9 +38,9 @@
   s.retryAfter = true;
   s.maxRetryAfter = 500 * kMs;
   s.answerSlack = 20 * kMs;
-  s.askWithin = 10 * kSecond;
+  s.pollWithin = 10 * kSecond;
   s.startCapacity = 0.3;
-  s.coldFor = 8 * kSecond;
+  s.slowStartWindow = 8 * kSecond;
   s.drainGrace = kSecond;
   s.fallMultiple = 3;
   s.fallWindow = kSecond;
@@ -49,8 +49,8 @@
 
 constexpr std::uint32_t kSafe = 0, kKeyed = 1, kUnsafe = 2;
 
-inline UpstreamEntry serving(UpstreamId id, double size = 1, Micros launchedAt = 0) {
-  UpstreamEntry e;
+inline EndpointEntry serving(EndpointId id, double size = 1, Micros launchedAt = 0) {
+  EndpointEntry e;
   e.upstream = id;
   e.zone = id % 2;
   e.cell = id / 2;
@@ -59,8 +59,8 @@
   return e;
 }
 
-inline UpstreamEntry leaving(UpstreamId id, UpstreamState state) {
-  UpstreamEntry e = serving(id);
+inline EndpointEntry leaving(EndpointId id, EndpointState state) {
+  EndpointEntry e = serving(id);
   e.state = state;
   return e;
 }
@@ -76,12 +76,12 @@
     balancer.handle(event, now, actions);
     return actions;
   }
-  std::vector<Action>& list(MembershipUpdate::Kind kind, std::vector<UpstreamEntry> entries = {}) {
+  std::vector<Action>& list(MembershipUpdate::Kind kind, std::vector<EndpointEntry> entries = {}) {
     return feed(MembershipUpdate{kind, std::move(entries)});
   }
-  std::vector<Action>& start(UpstreamId upstreams) {
-    std::vector<UpstreamEntry> entries;
-    for (UpstreamId id = 0; id < upstreams; ++id) entries.push_back(serving(id));
+  std::vector<Action>& start(EndpointId upstreams) {
+    std::vector<EndpointEntry> entries;
+    for (EndpointId id = 0; id < upstreams; ++id) entries.push_back(serving(id));
     return list(MembershipUpdate::Kind::Saved, std::move(entries));
   }
   std::vector<Action>& request(RequestId id, std::uint32_t cls = kSafe, Micros expiresIn = kSecond) {
@@ -93,12 +93,12 @@
     return feed(r);
   }
   // Sends a request and tells where it went.
-  UpstreamId sent(RequestId id, std::uint32_t cls = kSafe) {
+  EndpointId sent(RequestId id, std::uint32_t cls = kSafe) {
     request(id, cls);
     EXPECT_EQ(count<Send>(), 1u);
     return count<Send>() == 1 ? first<Send>().upstream : 0;
   }
-  std::vector<Action>& outcome(RequestId id, UpstreamId upstream, Outcome what, std::uint32_t attempt = 0,
+  std::vector<Action>& outcome(RequestId id, EndpointId upstream, Outcome what, std::uint32_t attempt = 0,
                                Micros lag = 0) {
     return feed(AttemptOutcome{id, attempt, upstream, what, lag, what == Outcome::Ok, std::nullopt});
   }
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -578,7 +578,7 @@
   AttemptOrder order;
   order.message = std::make_shared<const Message>(http::verb::get, "/consulta", 11);
   order.deadline = order.writeBy = Clock::now() + std::chrono::seconds(20);
-  for (UpstreamId id = 0; id < 3; ++id) {
+  for (EndpointId id = 0; id < 3; ++id) {
     peers.push_back(std::make_unique<Peer>(io));
     pool.setAddress(id, parseEndpoint(peers[id]->address()));
     order.id.request = order.upstream = id;
@@ -617,7 +617,7 @@
   EXPECT_EQ(config.site.settings.maxAttempts, 3u);
   EXPECT_EQ(config.site.settings.connectTimeout, 250000);
   EXPECT_EQ(config.site.settings.classes.at(0).semantics, balancer::Semantics::Keyed);
-  EXPECT_EQ(config.site.settings.classes.at(0).repeatWindow, 4);
+  EXPECT_EQ(config.site.settings.classes.at(0).retryWindow, 4);
 }
 
 }  // namespace
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -35,8 +35,8 @@
   const Settings& s = wire.settings();
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[1].semantics, Semantics::Keyed);
-  EXPECT_EQ(s.classes[1].group, RepeatGroup::Cell);
-  EXPECT_EQ(s.classes[1].repeatWindow, 7'500'000);
+  EXPECT_EQ(s.classes[1].group, RetryGroup::Cell);
+  EXPECT_EQ(s.classes[1].retryWindow, 7'500'000);
   EXPECT_EQ(s.zones, 2u);
   EXPECT_EQ(s.zone, 1u);
   EXPECT_EQ(s.kinds, 2u);
@@ -45,11 +45,11 @@
   EXPECT_FALSE(s.mayProbe);
   EXPECT_EQ(s.reports, ReportSource::Answers);
   EXPECT_DOUBLE_EQ(s.fallMultiple, 4);
-  EXPECT_EQ(s.lookBack, 2'000'000);
-  EXPECT_EQ(s.maxStreams, 100u);
-  EXPECT_DOUBLE_EQ(s.extraFloor, 3);
-  EXPECT_DOUBLE_EQ(s.furtherRatio, 0.03);
-  EXPECT_EQ(s.hangUpWithin, 800'000);
+  EXPECT_EQ(s.retryBudgetWindow, 2'000'000);
+  EXPECT_EQ(s.maxStreamsPerConnection, 100u);
+  EXPECT_DOUBLE_EQ(s.retryBudgetFloor, 3);
+  EXPECT_DOUBLE_EQ(s.retryBudgetRatio, 0.03);
+  EXPECT_EQ(s.closeDrainingWithin, 800'000);
   EXPECT_DOUBLE_EQ(s.tenants.at(0).quotaPerSecond, 92);
   EXPECT_EQ(wire.seed(), 8565319633688438u);
 }
@@ -79,8 +79,8 @@
   wire.print(3, Send{request.request, 0, 80000}, out);
   wire.print(3, Send{1, 0, 0}, out);
   wire.print(3, Cancel{1, 2}, out);
-  wire.print(3, Refuse{1, 5}, out);
-  wire.print(3, Refuse{1, 0}, out);
+  wire.print(3, Reject{1, 5}, out);
+  wire.print(3, Reject{1, 0}, out);
   wire.print(3, Fail{0xffffffffffffffff}, out);
   wire.print(3, SetTimer{9}, out);
   wire.print(3, Probe{0}, out);
