--- a/tests/compatibility/exclusions_test.cpp
+++ b/tests/compatibility/exclusions_test.cpp
@@ -47,5 +47,15 @@
   EXPECT_TRUE(sidecar.process().says("the file of excluded upstreams is left alone: of another version\n"));
 }
 
+TEST(ExclusionsFile, OfAnotherVersionIsReplacedByACall) {
+  SidecarProcess sidecar(kInstances, "");
+  ASSERT_TRUE(sidecar.ready());
+  sidecar.folder().write("ivypost-excluded.json", R"({"back":{},"out":["node-1"],"version":2})");
+  EXPECT_EQ(bodyOf(sidecar.call("POST", "/api/exclude/node-3")), "excluded\n");
+  EXPECT_TRUE(sidecar.process().says("the file of excluded upstreams is replaced: of another version\n"));
+  EXPECT_EQ(sidecar.folder().read("ivypost-excluded.json"),
+            "{\"back\":{},\"out\":[\"node-3\"],\"version\":1}\n");
+}
+
 }  // namespace
 }  // namespace compatibility
--- a/tests/compatibility/http_test.cpp
+++ b/tests/compatibility/http_test.cpp
@@ -144,6 +144,14 @@
   EXPECT_TRUE(sidecar.process().says("the sidecar is stopping\n"));
 }
 
+TEST(Console, ReadyAgainIsLogged) {
+  SidecarProcess sidecar(instanceAt("node-1", "127.0.0.1:1"), "");
+  ASSERT_TRUE(sidecar.ready());
+  sidecar.call("POST", "/api/evacuate");
+  sidecar.call("POST", "/api/rejoin");
+  EXPECT_TRUE(sidecar.process().says("the sidecar is ready\n"));
+}
+
 // ---- Clients' requests that are rejected
 
 TEST(Requests, FlawsAreAnsweredAsBefore) {
--- a/tests/compatibility/peer_process_test.cpp
+++ b/tests/compatibility/peer_process_test.cpp
@@ -79,12 +79,22 @@
     put(message, port_, 2);
     put(message, ++sequence_, 8);
     message += nonce + sections;
-    const std::string datagram = message + sealOf(message);
+    sendBytes(message + sealOf(message));
+  }
+  // With the seal of a message that it is not.
+  void sendForged(std::string message) {
+    const std::string seal = sealOf(message);
+    message.back() = static_cast<char>(message.back() + 1);
+    sendBytes(message + seal);
+  }
+  void sendSealed(const std::string& message) { sendBytes(message + sealOf(message)); }
+
+ private:
+  void sendBytes(const std::string& datagram) {
     ::sendto(socket_, datagram.data(), datagram.size(), 0, reinterpret_cast<const sockaddr*>(&from_),
              sizeof from_);
   }
 
- private:
   std::string sealOf(const std::string& message) const {
     std::string seal(kSeal, '\0');
     crypto_generichash(reinterpret_cast<unsigned char*>(seal.data()), seal.size(),
@@ -183,6 +193,30 @@
   expectGolden(shape + members + "\n" + judgements + "\n", "status-peers.txt");
 }
 
+TEST_F(PeerProcess, ComplainsOfAnotherKey) {
+  SidecarProcess sidecar(instanceAt("node-1", "127.0.0.1:1"), operatorsFile());
+  ASSERT_TRUE(peer_.receive());
+  peer_.sendForged(std::string(60, 'x'));
+  EXPECT_TRUE(sidecar.process().says("peers: a datagram that is not from this key\n"));
+}
+
+TEST_F(PeerProcess, ComplainsOfAnotherVersion) {
+  SidecarProcess sidecar(instanceAt("node-1", "127.0.0.1:1"), operatorsFile());
+  auto message = peer_.receive();
+  ASSERT_TRUE(message);
+  message->at(0) = 2;
+  peer_.sendSealed(*message);
+  EXPECT_TRUE(sidecar.process().says("peers: a datagram that is no message of this version\n"));
+}
+
+TEST_F(PeerProcess, ComplainsOfFactsThatAreNone) {
+  SidecarProcess sidecar(instanceAt("node-1", "127.0.0.1:1"), operatorsFile());
+  const auto message = peer_.receive();
+  ASSERT_TRUE(message);
+  peer_.send(kAck, message->substr(32, 4), std::string("\x03\x02zz", 4));
+  EXPECT_TRUE(sidecar.process().says("peers: facts that are none\n"));
+}
+
 TEST_F(PeerProcess, LogsWhomItHears) {
   SidecarProcess sidecar(instanceAt("node-1", "127.0.0.1:1"), operatorsFile());
   answerUntil(sidecar, "", [](const json& one) { return one.value("heard", 0) == 2; });
--- a/tests/compatibility/programs_test.cpp
+++ b/tests/compatibility/programs_test.cpp
@@ -89,7 +89,8 @@
 TEST(Programs, SidecarsLinesOnStandardError) {
   const Folder folder;
   const std::string settings =
-      R"("seed":"5","settings":{"classes":[{"name":"a","aim":100000,"deadline":200000,"semantics":"free"}],"balancers":0,"index":4}})";
+      R"("seed":"5","settings":{"classes":[{"name":"a","aim":100000,"deadline":200000,"semantics":"free"}],)"
+      R"("balancers":0,"index":4}})";
   const auto config = [&](const std::string& discovery) {
     return R"({"name":"n","listen":"127.0.0.1:0","discovery":")" + discovery + "\"," + settings;
   };
