--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -58,7 +58,8 @@
   const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
   const double line = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
                       (1 + request.relativeWork) / 2;
-  return static_cast<double>(latency - endpoint.minLatency) > line;
+  // As numbers without a bound: before the first answer the least latency is the largest time there is.
+  return static_cast<double>(latency) - static_cast<double>(endpoint.minLatency) > line;
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -141,6 +141,16 @@
   close();
 }
 
+void ClientSession::detach() {
+  state_ = State::Closed;
+  uploading_ = false;
+  deadline_.cancel();
+  leaver_.cancel();
+  stream_.reset();
+  error_code ignored;
+  socket_.close(ignored);
+}
+
 void ClientSession::close() {
   if (state_ == State::Closed) return;
   const bool waiting = state_ == State::Waiting;
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -81,6 +81,9 @@
   /// Closes the connection at once; a request that waits is cancelled. Nothing when it is closed already.
   void close();
 
+  /// Ends it without a word to its host, which is about to go: handlers that come later do nothing.
+  void detach();
+
  private:
   // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
   enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -80,6 +80,8 @@
 
 Server::~Server() {
   deadlines_->stop();
+  // Their handlers may be queued and come after this.
+  for (const auto& [id, session] : sessions_) session->detach();
 }
 
 void Server::accept() {
