--- a/tests/system_call_faults/fleet_test.cpp
+++ b/tests/system_call_faults/fleet_test.cpp
@@ -62,7 +62,7 @@
 }
 
 struct RunOptions {
-  double ratePerSidecar = 20;  // what the sidecars serve under sanitizers too
+  double ratePerSidecar = 60;
   int workMs = 2;
   std::string events;  // of the scenario
   std::string head;    // more keys of it
