--- a/tests/system_call_faults/fleet_test.cpp
+++ b/tests/system_call_faults/fleet_test.cpp
@@ -33,8 +33,10 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// A sidecar with 30 requests a second for 6 s takes a tenth of it.
-constexpr double kMostFurtherCpuSeconds = 1;
+// What a fault that lasts may cost in processor seconds, against a sidecar in the same play that serves
+// without one: under a second here, three and a half under sanitizers. A loop that spins for 5 s took 4.4 s.
+constexpr double kMostOfServing = 4;
+constexpr double kMostBeside = 0.5;
 
 class TemporaryFolder {
  public:
@@ -334,14 +336,16 @@
   run.ratePerSidecar = 30;
   run.workMs = 20;
   run.head = "peers = true\n";
-  run.events = "[[event]]\nat = \"1200ms\"\ndo = \"load\"\nfactor = 10\nfor = \"200ms\"\n";
+  run.events = "[[event]]\nat = \"1200ms\"\ndo = \"load\"\nfactor = 20\nfor = \"200ms\"\n";
   run.seconds = 6;
   const std::size_t sound = rows.size();
   rows.push_back("reads EINTR at=1 of=accepted");  // once: it serves as if there were no fault
   const auto played = play(rows, run);
   const double serving = played.result.sidecars[sound].cpuSeconds;
   for (std::size_t n = 0; n < sound; ++n) {
-    EXPECT_LT(played.result.sidecars[n].cpuSeconds, serving + kMostFurtherCpuSeconds) << rows[n];
+    EXPECT_LT(played.result.sidecars[n].cpuSeconds, kMostOfServing * serving + kMostBeside) << rows[n];
+    EXPECT_GT(serving, 0);
+    RecordProperty("cpu of serving", std::to_string(serving));
     RecordProperty("cpu of " + rows[n], std::to_string(played.result.sidecars[n].cpuSeconds));
   }
 }
