--- a/src/operator/file.cpp
+++ b/src/configuration/operator_file.cpp
@@ -1,17 +1,17 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "operator/file.h"
+#include "configuration/operator_file.h"
 
 #include <map>
 #include <optional>
 #include <sstream>
 
-#include "configfile/table.h"
-#include "operator/keys.h"
+#include "configuration/operator_keys.h"
+#include "configuration/toml_table.h"
 
-namespace ivypost::op {
+namespace ivypost::configuration {
 namespace {
 
-using configfile::Table;
+using configuration::Table;
 
 // The tables of a document by their dotted names, each asked for once, so that each knows all of its keys.
 class Sections {
@@ -40,8 +40,8 @@
   std::map<std::string, std::optional<Table>> tables_;
 };
 
-File read(const configfile::Document& document) {
-  File file;
+OperatorFile read(const configuration::Document& document) {
+  OperatorFile file;
   Sections sections(document.root());
   for (const Key& key : keys()) {
     auto& table = sections.at(std::string(key.section()));
@@ -54,47 +54,48 @@
   };
   if (const auto error = degradation::validate(file.degradation.settings))
     fail("levels", degradation::describe(*error));
-  if (file.membership.source == File::Membership::Source::Etcd) {
+  if (file.membership.source == OperatorFile::Membership::Source::Etcd) {
     if (const auto flaw = etcd::flawOf(file.membership.etcd)) fail("membership", "etcd." + *flaw);
   }
   if (file.peers.on) {
     if (const auto flaw = peers::flawOf(file.peers)) fail("peers", *flaw);
   }
-  if (file.door.keepUsed < file.door.keepAny) fail("door", "keep_used has to be no less than keep_any");
-  if (file.admission.figures.interval < file.admission.figures.target)
+  if (file.connectionLimit.keepUsed < file.connectionLimit.keepAny)
+    fail("door", "keep_used has to be no less than keep_any");
+  if (file.admission.queueSettings.interval < file.admission.queueSettings.target)
     fail("admission", "interval has to be no less than target");
   return file;
 }
 
 }  // namespace
 
-File read(const std::string& path) {
-  return read(configfile::Document::read(path));
+OperatorFile readOperatorFile(const std::string& path) {
+  return read(configuration::Document::read(path));
 }
 
-File parse(std::string_view text, const std::string& name) {
-  return read(configfile::Document::parse(text, name));
+OperatorFile parseOperatorFile(std::string_view text, const std::string& name) {
+  return read(configuration::Document::parse(text, name));
 }
 
-std::string example() {
-  const File defaults;
+std::string operatorFileExample() {
+  const OperatorFile defaults;
   std::ostringstream out;
   out << "# The operator's own file, with every key at its default: ivypost --operator FILE. Read again at "
          "SIGHUP, "
          "whole\n# or not at all. What is not named here is the platform's.\n";
   std::string_view section;
   for (const Key& key : keys()) {
-    const std::string value = key.show(defaults);
+    const std::string value = key.format(defaults);
     if (value.empty()) continue;
     if (key.section() != section) {
       section = key.section();
       out << "\n[" << section << "]\n";
     }
-    std::istringstream lines(key.text);
+    std::istringstream lines(key.description);
     for (std::string line; std::getline(lines, line);) out << "# " << line << "\n";
     out << key.leaf() << " = " << value << "\n";
   }
   return out.str();
 }
 
-}  // namespace ivypost::op
+}  // namespace ivypost::configuration
--- a/src/operator/file.h
+++ b/src/configuration/operator_file.h
@@ -3,8 +3,8 @@
 // The operator's own file: what the platform does not set, in TOML. One table of keys (keys.cpp) is the
 // schema, the reader and the commented example at once. Without a file everything is as if this room were not
 // there.
-#ifndef IVYPOST_OPERATOR_FILE_H_
-#define IVYPOST_OPERATOR_FILE_H_
+#ifndef IVYPOST_CONFIGURATION_OPERATOR_FILE_H_
+#define IVYPOST_CONFIGURATION_OPERATOR_FILE_H_
 
 #include <string>
 #include <string_view>
@@ -16,25 +16,25 @@
 #include "etcd/options.h"
 #include "peers/options.h"
 
-namespace ivypost::op {
+namespace ivypost::configuration {
 
 // As an empty file gives it: all off, and each figure at its default.
-struct File {
+struct OperatorFile {
   struct Degradation {
     bool on = false;
     degradation::Settings settings = degradation::defaultSettings();
   } degradation;
   struct Admission {
     bool queue = false;
-    admission::QueueSettings figures;
+    admission::QueueSettings queueSettings;
     std::vector<std::string> order;  // classes, the worthiest first; those not named follow by their worth
     std::int64_t perTurn = 8;        // requests handed on before the loop sees to all else that is ready
   } admission;
-  struct Door {
+  struct ConnectionLimit {
     double keepAny = admission::DoorSettings{}.keepAny;
     double keepUsed = admission::DoorSettings{}.keepUsed;
     double work = admission::DoorSettings{}.work;
-  } door;
+  } connectionLimit;
   struct Status {
     bool level = false;  // GET /status/level on the listening address
     bool peers = false;  // GET /status/peers likewise
@@ -48,14 +48,14 @@
   } membership;
 };
 
-// Both throw configfile::Error, one line that names the file, the line, the key and what is allowed.
-File read(const std::string& path);
-File parse(std::string_view text, const std::string& name);
+// Both throw configuration::Error, one line that names the file, the line, the key and what is allowed.
+OperatorFile readOperatorFile(const std::string& path);
+OperatorFile parseOperatorFile(std::string_view text, const std::string& name);
 
 // The file with all keys at their defaults, each under a comment that says what it does; parses as an empty
 // one.
-std::string example();
+std::string operatorFileExample();
 
-}  // namespace ivypost::op
+}  // namespace ivypost::configuration
 
-#endif  // IVYPOST_OPERATOR_FILE_H_
+#endif  // IVYPOST_CONFIGURATION_OPERATOR_FILE_H_
--- a/src/configfile/table.cpp
+++ b/src/configuration/toml_table.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "configfile/table.h"
+#include "configuration/toml_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,13 +8,13 @@
 #include <numeric>
 #include <sstream>
 
-#include "configfile/units.h"
+#include "configuration/units.h"
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 namespace {
 
 // What stands in the file, short enough for a line.
-std::string shown(const toml::node& node) {
+std::string shownValue(const toml::node& node) {
   std::ostringstream text;
   if (const auto* const value = node.as_string()) {
     text << '"' << value->get() << '"';
@@ -31,14 +31,14 @@
   return line.size() > 60 ? line.substr(0, 57) + "..." : line;
 }
 
-std::string listed(const std::vector<std::string>& words) {
+std::string joined(const std::vector<std::string>& words) {
   std::string text;
   for (const auto& word : words) text += (text.empty() ? "" : ", ") + word;
   return text;
 }
 
-// Levenshtein's distance: insertions, deletions and replacements.
-std::size_t distance(std::string_view a, std::string_view b) {
+// Levenshtein's editDistance: insertions, deletions and replacements.
+std::size_t editDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
   for (std::size_t i = 0; i < a.size(); ++i) {
@@ -76,7 +76,7 @@
 }
 
 const toml::node* Table::find(std::string_view key) {
-  asked_.emplace_back(key);
+  readKeys_.emplace_back(key);
   return table_->get(key);
 }
 
@@ -89,9 +89,9 @@
 std::int64_t Table::integer(std::string_view key, std::int64_t low, std::int64_t high) {
   const toml::node& node = require(key);
   const auto* const value = node.as_integer();
-  if (value == nullptr) fail(key, shown(node) + " is no whole number; " + range(low, high));
+  if (value == nullptr) fail(key, shownValue(node) + " is no whole number; " + range(low, high));
   if (value->get() < low || value->get() > high)
-    fail(key, shown(node) + " is out of range; " + range(low, high));
+    fail(key, shownValue(node) + " is out of range; " + range(low, high));
   return value->get();
 }
 
@@ -103,9 +103,9 @@
 double Table::number(std::string_view key, double low, double high) {
   const toml::node& node = require(key);
   const auto value = node.is_number() ? node.value<double>() : std::nullopt;
-  if (!value) fail(key, shown(node) + " is no number; " + range(low, high));
+  if (!value) fail(key, shownValue(node) + " is no number; " + range(low, high));
   if (!std::isfinite(*value) || *value < low || *value > high)
-    fail(key, shown(node) + " is out of range; " + range(low, high));
+    fail(key, shownValue(node) + " is out of range; " + range(low, high));
   return *value;
 }
 
@@ -117,13 +117,13 @@
   const toml::node* const node = find(key);
   if (node == nullptr) return fallback;
   if (const auto* const value = node->as_boolean()) return value->get();
-  fail(key, shown(*node) + " is neither true nor false");
+  fail(key, shownValue(*node) + " is neither true nor false");
 }
 
 std::string Table::text(std::string_view key) {
   const toml::node& node = require(key);
   if (const auto* const value = node.as_string()) return value->get();
-  fail(key, shown(node) + " is no text; it stands in quotes");
+  fail(key, shownValue(node) + " is no text; it stands in quotes");
 }
 
 std::string Table::text(std::string_view key, std::string fallback) {
@@ -140,7 +140,7 @@
   const auto* const value = node.as_string();
   const auto micros = value != nullptr ? parseDuration(value->get()) : std::nullopt;
   if (!micros)
-    fail(key, shown(node) + " is no time; allowed is a number with us, ms, s, min or h, as \"250ms\"");
+    fail(key, shownValue(node) + " is no time; allowed is a number with us, ms, s, min or h, as \"250ms\"");
   return *micros;
 }
 
@@ -153,7 +153,7 @@
   const auto* const value = node.as_string();
   const auto bytes = value != nullptr ? parseSize(value->get()) : std::nullopt;
   if (!bytes)
-    fail(key, shown(node) + " is no size; allowed is a number with B, KiB, MiB or GiB, as \"64KiB\"");
+    fail(key, shownValue(node) + " is no size; allowed is a number with B, KiB, MiB or GiB, as \"64KiB\"");
   return *bytes;
 }
 
@@ -162,7 +162,7 @@
   const auto* const value = node.as_string();
   const auto found = value == nullptr ? words.end() : std::find(words.begin(), words.end(), value->get());
   if (found == words.end())
-    fail(key, shown(node) + " is not allowed; allowed is " + listed({words.begin(), words.end()}));
+    fail(key, shownValue(node) + " is not allowed; allowed is " + joined({words.begin(), words.end()}));
   return static_cast<std::size_t>(found - words.begin());
 }
 
@@ -172,7 +172,7 @@
 }
 
 std::vector<std::int64_t> Table::integers(std::string_view key, std::int64_t low, std::int64_t high,
-                                          std::size_t most) {
+                                          std::size_t maxCount) {
   const toml::node* const node = find(key);
   if (node == nullptr) return {};
   if (!node->is_array()) return {integer(key, low, high)};
@@ -180,48 +180,49 @@
   for (const toml::node& item : *node->as_array()) {
     const auto* const value = item.as_integer();
     if (value == nullptr || value->get() < low || value->get() > high)
-      fail(key, shown(item) + " is not allowed in the list; " + range(low, high));
+      fail(key, shownValue(item) + " is not allowed in the list; " + range(low, high));
     numbers.push_back(value->get());
   }
-  if (numbers.empty() || numbers.size() > most)
-    fail(key, "the list has " + std::to_string(numbers.size()) + " numbers; " + range<std::size_t>(1, most));
+  if (numbers.empty() || numbers.size() > maxCount)
+    fail(key,
+         "the list has " + std::to_string(numbers.size()) + " numbers; " + range<std::size_t>(1, maxCount));
   return numbers;
 }
 
-std::vector<std::string> Table::texts(std::string_view key, std::size_t most) {
+std::vector<std::string> Table::texts(std::string_view key, std::size_t maxCount) {
   const toml::node* const node = find(key);
   std::vector<std::string> words;
   if (node == nullptr) return words;
   const auto* const list = node->as_array();
-  if (list == nullptr) fail(key, shown(*node) + " stands where a list of texts belongs");
+  if (list == nullptr) fail(key, shownValue(*node) + " stands where a list of texts belongs");
   for (const toml::node& item : *list) {
     const auto* const word = item.as_string();
-    if (word == nullptr) fail(key, shown(item) + " in the list is no text; it stands in quotes");
+    if (word == nullptr) fail(key, shownValue(item) + " in the list is no text; it stands in quotes");
     words.push_back(word->get());
   }
-  if (words.size() > most)
-    fail(key, "the list has " + std::to_string(words.size()) + " texts; " + range<std::size_t>(0, most));
+  if (words.size() > maxCount)
+    fail(key, "the list has " + std::to_string(words.size()) + " texts; " + range<std::size_t>(0, maxCount));
   return words;
 }
 
 std::optional<Table> Table::table(std::string_view key) {
   const toml::node* const node = find(key);
   if (node == nullptr) return std::nullopt;
-  if (!node->is_table()) fail(key, shown(*node) + " stands where a table belongs");
+  if (!node->is_table()) fail(key, shownValue(*node) + " stands where a table belongs");
   return Table(file_, path(key), *node->as_table());
 }
 
-std::vector<Table> Table::tables(std::string_view key, std::size_t most) {
+std::vector<Table> Table::tables(std::string_view key, std::size_t maxCount) {
   const toml::node* const node = find(key);
   std::vector<Table> tables;
   if (node == nullptr) return tables;
   const auto* const list = node->as_array();
-  if (list == nullptr) fail(key, shown(*node) + " stands where tables belong: [[" + path(key) + "]]");
-  if (list->size() > most)
-    fail(key, "there are " + std::to_string(list->size()) + " of them; " + range<std::size_t>(0, most));
+  if (list == nullptr) fail(key, shownValue(*node) + " stands where tables belong: [[" + path(key) + "]]");
+  if (list->size() > maxCount)
+    fail(key, "there are " + std::to_string(list->size()) + " of them; " + range<std::size_t>(0, maxCount));
   for (std::size_t n = 0; n < list->size(); ++n) {
     const auto* const one = list->get(n)->as_table();
-    if (one == nullptr) fail(key, shown(*list->get(n)) + " stands where a table belongs");
+    if (one == nullptr) fail(key, shownValue(*list->get(n)) + " stands where a table belongs");
     tables.emplace_back(file_, path(key) + "[" + std::to_string(n + 1) + "]", *one);
   }
   return tables;
@@ -230,22 +231,23 @@
 void Table::finish() const {
   for (const auto& [key, node] : *table_) {
     const std::string_view name = key.str();
-    if (std::find(asked_.begin(), asked_.end(), name) != asked_.end()) continue;
-    std::vector<std::string> known = asked_;
+    if (std::find(readKeys_.begin(), readKeys_.end(), name) != readKeys_.end()) continue;
+    std::vector<std::string> known = readKeys_;
     std::sort(known.begin(), known.end());
     known.erase(std::unique(known.begin(), known.end()), known.end());
-    const auto nearest = std::min_element(
-        known.begin(), known.end(),
-        [&](const std::string& a, const std::string& b) { return distance(a, name) < distance(b, name); });
-    std::string why = "there is no such key; allowed is " + listed(known);
-    if (nearest != known.end() && distance(*nearest, name) <= 2)
+    const auto nearest =
+        std::min_element(known.begin(), known.end(), [&](const std::string& a, const std::string& b) {
+          return editDistance(a, name) < editDistance(b, name);
+        });
+    std::string why = "there is no such key; allowed is " + joined(known);
+    if (nearest != known.end() && editDistance(*nearest, name) <= 2)
       why = "there is no such key; did you mean '" + *nearest + "'?";
     fail(name, why);
   }
 }
 
 Document Document::parse(std::string_view text, const std::string& name) {
-  if (text.size() > kMaxFile) throw Error(name + ":1: the file has over 1 MiB");
+  if (text.size() > kMaxFileBytes) throw Error(name + ":1: the file has over 1 MiB");
   try {
     return {name, toml::parse(text, name)};
   } catch (const toml::parse_error& error) {
@@ -257,11 +259,11 @@
 
 Document Document::read(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
-  std::string text(kMaxFile + 1, '\0');
+  std::string text(kMaxFileBytes + 1, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (file.bad() || (!file && !file.eof())) throw Error(path + ": cannot be read");
   text.resize(static_cast<std::size_t>(file.gcount()));
   return parse(text, path);
 }
 
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
--- a/src/configfile/table.h
+++ b/src/configuration/toml_table.h
@@ -2,8 +2,8 @@
 //
 // Reads a TOML file key by key. Each error is one line: file, line, key, what stands there, what is allowed.
 // A key that nobody asked for is an error, with the one that was probably meant.
-#ifndef IVYPOST_CONFIGFILE_TABLE_H_
-#define IVYPOST_CONFIGFILE_TABLE_H_
+#ifndef IVYPOST_CONFIGURATION_TOML_TABLE_H_
+#define IVYPOST_CONFIGURATION_TOML_TABLE_H_
 
 #include <cstdint>
 #include <memory>
@@ -18,14 +18,14 @@
 #endif
 #include <toml++/toml.h>
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 
 // what() is the whole line, without a line end.
 struct Error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kMaxFile = 1024UL * 1024;  // bytes of a file
+constexpr std::size_t kMaxFileBytes = 1024UL * 1024;  // bytes of a file
 
 // A table of the file, or the file as a whole. Not to outlive the document. All readers throw Error; those
 // with a fallback give it when the key is missing.
@@ -48,14 +48,14 @@
   // The index of the word among `words`.
   std::size_t choice(std::string_view key, const std::vector<std::string_view>& words);
   std::size_t choice(std::string_view key, const std::vector<std::string_view>& words, std::size_t fallback);
-  // One integer, or a list of up to `most`; empty when missing.
+  // One integer, or a list of up to `maxCount`; empty when missing.
   std::vector<std::int64_t> integers(std::string_view key, std::int64_t low, std::int64_t high,
-                                     std::size_t most);
-  // A list of up to `most` texts; empty when missing.
-  std::vector<std::string> texts(std::string_view key, std::size_t most);
+                                     std::size_t maxCount);
+  // A list of up to `maxCount` texts; empty when missing.
+  std::vector<std::string> texts(std::string_view key, std::size_t maxCount);
   std::optional<Table> table(std::string_view key);
-  // A list of up to `most` tables; empty when missing.
-  std::vector<Table> tables(std::string_view key, std::size_t most);
+  // A list of up to `maxCount` tables; empty when missing.
+  std::vector<Table> tables(std::string_view key, std::size_t maxCount);
   // Whether the key's value is a string; for keys that take a word or a table.
   bool isText(std::string_view key) const;
 
@@ -72,7 +72,7 @@
 
   std::string file_, path_;
   const toml::table* table_;
-  std::vector<std::string> asked_;
+  std::vector<std::string> readKeys_;
 };
 
 // A parsed file. `name` is what errors call it.
@@ -89,6 +89,6 @@
   std::shared_ptr<const toml::table> table_;
 };
 
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
 
-#endif  // IVYPOST_CONFIGFILE_TABLE_H_
+#endif  // IVYPOST_CONFIGURATION_TOML_TABLE_H_
--- a/src/configfile/units.cpp
+++ b/src/configuration/units.cpp
@@ -1,16 +1,16 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "configfile/units.h"
+#include "configuration/units.h"
 
 #include <array>
 #include <charconv>
 #include <cmath>
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 namespace {
 
 struct Unit {
   std::string_view name;
-  double worth;
+  double factor;
 };
 // The larger first, for formatDuration.
 constexpr std::array<Unit, 5> kTimes{{{"h", 3600e6}, {"min", 60e6}, {"s", 1e6}, {"ms", 1e3}, {"us", 1}}};
@@ -27,7 +27,7 @@
   while (!unit.empty() && unit.front() == ' ') unit.remove_prefix(1);
   for (const Unit& one : units) {
     if (one.name != unit) continue;
-    const double value = number * one.worth;
+    const double value = number * one.factor;
     return value <= most ? std::optional(std::floor(value + 1e-6)) : std::nullopt;
   }
   return std::nullopt;
@@ -47,11 +47,11 @@
 
 std::string formatDuration(std::int64_t micros) {
   for (const Unit& unit : kTimes) {
-    const auto worth = static_cast<std::int64_t>(unit.worth);
-    if (micros >= worth && micros % worth == 0)
-      return std::to_string(micros / worth) + std::string(unit.name);
+    const auto factor = static_cast<std::int64_t>(unit.factor);
+    if (micros >= factor && micros % factor == 0)
+      return std::to_string(micros / factor) + std::string(unit.name);
   }
   return std::to_string(micros) + "us";
 }
 
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
--- a/src/configfile/units.h
+++ b/src/configuration/units.h
@@ -2,15 +2,15 @@
 //
 // Durations and sizes as people write them: "250ms", "1.5s", "64KiB". A number without its unit is not taken,
 // since whoever reads the file later can't tell what was meant.
-#ifndef IVYPOST_CONFIGFILE_UNITS_H_
-#define IVYPOST_CONFIGFILE_UNITS_H_
+#ifndef IVYPOST_CONFIGURATION_UNITS_H_
+#define IVYPOST_CONFIGURATION_UNITS_H_
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 
 // In microseconds; 0 to kMaxDuration. Units: us, ms, s, min, h. None: no duration, or out of range. What is
 // finer than a microsecond is rounded down.
@@ -25,6 +25,6 @@
 // meant for it.
 std::string formatDuration(std::int64_t micros);
 
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
 
-#endif  // IVYPOST_CONFIGFILE_UNITS_H_
+#endif  // IVYPOST_CONFIGURATION_UNITS_H_
--- a/src/fault/control.cpp
+++ b/src/fault/control.cpp
@@ -58,8 +58,8 @@
             {"answer_bytes", counts.answerBytes},
             {"faults", counts.faults}};
   }
-  throw configfile::Error("'" + what.substr(0, 40) +
-                          "' is no command; allowed is apply, clear, command, list, counts");
+  throw configuration::Error("'" + what.substr(0, 40) +
+                             "' is no command; allowed is apply, clear, command, list, counts");
 }
 
 }  // namespace
--- a/src/fault/plan_reader.cpp
+++ b/src/fault/plan_reader.cpp
@@ -7,7 +7,7 @@
 namespace ivypost::fault {
 namespace {
 
-using configfile::Table;
+using configuration::Table;
 
 constexpr std::int64_t kMaxCount = std::int64_t{1} << 53;
 constexpr std::size_t kMaxSizes = 1024;
@@ -143,7 +143,7 @@
 }
 
 Plan parsePlan(std::string_view text, const std::string& name) {
-  const auto document = configfile::Document::parse(text, name);
+  const auto document = configuration::Document::parse(text, name);
   Table root = document.root();
   Plan plan = readPlan(root);
   root.finish();
@@ -151,7 +151,7 @@
 }
 
 Plan readPlan(const std::string& path) {
-  const auto document = configfile::Document::read(path);
+  const auto document = configuration::Document::read(path);
   Table root = document.root();
   Plan plan = readPlan(root);
   root.finish();
--- a/src/fault/plan_reader.h
+++ b/src/fault/plan_reader.h
@@ -7,15 +7,15 @@
 #include <string>
 #include <string_view>
 
-#include "configfile/table.h"
+#include "configuration/toml_table.h"
 #include "fault/plan.h"
 
 namespace ivypost::fault {
 
-// All throw configfile::Error, whose text is one line with file, line, key and what is allowed.
+// All throw configuration::Error, whose text is one line with file, line, key and what is allowed.
 Plan readPlan(const std::string& path);
 Plan parsePlan(std::string_view text, const std::string& name);
-Plan readPlan(configfile::Table& table);  // a plan within another file; doesn't call table.finish()
+Plan readPlan(configuration::Table& table);  // a plan within another file; doesn't call table.finish()
 
 }  // namespace ivypost::fault
 
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -7,13 +7,13 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "configfile/table.h"
+#include "configuration/toml_table.h"
 #include "fault/plan_reader.h"
 
 namespace ivypost::fleet {
 namespace {
 
-using configfile::Table;
+using configuration::Table;
 using nlohmann::json;
 using standins::Effect;
 
@@ -213,7 +213,7 @@
               "more than sidecars; set sidecars = " + std::to_string(scenario.zones) + " or more");
 }
 
-Scenario read(const configfile::Document& document) {
+Scenario read(const configuration::Document& document) {
   Scenario scenario;
   Table root = document.root();
   scenario.name = root.text("name");
@@ -272,11 +272,11 @@
 }
 
 Scenario readScenario(const std::string& path) {
-  return read(configfile::Document::read(path));
+  return read(configuration::Document::read(path));
 }
 
 Scenario parseScenario(std::string_view text, const std::string& name) {
-  return read(configfile::Document::parse(text, name));
+  return read(configuration::Document::parse(text, name));
 }
 
 json settingsOf(const Scenario& scenario, std::uint32_t sidecar) {
--- a/src/fleet/scenario.h
+++ b/src/fleet/scenario.h
@@ -106,7 +106,7 @@
 
 constexpr std::uint32_t kMaxSidecars = 64, kMaxNodes = 256;
 
-// Both throw configfile::Error, whose text is one line with file, line, key and what is allowed.
+// Both throw configuration::Error, whose text is one line with file, line, key and what is allowed.
 Scenario readScenario(const std::string& path);
 Scenario parseScenario(std::string_view text, const std::string& name);
 
--- a/src/sidecar/degradation_manager.cpp
+++ b/src/sidecar/degradation_manager.cpp
@@ -38,7 +38,7 @@
 DegradationManager::DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks)
     : cores_(cores), callbacks_(std::move(callbacks)), timer_(io) {}
 
-void DegradationManager::apply(const op::File::Degradation& options) {
+void DegradationManager::apply(const configuration::OperatorFile::Degradation& options) {
   if (!options.on) {
     const bool wasDegraded = level() != degradation::Level::Normal;
     timer_.cancel();
--- a/src/sidecar/degradation_manager.h
+++ b/src/sidecar/degradation_manager.h
@@ -8,8 +8,8 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 
+#include "configuration/operator_file.h"
 #include "degradation/load_monitor.h"
-#include "operator/file.h"
 
 namespace ivypost {
 
@@ -32,7 +32,7 @@
 
   /// Switches on, goes on with other settings at the present level, or switches off, which ends at Normal.
   /// @param options their settings are valid, as reading the file has made sure.
-  void apply(const op::File::Degradation& options);
+  void apply(const configuration::OperatorFile::Degradation& options);
 
   /// As degradation::LoadMonitor's, now; nothing while switched off.
   void onRequest(bool isRetry);
--- a/src/sidecar/gate.cpp
+++ b/src/sidecar/gate.cpp
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-Gate::Gate(boost::asio::io_context& io, const Config& config, const op::File& file, Callbacks callbacks)
+Gate::Gate(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
+           Callbacks callbacks)
     : io_(io),
       config_(config),
       callbacks_(std::move(callbacks)),
@@ -38,7 +39,7 @@
 }
 
 // The operator's order first, each above all that the platform's worth can be; then by that worth.
-std::vector<double> Gate::worthBy(const op::File& file) const {
+std::vector<double> Gate::worthBy(const configuration::OperatorFile& file) const {
   const auto& classes = config_.site.settings.classes;
   std::vector<double> worth;
   double most = 0;
@@ -56,17 +57,17 @@
   return worth;
 }
 
-void Gate::check(const op::File& file) const {
+void Gate::check(const configuration::OperatorFile& file) const {
   worthBy(file);
 }
 
-void Gate::adopt(const op::File& file) {
+void Gate::adopt(const configuration::OperatorFile& file) {
   worth_ = worthBy(file);
   perTurn_ = file.admission.perTurn;
   counting_ = file.admission.queue || file.degradation.on;
   queue_.reset();
   if (file.admission.queue) {
-    queue_ = std::make_unique<admission::Queue>(file.admission.figures, worth_);
+    queue_ = std::make_unique<admission::Queue>(file.admission.queueSettings, worth_);
     queue_->worthFirst(restrictions_.admitsByPriority);
     std::vector<Decision> tooMany;
     for (const auto& [id, held] : held_) {
--- a/src/sidecar/gate.h
+++ b/src/sidecar/gate.h
@@ -18,8 +18,8 @@
 #include "admission/queue.h"
 #include "admission/shares.h"
 #include "client_request.h"
+#include "configuration/operator_file.h"
 #include "degradation/restrictions.h"
-#include "operator/file.h"
 
 namespace ivypost {
 
@@ -31,15 +31,16 @@
   };
 
   // Throws settings::FormatError for an order with a class that the platform doesn't have.
-  Gate(boost::asio::io_context& io, const Config& config, const op::File& file, Callbacks callbacks);
+  Gate(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
+       Callbacks callbacks);
   Gate(const Gate&) = delete;
   Gate& operator=(const Gate&) = delete;
   ~Gate();
 
   // Throws as the constructor does, for a file that adopt() could not take over; changes nothing.
-  void check(const op::File& file) const;
+  void check(const configuration::OperatorFile& file) const;
   // What waits stays, in the new order.
-  void adopt(const op::File& file);
+  void adopt(const configuration::OperatorFile& file);
   void reduce(const degradation::Restrictions& restrictions);
 
   // Takes a request on, or one after the other refuses and hands on, from within the call or later.
@@ -64,7 +65,7 @@
   }
 
  private:
-  std::vector<double> worthBy(const op::File& file) const;
+  std::vector<double> worthBy(const configuration::OperatorFile& file) const;
   void carryOut(const admission::Decision& decision);
   void turn();
   void turnLater();
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -17,8 +17,8 @@
 #include <utility>
 
 #include "config.h"
+#include "configuration/operator_file.h"
 #include "etcd_source.h"
-#include "operator/file.h"
 #include "sidecar.h"
 
 namespace {
@@ -26,8 +26,9 @@
 // Blocks of this size and more go back to the system when they are freed.
 constexpr int kLargeBlock = 128 * 1024;
 
-ivypost::op::File readFile(const std::string& path) {
-  return path.empty() ? ivypost::op::File{} : ivypost::op::read(path);
+ivypost::configuration::OperatorFile readFile(const std::string& path) {
+  return path.empty() ? ivypost::configuration::OperatorFile{}
+                      : ivypost::configuration::readOperatorFile(path);
 }
 
 // The configuration is read again so often and so long after one that could not be: whoever sends SIGHUP may
@@ -88,7 +89,7 @@
   CLI11_PARSE(app, argc, argv);
   try {
     if (example) {
-      std::fputs(ivypost::op::example().c_str(), stdout);
+      std::fputs(ivypost::configuration::operatorFileExample().c_str(), stdout);
       return 0;
     }
     boost::asio::io_context io(1);
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -28,11 +28,11 @@
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientShare = 0.6112;
 
-admission::DoorSettings doorSettings(const Config& config, const op::File& file) {
+admission::DoorSettings doorSettings(const Config& config, const configuration::OperatorFile& file) {
   admission::DoorSettings settings;
-  settings.keepAny = file.door.keepAny;
-  settings.keepUsed = file.door.keepUsed;
-  settings.work = file.door.work;
+  settings.keepAny = file.connectionLimit.keepAny;
+  settings.keepUsed = file.connectionLimit.keepUsed;
+  settings.work = file.connectionLimit.work;
   const double places = kClientShare * config.poolSockets();
   settings.places = std::max<std::size_t>(1, static_cast<std::size_t>(places));
   return settings;
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
-               Callbacks callbacks)
+Server::Server(asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
+               relay::Budget& budget, Callbacks callbacks)
     : io_(io),
       config_(config),
       validator_(config.site),
@@ -204,7 +204,7 @@
   if (!gate_.withdraw(id)) callbacks_.over(id);
 }
 
-void Server::adopt(const op::File& file) {
+void Server::adopt(const configuration::OperatorFile& file) {
   statusOn_ = file.status;
   door_.adopt(doorSettings(config_, file));
   gate_.adopt(file);
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -48,8 +48,8 @@
   // Listens, and accepts when follow() says so. Throws boost::system::system_error when it cannot listen, and
   // what Gate throws.
   // `budget` is for requests whose bodies are large.
-  Server(boost::asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
-         Callbacks callbacks);
+  Server(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
+         relay::Budget& budget, Callbacks callbacks);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
@@ -66,7 +66,7 @@
   void follow(const lifecycle::Effects& effects);
 
   // Takes the operator's file over; gate().check() has to have passed.
-  void adopt(const op::File& file);
+  void adopt(const configuration::OperatorFile& file);
   Gate& gate() { return gate_; }
   const Gate& gate() const { return gate_; }
   const admission::Door& door() const { return door_; }
@@ -109,7 +109,7 @@
   const std::shared_ptr<Deadlines> deadlines_;  // of the sessions
   admission::Door door_;
   Gate gate_;
-  op::File::Status statusOn_;
+  configuration::OperatorFile::Status statusOn_;
   lifecycle::Effects effects_;  // nothing yet
   bool accepting_ = false;      // the next connection is waited for
   int failedAccepts_ = 0;       // in a row
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -65,7 +65,8 @@
 
 }  // namespace
 
-Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
+Sidecar::Sidecar(asio::io_context& io, Config config, const configuration::OperatorFile& file,
+                 MakeEtcd makeEtcd)
     : io_(io),
       config_(std::move(config)),
       starts_(unixNow(), now()),
@@ -117,7 +118,8 @@
     pollExclusionFile();
   }
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
-  if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
+  if (!config_.site.settings.mustSubscribe ||
+      followed_.source == configuration::OperatorFile::Membership::Source::Etcd)
     membership_.watch();
   onLifecycle(lifecycle::Event::TimerExpired);
   if (config_.console) openConsole();
@@ -134,7 +136,7 @@
   return console_ ? std::optional(console_->port()) : std::nullopt;
 }
 
-void Sidecar::reload(const Config& config, const op::File& file) {
+void Sidecar::reload(const Config& config, const configuration::OperatorFile& file) {
   server_.gate().check(file);
   if (file.peers.on && !(file.peers == peersAs_)) FleetView::placeOf(file.peers, config_);
   follow(file.membership, config.discovery);
@@ -154,11 +156,11 @@
 }
 
 // Begins with this source, or changes to it. Throws where it can't be made, and then nothing has changed.
-void Sidecar::follow(const op::File::Membership& wanted, const Endpoint& discovery) {
-  using From = op::File::Membership::Source;
+void Sidecar::follow(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery) {
+  using From = configuration::OperatorFile::Membership::Source;
   const bool first = !membership_.started();
   // Of a source that is not used, the figures make no difference.
-  const auto same = [&](const op::File::Membership& other) {
+  const auto same = [&](const configuration::OperatorFile::Membership& other) {
     return wanted.source == other.source && (wanted.source == From::Platform || wanted.etcd == other.etcd);
   };
   if (!first && same(wanted_)) return;
@@ -539,7 +541,8 @@
   status["waiting"] = server_.gate().waiting();
   const membership::Freshness freshness = membership_.freshness();
   status["membership"] = {
-      {"source", followed_.source == op::File::Membership::Source::Etcd ? "etcd" : "platform"},
+      {"source",
+       followed_.source == configuration::OperatorFile::Membership::Source::Etcd ? "etcd" : "platform"},
       {"age_ms", freshness.age / 1000},
       {"sure", freshness.sure}};
   for (std::size_t n = 0; n < admission::kVerdicts; ++n) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -42,12 +42,12 @@
 
   // Throws settings::FormatError for an operator's file that does not fit the configuration or this
   // program, and what the server throws.
-  explicit Sidecar(boost::asio::io_context& io, Config config, const op::File& file = {},
+  explicit Sidecar(boost::asio::io_context& io, Config config, const configuration::OperatorFile& file = {},
                    MakeEtcd makeEtcd = {});
 
   // Takes over what may change while it runs: where discovery is, and the operator's file. The rest waits for
   // the next start. Throws settings::FormatError, and then nothing has changed.
-  void reload(const Config& config, const op::File& file);
+  void reload(const Config& config, const configuration::OperatorFile& file);
 
   // SIGTERM: answers all that was taken, then calls back once.
   void stop(std::function<void()> stopped);
@@ -105,7 +105,7 @@
   void onProbed(const ProbeEnd& end);
   void onList(const InstanceList& list, balancer::MembershipUpdate::Kind kind);
   void onTimer();
-  void follow(const op::File::Membership& wanted, const Endpoint& discovery);
+  void follow(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void applyExclusions(exclusion::ExclusionSet next);
   void onCall(const console::Call& call, console::Console::Answer answer);
@@ -161,8 +161,8 @@
   Upstreams upstreams_;
   const MakeEtcd makeEtcd_;
   membership::Membership membership_;
-  op::File::Membership followed_;  // by the source that counts
-  op::File::Membership wanted_;    // by it, or by the one that is to take over
+  configuration::OperatorFile::Membership followed_;  // by the source that counts
+  configuration::OperatorFile::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
   DegradationManager degradation_;
   SheddingNote shedding_;
--- a/tests/compatibility/operator_file_test.cpp
+++ b/tests/compatibility/operator_file_test.cpp
@@ -2,13 +2,14 @@
 //
 // The keys of the operator's file, as 7c357c1 wrote and read them. A rename of a field touches valuesOf()
 // alone.
+#include "configuration/operator_file.h"
+
 #include <gtest/gtest.h>
 
 #include <array>
 #include <sstream>
 
 #include "compatibility/support.h"
-#include "operator/file.h"
 
 namespace compatibility {
 namespace {
@@ -24,21 +25,21 @@
 }
 
 // Each key with the value that the program works with; times in microseconds.
-std::string valuesOf(const ivypost::op::File& file) {
+std::string valuesOf(const ivypost::configuration::OperatorFile& file) {
   std::ostringstream out;
   const auto put = [&](const char* key, const auto& value) { out << key << " = " << value << "\n"; };
   put("status.level", file.status.level);
   put("status.peers", file.status.peers);
-  put("door.keep_any", file.door.keepAny);
-  put("door.keep_used", file.door.keepUsed);
-  put("door.work", file.door.work);
+  put("door.keep_any", file.connectionLimit.keepAny);
+  put("door.keep_used", file.connectionLimit.keepUsed);
+  put("door.work", file.connectionLimit.work);
   put("admission.queue", file.admission.queue);
   put("admission.order", joined(file.admission.order));
-  put("admission.most", file.admission.figures.most);
-  put("admission.school_share", file.admission.figures.schoolShare);
-  put("admission.target", file.admission.figures.target);
-  put("admission.interval", file.admission.figures.interval);
-  put("admission.answer_time", file.admission.figures.answerTime);
+  put("admission.most", file.admission.queueSettings.most);
+  put("admission.school_share", file.admission.queueSettings.schoolShare);
+  put("admission.target", file.admission.queueSettings.target);
+  put("admission.interval", file.admission.queueSettings.interval);
+  put("admission.answer_time", file.admission.queueSettings.answerTime);
   put("admission.per_turn", file.admission.perTurn);
   const auto& degradation = file.degradation.settings;
   put("levels.on", file.degradation.on);
@@ -48,7 +49,8 @@
   put("levels.probation", degradation.probationPeriod.count());
   const auto& etcd = file.membership.etcd;
   put("membership.source",
-      file.membership.source == ivypost::op::File::Membership::Source::Etcd ? "etcd" : "platform");
+      file.membership.source == ivypost::configuration::OperatorFile::Membership::Source::Etcd ? "etcd"
+                                                                                               : "platform");
   put("membership.etcd.endpoints", joined(etcd.endpoints));
   put("membership.etcd.names", etcd.names);
   put("membership.etcd.prefix", etcd.prefix);
@@ -102,12 +104,14 @@
 }
 
 TEST(OperatorFile, EveryKeyIsReadIntoItsField) {
-  const auto file = ivypost::op::parse(golden("operator-all-set.toml"), "all-set.toml");
+  const auto file =
+      ivypost::configuration::parseOperatorFile(golden("operator-all-set.toml"), "all-set.toml");
   expectGolden(valuesOf(file), "operator-all-set.values.txt");
 }
 
 TEST(OperatorFile, EveryKeyHasItsDefault) {
-  expectGolden(valuesOf(ivypost::op::parse("", "empty.toml")), "operator-defaults.values.txt");
+  expectGolden(valuesOf(ivypost::configuration::parseOperatorFile("", "empty.toml")),
+               "operator-defaults.values.txt");
 }
 
 // Of every key: a wrong type, so that the line names the key, what it got and what is allowed.
@@ -117,7 +121,7 @@
   for (std::string line; std::getline(values, line);) {
     const std::string key = line.substr(0, line.find(' '));
     try {
-      ivypost::op::parse(key + " = 1979-05-27", "op.toml");
+      ivypost::configuration::parseOperatorFile(key + " = 1979-05-27", "op.toml");
       lines << key << " was accepted\n";
     } catch (const std::exception& error) {
       lines << error.what() << "\n";
--- a/tests/operator/file_test.cpp
+++ b/tests/configuration/operator_file_test.cpp
@@ -1,20 +1,20 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "operator/file.h"
+#include "configuration/operator_file.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "configfile/table.h"
-#include "operator/keys.h"
+#include "configuration/operator_keys.h"
+#include "configuration/toml_table.h"
 
-namespace ivypost::op {
+namespace ivypost::configuration {
 namespace {
 
 std::string errorOf(const std::string& text) {
   try {
-    parse(text, "op.toml");
-  } catch (const configfile::Error& error) {
+    parseOperatorFile(text, "op.toml");
+  } catch (const configuration::Error& error) {
     return error.what();
   }
   return "";
@@ -23,18 +23,19 @@
 // The table of keys is schema, reader and example at once: what the example shows is what an empty file
 // gives.
 TEST(OperatorFile, TheExampleIsTheDefault) {
-  const File empty = parse("", "empty"), file = parse(example(), "example");
-  for (const Key& key : keys()) EXPECT_EQ(key.show(file), key.show(empty)) << key.path;
+  const OperatorFile empty = parseOperatorFile("", "empty"),
+                     file = parseOperatorFile(operatorFileExample(), "example");
+  for (const Key& key : keys()) EXPECT_EQ(key.format(file), key.format(empty)) << key.path;
   EXPECT_FALSE(empty.degradation.on || empty.admission.queue || empty.status.level);
 }
 
 // Every key of the table is read: writing another value shows it.
 TEST(OperatorFile, EachKeyIsRead) {
-  const File defaults;
+  const OperatorFile defaults;
   std::set<std::string> paths;
   for (const Key& key : keys()) {
     EXPECT_TRUE(paths.insert(key.path).second) << key.path;
-    const std::string old = key.show(defaults);
+    const std::string old = key.format(defaults);
     std::string value;
     if (old == "true" || old == "false")
       value = old == "true" ? "false" : "true";
@@ -62,12 +63,12 @@
     if (key.path == "admission.target") text += "interval = \"200ms\"\n";
     if (key.path == "membership.source") text += "[membership.etcd]\nendpoints = [\"10.0.0.4:2379\"]\n";
     if (key.path == "levels.max_calm") text += "calm = \"100ms\"\n";
-    EXPECT_EQ(key.show(parse(text, "op.toml")), value) << key.path;
+    EXPECT_EQ(key.format(parseOperatorFile(text, "op.toml")), value) << key.path;
   }
 }
 
 TEST(OperatorFile, ReadsThresholds) {
-  const File file = parse(
+  const OperatorFile file = parseOperatorFile(
       "[levels.thrifty]\nloop_lag = { enter = \"30ms\", exit = \"10ms\" }\n"
       "list_age = \"never\"\n",
       "op.toml");
@@ -78,11 +79,11 @@
 }
 
 TEST(OperatorFile, ReadsTheRegion) {
-  const File untold = parse("[peers]\non = true\nkey_file = \"k\"\n", "op.toml");
+  const OperatorFile untold = parseOperatorFile("[peers]\non = true\nkey_file = \"k\"\n", "op.toml");
   EXPECT_EQ(untold.peers.region, 0);
   EXPECT_EQ(untold.peers.regionSidecars, 0);
   EXPECT_EQ(untold.peers.bytesPerSecond, 6000);
-  const File file = parse(
+  const OperatorFile file = parseOperatorFile(
       "[peers]\non = true\nkey_file = \"k\"\nsidecars = 660\nregion = 2\nregion_sidecars = 330\n"
       "bytes_per_second = 8000\n",
       "op.toml");
@@ -160,4 +161,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::op
+}  // namespace ivypost::configuration
--- a/tests/configfile/table_test.cpp
+++ b/tests/configuration/toml_table_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "configfile/table.h"
+#include "configuration/toml_table.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 namespace {
 
 std::string errorOf(const std::string& text, const std::function<void(Table&)>& read) {
@@ -92,9 +92,9 @@
     EXPECT_EQ(error.rfind("f.toml:", 0), 0u) << text << ": " << error;
     EXPECT_EQ(error.find('\n'), std::string::npos) << error;
   }
-  EXPECT_EQ(errorOf(std::string(kMaxFile + 1, '#'), [](Table&) {}), "f.toml:1: the file has over 1 MiB");
+  EXPECT_EQ(errorOf(std::string(kMaxFileBytes + 1, '#'), [](Table&) {}), "f.toml:1: the file has over 1 MiB");
   EXPECT_THROW(Document::read("/nowhere/at/all.toml"), Error);
 }
 
 }  // namespace
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
--- a/tests/configfile/units_test.cpp
+++ b/tests/configuration/units_test.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "configfile/units.h"
+#include "configuration/units.h"
 
 #include <gtest/gtest.h>
 
 #include <utility>
 #include <vector>
 
-namespace ivypost::configfile {
+namespace ivypost::configuration {
 namespace {
 
 TEST(Units, ReadsDurations) {
@@ -41,4 +41,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::configfile
+}  // namespace ivypost::configuration
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -11,8 +11,8 @@
 class DegradationManagerTest : public SidecarTest {
  protected:
   // A file that leads to this level and stays there: the core is always busier than nothing.
-  static op::File leadingTo(Level level) {
-    op::File file;
+  static configuration::OperatorFile leadingTo(Level level) {
+    configuration::OperatorFile file;
     file.degradation.on = file.admission.queue = file.status.level = true;
     file.degradation.settings.escalationInterval = std::chrono::milliseconds(1);
     auto& thresholds = file.degradation.settings.thresholds;
@@ -24,7 +24,7 @@
     return file;
   }
 
-  void start(const op::File& file, const json& patch = json::object()) {
+  void start(const configuration::OperatorFile& file, const json& patch = json::object()) {
     upstreams.push_back(std::make_unique<Peer>(io));
     states.assign(1, "up");
     config = configure(patch);
@@ -58,7 +58,7 @@
 
 // Without the operator's word nothing of it is there.
 TEST_F(DegradationManagerTest, IsOffWhenTheFileDoesNotSayOtherwise) {
-  start(op::File{});
+  start(configuration::OperatorFile{});
   const Client asking = client();
   asking.send("GET /status/level HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return asking.answers() == 1; }));
@@ -73,7 +73,7 @@
     const auto level = static_cast<Level>(n);
     sidecar->reload(config, leadingTo(level));
     ASSERT_TRUE(wait([&] { return sidecar->level() == level; })) << n;
-    op::File bad = leadingTo(Level::Normal);
+    configuration::OperatorFile bad = leadingTo(Level::Normal);
     bad.degradation.on = bad.status.level = false;
     bad.admission.order = {"cambio", "nosuch"};
     try {
@@ -85,7 +85,7 @@
     EXPECT_EQ(sidecar->level(), level);
     EXPECT_EQ(status()["level"], degradation::nameOf(level));
   }
-  op::File off = leadingTo(Level::Cutoff);
+  configuration::OperatorFile off = leadingTo(Level::Cutoff);
   off.degradation.on = false;
   sidecar->reload(config, off);
   EXPECT_EQ(sidecar->level(), Level::Normal);
@@ -128,7 +128,7 @@
 // At cutoff only the class is taken that the operator put first; the others are told when to come again,
 // where the platform allows that.
 TEST_F(DegradationManagerTest, AdmitsAtCutoffTheClassOfTheGreatestWeightOnly) {
-  op::File file = leadingTo(Level::Cutoff);
+  configuration::OperatorFile file = leadingTo(Level::Cutoff);
   file.admission.order = {"cambio"};
   start(file, {{"settings", {{"limits", {{"retryAfter", true}, {"maxRetryAfter", 60'000}}}}}});
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Cutoff; }));
@@ -148,7 +148,7 @@
 // A client that leaves while its request waits for the core costs no node anything, and a reread that ends
 // the queue hands on what waits.
 TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
-  op::File file = leadingTo(Level::Protect);
+  configuration::OperatorFile file = leadingTo(Level::Protect);
   file.admission.perTurn = 1;
   start(file);
   upstreams[0]->onRequest = [](Peer::Exchange& exchange) { exchange.reply(200, "served"); };
--- a/tests/e2e/reuse_test.cpp
+++ b/tests/e2e/reuse_test.cpp
@@ -181,7 +181,7 @@
   standins::Discovery other(world.io, world.ledger);
   other.put(world.discovery.entry("n2"));
   world.sidecar->reload(world.movedDiscovery("127.0.0.1:" + std::to_string(other.listen("s1").port())),
-                        op::File{});
+                        configuration::OperatorFile{});
   ASSERT_TRUE(world.until([&] { return other.calls() >= 2; }));
   const auto arrivals = world.nodes[0]->arrivals();
   for (int n = 0; n < 10; ++n) EXPECT_TRUE(serves());
--- a/tests/etcd/membership_test.cpp
+++ b/tests/etcd/membership_test.cpp
@@ -18,8 +18,8 @@
 #include <string>
 #include <vector>
 
+#include "configuration/operator_file.h"
 #include "etcd/source.h"
-#include "operator/file.h"
 #include "settings/settings.h"
 #include "sidecar.h"
 #include "standins/client.h"
@@ -65,12 +65,12 @@
       addresses.push_back(nodes.back()->listen("s1"));
       put(static_cast<std::size_t>(n));
     }
-    file.membership.source = op::File::Membership::Source::Etcd;
+    file.membership.source = configuration::OperatorFile::Membership::Source::Etcd;
     for (std::size_t n = 0; n < members; ++n)
       file.membership.etcd.endpoints.push_back("http://127.0.0.1:" + std::to_string(cluster.port(n)));
   }
 
-  void start(const op::File& first) {
+  void start(const configuration::OperatorFile& first) {
     for (const char* name : {"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}) unsetenv(name);
     sidecar = std::make_unique<Sidecar>(io, parseConfig(configuration().dump()), first, makeEtcd());
     client = std::make_unique<standins::Client>(
@@ -183,7 +183,7 @@
   standins::etcd::Cluster cluster;
   std::vector<std::unique_ptr<standins::Node>> nodes;
   std::vector<tcp::endpoint> addresses;
-  op::File file;
+  configuration::OperatorFile file;
   std::unique_ptr<Sidecar> sidecar;
   std::unique_ptr<standins::Client> client;
 };
@@ -204,7 +204,7 @@
   constexpr std::size_t kNodes = 8;
   MembershipPlay play(kNodes);
   const bool platform = MembershipPlay::againstPlatform();
-  play.start(platform ? op::File{} : play.file);
+  play.start(platform ? configuration::OperatorFile{} : play.file);
   ASSERT_TRUE(play.until([&] { return play.sidecar->freshness().sure; }));
   play.load(300);
   std::mt19937_64 random(20261201);
@@ -303,12 +303,12 @@
   play.run(300 * kMs);
   EXPECT_EQ(play.nodes[3]->arrivals(), 0u) << "only etcd knows it";
   const auto config = parseConfig(play.configuration().dump());
-  op::File away = play.file;
+  configuration::OperatorFile away = play.file;
   away.membership.etcd.endpoints = {"http://127.0.0.1:1"};
   play.sidecar->reload(config, away);
   play.run(500 * kMs);
   EXPECT_EQ(play.nodes[3]->arrivals(), 0u);
-  op::File bad = play.file;
+  configuration::OperatorFile bad = play.file;
   bad.membership.etcd.ca = "/nowhere";
   bad.membership.etcd.endpoints = {"https://127.0.0.1:1"};
   EXPECT_THROW(play.sidecar->reload(config, bad), settings::FormatError);
--- a/tests/fault/plan_reader_test.cpp
+++ b/tests/fault/plan_reader_test.cpp
@@ -71,7 +71,7 @@
   const auto refused = [](const std::string& text) {
     try {
       parsePlan(text, "p");
-    } catch (const configfile::Error& error) {
+    } catch (const configuration::Error& error) {
       return std::string(error.what());
     }
     return std::string();
@@ -132,7 +132,7 @@
     try {
       parsePlan(text, "p");
       ADD_FAILURE() << "accepted: " << text;
-    } catch (const configfile::Error& error) {
+    } catch (const configuration::Error& error) {
       EXPECT_EQ(error.what(), expected);
     }
   }
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "configfile/table.h"
+#include "configuration/toml_table.h"
 #include "settings/settings.h"
 
 namespace ivypost::fleet {
@@ -157,7 +157,7 @@
     try {
       parseScenario(text, "s");
       ADD_FAILURE() << "accepted: " << text;
-    } catch (const configfile::Error& error) {
+    } catch (const configuration::Error& error) {
       EXPECT_EQ(std::string(error.what()), expected);
     }
   }
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -8,8 +8,8 @@
 
 enum class Leaves { Close, Reset, HalfClose, CloseAfterMuch, ResetAfterMuch };
 
-op::File withQueue(std::int64_t perTurn) {
-  op::File file;
+configuration::OperatorFile withQueue(std::int64_t perTurn) {
+  configuration::OperatorFile file;
   file.admission.queue = true;
   file.admission.perTurn = perTurn;
   return file;
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -110,7 +110,7 @@
 // The client side alone: what it takes, a test answers by hand.
 class ServerTest : public SidecarTest {
  protected:
-  void serve(const op::File& file = {}) {
+  void serve(const configuration::OperatorFile& file = {}) {
     config.emplace(configure(json::object()));
     server.emplace(io, *config, file, *budget,
                    Server::Callbacks{[this](ClientRequest request) { taken.push_back(std::move(request)); },
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -198,7 +198,7 @@
   start(2);
   Peer moved(io);
   const auto waiting = discovery.requests.back().line;
-  sidecar->reload(configure({{"discovery", moved.address()}}), op::File{});
+  sidecar->reload(configure({{"discovery", moved.address()}}), configuration::OperatorFile{});
   ASSERT_TRUE(wait([&] { return waiting->closed && moved.requests.size() == 1; }));
   moved.requests[0].drop();  // an outage
   ASSERT_TRUE(wait([&] { return moved.requests.size() == 2; }));
@@ -221,7 +221,7 @@
     ASSERT_TRUE(wait([&] { return from.answers() == turn + 1; }));
   }
   // And back, as often as it is told to.
-  sidecar->reload(configure(json::object()), op::File{});
+  sidecar->reload(configure(json::object()), configuration::OperatorFile{});
   const auto before = discovery.requests.size();
   ASSERT_TRUE(wait([&] { return discovery.requests.size() >= before + 2; }));
   EXPECT_EQ(discovery.requests[before].message.target(), "/v1/endpoints");
@@ -517,7 +517,7 @@
   const Config config = configure(json::object());
   std::vector<balancer::RequestId> taken, over;
   relay::Budget budget(1'000'000);
-  Server server(io, config, op::File{}, budget,
+  Server server(io, config, configuration::OperatorFile{}, budget,
                 {[&](const ClientRequest& request) { taken.push_back(request.id); },
                  [&](balancer::RequestId id) { over.push_back(id); },
                  {},
