--- a/src/configuration/units.cpp
+++ b/src/configuration/units.cpp
@@ -4,48 +4,54 @@
 #include <array>
 #include <charconv>
 #include <cmath>
+#include <span>
 
 namespace ivypost::configuration {
 namespace {
 
 struct Unit {
   std::string_view name;
-  double factor;
+  double factor;  // microseconds or bytes
 };
-// The larger first, for formatDuration.
+// The larger first, for formatDuration().
 constexpr std::array<Unit, 5> kTimes{{{"h", 3600e6}, {"min", 60e6}, {"s", 1e6}, {"ms", 1e3}, {"us", 1}}};
 constexpr std::array<Unit, 4> kSizes{
     {{"GiB", 1024.0 * 1024 * 1024}, {"MiB", 1024.0 * 1024}, {"KiB", 1024}, {"B", 1}}};
+// 1.1 ms is 1099.99... microseconds as a double; so much is added before it is rounded down.
+constexpr double kRoundingError = 1e-6;
 
-template <std::size_t N>
-std::optional<double> parse(std::string_view text, const std::array<Unit, N>& units, double most) {
+std::optional<double> parseQuantity(std::string_view text, std::span<const Unit> units, double max) {
   double number = 0;
   const auto [end, error] =
       std::from_chars(text.data(), text.data() + text.size(), number, std::chars_format::fixed);
   if (error != std::errc() || !std::isfinite(number) || std::signbit(number)) return std::nullopt;
-  std::string_view unit = text.substr(static_cast<std::size_t>(end - text.data()));
-  while (!unit.empty() && unit.front() == ' ') unit.remove_prefix(1);
-  for (const Unit& one : units) {
-    if (one.name != unit) continue;
-    const double value = number * one.factor;
-    return value <= most ? std::optional(std::floor(value + 1e-6)) : std::nullopt;
+  std::string_view name = text.substr(static_cast<std::size_t>(end - text.data()));
+  while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
+  for (const Unit& unit : units) {
+    if (unit.name != name) continue;
+    const double value = number * unit.factor;
+    if (value > max) return std::nullopt;
+    return std::floor(value + kRoundingError);
   }
   return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<std::int64_t> parseDuration(std::string_view text) {
-  const auto value = parse(text, kTimes, static_cast<double>(kMaxDuration));
-  return value ? std::optional(static_cast<std::int64_t>(*value)) : std::nullopt;
+std::optional<std::chrono::microseconds> parseDuration(std::string_view text) {
+  const auto value = parseQuantity(text, kTimes, static_cast<double>(kMaxDuration.count()));
+  if (!value) return std::nullopt;
+  return std::chrono::microseconds(static_cast<std::int64_t>(*value));
 }
 
 std::optional<std::uint64_t> parseSize(std::string_view text) {
-  const auto value = parse(text, kSizes, static_cast<double>(kMaxSize));
-  return value ? std::optional(static_cast<std::uint64_t>(*value)) : std::nullopt;
+  const auto value = parseQuantity(text, kSizes, static_cast<double>(kMaxSize));
+  if (!value) return std::nullopt;
+  return static_cast<std::uint64_t>(*value);
 }
 
-std::string formatDuration(std::int64_t micros) {
+std::string formatDuration(std::chrono::microseconds duration) {
+  const std::int64_t micros = duration.count();
   for (const Unit& unit : kTimes) {
     const auto factor = static_cast<std::int64_t>(unit.factor);
     if (micros >= factor && micros % factor == 0)
--- a/src/fault/control.cpp
+++ b/src/fault/control.cpp
@@ -9,6 +9,7 @@
 #include <boost/asio/write.hpp>
 #include <exception>
 #include <nlohmann/json.hpp>
+#include <stdexcept>
 #include <utility>
 
 #include "fault/plan_reader.h"
@@ -58,8 +59,8 @@
             {"answer_bytes", counts.answerBytes},
             {"faults", counts.faults}};
   }
-  throw configuration::Error("'" + what.substr(0, 40) +
-                             "' is no command; allowed is apply, clear, command, list, counts");
+  throw std::invalid_argument("'" + what.substr(0, 40) +
+                              "' is no command; allowed is apply, clear, command, list, counts");
 }
 
 }  // namespace
--- a/src/fault/plan_reader.cpp
+++ b/src/fault/plan_reader.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 #include <array>
 
+#include "configuration/toml_document.h"
+
 namespace ivypost::fault {
 namespace {
 
@@ -41,7 +43,7 @@
   } else if (at.has("last")) {
     trigger.when = AtLast{message(at, "last")};
   } else if (at.has("after")) {
-    trigger.when = AtTime{at.duration("after")};
+    trigger.when = AtTime{at.duration("after").count()};
   } else {
     trigger.when = AtCommand{at.text("command")};
   }
@@ -67,8 +69,8 @@
   Action action;
   if (what.has("delay")) {
     Delay delay;
-    delay.fixed = what.duration("delay");
-    delay.jitter = what.duration("jitter", 0);
+    delay.fixed = what.duration("delay").count();
+    delay.jitter = what.duration("jitter", {}).count();
     action = delay;
   } else if (what.has("throttle")) {
     const std::uint64_t rate = what.size("throttle");
@@ -93,7 +95,7 @@
     split.sizes.clear();
     for (const std::int64_t size : what.integers("split", 1, 1 << 20, kMaxSizes))
       split.sizes.push_back(static_cast<std::uint32_t>(size));
-    split.gap = what.duration("gap", 0);
+    split.gap = what.duration("gap", {}).count();
     action = split;
   } else {
     what.fail(
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "configuration/toml_table.h"
+#include "configuration/toml_document.h"
 #include "settings/settings.h"
 
 namespace ivypost::fleet {
