--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -4,7 +4,7 @@
 
 #include "balancer/event_context.h"
 #include "ivypost/balancer.h"
-#include "util/bounded_math.h"
+#include "util/backoff.h"
 
 namespace ivypost::balancer::internal {
 
--- a/src/configuration/units.cpp
+++ b/src/configuration/units.cpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <charconv>
 #include <cmath>
+#include <memory>
 #include <span>
 
 namespace ivypost::configuration {
@@ -23,7 +24,7 @@
 std::optional<double> parseQuantity(std::string_view text, std::span<const Unit> units, double max) {
   double number = 0;
   const auto [end, error] =
-      std::from_chars(text.data(), text.data() + text.size(), number, std::chars_format::fixed);
+      std::from_chars(text.data(), std::to_address(text.end()), number, std::chars_format::fixed);
   if (error != std::errc() || !std::isfinite(number) || std::signbit(number)) return std::nullopt;
   std::string_view name = text.substr(static_cast<std::size_t>(end - text.data()));
   while (!name.empty() && name.front() == ' ') name.remove_prefix(1);
--- a/src/etcd/client.cpp
+++ b/src/etcd/client.cpp
@@ -18,7 +18,7 @@
 
 #include "etcd.grpc.pb.h"
 #include "etcd/wire.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
 
 namespace ivypost::etcd {
 namespace {
--- a/src/etcd/entries.cpp
+++ b/src/etcd/entries.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "settings/settings.h"
+#include "settings/format_error.h"
 
 namespace ivypost::etcd {
 
--- a/src/etcd/follower.h
+++ b/src/etcd/follower.h
@@ -30,7 +30,7 @@
 #include "etcd/messages.h"
 #include "etcd/options.h"
 #include "membership/source.h"
-#include "util/bounded_math.h"
+#include "util/backoff.h"
 
 namespace ivypost::etcd {
 
--- a/src/etcd/source.cpp
+++ b/src/etcd/source.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-#include "settings/settings.h"
+#include "settings/format_error.h"
 
 namespace ivypost::etcd {
 namespace {
--- a/src/membership/instance.cpp
+++ b/src/membership/instance.cpp
@@ -9,7 +9,8 @@
 #include <set>
 #include <string_view>
 
-#include "settings/settings.h"
+#include "settings/format_error.h"
+#include "settings/line.h"
 
 namespace ivypost {
 namespace {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -14,7 +14,7 @@
 
 #include "membership/handover.h"
 #include "membership/source.h"
-#include "util/bounded_math.h"
+#include "util/backoff.h"
 
 namespace ivypost::membership {
 
--- a/src/membership/platform.cpp
+++ b/src/membership/platform.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "network/nonblocking_io.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
 
 namespace ivypost::membership {
 namespace {
--- a/src/network/nonblocking_io.h
+++ b/src/network/nonblocking_io.h
@@ -22,24 +22,26 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Calls of one write or read in one turn of the loop: a kernel that takes a byte at a time must not hold the
-// others up.
+/// Calls of one write or read in one turn of the loop: a kernel that takes a byte at a time must not hold the
+/// others up.
 constexpr int kMaxCalls = 64;
-// While the system is short of memory, the same call is made again after this.
+/// While the system is short of memory, the same call is made again after this.
 constexpr std::chrono::milliseconds kShortagePause{5};
 
-// The system is short of memory for a moment (recv(2), send(2)); the connection stands, and nothing was done.
-inline bool isShortage(const error_code& error) {
+/// Whether the system is short of memory for a moment (recv(2), send(2)): the connection stands, and nothing
+/// was done.
+[[nodiscard]] inline bool isShortage(const error_code& error) {
   return error == boost::asio::error::no_buffer_space || error == boost::asio::error::no_memory;
 }
 
-// Nothing was done, and the same call may be made again.
-inline bool isTransient(const error_code& error) {
+/// Whether nothing was done, and the same call may be made again.
+[[nodiscard]] inline bool isTransient(const error_code& error) {
   return error == boost::asio::error::would_block || error == boost::asio::error::interrupted ||
          isShortage(error);
 }
 
-// Reads once. `error`: as Socket::receive() tells, but not that a signal came.
+/// Reads once; the bytes read. `error`: as Socket::receive() tells, but for a signal that came: then it reads
+/// again, kMaxCalls times at the most. `flags`: of recv(2).
 template <class Buffers>
 std::size_t receiveSome(tcp::socket& socket, const Buffers& buffers, error_code& error, int flags = 0) {
   std::size_t size = socket.receive(buffers, flags, error);
@@ -48,8 +50,8 @@
   return size;
 }
 
-// Writes until all is written or the kernel says that it takes no more; how much it took. `error`: none if
-// and only if that was all, and would_block also where kMaxCalls have been made.
+/// Writes until all is written or the kernel says that it takes no more; the bytes it took. `error`: none if
+/// and only if that was all, and would_block also where kMaxCalls have been made.
 template <class Buffers>
 std::size_t writeSome(tcp::socket& socket, const Buffers& buffers, error_code& error) {
   const std::size_t size = boost::asio::buffer_size(buffers);
@@ -70,8 +72,9 @@
   return sent;
 }
 
-// Calls back with no error when the call that failed with this transient error can be made again: when the
-// socket is ready, or after a pause where it is ready already.
+/// Calls back with no error when the call that failed with the transient `error` can be made again: when the
+/// socket is ready, or after kShortagePause where it is ready already; with another error when the wait was
+/// cancelled. `handler` keeps the socket alive; it is called from the event loop, never from within.
 template <class Handler>
 void waitToRetry(tcp::socket& socket, tcp::socket::wait_type type, const error_code& error, Handler handler) {
   if (!isShortage(error)) return socket.async_wait(type, std::move(handler));
@@ -80,8 +83,8 @@
       [timer, handler = std::move(handler)](const error_code&) mutable { handler(error_code{}); });
 }
 
-// Writes all of a text, which has to stay as it is until `done` is called with what went wrong; at once,
-// where the kernel takes it at once. `done` keeps the socket alive.
+/// Writes all of a text, which has to stay as it is until `done` is called with what went wrong, if anything;
+/// from within, where the kernel takes all of it at once. `done` keeps the socket alive.
 template <class Done>
 void writeAll(tcp::socket& socket, std::string_view text, Done done) {
   error_code error;
--- /dev/null
+++ b/src/settings/format_error.cpp
@@ -0,0 +1,19 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "settings/format_error.h"
+
+#include <cstddef>
+#include <string>
+
+namespace ivypost::settings {
+namespace {
+
+// Of a value, which may be of any length, in a log's line.
+constexpr std::size_t kMaxShown = 80;
+
+}  // namespace
+
+void bad(std::string_view what, std::string_view value) {
+  throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShown)) + "'");
+}
+
+}  // namespace ivypost::settings
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -11,7 +11,8 @@
 
 #include "membership/instance.h"
 #include "peers/message.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
+#include "settings/site.h"
 
 namespace ivypost {
 
--- a/src/sidecar/load_report_parser.cpp
+++ b/src/sidecar/load_report_parser.cpp
@@ -5,7 +5,9 @@
 #include <cstddef>
 #include <string>
 
-#include "settings/settings.h"
+#include "settings/format_error.h"
+#include "settings/line.h"
+#include "settings/load_report_column.h"
 
 namespace ivypost {
 
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -5,6 +5,8 @@
 #include <charconv>
 #include <limits>
 
+#include "settings/load_report_column.h"
+
 namespace ivypost::simulator {
 namespace {
 
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -10,7 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "settings/settings.h"
+#include "settings/format_error.h"
+#include "settings/site.h"
 
 namespace ivypost::simulator {
 
--- a/tests/etcd/follower_test.cpp
+++ b/tests/etcd/follower_test.cpp
@@ -8,7 +8,7 @@
 
 #include "etcd/entries.h"
 #include "etcd/follower_rig.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
 
 namespace ivypost::etcd {
 namespace {
--- a/tests/etcd/membership_test.cpp
+++ b/tests/etcd/membership_test.cpp
@@ -20,7 +20,7 @@
 
 #include "configuration/operator_file.h"
 #include "etcd/source.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
 #include "sidecar.h"
 #include "standins/client.h"
 #include "standins/clock.h"
--- a/tests/etcd/source_test.cpp
+++ b/tests/etcd/source_test.cpp
@@ -16,7 +16,7 @@
 #include "etcd.grpc.pb.h"
 #include "etcd/certificates.h"
 #include "fault/proxy.h"
-#include "settings/settings.h"
+#include "settings/format_error.h"
 #include "standins/etcd/cluster.h"
 #include "standins/etcd/commands.h"
 
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "configuration/toml_document.h"
-#include "settings/settings.h"
+#include "settings/site.h"
 
 namespace ivypost::fleet {
 namespace {
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -11,7 +11,7 @@
 
 #include "health_reports/health_report_table.h"
 #include "plays.h"
-#include "settings/settings.h"
+#include "settings/site.h"
 
 namespace ivypost::fleet {
 namespace {
--- a/tests/util/bounded_math_test.cpp
+++ b/tests/util/bounded_math_test.cpp
@@ -3,72 +3,25 @@
 
 #include <gtest/gtest.h>
 
-#include <algorithm>
 #include <cstdint>
 #include <limits>
-#include <random>
-#include <vector>
 
-namespace ivypost::balancer {
+namespace ivypost::util {
 namespace {
 
-TEST(Figures, WhatIsNoNumberBecomesTheSafeBound) {
+TEST(BoundedMathTest, WhatIsNoNumberBecomesTheSafeBound) {
   const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
-  EXPECT_EQ(util::within(nan, 2, 5), 2);
-  EXPECT_EQ(util::within(-inf, 2, 5), 2);
-  EXPECT_EQ(util::within(inf, 2, 5), 5);
-  EXPECT_EQ(util::within(3, 2, 5), 3);
+  EXPECT_EQ(within(nan, 2, 5), 2);
+  EXPECT_EQ(within(-inf, 2, 5), 2);
+  EXPECT_EQ(within(inf, 2, 5), 5);
+  EXPECT_EQ(within(3, 2, 5), 3);
   std::int64_t span = std::numeric_limits<std::int64_t>::max();
-  util::bound(span);
-  EXPECT_EQ(span, util::kLongest);
+  bound(span);
+  EXPECT_EQ(span, kLongest);
   span = -1;
-  util::bound(span);
+  bound(span);
   EXPECT_EQ(span, 0);
 }
 
-TEST(DecorrelatedJitter, StaysBetweenItsBaseAndThreeTimesTheLastAndItsLongest) {
-  std::mt19937_64 random(7);
-  std::uniform_real_distribution<double> uniform(0, 1);
-  util::DecorrelatedJitter jitter;
-  double last = 0;
-  bool longestMet = false;
-  for (int n = 0; n < 1000; ++n) {
-    const double wait = jitter.next(2, 50, uniform(random));
-    EXPECT_GE(wait, 2);
-    EXPECT_LE(wait, std::min(50.0, 3 * std::max(2.0, last)));
-    longestMet |= wait == 50;
-    last = wait;
-  }
-  EXPECT_TRUE(longestMet);
-}
-
-TEST(DecorrelatedJitter, BeginsAnewAfterAReset) {
-  util::DecorrelatedJitter jitter;
-  EXPECT_FALSE(jitter.waits());
-  for (int n = 0; n < 5; ++n) jitter.next(2, 50, 0.999);
-  EXPECT_TRUE(jitter.waits());
-  jitter.reset();
-  EXPECT_FALSE(jitter.waits());
-  EXPECT_LE(jitter.next(2, 50, 0.999), 6);
-}
-
-// What it is for: those that failed in the same moment don't go on in step.
-TEST(DecorrelatedJitter, ThoseThatFailedTogetherDriftApart) {
-  std::mt19937_64 random(7);
-  std::uniform_real_distribution<double> uniform(0, 1);
-  constexpr int kMany = 200;
-  std::vector<int> perSecond(100);
-  for (int n = 0; n < kMany; ++n) {
-    util::DecorrelatedJitter jitter;
-    double at = 0;
-    for (int tries = 0; tries < 8; ++tries) {
-      at += jitter.next(1, 20, uniform(random));
-      if (at < 100) ++perSecond[static_cast<std::size_t>(at)];
-    }
-  }
-  EXPECT_LE(*std::max_element(perSecond.begin(), perSecond.end()), kMany * 3 / 4);
-  EXPECT_LE(*std::max_element(perSecond.begin() + 5, perSecond.end()), kMany / 3) << "after five seconds";
-}
-
 }  // namespace
-}  // namespace ivypost::balancer
+}  // namespace ivypost::util
--- a/tests/util/fnv1a_test.cpp
+++ b/tests/util/fnv1a_test.cpp
@@ -6,13 +6,13 @@
 #include <string>
 
 #include "peers/message.h"
-#include "settings/settings.h"
+#include "settings/site.h"
 
 namespace ivypost::util {
 namespace {
 
 // Published test vectors, and a byte above 127, which counts without its sign.
-TEST(Fnv1a, HashesAsTheStandardSays) {
+TEST(Fnv1aTest, HashesAsTheStandardSays) {
   const struct {
     std::string text;
     std::uint64_t hash;
@@ -22,7 +22,7 @@
 }
 
 // Sidecars of all versions tell these to each other.
-TEST(Fnv1a, IsTheIdOfEndpointsAndOfSidecars) {
+TEST(Fnv1aTest, IsTheIdOfEndpointsAndOfSidecars) {
   for (const std::string name : {"", "s1", "sidecar-0042", "node-1", "caf\xc3\xa9"}) {
     EXPECT_EQ(settings::identity(name), fnv1a(name)) << name;
     EXPECT_EQ(peers::idOf(name), fnv1a(name)) << name;
