--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -11,7 +11,7 @@
 
 #include "clock.h"
 #include "config.h"
-#include "relay/pipe.h"
+#include "streaming/pipe.h"
 
 namespace ivypost {
 
@@ -19,8 +19,8 @@
 
 // A request's body that is still coming in when the request is passed on.
 struct Upload {
-  explicit Upload(relay::Budget& budget) : pipe(budget) {}
-  relay::Pipe pipe;
+  explicit Upload(streaming::ByteBudget& budget) : pipe(budget) {}
+  streaming::Pipe pipe;
   std::optional<std::uint64_t> length;  // none: it comes in chunks
   Clock::time_point deadline;           // of the request: an estimate until the last byte has come
   Clock::duration clientGave{};         // from the last byte on; no attempt is told more
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -193,8 +193,8 @@
 bool ClientSession::mayReadAhead() {
   if (buffer_.size() < kMaxAhead) return true;
   while (ahead_.bytes() < buffer_.size()) {
-    if (buffer_.size() >= relay::BodyBuffering::kMaxBuffered ||
-        !ahead_.grow(relay::BodyBuffering::kBudgetStep))
+    if (buffer_.size() >= streaming::BodyBuffering::kMaxBuffered ||
+        !ahead_.grow(streaming::BodyBuffering::kBudgetStep))
       return false;
   }
   return true;
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -20,13 +20,13 @@
 #include "client_session_host.h"
 #include "clock.h"
 #include "deadlines.h"
-#include "relay/body_buffering.h"
-#include "relay/budget.h"
-#include "relay/pace.h"
-#include "relay/pieces_body.h"
-#include "relay/pipe.h"
 #include "response_writer.h"
 #include "stream_writer.h"
+#include "streaming/body_buffering.h"
+#include "streaming/byte_budget.h"
+#include "streaming/pieces_body.h"
+#include "streaming/pipe.h"
+#include "streaming/stall_timer.h"
 
 namespace ivypost {
 
@@ -41,7 +41,7 @@
     /// The deadlines of all connections.
     std::shared_ptr<Deadlines> deadlines;
     /// For bodies, and for what is read ahead of answers.
-    relay::Budget& budget;
+    streaming::ByteBudget& budget;
     /// Decides which connections are kept; told of each change of this one's state.
     admission::Door& connectionLimit;
   };
@@ -150,28 +150,28 @@
   bool hasNext();
   // Of the answer. `why`: the write before came to no end.
   void writeRest(boost::system::error_code why);
-  void writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body);
+  void writeStream(ResponseHead head, std::shared_ptr<streaming::Pipe> body);
   void pump();
   void pumpLater();
   void onWritten();
 
   ClientSessionHost& host_;
   boost::asio::io_context& io_;
-  relay::Budget& budget_;
+  streaming::ByteBudget& budget_;
   admission::Door& connectionLimit_;
   boost::asio::ip::tcp::socket socket_;
   Deadlines::Deadline deadline_;
   Deadlines::Deadline leaver_;  // the next look for one
   boost::beast::flat_buffer buffer_;
-  std::optional<boost::beast::http::request_parser<relay::PiecesBody>> parser_;
-  std::optional<relay::Pace> pace_;      // of the body
-  relay::BodyBuffering buffering_;       // of bodies
-  relay::Budget::Share ahead_;           // of what is read ahead of an answer
-  std::shared_ptr<Upload> upload_;       // of one that is not
-  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
-  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
-  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
-  unsigned version_ = 11;                // of the request's HTTP
+  std::optional<boost::beast::http::request_parser<streaming::PiecesBody>> parser_;
+  std::optional<streaming::StallTimer> pace_;  // of the body
+  streaming::BodyBuffering buffering_;         // of bodies
+  streaming::ByteBudget::Share ahead_;         // of what is read ahead of an answer
+  std::shared_ptr<Upload> upload_;             // of one that is not
+  std::shared_ptr<streaming::Pipe> stream_;    // of an answer that is not
+  Micros expiresIn_ = 0;                       // of a request whose body streams, from its last byte
+  std::optional<Micros> heldBackSince_;        // the client is not read, for want of room
+  unsigned version_ = 11;                      // of the request's HTTP
   bool uploading_ = false, readingBody_ = false;
   StreamWriter writer_;                 // of an answer that streams
   bool waitsToWrite_ = false;           // for the client to take more of it
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -111,7 +111,7 @@
   if (parser_->chunked()) headers_ = parser_->get().base();
   parser_->eager(true);
   pace_.emplace(now());
-  pace_->came(buffer_.size(), now());
+  pace_->received(buffer_.size(), now());
   takeBody();
 }
 
@@ -128,7 +128,7 @@
       buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
   if (!capacity) return beginUpload();
   parser_->get().body().reserve(*capacity);
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  limit(Clock::time_point(std::chrono::microseconds(pace_->deadline())));
   readMore(kReadOfStream);
 }
 
@@ -145,7 +145,7 @@
                          self->buffer_.commit(size);
                          if (network::isTransient(error)) return self->readMore(most, error);
                          if (error) return self->close();
-                         self->pace_->came(size, now());
+                         self->pace_->received(size, now());
                          self->takeBody();
                        });
 }
@@ -168,11 +168,11 @@
   expiresIn_ = request.expiresIn;
   // The request's time counts from its last byte, which is not known yet.
   request.expiresIn +=
-      relay::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
+      streaming::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
   upload->deadline = request.deadline;
   upload->clientGave = std::chrono::microseconds(expiresIn_);
-  upload->pipe.onRoom = [weak = weak_from_this()] {
+  upload->pipe.onCapacity = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) asio::post(self->io_, [self] { self->roomMade(); });
   };
   upload->pipe.push(read.body());
@@ -204,7 +204,7 @@
 }
 
 void ClientSession::nextOfUpload() {
-  const std::size_t room = upload_->pipe.room();
+  const std::size_t room = upload_->pipe.freeCapacity();
   if (room == 0) {
     // Held back by us: the client's pace does not count meanwhile.
     deadline_.cancel();
@@ -212,8 +212,8 @@
     return lookForLeaver();
   }
   leaver_.cancel();
-  if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  if (heldBackSince_) pace_->extendBy(now() - *std::exchange(heldBackSince_, std::nullopt));
+  limit(Clock::time_point(std::chrono::microseconds(pace_->deadline())));
   readMore(std::min(room, kReadOfStream));
 }
 
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -77,7 +77,7 @@
   });
 }
 
-void ClientSession::writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body) {
+void ClientSession::writeStream(ResponseHead head, std::shared_ptr<streaming::Pipe> body) {
   stream_ = std::move(body);
   writer_.begin(std::move(head.text), head.isChunked);
   stream_->onData = [weak = weak_from_this()] {
--- a/src/sidecar/response_writer.h
+++ b/src/sidecar/response_writer.h
@@ -12,7 +12,7 @@
 #include <string_view>
 
 #include "config.h"
-#include "relay/pipe.h"
+#include "streaming/pipe.h"
 
 namespace ivypost {
 
@@ -27,7 +27,7 @@
   /// Microseconds after which the client may come again; 0: no advice.
   Micros retryAfter = 0;
   /// The body if it comes in pieces, in place of `body`.
-  std::shared_ptr<relay::Pipe> stream;
+  std::shared_ptr<streaming::Pipe> stream;
   /// Bytes of the body that comes in pieces; none: unknown.
   std::optional<std::uint64_t> length;
 };
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -47,7 +47,7 @@
 }  // namespace
 
 Server::Server(asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
-               relay::Budget& budget, Callbacks callbacks)
+               streaming::ByteBudget& budget, Callbacks callbacks)
     : io_(io),
       config_(config),
       validator_(config.site),
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -49,7 +49,7 @@
   // what Gate throws.
   // `budget` is for requests whose bodies are large.
   Server(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
-         relay::Budget& budget, Callbacks callbacks);
+         streaming::ByteBudget& budget, Callbacks callbacks);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
@@ -102,7 +102,7 @@
   boost::asio::io_context& io_;
   const Config& config_;
   const RequestValidator validator_;
-  relay::Budget& budget_;
+  streaming::ByteBudget& budget_;
   Callbacks callbacks_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer timer_, tendTimer_;
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -156,7 +156,7 @@
   std::unordered_map<std::string, EndpointId> ids_;
   std::vector<Known> known_;                // by number
   std::vector<EndpointId> spare_;           // free numbers
-  relay::Budget budget_;                    // of bodies in transit
+  streaming::ByteBudget budget_;            // of bodies in transit
   std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
   Upstreams upstreams_;
   const MakeEtcd makeEtcd_;
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -16,7 +16,7 @@
 #include <utility>
 
 #include "network/nonblocking_io.h"
-#include "relay/pipe.h"
+#include "streaming/pipe.h"
 
 namespace ivypost {
 
@@ -41,15 +41,15 @@
   }
 
   // The socket must not block.
-  Step step(boost::asio::ip::tcp::socket& socket, relay::Pipe& pipe) {
+  Step step(boost::asio::ip::tcp::socket& socket, streaming::Pipe& pipe) {
     std::size_t inTurn = 0;
     for (;;) {
       if (at_ == text_.size()) {
         text_.clear();
         at_ = 0;
         if (!next(pipe)) {
-          if (pipe.failed()) return Step::Failed;
-          return pipe.done() ? Step::Done : Step::Starved;
+          if (pipe.hasFailed()) return Step::Failed;
+          return pipe.isComplete() ? Step::Done : Step::Starved;
         }
       }
       const std::size_t sent =
@@ -72,10 +72,10 @@
   static constexpr std::size_t kPiece = 16UL * 1024;
   static constexpr std::size_t kPerTurn = 256UL * 1024;
 
-  bool next(relay::Pipe& pipe) {
+  bool next(streaming::Pipe& pipe) {
     const std::string_view piece = pipe.front().substr(0, kPiece);
     if (piece.empty()) {
-      if (!chunked_ || !pipe.done() || std::exchange(lastChunk_, true)) return false;
+      if (!chunked_ || !pipe.isComplete() || std::exchange(lastChunk_, true)) return false;
       text_ = "0\r\n\r\n";
       return true;
     }
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstreams.cpp
@@ -12,8 +12,8 @@
 #include "idle_choice.h"
 #include "load_report_parser.h"
 #include "network/nonblocking_io.h"
-#include "relay/pieces_body.h"
 #include "stream_writer.h"
+#include "streaming/pieces_body.h"
 #include "upstream_request.h"
 
 namespace ivypost {
@@ -269,7 +269,7 @@
   // Something has come, or the connection has ended.
   void readable() {
     error_code error;
-    const std::size_t most = answer_ ? std::min(answer_->room(), kReadOfStream) : kReadAtOnce;
+    const std::size_t most = answer_ ? std::min(answer_->freeCapacity(), kReadOfStream) : kReadAtOnce;
     if (most == 0) return pause();
     buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
     if (network::isTransient(error)) return watch(error);
@@ -295,16 +295,16 @@
   // The client's side has taken some of the answer, or wants no more.
   void roomMade() {
     if (!answer_) return;
-    if (answer_->abandoned()) return fail(Outcome::Cancelled);
-    if (!paused_ || answer_->room() == 0) return;
+    if (answer_->isAbandoned()) return fail(Outcome::Cancelled);
+    if (!paused_ || answer_->freeCapacity() == 0) return;
     paused_ = false;
     limit(Clock::now() + kAnswerStall);
     watch();
   }
 
   void beginAnswer() {
-    answer_ = std::make_shared<relay::Pipe>(pool_.budget_);
-    answer_->onRoom = [weak = weak_from_this()] {
+    answer_ = std::make_shared<streaming::Pipe>(pool_.budget_);
+    answer_->onCapacity = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) asio::post(self->pool_.io_, [self] { self->roomMade(); });
     };
     job_->streamed = true;
@@ -381,7 +381,7 @@
     pool_.end(*job, outcome);
   }
 
-  static Outcome outcomeOf(const http::response<relay::PiecesBody>& answer) {
+  static Outcome outcomeOf(const http::response<streaming::PiecesBody>& answer) {
     if (answer.result() == http::status::ok) return Outcome::Ok;
     const bool turnedAway = answer.result() == http::status::service_unavailable ||
                             answer.result() == http::status::gateway_timeout;
@@ -433,10 +433,10 @@
   beast::flat_buffer buffer_;
   std::string text_;  // of the request, what is still to be written at the end
   int interim_ = 0;   // informational answers to it so far
-  std::optional<http::response_parser<relay::PiecesBody>> parser_;
-  std::shared_ptr<relay::Pipe> answer_;  // that streams
-  std::string_view rest_;                // of a body in the message, what is still to be written behind text_
-  StreamWriter writer_;                  // of a request's body that streams
+  std::optional<http::response_parser<streaming::PiecesBody>> parser_;
+  std::shared_ptr<streaming::Pipe> answer_;  // that streams
+  std::string_view rest_;  // of a body in the message, what is still to be written behind text_
+  StreamWriter writer_;    // of a request's body that streams
   bool uploading_ = false, waitsToWrite_ = false;
   bool paused_ = false;  // the client's side has no room
   std::shared_ptr<Job> job_;
@@ -446,7 +446,8 @@
   bool closed_ = false;
 };
 
-Upstreams::Upstreams(asio::io_context& io, const Config& config, relay::Budget& budget, Callbacks callbacks)
+Upstreams::Upstreams(asio::io_context& io, const Config& config, streaming::ByteBudget& budget,
+                     Callbacks callbacks)
     : io_(io),
       config_(config),
       budget_(budget),
@@ -515,7 +516,7 @@
 
 void Upstreams::start(std::shared_ptr<Job> job) {
   job->startedAt = Clock::now();
-  if (job->attempt && job->attempt->upload && job->attempt->upload->pipe.gone() > 0)
+  if (job->attempt && job->attempt->upload && job->attempt->upload->pipe.forwardedBytes() > 0)
     return end(*job, Outcome::ConnectFailed);  // what has gone out can't go out again
   if (isClientGone(*job)) return end(*job, Outcome::Moot);
   if (const auto open = reuse(job->upstream)) return open->carry(std::move(job));
@@ -607,7 +608,7 @@
   result.body = std::move(job.body);
   result.contentType = std::move(job.contentType);
   result.streamed = job.streamed;
-  result.spent = job.attempt->upload && job.attempt->upload->pipe.gone() > 0;
+  result.spent = job.attempt->upload && job.attempt->upload->pipe.forwardedBytes() > 0;
   result.transfer = job.transfer;
   result.report = parseLoadReport(job.load);
   attempts_.erase(id);
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstreams.h
@@ -56,7 +56,7 @@
   AttemptId id;
   std::string contentType;
   std::optional<std::uint64_t> length;  // none: it comes in chunks, or ends with its connection
-  std::shared_ptr<relay::Pipe> body;
+  std::shared_ptr<streaming::Pipe> body;
 };
 
 struct ProbeEnd {
@@ -81,7 +81,8 @@
   };
 
   // `budget` is for answers that stream.
-  Upstreams(boost::asio::io_context& io, const Config& config, relay::Budget& budget, Callbacks callbacks);
+  Upstreams(boost::asio::io_context& io, const Config& config, streaming::ByteBudget& budget,
+            Callbacks callbacks);
   Upstreams(const Upstreams&) = delete;
   Upstreams& operator=(const Upstreams&) = delete;
   ~Upstreams();
@@ -118,7 +119,7 @@
 
   boost::asio::io_context& io_;
   const Config& config_;
-  relay::Budget& budget_;
+  streaming::ByteBudget& budget_;
   Callbacks callbacks_;
   const std::shared_ptr<Deadlines> deadlines_;  // of the connections
   std::size_t maxConnections_;
--- a/src/relay/body_buffering.cpp
+++ b/src/streaming/body_buffering.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "relay/body_buffering.h"
+#include "streaming/body_buffering.h"
 
 #include <algorithm>
 
-namespace ivypost::relay {
+namespace ivypost::streaming {
 
 std::optional<std::size_t> BodyBuffering::capacityFor(std::size_t received,
                                                       std::optional<std::uint64_t> statedLength) {
@@ -17,8 +17,8 @@
   return static_cast<std::size_t>(wanted);
 }
 
-Micros BodyBuffering::uploadTime(const Pace& rate, std::optional<std::uint64_t> remaining) {
-  return kUploadSlack * rate.expected(remaining.value_or(kMaxBuffered)) + kUploadSpare;
+Micros BodyBuffering::uploadTime(const StallTimer& rate, std::optional<std::uint64_t> remaining) {
+  return kUploadSlack * rate.expectedTime(remaining.value_or(kMaxBuffered)) + kUploadAllowance;
 }
 
-}  // namespace ivypost::relay
+}  // namespace ivypost::streaming
--- a/src/relay/body_buffering.h
+++ b/src/streaming/body_buffering.h
@@ -2,17 +2,17 @@
 //
 // Whether a request's body is buffered until it is complete, so that it can be sent again and a client that
 // writes slowly holds up no upstream, or is streamed. Decisions only.
-#ifndef IVYPOST_RELAY_BODY_BUFFERING_H_
-#define IVYPOST_RELAY_BODY_BUFFERING_H_
+#ifndef IVYPOST_STREAMING_BODY_BUFFERING_H_
+#define IVYPOST_STREAMING_BODY_BUFFERING_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <optional>
 
-#include "relay/budget.h"
-#include "relay/pace.h"
+#include "streaming/byte_budget.h"
+#include "streaming/stall_timer.h"
 
-namespace ivypost::relay {
+namespace ivypost::streaming {
 
 /// The buffering of one connection's request bodies, one after the other.
 class BodyBuffering {
@@ -24,10 +24,10 @@
   /// How much longer than its rate so far lets expect the rest of a body may take, before its request is
   /// given up: so many times as long, and so many microseconds more.
   static constexpr Micros kUploadSlack = 2;
-  static constexpr Micros kUploadSpare = 3'000'000;
+  static constexpr Micros kUploadAllowance = 3'000'000;
 
   /// `freeBytes`: a body of up to so many bytes is buffered without the budget.
-  BodyBuffering(const Budget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
+  BodyBuffering(const ByteBudget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
 
   /// Asked as bytes of a body come: the capacity that its buffer needs, in bytes; none: it has to be
   /// streamed. `received`: bytes so far; `statedLength`: by its head; none: it comes in chunks.
@@ -39,13 +39,13 @@
 
   /// Microseconds that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
   /// stated length; none: unknown.
-  [[nodiscard]] static Micros uploadTime(const Pace& rate, std::optional<std::uint64_t> remaining);
+  [[nodiscard]] static Micros uploadTime(const StallTimer& rate, std::optional<std::uint64_t> remaining);
 
  private:
   std::size_t freeBytes_;
-  Budget::Share share_;
+  ByteBudget::Share share_;
 };
 
-}  // namespace ivypost::relay
+}  // namespace ivypost::streaming
 
-#endif  // IVYPOST_RELAY_BODY_BUFFERING_H_
+#endif  // IVYPOST_STREAMING_BODY_BUFFERING_H_
--- a/src/relay/budget.h
+++ b/src/streaming/byte_budget.h
@@ -3,27 +3,27 @@
 // The bytes that all bodies in transit may hold in this process. Guards the memory limit against many large
 // bodies at once. Nobody waits for it: whoever gets nothing makes do with the least that a pipe holds, so
 // that what has begun can always finish.
-#ifndef IVYPOST_RELAY_BUDGET_H_
-#define IVYPOST_RELAY_BUDGET_H_
+#ifndef IVYPOST_STREAMING_BYTE_BUDGET_H_
+#define IVYPOST_STREAMING_BYTE_BUDGET_H_
 
 #include <cstddef>
 #include <memory>
 #include <utility>
 
-namespace ivypost::relay {
+namespace ivypost::streaming {
 
-class Budget {
+class ByteBudget {
  public:
-  explicit Budget(std::size_t bytes) : account_(std::make_shared<Account>(Account{bytes, 0})) {}
-  Budget(const Budget&) = delete;
-  Budget& operator=(const Budget&) = delete;
+  explicit ByteBudget(std::size_t bytes) : account_(std::make_shared<Account>(Account{bytes, 0})) {}
+  ByteBudget(const ByteBudget&) = delete;
+  ByteBudget& operator=(const ByteBudget&) = delete;
 
   std::size_t bytes() const { return account_->bytes; }
-  std::size_t taken() const { return account_->taken; }
+  std::size_t inUse() const { return account_->inUse; }
 
  private:
   struct Account {
-    std::size_t bytes = 0, taken = 0;
+    std::size_t bytes = 0, inUse = 0;
   };
 
  public:
@@ -31,19 +31,19 @@
   // handlers.
   class Share {
    public:
-    explicit Share(const Budget& budget) : account_(budget.account_) {}
+    explicit Share(const ByteBudget& budget) : account_(budget.account_) {}
     Share(const Share&) = delete;
     Share& operator=(const Share&) = delete;
     ~Share() { release(); }
 
     // Grows by `bytes`, or not at all.
     bool grow(std::size_t bytes) {
-      if (bytes > account_->bytes - account_->taken) return false;
-      account_->taken += bytes;
+      if (bytes > account_->bytes - account_->inUse) return false;
+      account_->inUse += bytes;
       bytes_ += bytes;
       return true;
     }
-    void release() { account_->taken -= std::exchange(bytes_, 0); }
+    void release() { account_->inUse -= std::exchange(bytes_, 0); }
     std::size_t bytes() const { return bytes_; }
 
    private:
@@ -55,6 +55,6 @@
   std::shared_ptr<Account> account_;
 };
 
-}  // namespace ivypost::relay
+}  // namespace ivypost::streaming
 
-#endif  // IVYPOST_RELAY_BUDGET_H_
+#endif  // IVYPOST_STREAMING_BYTE_BUDGET_H_
--- a/src/relay/pieces_body.h
+++ b/src/streaming/pieces_body.h
@@ -3,8 +3,8 @@
 // A body for Boost.Beast's parsers that gathers what has come in a string, from which pieces may be taken out
 // while the rest is on its way. Unlike Beast's own string body it reserves nothing by the length that a head
 // states.
-#ifndef IVYPOST_RELAY_PIECES_BODY_H_
-#define IVYPOST_RELAY_PIECES_BODY_H_
+#ifndef IVYPOST_STREAMING_PIECES_BODY_H_
+#define IVYPOST_STREAMING_PIECES_BODY_H_
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/error.hpp>
@@ -13,7 +13,7 @@
 #include <cstdint>
 #include <string>
 
-namespace ivypost::relay {
+namespace ivypost::streaming {
 
 struct PiecesBody {
   using value_type = std::string;
@@ -47,6 +47,6 @@
   };
 };
 
-}  // namespace ivypost::relay
+}  // namespace ivypost::streaming
 
-#endif  // IVYPOST_RELAY_PIECES_BODY_H_
+#endif  // IVYPOST_STREAMING_PIECES_BODY_H_
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -53,7 +53,7 @@
     pool->send(std::move(order));
   }
 
-  relay::Budget budget{1'000'000};
+  streaming::ByteBudget budget{1'000'000};
   std::optional<Config> config;
   std::optional<Upstreams> pool;
   std::vector<AttemptEnd> ends;
--- a/tests/e2e/matrix_test.cpp
+++ b/tests/e2e/matrix_test.cpp
@@ -351,7 +351,7 @@
     Config config;
     config.sockets = 64;
     std::optional<AttemptEnd> end;
-    relay::Budget budget(1'000'000);
+    streaming::ByteBudget budget(1'000'000);
     Upstreams upstreams(io, config, budget,
                         {[](AttemptId) {}, [&](AttemptEnd one) { end = std::move(one); },
                          [](const StreamBegin&) {}, [](const ProbeEnd&) {}});
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -139,7 +139,7 @@
     return effects;
   }
 
-  std::optional<relay::Budget> budget{1'000'000};
+  std::optional<streaming::ByteBudget> budget{1'000'000};
   std::optional<Config> config;
   std::optional<Server> server;
   std::vector<ClientRequest> taken;
--- a/tests/response_writer_test.cpp
+++ b/tests/response_writer_test.cpp
@@ -10,10 +10,10 @@
 namespace ivypost {
 namespace {
 
-Answer streamed(relay::Budget& budget) {
+Answer streamed(streaming::ByteBudget& budget) {
   Answer answer;
   answer.status = 200;
-  answer.stream = std::make_shared<relay::Pipe>(budget);
+  answer.stream = std::make_shared<streaming::Pipe>(budget);
   return answer;
 }
 
@@ -33,7 +33,7 @@
 }
 
 TEST(ResponseWriter, SendsABodyOfUnknownLengthInChunks) {
-  relay::Budget budget(0);
+  streaming::ByteBudget budget(0);
   const auto head = formatResponseHead(streamed(budget), 11, false);
   EXPECT_EQ(head.text, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nTransfer-Encoding: chunked\r\n\r\n");
   EXPECT_TRUE(head.isChunked);
@@ -41,7 +41,7 @@
 }
 
 TEST(ResponseWriter, EndsABodyOfUnknownLengthWithTheConnectionForHttp10) {
-  relay::Budget budget(0);
+  streaming::ByteBudget budget(0);
   const auto head = formatResponseHead(streamed(budget), 10, false);
   EXPECT_EQ(head.text, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nConnection: close\r\n\r\n");
   EXPECT_FALSE(head.isChunked);
@@ -49,7 +49,7 @@
 }
 
 TEST(ResponseWriter, StatesLengthOfAStreamedBodyWhereItIsKnown) {
-  relay::Budget budget(0);
+  streaming::ByteBudget budget(0);
   auto answer = streamed(budget);
   answer.length = 70'000;
   const auto head = formatResponseHead(answer, 10, false);
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -481,7 +481,7 @@
   const Config config = configure(json::object());
   Peer upstream(io);
   std::vector<ProbeEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget, {{}, {}, {}, [&](const ProbeEnd& end) { ends.push_back(end); }});
   pool.setAddress(0, parseEndpoint(upstream.address()));
   const std::vector<std::string> reports = {"TEXT inflight=7, qps=-1", "TEXT inflight=many", "{", "",
@@ -516,7 +516,7 @@
 TEST_F(SidecarTest, ServerAnswersAtTheDeadlineByItself) {
   const Config config = configure(json::object());
   std::vector<balancer::RequestId> taken, over;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Server server(io, config, configuration::OperatorFile{}, budget,
                 {[&](const ClientRequest& request) { taken.push_back(request.id); },
                  [&](balancer::RequestId id) { over.push_back(id); },
@@ -544,7 +544,7 @@
   const Config config = configure(json::object());
   Peer upstream(io);
   std::vector<AttemptEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget,
                  {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   pool.setAddress(0, parseEndpoint(upstream.address()));
@@ -572,7 +572,7 @@
   config.sockets = 6;  // two connections to upstreams
   std::vector<std::unique_ptr<Peer>> peers;
   std::vector<AttemptEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget,
                  {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   AttemptOrder order;
--- a/tests/upstream_request_test.cpp
+++ b/tests/upstream_request_test.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "relay/budget.h"
+#include "streaming/byte_budget.h"
 
 namespace ivypost {
 namespace {
@@ -28,7 +28,7 @@
 
 class UploadTest : public testing::Test {
  protected:
-  relay::Budget budget_{1024};
+  streaming::ByteBudget budget_{1024};
   Upload upload_{budget_};
   const Clock::time_point now_ = Clock::time_point(std::chrono::hours(1));
 };
