--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -110,8 +110,8 @@
   // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
   if (parser_->chunked()) headers_ = parser_->get().base();
   parser_->eager(true);
-  pace_.emplace(now());
-  pace_->received(buffer_.size(), now());
+  pace_.emplace(Clock::now());
+  pace_->received(buffer_.size(), Clock::now());
   takeBody();
 }
 
@@ -128,7 +128,7 @@
       buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
   if (!capacity) return beginUpload();
   parser_->get().body().reserve(*capacity);
-  limit(Clock::time_point(std::chrono::microseconds(pace_->deadline())));
+  limit(pace_->deadline());
   readMore(kReadOfStream);
 }
 
@@ -145,7 +145,7 @@
                          self->buffer_.commit(size);
                          if (network::isTransient(error)) return self->readMore(most, error);
                          if (error) return self->close();
-                         self->pace_->received(size, now());
+                         self->pace_->received(size, Clock::now());
                          self->takeBody();
                        });
 }
@@ -168,7 +168,7 @@
   expiresIn_ = request.expiresIn;
   // The request's time counts from its last byte, which is not known yet.
   request.expiresIn +=
-      streaming::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
+      streaming::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining())).count();
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
   upload->deadline = request.deadline;
   upload->clientGave = std::chrono::microseconds(expiresIn_);
@@ -212,8 +212,9 @@
     return lookForLeaver();
   }
   leaver_.cancel();
-  if (heldBackSince_) pace_->extendBy(now() - *std::exchange(heldBackSince_, std::nullopt));
-  limit(Clock::time_point(std::chrono::microseconds(pace_->deadline())));
+  if (heldBackSince_)
+    pace_->extendBy(std::chrono::microseconds(now() - *std::exchange(heldBackSince_, std::nullopt)));
+  limit(pace_->deadline());
   readMore(std::min(room, kReadOfStream));
 }
 
--- a/src/streaming/body_buffering.cpp
+++ b/src/streaming/body_buffering.cpp
@@ -17,7 +17,8 @@
   return static_cast<std::size_t>(wanted);
 }
 
-Micros BodyBuffering::uploadTime(const StallTimer& rate, std::optional<std::uint64_t> remaining) {
+StallTimer::Duration BodyBuffering::uploadTime(const StallTimer& rate,
+                                               std::optional<std::uint64_t> remaining) {
   return kUploadSlack * rate.expectedTime(remaining.value_or(kMaxBuffered)) + kUploadAllowance;
 }
 
--- a/src/streaming/body_buffering.h
+++ b/src/streaming/body_buffering.h
@@ -5,6 +5,7 @@
 #ifndef IVYPOST_STREAMING_BODY_BUFFERING_H_
 #define IVYPOST_STREAMING_BODY_BUFFERING_H_
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -22,9 +23,10 @@
   /// The budget is taken in steps of so many bytes.
   static constexpr std::size_t kBudgetStep = 128UL * 1024;
   /// How much longer than its rate so far lets expect the rest of a body may take, before its request is
-  /// given up: so many times as long, and so many microseconds more.
-  static constexpr Micros kUploadSlack = 2;
-  static constexpr Micros kUploadAllowance = 3'000'000;
+  /// abandoned: so many times as long ...
+  static constexpr int kUploadSlack = 2;
+  /// ... and so much more.
+  static constexpr StallTimer::Duration kUploadAllowance = std::chrono::seconds(3);
 
   /// `freeBytes`: a body of up to so many bytes is buffered without the budget.
   BodyBuffering(const ByteBudget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
@@ -37,9 +39,10 @@
   /// Gives back what was taken from the budget.
   void release() { share_.release(); }
 
-  /// Microseconds that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
-  /// stated length; none: unknown.
-  [[nodiscard]] static Micros uploadTime(const StallTimer& rate, std::optional<std::uint64_t> remaining);
+  /// The time that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
+  /// stated length; none: unknown, and taken for kMaxBuffered.
+  [[nodiscard]] static StallTimer::Duration uploadTime(const StallTimer& rate,
+                                                       std::optional<std::uint64_t> remaining);
 
  private:
   std::size_t freeBytes_;
--- a/src/streaming/pipe.cpp
+++ b/src/streaming/pipe.cpp
@@ -3,13 +3,14 @@
 
 namespace ivypost::streaming {
 
-Pipe::Pipe(ByteBudget& budget) : share_(budget) {
+Pipe::Pipe(const ByteBudget& budget) : share_(budget) {
   if (share_.grow(kPreferredCapacity)) capacity_ = kPreferredCapacity;
 }
 
 std::size_t Pipe::freeCapacity() const {
+  if (ended_ || failed_ || abandoned_) return 0;
   const std::size_t held = front().size();
-  return ended_ || failed_ || abandoned_ || held >= capacity_ ? 0 : capacity_ - held;
+  return held >= capacity_ ? 0 : capacity_ - held;
 }
 
 void Pipe::push(std::string_view bytes) {
--- a/src/streaming/stall_timer.cpp
+++ b/src/streaming/stall_timer.cpp
@@ -4,18 +4,27 @@
 #include <algorithm>
 
 namespace ivypost::streaming {
+namespace {
 
-Micros StallTimer::deadline() const {
-  const Micros byPace = begin_ + kGracePeriod + static_cast<Micros>(bytes_) * 1'000'000 / kMinBytesPerSecond;
-  return std::max(std::min(byPace, last_ + kStallTimeout), begin_ + kGracePeriod);
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
+
+}  // namespace
+
+StallTimer::TimePoint StallTimer::deadline() const {
+  const Duration atMinRate(static_cast<std::int64_t>(bytes_) * kMicrosPerSecond / kMinBytesPerSecond);
+  const TimePoint byRate = begin_ + kGracePeriod + atMinRate;
+  return std::max(std::min(byRate, last_ + kStallTimeout), begin_ + kGracePeriod);
 }
 
-Micros StallTimer::expectedTime(std::uint64_t bytes) const {
-  const auto slowest = static_cast<double>(bytes) * 1e6 / static_cast<double>(kMinBytesPerSecond);
-  if (bytes_ == 0) return static_cast<Micros>(slowest);
-  const auto span = static_cast<double>(std::max<Micros>(1, last_ - begin_));
-  return static_cast<Micros>(
-      std::min(slowest, span * static_cast<double>(bytes) / static_cast<double>(bytes_)));
+StallTimer::Duration StallTimer::expectedTime(std::uint64_t bytes) const {
+  using Micros = std::chrono::duration<double, std::micro>;
+  const auto remaining = static_cast<double>(bytes);
+  const Micros slowest(remaining * kMicrosPerSecond / kMinBytesPerSecond);
+  if (bytes_ == 0) return std::chrono::duration_cast<Duration>(slowest);
+  // Not under a microsecond, in which a first piece may come.
+  const Micros elapsed = std::max<TimePoint::duration>(Duration(1), last_ - begin_);
+  const Micros atRate = elapsed * remaining / static_cast<double>(bytes_);
+  return std::chrono::duration_cast<Duration>(std::min(slowest, atRate));
 }
 
 }  // namespace ivypost::streaming
