--- a/src/console/console_io.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "console/console_io.h"
+#include "admin/admin_server.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -12,7 +12,7 @@
 
 #include "network/nonblocking_io.h"
 
-namespace ivypost::console {
+namespace ivypost::admin {
 namespace {
 
 namespace asio = boost::asio;
@@ -36,9 +36,9 @@
 }  // namespace
 
 // One connection, until its call is answered.
-class Console::Session : public std::enable_shared_from_this<Session> {
+class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Console& owner, tcp::socket socket)
+  Session(AdminServer& owner, tcp::socket socket)
       : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
 
   void start() {
@@ -141,7 +141,7 @@
     });
   }
 
-  Console* owner_;  // none once it is closed
+  AdminServer* owner_;  // none once it is closed
   tcp::socket socket_;
   asio::steady_timer timer_;
   beast::flat_buffer buffer_;
@@ -150,7 +150,7 @@
   bool answered_ = false;
 };
 
-Console::Console(asio::io_context& io, const tcp::endpoint& address, Handler handler)
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& address, Handler handler)
     : io_(io), handler_(std::move(handler)), acceptor_(io), pause_(io) {
   acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -162,11 +162,11 @@
   accept();
 }
 
-Console::~Console() {
+AdminServer::~AdminServer() {
   for (const auto& session : sessions_) session->orphan();
 }
 
-void Console::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
@@ -181,8 +181,8 @@
   });
 }
 
-void Console::admit(tcp::socket socket) {
-  if (sessions_.size() >= kMost) {
+void AdminServer::admit(tcp::socket socket) {
+  if (sessions_.size() >= kMaxConnections) {
     auto oldest =
         std::find_if(sessions_.begin(), sessions_.end(), [](const auto& one) { return !one->answered(); });
     if (oldest == sessions_.end()) oldest = sessions_.begin();
@@ -195,4 +195,4 @@
   session->start();
 }
 
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
--- a/src/console/console_io.h
+++ b/src/admin/admin_server.h
@@ -2,8 +2,8 @@
 //
 // The operators' second address on sockets: HTTP/1.1, one call to a connection. It shares nothing with the
 // clients' door and holds few connections of its own, so that it is answered when the door is full.
-#ifndef IVYPOST_CONSOLE_CONSOLE_IO_H_
-#define IVYPOST_CONSOLE_CONSOLE_IO_H_
+#ifndef IVYPOST_ADMIN_ADMIN_SERVER_H_
+#define IVYPOST_ADMIN_ADMIN_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -13,25 +13,25 @@
 #include <list>
 #include <memory>
 
-#include "console/call.h"
+#include "admin/call.h"
 
-namespace ivypost::console {
+namespace ivypost::admin {
 
-class Console {
+class AdminServer {
  public:
   // Sends the answer of one call; the second time, or when the caller has gone, it does nothing.
   using Answer = std::function<void(const Reply&)>;
   // Answers at once or later, from the event loop.
   using Handler = std::function<void(const Call&, Answer)>;
   // Connections held at once. The one that has been without a whole call for longest gives way to the next.
-  static constexpr std::size_t kMost = 24;
+  static constexpr std::size_t kMaxConnections = 24;
 
   // Listens at once. Throws boost::system::system_error when it can't. `handler` is called from the event
   // loop.
-  Console(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Handler handler);
-  Console(const Console&) = delete;
-  Console& operator=(const Console&) = delete;
-  ~Console();
+  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Handler handler);
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
+  ~AdminServer();
 
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   std::size_t connections() const { return sessions_.size(); }
@@ -49,6 +49,6 @@
   std::list<std::shared_ptr<Session>> sessions_;  // the oldest first
 };
 
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
 
-#endif  // IVYPOST_CONSOLE_CONSOLE_IO_H_
+#endif  // IVYPOST_ADMIN_ADMIN_SERVER_H_
--- a/src/console/call.cpp
+++ b/src/admin/call.cpp
@@ -1,24 +1,24 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "console/call.h"
+#include "admin/call.h"
 
 #include <array>
 #include <charconv>
 #include <optional>
 
-namespace ivypost::console {
+namespace ivypost::admin {
 namespace {
 
 struct Path {
   std::string_view text;  // ends with a slash if an upstream's id follows
   std::string_view method;
-  Call::What what;
+  Call::Kind kind;
 };
 
-constexpr std::array<Path, 5> kPaths = {{{"/api/ready", "GET", Call::What::Ready},
-                                         {"/api/exclude/", "POST", Call::What::Exclude},
-                                         {"/api/include/", "POST", Call::What::Include},
-                                         {"/api/evacuate", "POST", Call::What::Evacuate},
-                                         {"/api/rejoin", "POST", Call::What::Rejoin}}};
+constexpr std::array<Path, 5> kPaths = {{{"/api/ready", "GET", Call::Kind::Ready},
+                                         {"/api/exclude/", "POST", Call::Kind::Exclude},
+                                         {"/api/include/", "POST", Call::Kind::Include},
+                                         {"/api/evacuate", "POST", Call::Kind::Evacuate},
+                                         {"/api/rejoin", "POST", Call::Kind::Rejoin}}};
 
 std::optional<std::string> decoded(std::string_view text) {
   std::string plain;
@@ -46,7 +46,7 @@
     const bool withId = known.text.back() == '/';
     if (withId ? path.substr(0, known.text.size()) != known.text : path != known.text) continue;
     if (method != known.method) return Reply{405, std::string(known.method) + " only"};
-    Call call{known.what, {}};
+    Call call{known.kind, {}};
     if (!withId) return call;
     const std::string_view id = path.substr(known.text.size());
     auto upstream = id.find('/') == std::string_view::npos ? decoded(id) : std::nullopt;
@@ -57,4 +57,4 @@
   return Reply{404, "unknown path"};
 }
 
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
--- a/src/console/call.h
+++ b/src/admin/call.h
@@ -2,19 +2,19 @@
 //
 // What operators may ask at the second address: method and target to a call, or to the answer that a wrong
 // one gets. No I/O.
-#ifndef IVYPOST_CONSOLE_CALL_H_
-#define IVYPOST_CONSOLE_CALL_H_
+#ifndef IVYPOST_ADMIN_CALL_H_
+#define IVYPOST_ADMIN_CALL_H_
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 #include <variant>
 
-namespace ivypost::console {
+namespace ivypost::admin {
 
 struct Call {
-  enum class What : std::uint8_t { Ready, Exclude, Include, Evacuate, Rejoin };
-  What what = What::Ready;
+  enum class Kind : std::uint8_t { Ready, Exclude, Include, Evacuate, Rejoin };
+  Kind kind = Kind::Ready;
   std::string upstream;  // of Exclude and Include, decoded
 };
 
@@ -28,6 +28,6 @@
 // wrongly percent-encoded (RFC 3986, 2.1); 405 for another method.
 std::variant<Call, Reply> route(std::string_view method, std::string_view target);
 
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
 
-#endif  // IVYPOST_CONSOLE_CALL_H_
+#endif  // IVYPOST_ADMIN_CALL_H_
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -12,7 +12,7 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "console/console_io.h"
+#include "admin/admin_server.h"
 #include "peers/options.h"
 
 namespace ivypost {
@@ -25,7 +25,7 @@
 // Descriptors of the process itself: its log, the loop's own, signals, what it listens on, discovery, files.
 constexpr double kOwnSockets = 16;
 // And of the operators' console, where there is one.
-constexpr double kConsoleSockets = console::Console::kMost + 1;
+constexpr double kConsoleSockets = admin::AdminServer::kMaxConnections + 1;
 constexpr double kPoolShare = 0.9;
 // Part of the memory for bodies in transit. Strings that grow hold up to twice what is in them, and what each
 // pipe holds at the least, the program and its tables need the rest.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -56,11 +56,10 @@
 }
 
 // To an operator's call that failed. None: it has to be tried again.
-std::optional<console::Reply> replyTo(const std::error_code& error) {
+std::optional<admin::Reply> replyTo(const std::error_code& error) {
   if (error == exclusion::Error::Locked) return std::nullopt;
-  if (error == exclusion::Error::NoFolder)
-    return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
-  return console::Reply{503, "it can't be kept: " + error.message()};
+  if (error == exclusion::Error::NoFolder) return admin::Reply{503, "TMPDIR is not set, so it can't be kept"};
+  return admin::Reply{503, "it can't be kept: " + error.message()};
 }
 
 }  // namespace
@@ -404,8 +403,8 @@
 
 void Sidecar::openConsole() {
   try {
-    console_ = std::make_unique<console::Console>(
-        io_, *config_.console, [this](const console::Call& call, console::Console::Answer answer) {
+    console_ = std::make_unique<admin::AdminServer>(
+        io_, *config_.console, [this](const admin::Call& call, admin::AdminServer::Answer answer) {
           onCall(call, std::move(answer));
         });
     if (consoleFailed_) log("the console listens now");
@@ -419,25 +418,25 @@
   }
 }
 
-void Sidecar::onCall(const console::Call& call, console::Console::Answer answer) {
-  using What = console::Call::What;
-  switch (call.what) {
-    case What::Ready:
+void Sidecar::onCall(const admin::Call& call, admin::AdminServer::Answer answer) {
+  using Kind = admin::Call::Kind;
+  switch (call.kind) {
+    case Kind::Ready:
       return answer({lifecycle_.effects().isReady ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
-    case What::Evacuate:
-    case What::Rejoin:
+    case Kind::Evacuate:
+    case Kind::Rejoin:
       if (lifecycle_.state() == lifecycle::State::Stopping) return answer({409, "the sidecar is stopping"});
-      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::DrainRequested
+      onLifecycle(call.kind == Kind::Evacuate ? lifecycle::Event::DrainRequested
                                               : lifecycle::Event::DrainCancelled);
       return answer({200, lifecycle::nameOf(lifecycle_.state())});
-    case What::Exclude:
-    case What::Include:
+    case Kind::Exclude:
+    case Kind::Include:
       return queueChange({call, std::move(answer), Clock::now() + kLockPatience});
   }
 }
 
 void Sidecar::queueChange(PendingChange change) {
-  if (pendingChanges_.size() >= console::Console::kMost) return change.answer({503, kLockHeld});
+  if (pendingChanges_.size() >= admin::AdminServer::kMaxConnections) return change.answer({503, kLockHeld});
   pendingChanges_.push_back(std::move(change));
   if (pendingChanges_.size() == 1) tryNextChange();
 }
@@ -449,7 +448,7 @@
   const PendingChange done = std::move(pendingChanges_.front());
   pendingChanges_.pop_front();
   if (!pendingChanges_.empty()) scheduleNextChange(Clock::duration::zero());
-  done.answer(reply.value_or(console::Reply{503, kLockHeld}));
+  done.answer(reply.value_or(admin::Reply{503, kLockHeld}));
 }
 
 void Sidecar::scheduleNextChange(Clock::duration after) {
@@ -460,10 +459,10 @@
 }
 
 // None: the other process holds the lock.
-std::optional<console::Reply> Sidecar::changeExclusions(const console::Call& call) {
+std::optional<admin::Reply> Sidecar::changeExclusions(const admin::Call& call) {
   using Kind = exclusion::Change::Kind;
   exclusion::Change change;
-  change.kind = call.what == console::Call::What::Exclude ? Kind::Exclude : Kind::Include;
+  change.kind = call.kind == admin::Call::Kind::Exclude ? Kind::Exclude : Kind::Include;
   change.endpoint = call.upstream;
   change.now = wallTime(unixNow() / 1000);
   if (const auto named = ids_.find(call.upstream); named != ids_.end()) {
@@ -477,14 +476,14 @@
   const bool isExcluded = exclusions_.isExcluded(call.upstream);
   switch (outcome.value()) {
     case exclusion::Outcome::UnknownEndpoint:
-      return console::Reply{404, "no upstream has this id"};
+      return admin::Reply{404, "no upstream has this id"};
     case exclusion::Outcome::Full:
-      return console::Reply{503, "too many upstreams are out, or the id is too long"};
+      return admin::Reply{503, "too many upstreams are out, or the id is too long"};
     case exclusion::Outcome::Unchanged:
-      return console::Reply{200, isExcluded ? "already excluded" : "already included"};
+      return admin::Reply{200, isExcluded ? "already excluded" : "already included"};
     case exclusion::Outcome::Changed:
       log((isExcluded ? "excluded by hand: " : "included by hand: ") + call.upstream);
-      return console::Reply{200, isExcluded ? "excluded" : "included"};
+      return admin::Reply{200, isExcluded ? "excluded" : "included"};
   }
   return std::nullopt;
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -17,8 +17,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admin/admin_server.h"
 #include "config.h"
-#include "console/console_io.h"
 #include "degradation_manager.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
@@ -92,8 +92,8 @@
 
   // An operator's call that changes the exclusions, until it is answered.
   struct PendingChange {
-    console::Call call;
-    console::Console::Answer answer;
+    admin::Call call;
+    admin::AdminServer::Answer answer;
     Clock::time_point until;  // the lock is tried for
   };
 
@@ -108,11 +108,11 @@
   void follow(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void applyExclusions(exclusion::ExclusionSet next);
-  void onCall(const console::Call& call, console::Console::Answer answer);
+  void onCall(const admin::Call& call, admin::AdminServer::Answer answer);
   void queueChange(PendingChange change);
   void tryNextChange();
   void scheduleNextChange(Clock::duration after);
-  std::optional<console::Reply> changeExclusions(const console::Call& call);
+  std::optional<admin::Reply> changeExclusions(const admin::Call& call);
   void openConsole();
   void pollExclusionFile();
   void onLevel(degradation::Level level);
@@ -171,12 +171,12 @@
   std::function<void()> stopped_;
   exclusion::ExclusionSet exclusions_;
   exclusion::ExclusionFile exclusionFile_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
+  std::deque<PendingChange> pendingChanges_;  // the oldest first, AdminServer::kMaxConnections at most
   boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
   peers::Options peersAs_;            // as the operator has set them
   std::unique_ptr<FleetView> fleet_;  // none: off
   bool consoleFailed_ = false;
-  std::unique_ptr<console::Console> console_;
+  std::unique_ptr<admin::AdminServer> console_;
 };
 
 }  // namespace ivypost
--- a/tests/console/console_io_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The console over loopback sockets: callers that are slow, wrong, many or silent.
-#include "console/console_io.h"
+// The server over loopback sockets: callers that are slow, wrong, many or silent.
+#include "admin/admin_server.h"
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace ivypost::console {
+namespace ivypost::admin {
 namespace {
 
 namespace asio = boost::asio;
@@ -48,19 +48,19 @@
   std::shared_ptr<Line> line_;
 };
 
-class ConsoleTest : public testing::Test {
+class AdminServerTest : public testing::Test {
  protected:
-  ConsoleTest()
-      : console(io, {asio::ip::address_v4::loopback(), 0},
-                [this](const Call& call, const Console::Answer& answer) {
-                  calls.push_back(call);
-                  if (late) {
-                    answers.push_back(answer);
-                    return;
-                  }
-                  answer({200, "done"});
-                  answer({500, "a second answer"});
-                }) {}
+  AdminServerTest()
+      : server(io, {asio::ip::address_v4::loopback(), 0},
+               [this](const Call& call, const AdminServer::Answer& answer) {
+                 calls.push_back(call);
+                 if (late) {
+                   answers.push_back(answer);
+                   return;
+                 }
+                 answer({200, "done"});
+                 answer({500, "a second answer"});
+               }) {}
 
   bool wait(const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -73,7 +73,7 @@
   }
 
   Caller call(const std::string& text) {
-    Caller caller(io, console.port());
+    Caller caller(io, server.port());
     caller.send(text);
     EXPECT_TRUE(wait([&] { return caller.closed(); })) << text;
     return caller;
@@ -82,11 +82,11 @@
   asio::io_context io;
   std::vector<Call> calls;
   bool late = false;  // calls are answered by the test
-  std::vector<Console::Answer> answers;
-  Console console;
+  std::vector<AdminServer::Answer> answers;
+  AdminServer server;
 };
 
-TEST_F(ConsoleTest, AnswersOneCallToAConnection) {
+TEST_F(AdminServerTest, AnswersOneCallToAConnection) {
   const std::string text = "POST /api/exclude/s-1 HTTP/1.1\r\nHost: x\r\n\r\n";
   const Caller caller = call(text + text);
   EXPECT_EQ(caller.status(), "HTTP/1.1 200");
@@ -95,8 +95,8 @@
   EXPECT_EQ(caller.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
 }
 
-TEST_F(ConsoleTest, TakesACallInSingleBytesAndOneWithABody) {
-  Caller caller(io, console.port());
+TEST_F(AdminServerTest, TakesACallInSingleBytesAndOneWithABody) {
+  Caller caller(io, server.port());
   for (const char byte : std::string("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")) {
     EXPECT_TRUE(caller.got().empty());
     caller.send(std::string(1, byte));
@@ -113,7 +113,7 @@
   EXPECT_EQ(calls.size(), 3U);
 }
 
-TEST_F(ConsoleTest, WrongCallsChangeNothing) {
+TEST_F(AdminServerTest, WrongCallsChangeNothing) {
   EXPECT_EQ(call("BLAH\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/9.9\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\nA: " + std::string(9000, 'a') + "\r\n\r\n").status(),
@@ -125,11 +125,11 @@
 }
 
 // A call without its end is none: its connection may have broken in the middle of an id.
-TEST_F(ConsoleTest, ACallThatIsCutShortIsNotFollowed) {
+TEST_F(AdminServerTest, ACallThatIsCutShortIsNotFollowed) {
   {
-    Caller caller(io, console.port());
+    Caller caller(io, server.port());
     caller.send("POST /api/evacuate HTTP/1.1\r\nHost: x\r\n");
-    ASSERT_TRUE(wait([&] { return console.connections() == 1; }));
+    ASSERT_TRUE(wait([&] { return server.connections() == 1; }));
   }
   EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\n\r\n").status(), "HTTP/1.1 200");
   EXPECT_EQ(calls.size(), 1U);
@@ -137,22 +137,22 @@
 
 // Hundreds that hold connections with no whole call, and stay: the oldest gives way, and the call is
 // answered.
-TEST_F(ConsoleTest, CallersThatHoldConnectionsKeepNobodyOut) {
+TEST_F(AdminServerTest, CallersThatHoldConnectionsKeepNobodyOut) {
   std::deque<Caller> holders;
   for (int n = 0; n < 300; ++n) {
-    holders.emplace_back(io, console.port());
+    holders.emplace_back(io, server.port());
     holders.back().send("GET /api/rea");
   }
   const Caller caller = call("GET /api/ready HTTP/1.1\r\n\r\n");
   EXPECT_EQ(caller.status(), "HTTP/1.1 200");
-  EXPECT_LE(console.connections(), Console::kMost);
+  EXPECT_LE(server.connections(), AdminServer::kMaxConnections);
   EXPECT_TRUE(wait([&] { return holders.front().closed(); }));
   EXPECT_FALSE(holders.back().closed());
 }
 
-TEST_F(ConsoleTest, ALateAnswerIsSentOnceAndOthersAreServedMeanwhile) {
+TEST_F(AdminServerTest, ALateAnswerIsSentOnceAndOthersAreServedMeanwhile) {
   late = true;
-  Caller waits(io, console.port());
+  Caller waits(io, server.port());
   waits.send("POST /api/exclude/s-1 HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(wait([&] { return answers.size() == 1; }));
   late = false;
@@ -165,27 +165,28 @@
   EXPECT_EQ(waits.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
 }
 
-TEST(Console, ALateAnswerMayOutliveIt) {
+TEST(AdminServerLifetimeTest, ALateAnswerMayOutliveIt) {
   asio::io_context io;
-  Console::Answer kept;
-  auto console = std::make_unique<Console>(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
-                                           [&](const Call&, Console::Answer answer) { kept = answer; });
-  const Caller caller(io, console->port());
+  AdminServer::Answer kept;
+  auto server =
+      std::make_unique<AdminServer>(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
+                                    [&](const Call&, AdminServer::Answer answer) { kept = answer; });
+  const Caller caller(io, server->port());
   caller.send("GET /api/ready HTTP/1.1\r\n\r\n");
   while (!kept) io.run_one_for(std::chrono::milliseconds(50));
-  console.reset();
+  server.reset();
   kept({200, "too late"});
   io.restart();
   io.poll();
   EXPECT_TRUE(caller.got().empty());
 }
 
-TEST(Console, AnAddressInUseIsAnError) {
+TEST(AdminServerLifetimeTest, AnAddressInUseIsAnError) {
   asio::io_context io;
   const tcp::acceptor other(io, {asio::ip::address_v4::loopback(), 0});
-  EXPECT_THROW(Console(io, other.local_endpoint(), [](const Call&, const Console::Answer&) {}),
+  EXPECT_THROW(AdminServer(io, other.local_endpoint(), [](const Call&, const AdminServer::Answer&) {}),
                boost::system::system_error);
 }
 
 }  // namespace
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
--- a/tests/console/call_test.cpp
+++ b/tests/admin/call_test.cpp
@@ -1,33 +1,33 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "console/call.h"
+#include "admin/call.h"
 
 #include <gtest/gtest.h>
 
-namespace ivypost::console {
+namespace ivypost::admin {
 namespace {
 
-TEST(ConsoleCall, EveryCallIsFound) {
+TEST(CallTest, EveryCallIsFound) {
   struct Case {
     const char *method, *target;
-    Call::What what;
+    Call::Kind kind;
     const char* upstream;
   };
-  for (const Case& one : {Case{"GET", "/api/ready", Call::What::Ready, ""},
-                          Case{"GET", "/api/ready?now=1", Call::What::Ready, ""},
-                          Case{"POST", "/api/exclude/s-5be2a07c", Call::What::Exclude, "s-5be2a07c"},
-                          Case{"POST", "/api/include/s%2D1%2f%20b", Call::What::Include, "s-1/ b"},
-                          Case{"POST", "/api/exclude/%25", Call::What::Exclude, "%"},
-                          Case{"POST", "/api/evacuate", Call::What::Evacuate, ""},
-                          Case{"POST", "/api/rejoin", Call::What::Rejoin, ""}}) {
+  for (const Case& one : {Case{"GET", "/api/ready", Call::Kind::Ready, ""},
+                          Case{"GET", "/api/ready?now=1", Call::Kind::Ready, ""},
+                          Case{"POST", "/api/exclude/s-5be2a07c", Call::Kind::Exclude, "s-5be2a07c"},
+                          Case{"POST", "/api/include/s%2D1%2f%20b", Call::Kind::Include, "s-1/ b"},
+                          Case{"POST", "/api/exclude/%25", Call::Kind::Exclude, "%"},
+                          Case{"POST", "/api/evacuate", Call::Kind::Evacuate, ""},
+                          Case{"POST", "/api/rejoin", Call::Kind::Rejoin, ""}}) {
     const auto routed = route(one.method, one.target);
     const auto* call = std::get_if<Call>(&routed);
     ASSERT_NE(call, nullptr) << one.target;
-    EXPECT_EQ(call->what, one.what) << one.target;
+    EXPECT_EQ(call->kind, one.kind) << one.target;
     EXPECT_EQ(call->upstream, one.upstream) << one.target;
   }
 }
 
-TEST(ConsoleCall, WhatIsWrongGetsItsStatusInOneLine) {
+TEST(CallTest, WhatIsWrongGetsItsStatusInOneLine) {
   struct Case {
     const char *method, *target;
     unsigned status;
@@ -50,4 +50,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::console
+}  // namespace ivypost::admin
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -255,7 +255,8 @@
   operate(1);
   const int held = holdLock();
   std::deque<Client> waiting;
-  for (std::size_t n = 0; n < console::Console::kMost; ++n) waiting.push_back(caller("/api/exclude/s-0"));
+  for (std::size_t n = 0; n < admin::AdminServer::kMaxConnections; ++n)
+    waiting.push_back(caller("/api/exclude/s-0"));
   // They are with the sidecar when a call behind them is answered.
   const Client tooMany = caller("/api/include/s-0");
   ASSERT_TRUE(wait([&] { return tooMany.answers() == 1; }));
