--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -5,7 +5,10 @@
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
-#include <optional>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
 #include <string>
 #include <utility>
 #include <variant>
@@ -25,17 +28,34 @@
 constexpr std::uint32_t kMaxHeader = 8 * 1024;
 // Calls have no body; one that comes along is read and dropped up to this.
 constexpr std::size_t kMaxBody = 16UL * 1024;
-// A connection without a whole call is closed after so long, if it has not given way before.
-constexpr milliseconds kMaxCall{10'000};
+// A connection without a complete call is closed after so long, if it was not evicted before.
+constexpr milliseconds kCallTimeout{10'000};
 // What a caller still sends after its answer is dropped for so long: closing at once could cost it the
 // answer.
-constexpr milliseconds kLinger{200};
+constexpr milliseconds kLingerTimeout{200};
+// While no connection can be accepted, as when descriptors have run out, it is tried again after this.
 constexpr milliseconds kAcceptPause{10};
 constexpr std::size_t kReadAtOnce = 4096;
 
+std::string serialize(const Reply& reply) {
+  const auto reason = http::obsolete_reason(static_cast<http::status>(reply.status));
+  return "HTTP/1.1 " + std::to_string(reply.status) + " " + std::string(reason) +
+         "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: " +
+         std::to_string(reply.text.size() + 1) + "\r\n\r\n" + reply.text + "\n";
+}
+
+Reply replyTo(const error_code& error) {
+  if (error == http::error::header_limit)
+    return {static_cast<unsigned>(http::status::request_header_fields_too_large), "header over 8 KiB"};
+  if (error == http::error::body_limit)
+    return {static_cast<unsigned>(http::status::payload_too_large), "body over 16 KiB"};
+  return {static_cast<unsigned>(http::status::bad_request), "malformed HTTP: " + error.message()};
+}
+
 }  // namespace
 
-// One connection, until its call is answered.
+// One connection, until its call is answered: it reads, is answered, writes, and lingers. Discovery's
+// connection with one call (membership/platform.cpp) is the other end of the same: it writes, and reads.
 class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(AdminServer& owner, tcp::socket socket)
@@ -48,11 +68,11 @@
     parser_.header_limit(kMaxHeader);
     parser_.body_limit(kMaxBody);
     parser_.eager(true);
-    limit(kMaxCall);
-    readable();
+    closeAfter(kCallTimeout);
+    readAvailable();
   }
 
-  bool answered() const { return answered_; }
+  [[nodiscard]] bool isAnswered() const { return isAnswered_; }
 
   // Its owner is gone: nobody is called back any more.
   void orphan() noexcept { owner_ = nullptr; }
@@ -72,72 +92,70 @@
     close();
   }
 
-  void limit(milliseconds span) {
-    timer_.expires_after(span);
-    timer_.async_wait([self = shared_from_this()](error_code cancelled) {
+  void closeAfter(milliseconds timeout) {
+    timer_.expires_after(timeout);
+    timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
       if (!cancelled && self->timer_.expiry() <= std::chrono::steady_clock::now()) self->finish();
     });
   }
 
-  // As a rule the whole call is there already when the connection is.
-  void readable() {
-    error_code error;
-    while (!error) {
+  // As a rule the complete call is there already when the connection is.
+  void readAvailable() {
+    for (;;) {
+      error_code error;
       buffer_.commit(network::receiveSome(socket_, buffer_.prepare(kReadAtOnce), error));
-      if (network::isTransient(error)) return watch(error);
+      if (network::isTransient(error)) return waitToRead(error);
       if (error) return finish();
-      if (answered_) {
+      if (isAnswered_) {
         buffer_.clear();
-        return watch({});
+        return waitToRead({});
       }
-      while (!error && !parser_.is_done() && buffer_.size() > 0)
-        buffer_.consume(parser_.put(buffer_.data(), error));
-      if (error == http::error::need_more) error = {};
-      if (error || parser_.is_done()) return answer(error);
+      error = parseBuffer();
+      if (error || parser_.is_done()) return handleCall(error);
     }
   }
 
-  // `why`: what the last read came to.
-  void watch(error_code why) {
-    network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code error) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->finish();
-      self->readable();
-    });
+  // Without an error the call is complete, or more of it has to come.
+  error_code parseBuffer() {
+    error_code error;
+    while (!error && !parser_.is_done() && buffer_.size() > 0)
+      buffer_.consume(parser_.put(buffer_.data(), error));
+    return error == http::error::need_more ? error_code() : error;
   }
 
-  std::variant<Call, Reply> routed(error_code error) const {
-    if (error == http::error::header_limit) return Reply{431, "header over 8 KiB"};
-    if (error == http::error::body_limit) return Reply{413, "body over 16 KiB"};
-    if (error) return Reply{400, "malformed HTTP: " + error.message()};
-    const auto& call = parser_.get();
-    const auto method = call.method_string();
-    const auto target = call.target();
-    return route({method.data(), method.size()}, {target.data(), target.size()});
+  // `error`: what the last read came to.
+  void waitToRead(const error_code& error) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, error,
+                         [self = shared_from_this()](const error_code& failed) {
+                           if (self->owner_ == nullptr) return;
+                           if (failed) return self->finish();
+                           self->readAvailable();
+                         });
   }
 
-  void answer(error_code error) {
-    const auto call = routed(error);
-    if (const auto* wrong = std::get_if<Reply>(&call)) return send(*wrong);
-    owner_->handler_(std::get<Call>(call),
+  void handleCall(const error_code& error) {
+    if (error) return send(replyTo(error));
+    const auto& request = parser_.get();
+    const auto method = request.method_string();
+    const auto target = request.target();
+    const auto routed = route({method.data(), method.size()}, {target.data(), target.size()});
+    if (const auto* const rejection = std::get_if<Reply>(&routed)) return send(*rejection);
+    owner_->handler_(std::get<Call>(routed),
                      [self = shared_from_this()](const Reply& reply) { self->send(reply); });
   }
 
-  void send(const Reply& said) {
-    if (owner_ == nullptr || answered_) return;
-    answered_ = true;
-    const auto reason = http::obsolete_reason(static_cast<http::status>(said.status));
-    text_ = "HTTP/1.1 " + std::to_string(said.status) + " " + std::string(reason) +
-            "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: " +
-            std::to_string(said.text.size() + 1) + "\r\n\r\n" + said.text + "\n";
+  void send(const Reply& reply) {
+    if (owner_ == nullptr || isAnswered_) return;
+    isAnswered_ = true;
+    text_ = serialize(reply);
     buffer_.clear();
-    limit(kLinger);
-    network::writeAll(socket_, text_, [self = shared_from_this()](error_code failed) {
+    closeAfter(kLingerTimeout);
+    network::writeAll(socket_, text_, [self = shared_from_this()](const error_code& failed) {
       if (self->owner_ == nullptr) return;
       if (failed) return self->finish();
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
-      self->watch({});
+      self->waitToRead({});
     });
   }
 
@@ -146,12 +164,12 @@
   asio::steady_timer timer_;
   beast::flat_buffer buffer_;
   http::request_parser<http::string_body> parser_;
-  std::string text_;
-  bool answered_ = false;
+  std::string text_;  // of the answer, while it is written
+  bool isAnswered_ = false;
 };
 
 AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& address, Handler handler)
-    : io_(io), handler_(std::move(handler)), acceptor_(io), pause_(io) {
+    : io_(io), handler_(std::move(handler)), acceptor_(io), acceptTimer_(io) {
   acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(address);
@@ -167,32 +185,35 @@
 }
 
 void AdminServer::accept() {
-  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+  acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
       admit(std::move(socket));
       return accept();
     }
     // Guards against a loop that spins when descriptors have run out.
-    pause_.expires_after(kAcceptPause);
-    pause_.async_wait([this](error_code cancelled) {
+    acceptTimer_.expires_after(kAcceptPause);
+    acceptTimer_.async_wait([this](const error_code& cancelled) {
       if (!cancelled) accept();
     });
   });
 }
 
 void AdminServer::admit(tcp::socket socket) {
-  if (sessions_.size() >= kMaxConnections) {
-    auto oldest =
-        std::find_if(sessions_.begin(), sessions_.end(), [](const auto& one) { return !one->answered(); });
-    if (oldest == sessions_.end()) oldest = sessions_.begin();
-    const auto leaving = *oldest;
-    sessions_.erase(oldest);
-    leaving->close();
-  }
-  sessions_.push_back(std::make_shared<Session>(*this, std::move(socket)));
-  const auto session = sessions_.back();  // it may end within
-  session->start();
+  if (sessions_.size() >= kMaxConnections) evictOne();
+  const auto session = std::make_shared<Session>(*this, std::move(socket));
+  sessions_.push_back(session);
+  session->start();  // it may end within
+}
+
+// The oldest without a complete call; where all have one, the oldest.
+void AdminServer::evictOne() {
+  auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
+                             [](const auto& session) { return !session->isAnswered(); });
+  if (oldest == sessions_.end()) oldest = sessions_.begin();
+  const auto evicted = *oldest;
+  sessions_.erase(oldest);
+  evicted->close();
 }
 
 }  // namespace ivypost::admin
--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -3,15 +3,26 @@
 
 #include <array>
 #include <charconv>
+#include <cstddef>
+#include <memory>
 #include <optional>
+#include <utility>
 
 namespace ivypost::admin {
 namespace {
 
+constexpr unsigned kNotFound = 404;
+constexpr unsigned kMethodNotAllowed = 405;
+
 struct Path {
   std::string_view text;  // ends with a slash if an upstream's id follows
   std::string_view method;
   Call::Kind kind;
+
+  [[nodiscard]] bool takesId() const { return text.back() == '/'; }
+  [[nodiscard]] bool matches(std::string_view path) const {
+    return takesId() ? path.substr(0, text.size()) == text : path == text;
+  }
 };
 
 constexpr std::array<Path, 5> kPaths = {{{"/api/ready", "GET", Call::Kind::Ready},
@@ -20,41 +31,54 @@
                                          {"/api/evacuate", "POST", Call::Kind::Evacuate},
                                          {"/api/rejoin", "POST", Call::Kind::Rejoin}}};
 
-std::optional<std::string> decoded(std::string_view text) {
+// The byte that two hexadecimal digits say; none: they are no two, or no digits.
+std::optional<char> toByte(std::string_view digits) {
+  constexpr int kHexadecimal = 16;
+  unsigned char byte = 0;
+  if (digits.size() != 2) return std::nullopt;
+  const char* const end = std::to_address(digits.end());
+  const auto [parsed, error] = std::from_chars(digits.data(), end, byte, kHexadecimal);
+  if (error != std::errc() || parsed != end) return std::nullopt;
+  return static_cast<char>(byte);
+}
+
+// Percent-decoded; none: it can't be.
+std::optional<std::string> decode(std::string_view text) {
   std::string plain;
   for (std::size_t n = 0; n < text.size(); ++n) {
     if (text[n] != '%') {
       plain += text[n];
       continue;
     }
-    unsigned char byte = 0;
-    const char* const from = text.data() + n + 1;
-    if (n + 2 >= text.size()) return std::nullopt;
-    const auto [end, error] = std::from_chars(from, from + 2, byte, 16);
-    if (error != std::errc() || end != from + 2) return std::nullopt;
-    plain += static_cast<char>(byte);
+    const auto byte = toByte(text.substr(n + 1, 2));
+    if (!byte) return std::nullopt;
+    plain += *byte;
     n += 2;
   }
   return plain;
 }
 
+// Of an upstream, as the path's last part; none: it can't be one.
+std::optional<std::string> toId(std::string_view part) {
+  if (part.find('/') != std::string_view::npos) return std::nullopt;
+  auto id = decode(part);
+  if (!id || id->empty()) return std::nullopt;
+  return id;
+}
+
 }  // namespace
 
 std::variant<Call, Reply> route(std::string_view method, std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
   for (const Path& known : kPaths) {
-    const bool withId = known.text.back() == '/';
-    if (withId ? path.substr(0, known.text.size()) != known.text : path != known.text) continue;
-    if (method != known.method) return Reply{405, std::string(known.method) + " only"};
-    Call call{known.kind, {}};
-    if (!withId) return call;
-    const std::string_view id = path.substr(known.text.size());
-    auto upstream = id.find('/') == std::string_view::npos ? decoded(id) : std::nullopt;
-    if (!upstream || upstream->empty()) return Reply{404, "no upstream's id"};
-    call.upstream = std::move(*upstream);
-    return call;
+    if (!known.matches(path)) continue;
+    if (method != known.method) return Reply{kMethodNotAllowed, std::string(known.method) + " only"};
+    if (!known.takesId()) return Call{known.kind, {}};
+    auto id = toId(path.substr(known.text.size()));
+    if (!id) return Reply{kNotFound, "no upstream's id"};
+    return Call{known.kind, std::move(*id)};
   }
-  return Reply{404, "unknown path"};
+  return Reply{kNotFound, "unknown path"};
 }
 
 }  // namespace ivypost::admin
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -95,7 +95,7 @@
   EXPECT_EQ(caller.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
 }
 
-TEST_F(AdminServerTest, TakesACallInSingleBytesAndOneWithABody) {
+TEST_F(AdminServerTest, AnswersACallInSingleBytesAndOneWithABody) {
   Caller caller(io, server.port());
   for (const char byte : std::string("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")) {
     EXPECT_TRUE(caller.got().empty());
@@ -113,7 +113,7 @@
   EXPECT_EQ(calls.size(), 3U);
 }
 
-TEST_F(AdminServerTest, WrongCallsChangeNothing) {
+TEST_F(AdminServerTest, WrongCallsGetTheirStatusAndReachNobody) {
   EXPECT_EQ(call("BLAH\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/9.9\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\nA: " + std::string(9000, 'a') + "\r\n\r\n").status(),
@@ -125,7 +125,7 @@
 }
 
 // A call without its end is none: its connection may have broken in the middle of an id.
-TEST_F(AdminServerTest, ACallThatIsCutShortIsNotFollowed) {
+TEST_F(AdminServerTest, ACallThatIsCutShortIsNotHandled) {
   {
     Caller caller(io, server.port());
     caller.send("POST /api/evacuate HTTP/1.1\r\nHost: x\r\n");
--- a/tests/admin/call_test.cpp
+++ b/tests/admin/call_test.cpp
@@ -6,7 +6,7 @@
 namespace ivypost::admin {
 namespace {
 
-TEST(CallTest, EveryCallIsFound) {
+TEST(CallTest, EveryPathIsItsCall) {
   struct Case {
     const char *method, *target;
     Call::Kind kind;
