--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -1,9 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "simulator/wire.h"
 
-#include <algorithm>
+#include <array>
 #include <charconv>
+#include <cstddef>
 #include <limits>
+#include <memory>
+#include <variant>
 
 #include "settings/load_report_column.h"
 
@@ -22,51 +25,119 @@
   settings::bad("unknown outcome", value);
 }
 
-}  // namespace
+balancer::MembershipUpdate::Kind toUpdateKind(std::string_view mode) {
+  if (mode == "INCREMENTAL") return balancer::MembershipUpdate::Kind::Changes;
+  if (mode == "FULL") return balancer::MembershipUpdate::Kind::Full;
+  if (mode == "SAVED") return balancer::MembershipUpdate::Kind::Saved;
+  if (mode == "FAILED") return balancer::MembershipUpdate::Kind::Failed;
+  settings::bad("unknown registry mode", mode);
+}
 
-SheetEntry parseSheetEntry(const settings::Line& line) {
-  if (line.name() != "entry") settings::bad("expected an entry line, got", line.name());
-  SheetEntry entry;
-  entry.upstream = line.text("upstream");
-  entry.zone = line.find("locality").value_or("");
-  entry.kind = line.find("hw").value_or("");
-  if (line.find("group"))
-    entry.cell = static_cast<std::uint32_t>(line.integer("group", 0, settings::kMaxCount));
-  const std::string_view mode = line.text("mode");
-  if (mode == "SERVING") {
-    entry.state = balancer::EndpointState::Serving;
-  } else if (mode == "DRAINING") {
-    entry.state = balancer::EndpointState::Draining;
-  } else if (mode == "DELETED") {
-    entry.state = balancer::EndpointState::Gone;
-  } else {
-    settings::bad("unknown upstream mode", mode);
+std::uint32_t attemptOf(const settings::Line& line) {
+  return static_cast<std::uint32_t>(line.integer("go", 0, settings::kMaxCount));
+}
+
+// The number of a name that may be empty, which stands for the first.
+std::uint32_t numberOrFirst(const settings::Numbering& names, std::string_view what,
+                            const std::string& name) {
+  return name.empty() ? 0 : settings::lookUp(names, what, name);
+}
+
+void appendNumber(std::string& out, std::string_view key, std::int64_t value) {
+  std::array<char, std::numeric_limits<std::int64_t>::digits10 + 2> digits{};
+  const auto written = std::to_chars(digits.begin(), digits.end(), value);
+  out.append(key).append(digits.begin(), written.ptr);
+}
+
+void appendRequest(std::string& out, balancer::RequestId request) {
+  constexpr std::string_view kHexDigits = "0123456789abcdef";
+  constexpr unsigned kBitsOfADigit = 4;
+  constexpr unsigned kLowDigit = 15;
+  out += " job=";
+  for (unsigned shift = std::numeric_limits<balancer::RequestId>::digits; shift > 0;) {
+    shift -= kBitsOfADigit;
+    out += kHexDigits[request >> shift & kLowDigit];
   }
-  entry.size = line.number("size", 1);
-  if (entry.size < 0) settings::bad("size is negative:", line.text("size"));
-  entry.launchedAt = line.integer("launched", 0, settings::kMaxTime, 0);
-  return entry;
 }
 
+// Appends one action's line, without its end.
+class ActionPrinter {
+ public:
+  ActionPrinter(int instance, const std::vector<std::string>& upstreams, std::string& out)
+      : instance_(instance), upstreams_(upstreams), out_(out) {}
+
+  void operator()(const balancer::Send& send) const {
+    begin("call_out");
+    appendRequest(out_, send.request);
+    appendUpstream(send.upstream);
+    if (send.timeout > 0) appendNumber(out_, " limit=", send.timeout);
+  }
+  void operator()(const balancer::Cancel& cancel) const {
+    begin("cancel");
+    appendRequest(out_, cancel.request);
+    appendNumber(out_, " go=", cancel.attempt);
+  }
+  void operator()(const balancer::Reject& reject) const {
+    begin("deny");
+    appendRequest(out_, reject.request);
+    if (reject.retryAfter > 0) appendNumber(out_, " retryAfter=", reject.retryAfter);
+  }
+  void operator()(const balancer::Fail& fail) const {
+    begin("fail");
+    appendRequest(out_, fail.request);
+  }
+  void operator()(const balancer::SetTimer& timer) const {
+    begin("timer");
+    appendNumber(out_.append(" nonce=wake"), " delay=", timer.delay);
+  }
+  void operator()(const balancer::Probe& probe) const {
+    begin("inspect");
+    appendUpstream(probe.upstream);
+  }
+  void operator()(const balancer::CloseIdle& close) const {
+    begin("free_links");
+    appendUpstream(close.upstream);
+  }
+  void operator()(const balancer::Subscribe& /*subscribe*/) const {
+    begin("tail");
+    out_ += " active=1";
+  }
+  void operator()(const balancer::Fetch& /*fetch*/) const { begin("refresh"); }
+  void operator()(const balancer::Log& log) const {
+    begin("emit");
+    out_.append(" words=").append(log.text);
+  }
+
+ private:
+  void begin(std::string_view name) const { appendNumber(out_.append(name), " i=", instance_); }
+  void appendUpstream(balancer::EndpointId id) const { out_.append(" upstream=").append(upstreams_.at(id)); }
+
+  int instance_;
+  const std::vector<std::string>& upstreams_;
+  std::string& out_;
+};
+
+}  // namespace
+
 Wire::Wire(const settings::Line& create)
     : site_(settings::readSite(create)),
       seed_(static_cast<std::uint64_t>(
           create.integer("entropy", 0, std::numeric_limits<std::int64_t>::max()))) {}
 
-balancer::EndpointId Wire::intern(const std::string& name) {
-  const auto [at, fresh] = ids_.emplace(name, static_cast<balancer::EndpointId>(upstreams_.size()));
-  if (fresh) upstreams_.push_back(name);
-  return at->second;
+balancer::EndpointId Wire::numberOf(const std::string& name) {
+  const auto [found, isNew] = ids_.emplace(name, static_cast<balancer::EndpointId>(upstreams_.size()));
+  if (isNew) upstreams_.push_back(name);
+  return found->second;
 }
 
-balancer::EndpointId Wire::known(const settings::Line& line) const {
+balancer::EndpointId Wire::knownUpstream(const settings::Line& line) const {
   const std::string name(line.text("upstream"));
   const auto found = ids_.find(name);
   if (found == ids_.end()) settings::bad("upstream was in no list of this instance:", name);
   return found->second;
 }
 
-std::optional<balancer::LoadReport> Wire::report(const settings::Line& line) const {
+std::optional<balancer::LoadReport> Wire::parseReport(const settings::Line& line) const {
   const auto row = line.find("gauge");
   if (!row || row->empty()) return std::nullopt;
   balancer::LoadReport report;
@@ -78,134 +149,78 @@
   return report;
 }
 
-std::optional<balancer::Event> Wire::parse(const settings::Line& line, const std::vector<SheetEntry>* sheet) {
-  const std::string_view name = line.name();
-  if (name == "ingress") {
-    balancer::NewRequest e;
-    e.request = line.request("job");
-    e.requestClass = settings::lookUp(site_.classes, "category", line.text("category"));
-    const std::string_view tenant = line.find("project").value_or("");
-    if (!site_.tenants.empty() && !tenant.empty() && tenant != "0")
-      e.tenant = settings::lookUp(site_.tenants, "project", tenant);
-    if (line.find("targetKey")) {
-      e.key = static_cast<std::uint64_t>(line.integer("targetKey", 0, settings::kMaxTime));
-    }
-    e.expiresIn = line.integer("expiresIn", -settings::kMaxTime, settings::kMaxTime);
-    if (line.find("work")) e.work = line.integer("work", 0, settings::kMaxTime);
-    e.isRetry = line.flag("resent");
-    return e;
-  }
-  if (name == "response") {
-    balancer::AttemptOutcome e;
-    e.request = line.request("job");
-    e.attempt = static_cast<std::uint32_t>(line.integer("go", 0, settings::kMaxCount));
-    e.upstream = known(line);
-    e.outcome = toOutcome(line.text("status"));
-    e.lag = line.integer("lag", 0, settings::kMaxTime, 0);
-    e.last = line.flag("last");
-    e.report = report(line);
-    return e;
-  }
-  if (name == "tick_due") {
-    line.text("nonce");
-    return balancer::TimerDue{};
-  }
-  if (name == "withdrawn") return balancer::Withdrawn{line.request("job")};
-  if (name == "started") {
-    return balancer::AttemptStarted{line.request("job"),
-                                    static_cast<std::uint32_t>(line.integer("go", 0, settings::kMaxCount))};
-  }
-  if (name == "health") {
-    balancer::ProbeResult e;
-    e.upstream = known(line);
-    e.ok = line.text("status") == "ok";
-    e.lag = line.integer("lag", 0, settings::kMaxTime, 0);
-    e.report = report(line);
-    return e;
-  }
-  if (name == "registry") {
-    balancer::MembershipUpdate e;
-    const std::string_view mode = line.text("mode");
-    if (mode == "FAILED") {
-      e.kind = balancer::MembershipUpdate::Kind::Failed;
-      return e;
-    }
-    if (mode == "INCREMENTAL") {
-      e.kind = balancer::MembershipUpdate::Kind::Changes;
-    } else if (mode == "FULL") {
-      e.kind = balancer::MembershipUpdate::Kind::Full;
-    } else if (mode == "SAVED") {
-      e.kind = balancer::MembershipUpdate::Kind::Saved;
-    } else {
-      settings::bad("unknown registry mode", mode);
-    }
-    if (sheet == nullptr) settings::bad("unknown sheet", line.text("sheet"));
-    for (const SheetEntry& entry : *sheet) {
-      const std::uint32_t zone =
-          entry.zone.empty() ? 0 : settings::lookUp(site_.zones, "locality", entry.zone);
-      const std::uint32_t kind = entry.kind.empty() ? 0 : settings::lookUp(site_.kinds, "hw", entry.kind);
-      e.entries.push_back({intern(entry.upstream), zone, kind, entry.cell, entry.state, entry.size,
-                           entry.launchedAt, settings::identity(entry.upstream)});
-    }
-    return e;
-  }
-  if (name == "mail") return std::nullopt;  // the sidecars of this project tell each other nothing
-  settings::bad("unknown message", name);
+balancer::NewRequest Wire::parseRequest(const settings::Line& line) const {
+  balancer::NewRequest event;
+  event.request = line.request("job");
+  event.requestClass = settings::lookUp(site_.classes, "category", line.text("category"));
+  const std::string_view tenant = line.find("project").value_or("");
+  if (!site_.tenants.empty() && !tenant.empty() && tenant != "0")
+    event.tenant = settings::lookUp(site_.tenants, "project", tenant);
+  if (line.find("targetKey"))
+    event.key = static_cast<std::uint64_t>(line.integer("targetKey", 0, settings::kMaxTime));
+  event.expiresIn = line.integer("expiresIn", -settings::kMaxTime, settings::kMaxTime);
+  if (line.find("work")) event.work = line.integer("work", 0, settings::kMaxTime);
+  event.isRetry = line.flag("resent");
+  return event;
 }
 
-namespace {
+balancer::AttemptOutcome Wire::parseOutcome(const settings::Line& line) const {
+  balancer::AttemptOutcome event;
+  event.request = line.request("job");
+  event.attempt = attemptOf(line);
+  event.upstream = knownUpstream(line);
+  event.outcome = toOutcome(line.text("status"));
+  event.lag = line.integer("lag", 0, settings::kMaxTime, 0);
+  event.last = line.flag("last");
+  event.report = parseReport(line);
+  return event;
+}
 
-void put(std::string& out, std::string_view key, std::int64_t value) {
-  char digits[24];
-  const auto end = std::to_chars(digits, digits + sizeof digits, value).ptr;
-  out.append(key).append(digits, end);
+balancer::ProbeResult Wire::parseProbeResult(const settings::Line& line) const {
+  balancer::ProbeResult event;
+  event.upstream = knownUpstream(line);
+  event.ok = line.text("status") == "ok";
+  event.lag = line.integer("lag", 0, settings::kMaxTime, 0);
+  event.report = parseReport(line);
+  return event;
 }
 
-void put(std::string& out, balancer::RequestId request) {
-  static constexpr char kHex[] = "0123456789abcdef";
-  out += " job=";
-  for (int shift = 60; shift >= 0; shift -= 4) out += kHex[request >> shift & 15];
+balancer::EndpointEntry Wire::toEndpoint(const SheetEntry& entry) {
+  const std::uint32_t zone = numberOrFirst(site_.zones, "locality", entry.zone);
+  const std::uint32_t kind = numberOrFirst(site_.kinds, "hw", entry.kind);
+  return {
+      numberOf(entry.upstream),          zone, kind, entry.cell, entry.state, entry.size, entry.launchedAt,
+      settings::identity(entry.upstream)};
 }
 
-}  // namespace
+balancer::MembershipUpdate Wire::parseUpdate(const settings::Line& line, const Sheet* sheet) {
+  balancer::MembershipUpdate event;
+  event.kind = toUpdateKind(line.text("mode"));
+  if (event.kind == balancer::MembershipUpdate::Kind::Failed) return event;
+  if (sheet == nullptr) settings::bad("unknown sheet", line.text("sheet"));
+  for (const SheetEntry& entry : *sheet) event.entries.push_back(toEndpoint(entry));
+  return event;
+}
 
-void Wire::print(int instance, const balancer::Action& action, std::string& out) const {
-  const auto begin = [&](std::string_view name) { put(out.append(name), " i=", instance); };
-  const auto upstream = [&](balancer::EndpointId id) { out.append(" upstream=").append(upstreams_.at(id)); };
-  if (const auto* send = std::get_if<balancer::Send>(&action)) {
-    begin("call_out");
-    put(out, send->request);
-    upstream(send->upstream);
-    if (send->timeout > 0) put(out, " limit=", send->timeout);
-  } else if (const auto* timer = std::get_if<balancer::SetTimer>(&action)) {
-    begin("timer");
-    put(out.append(" nonce=wake"), " delay=", timer->delay);
-  } else if (const auto* cancel = std::get_if<balancer::Cancel>(&action)) {
-    begin("cancel");
-    put(out, cancel->request);
-    put(out, " go=", cancel->attempt);
-  } else if (const auto* refuse = std::get_if<balancer::Reject>(&action)) {
-    begin("deny");
-    put(out, refuse->request);
-    if (refuse->retryAfter > 0) put(out, " retryAfter=", refuse->retryAfter);
-  } else if (const auto* fail = std::get_if<balancer::Fail>(&action)) {
-    begin("fail");
-    put(out, fail->request);
-  } else if (const auto* probe = std::get_if<balancer::Probe>(&action)) {
-    begin("inspect");
-    upstream(probe->upstream);
-  } else if (const auto* close = std::get_if<balancer::CloseIdle>(&action)) {
-    begin("free_links");
-    upstream(close->upstream);
-  } else if (std::holds_alternative<balancer::Subscribe>(action)) {
-    begin("tail");
-    out += " active=1";
-  } else if (std::holds_alternative<balancer::Fetch>(action)) {
-    begin("refresh");
-  } else if (const auto* log = std::get_if<balancer::Log>(&action)) {
-    begin("emit");
-    out.append(" words=").append(log->text);
+std::optional<balancer::Event> Wire::parse(const settings::Line& line, const Sheet* sheet) {
+  const std::string_view name = line.name();
+  if (name == "ingress") return parseRequest(line);
+  if (name == "response") return parseOutcome(line);
+  if (name == "withdrawn") return balancer::Withdrawn{line.request("job")};
+  if (name == "started") return balancer::AttemptStarted{line.request("job"), attemptOf(line)};
+  if (name == "health") return parseProbeResult(line);
+  if (name == "registry") return parseUpdate(line, sheet);
+  if (name == "tick_due") {
+    // There is one timer; that its nonce is there is checked all the same.
+    static_cast<void>(line.text("nonce"));
+    return balancer::TimerDue{};
   }
+  if (name == "mail") return std::nullopt;  // the sidecars of this project tell each other nothing here
+  settings::bad("unknown message", name);
+}
+
+void Wire::print(int instance, const balancer::Action& action, std::string& out) const {
+  std::visit(ActionPrinter(instance, upstreams_, out), action);
   out += '\n';
 }
 
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -7,7 +7,6 @@
 namespace {
 
 using namespace ivypost::balancer;
-using settings::FormatError;
 using settings::Line;
 
 const std::string kCreate =
@@ -20,7 +19,7 @@
     "contract.lookBack=2000000 contract.fall=1500000 contract.fallMultiple=4.0 contract.startCapacity=0.31 "
     "contract.stopSendingWithin=2000000 limits.maxAttempts=6 limits.maxStreams=100 limits.mayCancel=true "
     "limits.probing=false "
-    "locality=north membershipMode=subscribe projects.count=1 projects.0.name=school "
+    "locality=north membershipMode=subscribe projects.count=1 projects.0.name=office "
     "projects.0.quotaPerS=92.0 "
     "projects.0.share=1.0 report.columns=cpu_share,something_new,busy_reqs report.how=answers "
     "resolution=5000 "
@@ -30,7 +29,7 @@
   return {parseSheetEntry(Line(line))};
 }
 
-TEST(Wire, ReadsTheSettingsAndSkipsUnknownKeys) {
+TEST(WireTest, ReadsTheSettingsAndSkipsUnknownKeys) {
   const Wire wire{Line(kCreate)};
   const Settings& s = wire.settings();
   ASSERT_EQ(s.classes.size(), 2u);
@@ -54,7 +53,7 @@
   EXPECT_EQ(wire.seed(), 8565319633688438u);
 }
 
-TEST(Wire, EventsAndActionsRoundTrip) {
+TEST(WireTest, EventsAndActionsRoundTrip) {
   Wire wire{Line(kCreate)};
   const auto sheet =
       sheetOf("entry upstream=10.1.1.1:9 locality=south hw=slow group=2 mode=SERVING size=1.5 launched=7");
@@ -68,7 +67,7 @@
   EXPECT_EQ(update.entries[0].launchedAt, 7);
 
   const std::string text =
-      "ingress i=3 job=0bb5b98e5d3a91c4 category=book project=school targetKey=9 expiresIn=240000 work=12";
+      "ingress i=3 job=0bb5b98e5d3a91c4 category=book project=office targetKey=9 expiresIn=240000 work=12";
   const auto request = std::get<NewRequest>(*wire.parse(Line(text), nullptr));
   EXPECT_EQ(request.request, 0x0bb5b98e5d3a91c4u);
   EXPECT_EQ(request.requestClass, 1u);
@@ -103,7 +102,7 @@
             "emit i=3 words=two servers known\n");
 }
 
-TEST(Wire, OutcomesCarryReportsByColumn) {
+TEST(WireTest, OutcomesCarryReportsByColumn) {
   Wire wire{Line(kCreate)};
   const auto sheet = sheetOf("entry upstream=a:1 mode=SERVING");
   wire.parse(Line("registry i=3 mode=FULL generation=1 sheet=0"), &sheet);
@@ -123,7 +122,7 @@
   EXPECT_FALSE(wire.parse(Line("mail i=3 who=1 data=00"), nullptr).has_value());
 }
 
-TEST(Wire, RejectsWhatItCannotRead) {
+TEST(WireTest, RejectsWhatItCannotRead) {
   Wire wire{Line(kCreate)};
   for (const char* text :
        {"response i=3 job=0bb5b98e5d3a91c4 upstream=b:2 go=0 status=ok", "withdrawn i=3 job=0BB5B98E5D3A91C4",
