--- /dev/null
+++ b/src/admin/admin_server.cpp
@@ -0,0 +1,219 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "admin/admin_server.h"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http.hpp>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+#include <variant>
+
+#include "network/nonblocking_io.h"
+
+namespace ivypost::admin {
+namespace {
+
+namespace asio = boost::asio;
+namespace beast = boost::beast;
+namespace http = beast::http;
+using asio::ip::tcp;
+using beast::error_code;
+using std::chrono::milliseconds;
+
+constexpr std::uint32_t kMaxHeader = 8 * 1024;
+// Calls have no body; one that comes along is read and dropped up to this.
+constexpr std::size_t kMaxBody = 16UL * 1024;
+// A connection without a complete call is closed after so long, if it was not evicted before.
+constexpr milliseconds kCallTimeout{10'000};
+// What a caller still sends after its answer is dropped for so long: closing at once could cost it the
+// answer.
+constexpr milliseconds kLingerTimeout{200};
+// While no connection can be accepted, as when descriptors have run out, it is tried again after this.
+constexpr milliseconds kAcceptPause{10};
+constexpr std::size_t kReadAtOnce = 4096;
+
+std::string serialize(const Reply& reply) {
+  const auto reason = http::obsolete_reason(static_cast<http::status>(reply.status));
+  return "HTTP/1.1 " + std::to_string(reply.status) + " " + std::string(reason) +
+         "\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: " +
+         std::to_string(reply.text.size() + 1) + "\r\n\r\n" + reply.text + "\n";
+}
+
+Reply replyTo(const error_code& error) {
+  if (error == http::error::header_limit)
+    return {static_cast<unsigned>(http::status::request_header_fields_too_large), "header over 8 KiB"};
+  if (error == http::error::body_limit)
+    return {static_cast<unsigned>(http::status::payload_too_large), "body over 16 KiB"};
+  return {static_cast<unsigned>(http::status::bad_request), "malformed HTTP: " + error.message()};
+}
+
+}  // namespace
+
+// One connection, until its call is answered: it reads, is answered, writes, and lingers. Discovery's
+// connection with one call (membership/platform.cpp) is the other end of the same: it writes, and reads.
+class AdminServer::Session : public std::enable_shared_from_this<Session> {
+ public:
+  Session(AdminServer& owner, tcp::socket socket)
+      : owner_(&owner), socket_(std::move(socket)), timer_(owner.io_) {}
+
+  void start() {
+    error_code ignored;
+    socket_.set_option(tcp::no_delay(true), ignored);
+    socket_.non_blocking(true, ignored);
+    parser_.header_limit(kMaxHeader);
+    parser_.body_limit(kMaxBody);
+    parser_.eager(true);
+    closeAfter(kCallTimeout);
+    readAvailable();
+  }
+
+  [[nodiscard]] bool isAnswered() const { return isAnswered_; }
+
+  // Its owner is gone: nobody is called back any more.
+  void orphan() noexcept { owner_ = nullptr; }
+
+  void close() {
+    orphan();
+    timer_.cancel();
+    error_code ignored;
+    socket_.close(ignored);
+  }
+
+ private:
+  void finish() {
+    if (owner_ == nullptr) return;
+    const auto self = shared_from_this();
+    owner_->sessions_.remove(self);
+    close();
+  }
+
+  void closeAfter(milliseconds timeout) {
+    timer_.expires_after(timeout);
+    timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
+      if (!cancelled && self->timer_.expiry() <= std::chrono::steady_clock::now()) self->finish();
+    });
+  }
+
+  // As a rule the complete call is there already when the connection is.
+  void readAvailable() {
+    for (;;) {
+      error_code error;
+      buffer_.commit(network::receiveSome(socket_, buffer_.prepare(kReadAtOnce), error));
+      if (network::isTransient(error)) return waitToRead(error);
+      if (error) return finish();
+      if (isAnswered_) {
+        buffer_.clear();
+        return waitToRead({});
+      }
+      error = parseBuffer();
+      if (error || parser_.is_done()) return handleCall(error);
+    }
+  }
+
+  // Without an error the call is complete, or more of it has to come.
+  error_code parseBuffer() {
+    error_code error;
+    while (!error && !parser_.is_done() && buffer_.size() > 0)
+      buffer_.consume(parser_.put(buffer_.data(), error));
+    return error == http::error::need_more ? error_code() : error;
+  }
+
+  // `error`: what the last read came to.
+  void waitToRead(const error_code& error) {
+    network::waitToRetry(socket_, tcp::socket::wait_read, error,
+                         [self = shared_from_this()](const error_code& failed) {
+                           if (self->owner_ == nullptr) return;
+                           if (failed) return self->finish();
+                           self->readAvailable();
+                         });
+  }
+
+  void handleCall(const error_code& error) {
+    if (error) return send(replyTo(error));
+    const auto& request = parser_.get();
+    const auto method = request.method_string();
+    const auto target = request.target();
+    const auto routed = route({method.data(), method.size()}, {target.data(), target.size()});
+    if (const auto* const rejection = std::get_if<Reply>(&routed)) return send(*rejection);
+    owner_->handler_(std::get<Call>(routed),
+                     [self = shared_from_this()](const Reply& reply) { self->send(reply); });
+  }
+
+  void send(const Reply& reply) {
+    if (owner_ == nullptr || isAnswered_) return;
+    isAnswered_ = true;
+    text_ = serialize(reply);
+    buffer_.clear();
+    closeAfter(kLingerTimeout);
+    network::writeAll(socket_, text_, [self = shared_from_this()](const error_code& failed) {
+      if (self->owner_ == nullptr) return;
+      if (failed) return self->finish();
+      error_code ignored;
+      self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
+      self->waitToRead({});
+    });
+  }
+
+  AdminServer* owner_;  // none once it is closed
+  tcp::socket socket_;
+  asio::steady_timer timer_;
+  beast::flat_buffer buffer_;
+  http::request_parser<http::string_body> parser_;
+  std::string text_;  // of the answer, while it is written
+  bool isAnswered_ = false;
+};
+
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& address, Handler handler)
+    : io_(io), handler_(std::move(handler)), acceptor_(io), acceptTimer_(io) {
+  acceptor_.open(address.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  acceptor_.bind(address);
+  acceptor_.listen();
+  acceptor_.non_blocking(true);
+  // Otherwise Asio waits for the next connection behind one that ended in the queue.
+  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
+  accept();
+}
+
+AdminServer::~AdminServer() {
+  for (const auto& session : sessions_) session->orphan();
+}
+
+void AdminServer::accept() {
+  acceptor_.async_accept([this](const error_code& error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted) return;
+    if (!error) {
+      admit(std::move(socket));
+      return accept();
+    }
+    // Guards against a loop that spins when descriptors have run out.
+    acceptTimer_.expires_after(kAcceptPause);
+    acceptTimer_.async_wait([this](const error_code& cancelled) {
+      if (!cancelled) accept();
+    });
+  });
+}
+
+void AdminServer::admit(tcp::socket socket) {
+  if (sessions_.size() >= kMaxConnections) evictOne();
+  const auto session = std::make_shared<Session>(*this, std::move(socket));
+  sessions_.push_back(session);
+  session->start();  // it may end within
+}
+
+// The oldest without a complete call; where all have one, the oldest.
+void AdminServer::evictOne() {
+  auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
+                             [](const auto& session) { return !session->isAnswered(); });
+  if (oldest == sessions_.end()) oldest = sessions_.begin();
+  const auto evicted = *oldest;
+  sessions_.erase(oldest);
+  evicted->close();
+}
+
+}  // namespace ivypost::admin
--- a/src/fleet/scenario.cpp
+++ b/src/fleet/scenario.cpp
@@ -7,13 +7,13 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "configfile/table.h"
+#include "configuration/toml_document.h"
 #include "fault/plan_reader.h"
 
 namespace ivypost::fleet {
 namespace {
 
-using configfile::Table;
+using configuration::Table;
 using nlohmann::json;
 using standins::Effect;
 
@@ -26,7 +26,7 @@
     "reload"};
 
 Micros within(Table& table, std::string_view key, Micros low, Micros high, Micros fallback) {
-  const Micros value = table.duration(key, fallback);
+  const Micros value = table.duration(key, std::chrono::microseconds(fallback)).count();
   if (value < low || value > high) table.fail(key, "out of range");
   return value;
 }
@@ -160,7 +160,7 @@
   }
   const bool lasts = event.kind != Kind::Drain && event.kind != Kind::Die && event.kind != Kind::Start &&
                      event.kind != Kind::Terminate && event.kind != Kind::Reload;
-  if (lasts) event.length = table.duration("for");
+  if (lasts) event.length = table.duration("for").count();
   if (event.kind == Kind::Fault) {
     const auto keys = {"group", "zone", "region"};
     if (std::any_of(keys.begin(), keys.end(), [&](const char* key) { return table.has(key); }))
@@ -213,7 +213,7 @@
               "more than sidecars; set sidecars = " + std::to_string(scenario.zones) + " or more");
 }
 
-Scenario read(const configfile::Document& document) {
+Scenario read(const configuration::Document& document) {
   Scenario scenario;
   Table root = document.root();
   scenario.name = root.text("name");
@@ -272,11 +272,11 @@
 }
 
 Scenario readScenario(const std::string& path) {
-  return read(configfile::Document::read(path));
+  return read(configuration::Document::read(path));
 }
 
 Scenario parseScenario(std::string_view text, const std::string& name) {
-  return read(configfile::Document::parse(text, name));
+  return read(configuration::Document::parse(text, name));
 }
 
 json settingsOf(const Scenario& scenario, std::uint32_t sidecar) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -17,8 +17,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admin/admin_server.h"
 #include "config.h"
-#include "console/console_io.h"
 #include "degradation_manager.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
@@ -42,12 +42,12 @@
 
   // Throws settings::FormatError for an operator's file that does not fit the configuration or this
   // program, and what the server throws.
-  explicit Sidecar(boost::asio::io_context& io, Config config, const op::File& file = {},
+  explicit Sidecar(boost::asio::io_context& io, Config config, const configuration::OperatorFile& file = {},
                    MakeEtcd makeEtcd = {});
 
   // Takes over what may change while it runs: where discovery is, and the operator's file. The rest waits for
   // the next start. Throws settings::FormatError, and then nothing has changed.
-  void reload(const Config& config, const op::File& file);
+  void reload(const Config& config, const configuration::OperatorFile& file);
 
   // SIGTERM: answers all that was taken, then calls back once.
   void stop(std::function<void()> stopped);
@@ -92,8 +92,8 @@
 
   // An operator's call that changes the exclusions, until it is answered.
   struct PendingChange {
-    console::Call call;
-    console::Console::Answer answer;
+    admin::Call call;
+    admin::AdminServer::Answer answer;
     Clock::time_point until;  // the lock is tried for
   };
 
@@ -105,14 +105,14 @@
   void onProbed(const ProbeEnd& end);
   void onList(const InstanceList& list, balancer::MembershipUpdate::Kind kind);
   void onTimer();
-  void follow(const op::File::Membership& wanted, const Endpoint& discovery);
+  void follow(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void applyExclusions(exclusion::ExclusionSet next);
-  void onCall(const console::Call& call, console::Console::Answer answer);
+  void onCall(const admin::Call& call, admin::AdminServer::Answer answer);
   void queueChange(PendingChange change);
   void tryNextChange();
   void scheduleNextChange(Clock::duration after);
-  std::optional<console::Reply> changeExclusions(const console::Call& call);
+  std::optional<admin::Reply> changeExclusions(const admin::Call& call);
   void openConsole();
   void pollExclusionFile();
   void onLevel(degradation::Level level);
@@ -156,13 +156,13 @@
   std::unordered_map<std::string, EndpointId> ids_;
   std::vector<Known> known_;                // by number
   std::vector<EndpointId> spare_;           // free numbers
-  relay::Budget budget_;                    // of bodies in transit
+  streaming::ByteBudget budget_;            // of bodies in transit
   std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
   Upstreams upstreams_;
   const MakeEtcd makeEtcd_;
   membership::Membership membership_;
-  op::File::Membership followed_;  // by the source that counts
-  op::File::Membership wanted_;    // by it, or by the one that is to take over
+  configuration::OperatorFile::Membership followed_;  // by the source that counts
+  configuration::OperatorFile::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
   DegradationManager degradation_;
   SheddingNote shedding_;
@@ -171,12 +171,12 @@
   std::function<void()> stopped_;
   exclusion::ExclusionSet exclusions_;
   exclusion::ExclusionFile exclusionFile_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
+  std::deque<PendingChange> pendingChanges_;  // the oldest first, AdminServer::kMaxConnections at most
   boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
   peers::Options peersAs_;            // as the operator has set them
   std::unique_ptr<FleetView> fleet_;  // none: off
   bool consoleFailed_ = false;
-  std::unique_ptr<console::Console> console_;
+  std::unique_ptr<admin::AdminServer> console_;
 };
 
 }  // namespace ivypost
--- a/src/relay/body_buffering.h
+++ b/src/streaming/body_buffering.h
@@ -2,17 +2,18 @@
 //
 // Whether a request's body is buffered until it is complete, so that it can be sent again and a client that
 // writes slowly holds up no upstream, or is streamed. Decisions only.
-#ifndef IVYPOST_RELAY_BODY_BUFFERING_H_
-#define IVYPOST_RELAY_BODY_BUFFERING_H_
+#ifndef IVYPOST_STREAMING_BODY_BUFFERING_H_
+#define IVYPOST_STREAMING_BODY_BUFFERING_H_
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <optional>
 
-#include "relay/budget.h"
-#include "relay/pace.h"
+#include "streaming/byte_budget.h"
+#include "streaming/stall_timer.h"
 
-namespace ivypost::relay {
+namespace ivypost::streaming {
 
 /// The buffering of one connection's request bodies, one after the other.
 class BodyBuffering {
@@ -22,12 +23,13 @@
   /// The budget is taken in steps of so many bytes.
   static constexpr std::size_t kBudgetStep = 128UL * 1024;
   /// How much longer than its rate so far lets expect the rest of a body may take, before its request is
-  /// given up: so many times as long, and so many microseconds more.
-  static constexpr Micros kUploadSlack = 2;
-  static constexpr Micros kUploadSpare = 3'000'000;
+  /// abandoned: so many times as long ...
+  static constexpr int kUploadSlack = 2;
+  /// ... and so much more.
+  static constexpr StallTimer::Duration kUploadAllowance = std::chrono::seconds(3);
 
   /// `freeBytes`: a body of up to so many bytes is buffered without the budget.
-  BodyBuffering(const Budget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
+  BodyBuffering(const ByteBudget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
 
   /// Asked as bytes of a body come: the capacity that its buffer needs, in bytes; none: it has to be
   /// streamed. `received`: bytes so far; `statedLength`: by its head; none: it comes in chunks.
@@ -37,15 +39,16 @@
   /// Gives back what was taken from the budget.
   void release() { share_.release(); }
 
-  /// Microseconds that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
-  /// stated length; none: unknown.
-  [[nodiscard]] static Micros uploadTime(const Pace& rate, std::optional<std::uint64_t> remaining);
+  /// The time that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
+  /// stated length; none: unknown, and taken for kMaxBuffered.
+  [[nodiscard]] static StallTimer::Duration uploadTime(const StallTimer& rate,
+                                                       std::optional<std::uint64_t> remaining);
 
  private:
   std::size_t freeBytes_;
-  Budget::Share share_;
+  ByteBudget::Share share_;
 };
 
-}  // namespace ivypost::relay
+}  // namespace ivypost::streaming
 
-#endif  // IVYPOST_RELAY_BODY_BUFFERING_H_
+#endif  // IVYPOST_STREAMING_BODY_BUFFERING_H_
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "configfile/table.h"
-#include "settings/settings.h"
+#include "configuration/toml_document.h"
+#include "settings/site.h"
 
 namespace ivypost::fleet {
 namespace {
@@ -157,7 +157,7 @@
     try {
       parseScenario(text, "s");
       ADD_FAILURE() << "accepted: " << text;
-    } catch (const configfile::Error& error) {
+    } catch (const configuration::Error& error) {
       EXPECT_EQ(std::string(error.what()), expected);
     }
   }
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -198,7 +198,7 @@
   start(2);
   Peer moved(io);
   const auto waiting = discovery.requests.back().line;
-  sidecar->reload(configure({{"discovery", moved.address()}}), op::File{});
+  sidecar->reload(configure({{"discovery", moved.address()}}), configuration::OperatorFile{});
   ASSERT_TRUE(wait([&] { return waiting->closed && moved.requests.size() == 1; }));
   moved.requests[0].drop();  // an outage
   ASSERT_TRUE(wait([&] { return moved.requests.size() == 2; }));
@@ -221,7 +221,7 @@
     ASSERT_TRUE(wait([&] { return from.answers() == turn + 1; }));
   }
   // And back, as often as it is told to.
-  sidecar->reload(configure(json::object()), op::File{});
+  sidecar->reload(configure(json::object()), configuration::OperatorFile{});
   const auto before = discovery.requests.size();
   ASSERT_TRUE(wait([&] { return discovery.requests.size() >= before + 2; }));
   EXPECT_EQ(discovery.requests[before].message.target(), "/v1/endpoints");
@@ -481,7 +481,7 @@
   const Config config = configure(json::object());
   Peer upstream(io);
   std::vector<ProbeEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget, {{}, {}, {}, [&](const ProbeEnd& end) { ends.push_back(end); }});
   pool.setAddress(0, parseEndpoint(upstream.address()));
   const std::vector<std::string> reports = {"TEXT inflight=7, qps=-1", "TEXT inflight=many", "{", "",
@@ -516,8 +516,8 @@
 TEST_F(SidecarTest, ServerAnswersAtTheDeadlineByItself) {
   const Config config = configure(json::object());
   std::vector<balancer::RequestId> taken, over;
-  relay::Budget budget(1'000'000);
-  Server server(io, config, op::File{}, budget,
+  streaming::ByteBudget budget(1'000'000);
+  Server server(io, config, configuration::OperatorFile{}, budget,
                 {[&](const ClientRequest& request) { taken.push_back(request.id); },
                  [&](balancer::RequestId id) { over.push_back(id); },
                  {},
@@ -544,7 +544,7 @@
   const Config config = configure(json::object());
   Peer upstream(io);
   std::vector<AttemptEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget,
                  {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   pool.setAddress(0, parseEndpoint(upstream.address()));
@@ -572,7 +572,7 @@
   config.sockets = 6;  // two connections to upstreams
   std::vector<std::unique_ptr<Peer>> peers;
   std::vector<AttemptEnd> ends;
-  relay::Budget budget(1'000'000);
+  streaming::ByteBudget budget(1'000'000);
   Upstreams pool(io, config, budget,
                  {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   AttemptOrder order;
--- /dev/null
+++ b/tests/streaming/pipe_test.cpp
@@ -0,0 +1,96 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "streaming/pipe.h"
+
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+#include <string>
+#include <vector>
+
+namespace ivypost::streaming {
+namespace {
+
+// What has begun can always finish: without budget a pipe still holds its least, and passes everything on.
+TEST(PipeTest, WithoutBudgetItIsSmallAndWorks) {
+  ByteBudget budget(Pipe::kPreferredCapacity);
+  Pipe large(budget);
+  EXPECT_EQ(large.freeCapacity(), Pipe::kPreferredCapacity);
+  Pipe small(budget);
+  EXPECT_EQ(small.freeCapacity(), Pipe::kMinCapacity);
+  EXPECT_EQ(budget.inUse(), Pipe::kPreferredCapacity);
+  small.push(std::string(Pipe::kMinCapacity, 'x'));
+  EXPECT_EQ(small.freeCapacity(), 0U);
+  small.pop(1);
+  EXPECT_EQ(small.freeCapacity(), 1U);
+}
+
+TEST(PipeTest, NotifiesEitherSideOfTheOther) {
+  ByteBudget budget(0);
+  Pipe pipe(budget);
+  int data = 0, capacity = 0;
+  pipe.onData = [&] { ++data; };
+  pipe.onCapacity = [&] { ++capacity; };
+  pipe.push("ab");
+  EXPECT_EQ(data, 1);
+  pipe.pop(1);
+  EXPECT_EQ(capacity, 1);
+  EXPECT_EQ(pipe.forwardedBytes(), 1U);
+  EXPECT_FALSE(pipe.isComplete());
+  pipe.end();
+  EXPECT_EQ(data, 2);
+  EXPECT_FALSE(pipe.isComplete()) << "a byte is left";
+  pipe.pop(1);
+  EXPECT_TRUE(pipe.isComplete());
+  pipe.abandon();
+  pipe.abandon();
+  EXPECT_EQ(capacity, 3);
+}
+
+TEST(PipeTest, AFailureAfterTheEndIsNone) {
+  ByteBudget budget(0);
+  Pipe ended(budget), failed(budget);
+  ended.end();
+  ended.fail();
+  EXPECT_FALSE(ended.hasFailed());
+  failed.push("a");
+  failed.fail();
+  failed.push("b");
+  EXPECT_TRUE(failed.hasFailed());
+  EXPECT_EQ(failed.front(), "a");
+  EXPECT_EQ(failed.freeCapacity(), 0U);
+}
+
+TEST(PipeTest, TakesNothingMoreWhenAbandoned) {
+  ByteBudget budget(0);
+  Pipe pipe(budget);
+  pipe.abandon();
+  pipe.push("a");
+  EXPECT_TRUE(pipe.front().empty());
+  EXPECT_EQ(pipe.freeCapacity(), 0U);
+}
+
+RC_GTEST_PROP(PipeTest, BytesComeOutAsTheyWentIn, ()) {
+  ByteBudget budget(0);
+  Pipe pipe(budget);
+  std::string in, out;
+  const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(-3000, 3000));
+  for (const int step : steps) {
+    if (step >= 0) {
+      std::string piece;
+      for (int n = 0; n < step; ++n) piece += static_cast<char>(in.size() + static_cast<std::size_t>(n) * 7);
+      in += piece;
+      pipe.push(piece);
+    } else {
+      const std::string piece(pipe.front().substr(0, static_cast<std::size_t>(-step)));
+      out += piece;
+      pipe.pop(piece.size());
+    }
+    RC_ASSERT(pipe.front().size() == in.size() - out.size());
+    RC_ASSERT(pipe.forwardedBytes() == out.size());
+  }
+  out += pipe.front();
+  RC_ASSERT(in == out);
+}
+
+}  // namespace
+}  // namespace ivypost::streaming
