--- a/src/etcd/api_conversion.cpp
+++ b/src/etcd/api_conversion.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-pb::RangeRequest toRequest(const PrefixWatcher::RangeCall& range) {
+pb::RangeRequest toRequest(const RangeCall& range) {
   pb::RangeRequest request;
   request.set_key(range.key);
   request.set_range_end(range.end);
   request.set_limit(range.limit);
   request.set_revision(range.revision);
-  if (range.audit) {
+  if (range.isAudit) {
     request.set_keys_only(true);
     request.set_sort_order(pb::RangeRequest::DESCEND);
     request.set_sort_target(pb::RangeRequest::MOD);
@@ -30,7 +30,7 @@
   return request;
 }
 
-pb::WatchRequest toRequest(const PrefixWatcher::WatchCall& watch) {
+pb::WatchRequest toRequest(const WatchCall& watch) {
   pb::WatchRequest request;
   auto& create = *request.mutable_create_request();
   create.set_key(watch.key);
@@ -41,30 +41,30 @@
   return request;
 }
 
-PrefixWatcher::RangeResult toRangeResult(const pb::RangeResponse& response) {
-  PrefixWatcher::RangeResult ranged;
-  ranged.header = headerOf(response.header());
-  ranged.more = response.more();
-  ranged.count = response.count();
-  ranged.kvs.reserve(static_cast<std::size_t>(response.kvs_size()));
-  for (const auto& kv : response.kvs()) ranged.kvs.push_back(keyValueOf(kv));
-  return ranged;
+RangeResult toRangeResult(const pb::RangeResponse& response) {
+  RangeResult result;
+  result.header = headerOf(response.header());
+  result.hasMore = response.more();
+  result.count = response.count();
+  result.kvs.reserve(static_cast<std::size_t>(response.kvs_size()));
+  for (const auto& kv : response.kvs()) result.kvs.push_back(keyValueOf(kv));
+  return result;
 }
 
-PrefixWatcher::WatchResult toWatchResult(const pb::WatchResponse& response) {
-  PrefixWatcher::WatchResult watched;
-  watched.header = headerOf(response.header());
-  watched.created = response.created();
-  watched.canceled = response.canceled();
-  watched.compactRevision = response.compact_revision();
-  watched.reason = response.cancel_reason();
-  watched.fragment = response.fragment();
-  watched.events.reserve(static_cast<std::size_t>(response.events_size()));
+WatchResult toWatchResult(const pb::WatchResponse& response) {
+  WatchResult result;
+  result.header = headerOf(response.header());
+  result.isCreated = response.created();
+  result.isCanceled = response.canceled();
+  result.compactRevision = response.compact_revision();
+  result.reason = response.cancel_reason();
+  result.isFragment = response.fragment();
+  result.events.reserve(static_cast<std::size_t>(response.events_size()));
   for (const auto& event : response.events()) {
-    const bool deleted = event.type() == mvccpb::Event::DELETE;
-    watched.events.push_back({deleted ? Event::Type::Delete : Event::Type::Put, keyValueOf(event.kv())});
+    const bool isDelete = event.type() == mvccpb::Event::DELETE;
+    result.events.push_back({isDelete ? Event::Type::Delete : Event::Type::Put, keyValueOf(event.kv())});
   }
-  return watched;
+  return result;
 }
 
 }  // namespace ivypost::etcd
--- a/src/etcd/api_conversion.h
+++ b/src/etcd/api_conversion.h
@@ -1,19 +1,22 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// The watcher's words in the API's messages, and back. No I/O.
 #ifndef IVYPOST_ETCD_API_CONVERSION_H_
 #define IVYPOST_ETCD_API_CONVERSION_H_
 
 #include "etcd.pb.h"
-#include "etcd/prefix_watcher.h"
+#include "etcd/watcher_events.h"
 
 namespace ivypost::etcd {
 
-etcdserverpb::RangeRequest toRequest(const PrefixWatcher::RangeCall& range);
-etcdserverpb::WatchRequest toRequest(const PrefixWatcher::WatchCall& watch);
-// The numbers of the call and of the stream are left to the caller.
-PrefixWatcher::RangeResult toRangeResult(const etcdserverpb::RangeResponse& response);
-PrefixWatcher::WatchResult toWatchResult(const etcdserverpb::WatchResponse& response);
+// Between the watcher's actions and inputs and the messages of etcd's v3 API. No I/O.
+
+/// The request of a Range call.
+[[nodiscard]] etcdserverpb::RangeRequest toRequest(const RangeCall& range);
+/// The first request on a stream, which creates its watch.
+[[nodiscard]] etcdserverpb::WatchRequest toRequest(const WatchCall& watch);
+/// The id of the call is left to the caller.
+[[nodiscard]] RangeResult toRangeResult(const etcdserverpb::RangeResponse& response);
+/// The id of the stream is left to the caller.
+[[nodiscard]] WatchResult toWatchResult(const etcdserverpb::WatchResponse& response);
 
 }  // namespace ivypost::etcd
 
--- /dev/null
+++ b/src/etcd/contradiction.cpp
@@ -0,0 +1,45 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "etcd/contradiction.h"
+
+namespace ivypost::etcd {
+namespace {
+
+// Lists in a row that have to say the same. An empty one is asked for again at once, so that nodes that have
+// really gone get no requests for longer than they may.
+constexpr int kEmptyLists = 2;
+constexpr int kOtherHistoryLists = 3;
+
+}  // namespace
+
+Contradiction::Outcome Contradiction::add(Kind kind, const Header& header, std::size_t endpoint,
+                                          std::size_t endpoints) {
+  Outcome outcome;
+  outcome.isNew = !isContinuedBy(kind, header);
+  if (outcome.isNew) open_ = Open{kind, header.cluster, 0, 0, {}};
+  open_->revision = header.revision;
+  ++open_->lists;
+  open_->endpoints.insert(endpoint);
+  const bool hasMajority = open_->endpoints.size() > endpoints / 2;
+  outcome.isSettled =
+      kind == Kind::Empty ? open_->lists >= kEmptyLists : open_->lists >= kOtherHistoryLists && hasMajority;
+  return outcome;
+}
+
+bool Contradiction::isContinuedBy(Kind kind, const Header& header) const {
+  return open_ && open_->kind == kind && open_->cluster == header.cluster &&
+         header.revision >= open_->revision;
+}
+
+const char* describe(Contradiction::Kind kind) {
+  switch (kind) {
+    case Contradiction::Kind::Empty:
+      return "no key at all";
+    case Contradiction::Kind::Older:
+      return "an older revision than is known";
+    case Contradiction::Kind::OtherCluster:
+      return "another cluster's keys";
+  }
+  return "";
+}
+
+}  // namespace ivypost::etcd
--- /dev/null
+++ b/src/etcd/credentials.h
@@ -0,0 +1,27 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_ETCD_CREDENTIALS_H_
+#define IVYPOST_ETCD_CREDENTIALS_H_
+
+#include <string>
+
+#include "etcd/options.h"
+
+namespace ivypost::etcd {
+
+/// The contents of the files that Options names; empty where it names none.
+struct Credentials {
+  std::string ca;           ///< PEM
+  std::string certificate;  ///< PEM
+  std::string key;          ///< PEM
+  std::string password;     ///< without line ends behind it
+
+  /// Whether all members are the same.
+  bool operator==(const Credentials&) const = default;
+};
+
+/// Reads the files. Throws settings::FormatError, one line, for one that can't be read or is empty.
+[[nodiscard]] Credentials readCredentials(const Options& options);
+
+}  // namespace ivypost::etcd
+
+#endif  // IVYPOST_ETCD_CREDENTIALS_H_
--- a/src/etcd/etcd_source.cpp
+++ b/src/etcd/etcd_source.cpp
@@ -25,51 +25,53 @@
 }  // namespace
 
 EtcdSource::EtcdSource(boost::asio::io_context& io, const Options& options, std::uint64_t seed,
-                       Callbacks callbacks, std::function<void(const std::string&)> log)
+                       Callbacks callbacks, discovery::Log log)
     : callbacks_(std::move(callbacks)),
       log_(std::move(log)),
       timer_(io),
       watcher_(checked(options), seed),
       client_(io, options,
-              {[this](PrefixWatcher::RangeResult ranged) { run(std::move(ranged)); },
-               [this](PrefixWatcher::WatchResult watched) { run(std::move(watched)); },
-               [this](PrefixWatcher::WatchEnd ended) { run(std::move(ended)); }, log_}) {}
+              {[this](RangeResult result) { handle(std::move(result)); },
+               [this](WatchResult result) { handle(std::move(result)); },
+               [this](WatchEnd end) { handle(std::move(end)); }, log_}) {}
 
 discovery::Freshness EtcdSource::freshness() const {
   return watcher_.freshness(now());
 }
 
-void EtcdSource::run(PrefixWatcher::Input input) {
+void EtcdSource::handle(Input input) {
   inputs_.push_back(std::move(input));
-  if (std::exchange(running_, true)) return;
+  if (std::exchange(isHandling_, true)) return;
   while (!inputs_.empty()) {
-    const PrefixWatcher::Input next = std::move(inputs_.front());
+    const Input next = std::move(inputs_.front());
     inputs_.pop_front();
-    PrefixWatcher::Actions actions;
+    Actions actions;
     currentUntil_ = now() - watcher_.freshness(now()).age.count();
     watcher_.handle(next, now(), actions);
-    for (const auto& action : actions) std::visit([this](const auto& one) { carryOut(one); }, action);
+    for (const auto& action : actions) std::visit([this](const auto& one) { execute(one); }, action);
   }
-  running_ = false;
-  arm();
+  isHandling_ = false;
+  startTimer();
 }
 
-void EtcdSource::carryOut(const PrefixWatcher::Publish& publish) {
-  discovery::EndpointList list{publish.revision, publish.whole, publish.instances};
-  if (std::exchange(published_, true)) list.previousUntil = discovery::TimePoint(microseconds(currentUntil_));
+void EtcdSource::execute(const Publish& publish) {
+  discovery::EndpointList list{publish.revision, publish.isComplete, publish.instances};
+  if (std::exchange(hasPublished_, true))
+    list.previousUntil = discovery::TimePoint(microseconds(currentUntil_));
   callbacks_.onList(std::move(list));
 }
 
-void EtcdSource::arm() {
-  const auto at = watcher_.wakeAt();
-  if (!at) {
+void EtcdSource::startTimer() {
+  const auto next = watcher_.nextTimer();
+  if (!next) {
     timer_.cancel();
     return;
   }
-  timer_.expires_at(std::chrono::steady_clock::time_point(microseconds(*at)));
-  timer_.async_wait([this, alive = std::weak_ptr<int>(alive_)](const boost::system::error_code& cancelled) {
-    if (!cancelled && !alive.expired()) run(PrefixWatcher::TimerExpired{});
-  });
+  timer_.expires_at(std::chrono::steady_clock::time_point(microseconds(*next)));
+  timer_.async_wait(
+      [this, lifetime = std::weak_ptr<int>(lifetime_)](const boost::system::error_code& cancelled) {
+        if (!cancelled && !lifetime.expired()) handle(TimerExpired{});
+      });
 }
 
 }  // namespace ivypost::etcd
--- a/src/etcd/etcd_source.h
+++ b/src/etcd/etcd_source.h
@@ -1,15 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Membership by etcd: the watcher, its client and its timer together, as a source like any other.
 #ifndef IVYPOST_ETCD_ETCD_SOURCE_H_
 #define IVYPOST_ETCD_ETCD_SOURCE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <cstdint>
 #include <deque>
-#include <functional>
 #include <memory>
-#include <string>
 
 #include "discovery/source.h"
 #include "etcd/api_client.h"
@@ -17,40 +14,41 @@
 
 namespace ivypost::etcd {
 
+/// etcd as a source of endpoint lists: the watcher decides, its client and its timer carry out.
 class EtcdSource final : public discovery::Source {
  public:
-  // `log` gets one line at a time. Throws settings::FormatError, one line, for options with a flaw or files
-  // that can't be read.
+  /// `seed`: of the waits and of the first endpoint. `log` gets one line at a time. `io` must outlive this
+  /// object. Throws settings::FormatError, one line, for options with a flaw (flawOf()) or files that can't
+  /// be read.
   EtcdSource(boost::asio::io_context& io, const Options& options, std::uint64_t seed, Callbacks callbacks,
-             std::function<void(const std::string&)> log);
+             discovery::Log log);
 
-  void watch() override { run(PrefixWatcher::Start{}); }
-  void fetch() override { run(PrefixWatcher::Fetch{}); }
-  discovery::Freshness freshness() const override;
-  const PrefixWatcher& watcher() const { return watcher_; }
+  void watch() override { handle(Start{}); }
+  void fetch() override { handle(Fetch{}); }
+  [[nodiscard]] discovery::Freshness freshness() const override;
 
  private:
-  void run(PrefixWatcher::Input input);
-  void carryOut(const PrefixWatcher::RangeCall& range) { client_.range(range); }
-  void carryOut(const PrefixWatcher::WatchCall& watch) { client_.watch(watch); }
-  void carryOut(const PrefixWatcher::ProgressRequest& ask) { client_.askProgress(ask.stream); }
-  void carryOut(const PrefixWatcher::WatchClose& close) { client_.close(close.stream); }
-  void carryOut(const PrefixWatcher::Publish& publish);
-  void carryOut(const PrefixWatcher::FetchFailure& /*failed*/) { callbacks_.onFailure(); }
-  void carryOut(const PrefixWatcher::LogLine& report) { log_(report.text); }
-  void arm();
+  void handle(Input input);
+  void execute(const RangeCall& call) { client_.range(call); }
+  void execute(const WatchCall& call) { client_.watch(call); }
+  void execute(const ProgressRequest& request) { client_.requestProgress(request.stream); }
+  void execute(const WatchClose& close) { client_.close(close.stream); }
+  void execute(const Publish& publish);
+  void execute(const FetchFailure& /*failure*/) { callbacks_.onFailure(); }
+  void execute(const LogLine& line) const { log_(line.text); }
+  void startTimer();
 
   Callbacks callbacks_;
-  std::function<void(const std::string&)> log_;
+  discovery::Log log_;
   boost::asio::steady_timer timer_;
   PrefixWatcher watcher_;
-  // What came while an action was carried out: it is the watcher's turn when all of them are.
-  std::deque<PrefixWatcher::Input> inputs_;
-  bool running_ = false;
-  bool published_ = false;
+  // What came while an action was done: it is the watcher's turn when all of them are.
+  std::deque<Input> inputs_;
+  bool isHandling_ = false;
+  bool hasPublished_ = false;
   Micros currentUntil_ = 0;  // the list that was published last
-  // A timer's handler may be on its way already when this ends.
-  std::shared_ptr<int> alive_ = std::make_shared<int>();
+  // A timer's handler may be on its way already when this object ends; it holds a weak pointer to this.
+  std::shared_ptr<int> lifetime_ = std::make_shared<int>();
   ApiClient client_;  // the last: its end waits for its calls
 };
 
--- a/src/etcd/instance_entry.cpp
+++ b/src/etcd/instance_entry.cpp
@@ -7,25 +7,31 @@
 #include "settings/settings.h"
 
 namespace ivypost::etcd {
+namespace {
 
 using settings::bad;
 
+bool isForbidden(char one) {
+  constexpr unsigned char kFirstPrintable = 0x20;
+  constexpr char kDelete = 0x7f;
+  return one == '/' || static_cast<unsigned char>(one) < kFirstPrintable || one == kDelete;
+}
+
+}  // namespace
+
 std::optional<std::string> instanceIdOf(std::string_view prefix, std::string_view key) {
   if (key.substr(0, prefix.size()) != prefix) return std::nullopt;
   const std::string_view id = key.substr(prefix.size());
-  if (id.empty() || id.size() > kMaxId) return std::nullopt;
-  const bool odd = std::any_of(id.begin(), id.end(), [](char c) {
-    return c == '/' || static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
-  });
-  return odd ? std::nullopt : std::optional(std::string(id));
+  if (id.empty() || id.size() > kMaxId || std::any_of(id.begin(), id.end(), isForbidden)) return std::nullopt;
+  return std::string(id);
 }
 
-discovery::Instance parseInstance(const std::string& id, const std::string& value) {
+discovery::Instance parseInstance(std::string_view id, std::string_view value) {
   if (value.size() > kMaxValue) bad("the value is too long, bytes:", std::to_string(value.size()));
   try {
     nlohmann::json item = nlohmann::json::parse(value);
     if (!item.is_object()) bad("the value is no object but", item.type_name());
-    if (!item.contains("instanceId")) item["instanceId"] = id;
+    if (!item.contains("instanceId")) item["instanceId"] = std::string(id);
     discovery::Instance instance = discovery::toInstance(item);
     if (instance.id != id) bad("the value names another instance:", instance.id);
     if (instance.state == balancer::EndpointState::Gone) bad("a key can't say that it is", "removed");
--- /dev/null
+++ b/src/etcd/key_mirror.cpp
@@ -0,0 +1,155 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "etcd/key_mirror.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "etcd/instance_entry.h"
+#include "settings/settings.h"
+
+namespace ivypost::etcd {
+namespace {
+
+bool isControl(char one) {
+  constexpr unsigned char kFirstPrintable = 0x20;
+  constexpr char kDelete = 0x7f;
+  return static_cast<unsigned char>(one) < kFirstPrintable || one == kDelete;
+}
+
+}  // namespace
+
+std::string printable(std::string text) {
+  constexpr std::size_t kMaxShown = 120;
+  if (text.size() > kMaxShown) text = text.substr(0, kMaxShown) + "...";
+  std::replace_if(text.begin(), text.end(), isControl, '?');
+  return text;
+}
+
+KeyMirror::KeyMirror(std::string prefix, Report report)
+    : prefix_(std::move(prefix)), report_(std::move(report)) {}
+
+std::vector<Instance> KeyMirror::instances() const {
+  std::vector<Instance> all;
+  for (const auto& [key, held] : held_) {
+    if (held.instance) all.push_back(*held.instance);
+  }
+  return all;
+}
+
+void KeyMirror::replace(const Header& header, const std::vector<KeyValue>& keys) {
+  std::map<std::string, Held> before = std::exchange(held_, {});
+  modified_.clear();
+  for (const KeyValue& kv : keys) {
+    const auto found = before.find(kv.key);
+    Held held = found != before.end() ? std::move(found->second) : Held{};
+    if (held.modified != kv.modRevision) decode(kv, held);
+    held.created = kv.createRevision;
+    held.modified = kv.modRevision;
+    modified_.insert(kv.modRevision);
+    held_.insert_or_assign(kv.key, std::move(held));
+  }
+  hasList_ = true;
+  cluster_ = header.cluster;
+  revision_ = header.revision;
+  history_.clear();
+  remember(revision_);
+}
+
+KeyMirror::Changes KeyMirror::apply(const std::vector<Event>& events) {
+  Changes changes;
+  InstancesById changed;
+  Revision last = 0;
+  for (const Event& event : events) {
+    const Revision revision = event.kv.modRevision;
+    if (revision <= revision_) {
+      ++changes.duplicates;
+      continue;
+    }
+    if (revision < last) {
+      changes.isOutOfOrder = true;
+      return changes;
+    }
+    if (revision > last && last > 0) remember(last);
+    last = revision;
+    applyEvent(event, changed);
+  }
+  if (last == 0) return changes;
+  remember(last);
+  revision_ = last;
+  changes.isNew = true;
+  for (auto& [id, instance] : changed) changes.instances.push_back(std::move(instance));
+  return changes;
+}
+
+void KeyMirror::applyEvent(const Event& event, InstancesById& changed) {
+  const std::string& key = event.kv.key;
+  if (key.compare(0, prefix_.size(), prefix_) != 0) {
+    return report_("etcd: an event for a key outside of " + prefix_ + ": " + printable(key));
+  }
+  const auto found = held_.find(key);
+  std::optional<Instance> before;
+  if (found != held_.end()) {
+    before = found->second.instance;
+    modified_.erase(modified_.find(found->second.modified));
+  }
+  std::optional<Instance> after;
+  if (event.type == Event::Type::Put) {
+    after = put(event.kv);
+  } else if (found != held_.end()) {
+    held_.erase(found);
+  }
+  if (before == after) return;
+  if (!after) {
+    after = std::move(before);
+    after->state = balancer::EndpointState::Gone;
+  }
+  std::string id = after->id;
+  changed.insert_or_assign(std::move(id), *std::move(after));
+}
+
+// What the key names now.
+std::optional<Instance> KeyMirror::put(const KeyValue& kv) {
+  Held& held = held_[kv.key];
+  decode(kv, held);
+  held.created = kv.createRevision;
+  held.modified = kv.modRevision;
+  modified_.insert(held.modified);
+  return held.instance;
+}
+
+// A value that names no instance leaves the entry as it was, unless its key is a new one: what the old one
+// named has gone.
+void KeyMirror::decode(const KeyValue& kv, Held& held) {
+  if (held.created != kv.createRevision) held.instance.reset();
+  try {
+    const auto id = instanceIdOf(prefix_, kv.key);
+    if (!id) settings::bad("the key names no instance:", printable(kv.key));
+    held.instance = parseInstance(*id, kv.value);
+  } catch (const settings::FormatError& error) {
+    report_("etcd: " + printable(kv.key) + " stays as it was: " + error.what());
+  }
+}
+
+void KeyMirror::remember(Revision revision) {
+  if (history_.size() >= kMaxHistory) history_.pop_front();
+  history_.push_back(
+      {revision, static_cast<std::int64_t>(held_.size()), modified_.empty() ? 0 : *modified_.rbegin()});
+}
+
+KeyMirror::Comparison KeyMirror::compare(const State& store) const {
+  const auto after =
+      std::upper_bound(history_.begin(), history_.end(), store.revision,
+                       [](Revision revision, const State& state) { return revision < state.revision; });
+  if (after == history_.begin()) return Comparison::Unknown;
+  const State& held = *std::prev(after);
+  const bool isEqual = held.count == store.count && held.newest == store.newest;
+  return isEqual ? Comparison::Equal : Comparison::Different;
+}
+
+void KeyMirror::advanceTo(Revision revision) {
+  revision_ = revision;
+  remember(revision);
+}
+
+}  // namespace ivypost::etcd
--- a/src/etcd/messages.cpp
+++ b/src/etcd/messages.cpp
@@ -3,31 +3,35 @@
 
 namespace ivypost::etcd {
 
-const char* nameOf(Code code) {
+const char* nameOf(StatusCode code) {
   switch (code) {
-    case Code::Ok:
+    case StatusCode::Ok:
       return "ok";
-    case Code::Unavailable:
+    case StatusCode::Unavailable:
       return "unavailable";
-    case Code::Timeout:
+    case StatusCode::Timeout:
       return "no answer in time";
-    case Code::Compacted:
+    case StatusCode::Compacted:
       return "compacted";
-    case Code::FutureRevision:
+    case StatusCode::FutureRevision:
       return "a revision that is not there yet";
-    case Code::Unauthenticated:
+    case StatusCode::Unauthenticated:
       return "not authenticated";
-    case Code::Denied:
+    case StatusCode::Denied:
       return "permission denied";
-    case Code::Other:
+    case StatusCode::Other:
       break;
   }
   return "failed";
 }
 
 std::string prefixEnd(std::string prefix) {
-  while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == 0xff) prefix.pop_back();
-  if (prefix.empty()) return std::string(1, '\0');
+  constexpr unsigned char kHighestByte = 0xff;
+  while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == kHighestByte) prefix.pop_back();
+  if (prefix.empty()) {
+    prefix.push_back('\0');
+    return prefix;
+  }
   prefix.back() = static_cast<char>(static_cast<unsigned char>(prefix.back()) + 1);
   return prefix;
 }
--- a/src/etcd/options.h
+++ b/src/etcd/options.h
@@ -1,55 +1,93 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// What operators set for membership by etcd. Plain figures: reading them needs no part of gRPC.
 #ifndef IVYPOST_ETCD_OPTIONS_H_
 #define IVYPOST_ETCD_OPTIONS_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 namespace ivypost::etcd {
 
+/// What operators set for discovery by etcd. Reading it needs no part of gRPC.
 struct Options {
+  /// A span in microseconds.
   using Micros = std::int64_t;
 
-  // "http://10.0.0.4:2379" or "https://...": addresses, and names only where `names` says so.
+  /// With the audit's interval, so that a removal that a stalled member hides is noticed within the two
+  /// seconds of docs/design/etcd.md.
+  static constexpr Micros kDefaultCallTimeout = 400'000;
+  /// Likewise.
+  static constexpr Micros kDefaultAudit = 600'000;
+  /// A first try elsewhere is due soon.
+  static constexpr Micros kDefaultBackoff = 100'000;
+  /// How late a list may come when etcd is back after a long time.
+  static constexpr Micros kDefaultMaxBackoff = 5'000'000;
+  /// Of 166 bytes each (docs/CAPACITY.md), 166 KB a response.
+  static constexpr std::int64_t kDefaultPage = 1000;
+  /// Twice the nodes that the design was tried with.
+  static constexpr std::int64_t kDefaultMaxKeys = 20'000;
+
+  /// "http://10.0.0.4:2379" or "https://...": addresses, and names only where `names` says so. One to
+  /// kMaxEndpoints.
   std::vector<std::string> endpoints;
-  bool names = false;               // the platform can look names up
-  std::string prefix = "/ivypost";  // the keys are <prefix>/<service>/<instanceId>
+  /// The platform can look names up.
+  bool names = false;
+  /// The keys are `prefix`/`service`/instanceId. Begins with '/', and does not end with one.
+  std::string prefix = "/ivypost";
+  /// Without '/'.
   std::string service = "nodes";
-  std::string user, passwordFile;  // empty: no authentication
-  // Paths of PEM files; empty: the system's authorities, no certificate of one's own.
-  std::string ca, certificate, key;
-  std::string serverName;  // that the servers' certificates carry; empty: the endpoint's own
-
-  Micros callTimeout = 400'000;   // of one call, also of the stream's opening
-  Micros audit = 600'000;         // between two looks whether the watch has withheld something
-  Micros backoff = 100'000;       // before the first try after a failure, at the most; then decorrelated ...
-  Micros maxBackoff = 5'000'000;  // ... up to this
-  bool progress = true;           // the servers answer progress requests (3.4 and later)
-  std::int64_t page = 1000;       // keys of one call for the list
-  std::int64_t maxKeys = 20'000;  // a list of more is not taken
-
-  std::string keyPrefix() const { return prefix + "/" + service + "/"; }
+  /// Empty: no authentication.
+  std::string user;
+  /// Path of a file with the user's password, line ends behind it aside; set if and only if `user` is.
+  std::string passwordFile;
+  /// Path of a PEM file with the authorities that servers' certificates are checked by; empty: the system's.
+  std::string ca;
+  /// Path of a PEM file with a certificate of the sidecar's own; empty: none.
+  std::string certificate;
+  /// Path of a PEM file with its key; set if and only if `certificate` is.
+  std::string key;
+  /// That the servers' certificates carry; empty: the endpoint's own.
+  std::string serverName;
+
+  /// Of one call, also of the stream's opening.
+  Micros callTimeout = kDefaultCallTimeout;
+  /// Between two audits of whether the watch has withheld something.
+  Micros audit = kDefaultAudit;
+  /// Before the first try after a failure, at the most; then decorrelated ...
+  Micros backoff = kDefaultBackoff;
+  /// ... up to this, no less than `backoff`.
+  Micros maxBackoff = kDefaultMaxBackoff;
+  /// The servers answer progress requests (3.4 and later).
+  bool progress = true;
+  /// Keys of one call for the list.
+  std::int64_t page = kDefaultPage;
+  /// A list of more is not taken.
+  std::int64_t maxKeys = kDefaultMaxKeys;
+
+  /// What all keys of the service begin with.
+  [[nodiscard]] std::string keyPrefix() const { return prefix + "/" + service + "/"; }
+  /// Whether all members are the same.
   bool operator==(const Options&) const = default;
 };
 
+/// Of Options::endpoints.
 constexpr std::size_t kMaxEndpoints = 16;
 
-// An endpoint's parts. `host` is an address without brackets, or a name.
+/// An endpoint's parts.
 struct Target {
-  bool tls = false;
-  std::string host;
-  std::uint16_t port = 0;
-  bool isName = false;
+  bool tls = false;        ///< "https://"
+  std::string host;        ///< an address without brackets, or a name
+  std::uint16_t port = 0;  ///< not 0
+  bool isName = false;     ///< `host` is a name
 };
-// None: it has not that form; "http://" may be left out.
-std::optional<Target> parseTarget(const std::string& endpoint);
+/// Reads one of Options::endpoints; "http://" may be left out. None: it has not that form.
+[[nodiscard]] std::optional<Target> parseTarget(std::string_view endpoint);
 
-// What can't be meant, in one line with the key's name; none: it can be used.
-std::optional<std::string> flawOf(const Options& options);
+/// What can't be meant, in one line that begins with the key's name, for operators. None: it can be used.
+[[nodiscard]] std::optional<std::string> flawOf(const Options& options);
 
 }  // namespace ivypost::etcd
 
--- /dev/null
+++ b/src/etcd/watch_stream.cpp
@@ -0,0 +1,97 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "etcd/watch_stream.h"
+
+#include <boost/asio/post.hpp>
+#include <utility>
+
+#include "etcd/api_conversion.h"
+
+namespace ivypost::etcd {
+
+namespace pb = etcdserverpb;
+
+WatchStream::WatchStream(std::weak_ptr<Owner> owner, boost::asio::io_context& io, const WatchCall& call,
+                         std::shared_ptr<OutstandingCalls> outstanding)
+    : owner_(std::move(owner)),
+      io_(io),
+      id_(call.stream),
+      endpoint_(call.endpoint),
+      outstanding_(std::move(outstanding)) {}
+
+void WatchStream::start(std::shared_ptr<WatchStream> self, pb::Watch::Stub& stub, const WatchCall& call) {
+  self_ = std::move(self);
+  outstanding_->begin();
+  stub.async()->Watch(&context_, this);
+  AddHold();
+  write(toRequest(call));
+  StartRead(&response_);
+  StartCall();
+}
+
+void WatchStream::write(pb::WatchRequest request) {
+  const std::lock_guard lock(mutex_);
+  if (isOver_ || queue_.size() >= kMaxQueue) return;
+  queue_.push_back(std::move(request));
+  if (queue_.size() == 1) StartWrite(&queue_.front());
+}
+
+bool WatchStream::takeHold() {
+  return std::exchange(isHeld_, false);
+}
+
+void WatchStream::readNext() {
+  bool endsHold = false;
+  {
+    const std::lock_guard lock(mutex_);
+    endsHold = isOver_ && takeHold();
+    if (!isOver_) StartRead(&response_);
+    isReading_ = !isOver_;
+  }
+  if (endsHold) RemoveHold();
+}
+
+void WatchStream::cancel() {
+  bool endsHold = false;
+  {
+    const std::lock_guard lock(mutex_);
+    isOver_ = true;
+    // Guards against a stream that never ends: without a read under way nothing tells that it has.
+    endsHold = !isReading_ && takeHold();
+  }
+  context_.TryCancel();
+  if (endsHold) RemoveHold();
+}
+
+void WatchStream::OnWriteDone(bool ok) {
+  const std::lock_guard lock(mutex_);
+  queue_.pop_front();
+  if (ok && !isOver_ && !queue_.empty()) StartWrite(&queue_.front());
+}
+
+void WatchStream::OnReadDone(bool ok) {
+  bool endsHold = false;
+  {
+    const std::lock_guard lock(mutex_);
+    isReading_ = false;
+    isOver_ = isOver_ || !ok;
+    endsHold = isOver_ && takeHold();
+  }
+  // Its last line where that is the end: nothing refers to this any more then.
+  if (endsHold) return RemoveHold();
+  WatchResult result = toWatchResult(response_);
+  result.stream = id_;
+  boost::asio::post(io_, [weak = owner_, result = std::move(result)]() mutable {
+    if (const auto owner = weak.lock()) owner->onStreamResponse(std::move(result));
+  });
+}
+
+void WatchStream::OnDone(const grpc::Status& status) {
+  boost::asio::post(io_, [weak = owner_, id = id_, endpoint = endpoint_, status] {
+    if (const auto owner = weak.lock()) owner->onStreamEnd(id, endpoint, status);
+  });
+  const auto outstanding = outstanding_;
+  self_.reset();  // nothing of it is used from here on
+  outstanding->end();
+}
+
+}  // namespace ivypost::etcd
--- a/tests/etcd/prefix_watcher_test.cpp
+++ b/tests/etcd/prefix_watcher_test.cpp
@@ -64,7 +64,7 @@
   simulation.remove("n1");
   expectCurrentWithin(20 * kMs, "events come at once");
   EXPECT_EQ(counts().lists, 1u) << "no second list";
-  EXPECT_TRUE(simulation.one().published.front().whole);
+  EXPECT_TRUE(simulation.one().published.front().isComplete);
 }
 
 // ---- Stalls -----------------------------------------------------------------------------------------------
@@ -231,10 +231,10 @@
 
 TEST_F(PrefixWatcherTest, TooManyFragmentsAskForTheListAnew) {
   settle();
-  PrefixWatcher::WatchResult part;
+  WatchResult part;
   part.stream = simulation.one().stream;
   part.header = {7, 1, simulation.store.revision() + 1};
-  part.fragment = true;
+  part.isFragment = true;
   part.events.resize(PrefixWatcher::kMaxFragments / 2 + 1);
   simulation.handle(simulation.one(), part);
   EXPECT_FALSE(simulation.reported("too many events"));
@@ -252,7 +252,7 @@
   simulation.members[at].progressAhead = true;
   simulation.withhold(at, true);
   simulation.remove("n1");
-  PrefixWatcher::WatchResult progress;
+  WatchResult progress;
   progress.stream = simulation.one().stream;
   progress.header = {7, 1, simulation.store.revision()};
   simulation.handle(simulation.one(), progress);
@@ -276,7 +276,7 @@
 
 TEST_F(PrefixWatcherTest, EventsOutOfOrderAskForTheListAnew) {
   settle();
-  PrefixWatcher::WatchResult odd;
+  WatchResult odd;
   odd.stream = simulation.one().stream;
   odd.header = {7, 1, 100};
   for (const Revision revision : {100, 99}) {
@@ -294,7 +294,7 @@
 
 TEST_F(PrefixWatcherTest, AnEventOutsideOfThePrefixIsReportedAndLeftOut) {
   settle();
-  PrefixWatcher::WatchResult odd;
+  WatchResult odd;
   odd.stream = simulation.one().stream;
   odd.header = {7, 1, simulation.store.revision() + 1};
   Event event;
@@ -335,7 +335,7 @@
   simulation.run(3 * kSecond);
   EXPECT_EQ(counts().lists, 1u) << "audits count the key all the same";
   // The next list leaves it too; a new key of that name with such a value has no entry to keep.
-  simulation.handle(simulation.one(), PrefixWatcher::Fetch{});
+  simulation.handle(simulation.one(), Fetch{});
   simulation.run(kSecond);
   EXPECT_EQ(simulation.list().at("n1").address.port(), 9001);
   simulation.remove("n1");
@@ -442,7 +442,7 @@
 
 // Nothing where there was something may be a wiped prefix or a slip of one member; it is followed at its
 // second telling, within the grace.
-TEST_F(PrefixWatcherTest, AnEmptyListIsFollowedWhenItIsToldAgain) {
+TEST_F(PrefixWatcherTest, AnEmptyListIsBelievedWhenItComesAgain) {
   settle();
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
   std::vector<std::string> gone;
@@ -459,7 +459,7 @@
   EXPECT_LT(*took, kSecond);
 }
 
-TEST_F(PrefixWatcherTest, AnEmptyListThatIsNotToldAgainIsNotFollowed) {
+TEST_F(PrefixWatcherTest, AnEmptyListThatDoesNotComeAgainIsNotBelieved) {
   settle();
   const std::size_t at = member();
   // This member's store is empty but as far on as the others'.
@@ -471,7 +471,7 @@
     empty.put(put, response);
   }
   simulation.members[at].lagging = empty;
-  simulation.handle(simulation.one(), PrefixWatcher::Fetch{});
+  simulation.handle(simulation.one(), Fetch{});
   simulation.run(2 * kSecond);
   EXPECT_EQ(simulation.list().size(), 5u);
   EXPECT_EQ(counts().doubts, 1u);
@@ -482,7 +482,7 @@
   simulation.start();
   simulation.run(2 * kSecond);
   ASSERT_EQ(simulation.one().published.size(), 1u);
-  EXPECT_TRUE(simulation.one().published[0].whole);
+  EXPECT_TRUE(simulation.one().published[0].isComplete);
   simulation.put("n1", instanceJson(9001));
   expectCurrentWithin(20 * kMs, "and watched");
 }
@@ -509,12 +509,12 @@
   simulation.options.maxKeys = 6;
   simulation.all.push_back(std::make_unique<Simulation::Sidecar>(simulation.options, 5));
   auto& small = *simulation.all.back();
-  simulation.handle(small, PrefixWatcher::Start{});
+  simulation.handle(small, Start{});
   simulation.run(kSecond);
   ASSERT_EQ(small.list.size(), 5u);
   simulation.put("n6", instanceJson(9006));
   simulation.put("n7", instanceJson(9007));
-  simulation.handle(small, PrefixWatcher::Fetch{});
+  simulation.handle(small, Fetch{});
   simulation.run(kSecond);
   EXPECT_EQ(small.fetchFailed, 1);
   EXPECT_GE(small.list.size(), 5u);
@@ -555,12 +555,12 @@
 TEST_F(PrefixWatcherTest, AFetchIsAnsweredByAListOrItsFailure) {
   settle();
   const auto before = simulation.one().published.size();
-  simulation.handle(simulation.one(), PrefixWatcher::Fetch{});
+  simulation.handle(simulation.one(), Fetch{});
   simulation.run(100 * kMs);
   ASSERT_EQ(simulation.one().published.size(), before + 1);
-  EXPECT_TRUE(simulation.one().published.back().whole);
+  EXPECT_TRUE(simulation.one().published.back().isComplete);
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
-  simulation.handle(simulation.one(), PrefixWatcher::Fetch{});
+  simulation.handle(simulation.one(), Fetch{});
   simulation.run(10 * kSecond);
   EXPECT_EQ(simulation.one().fetchFailed, 1);
 }
--- a/tests/etcd/simulation.h
+++ b/tests/etcd/simulation.h
@@ -25,9 +25,10 @@
 namespace ivypost::etcd {
 
 namespace pb = etcdserverpb;
-using standins::etcd::Failure;
-using standins::etcd::Store;
-using standins::etcd::Watches;
+namespace fakes = standins;
+using fakes::etcd::Failure;
+using fakes::etcd::Store;
+using fakes::etcd::Watches;
 
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
 
@@ -51,15 +52,15 @@
     explicit Sidecar(const Options& options, std::uint64_t seed) : watcher(options, seed) {}
     PrefixWatcher watcher;
     std::map<std::string, Instance> list;  // as published
-    std::vector<PrefixWatcher::Publish> published;
+    std::vector<Publish> published;
     std::vector<std::string> reports;
     int fetchFailed = 0;
     // Its open stream.
     std::uint64_t stream = 0;
     std::size_t member = 0;
     Watches watches;
-    std::vector<PrefixWatcher::WatchResult> held;  // while the member stalls
-    Micros clearAt = 0;                            // messages on a stream stay in order
+    std::vector<WatchResult> held;  // while the member stalls
+    Micros clearAt = 0;             // messages on a stream stay in order
   };
 
   explicit Simulation(std::size_t count = 3, std::size_t sidecars = 1, std::uint64_t seed = 1)
@@ -119,7 +120,8 @@
   // ---- Faults ----
   void dropStreams(std::size_t member) {
     for (const auto& sidecar : all) {
-      if (sidecar->stream != 0 && sidecar->member == member) endStream(*sidecar, Code::Unavailable, "cut");
+      if (sidecar->stream != 0 && sidecar->member == member)
+        endStream(*sidecar, StatusCode::Unavailable, "cut");
     }
   }
   void down(std::size_t member, bool on) {
@@ -141,7 +143,7 @@
 
   // ---- Time ----
   void start() {
-    for (const auto& sidecar : all) handle(*sidecar, PrefixWatcher::Start{});
+    for (const auto& sidecar : all) handle(*sidecar, Start{});
   }
   void after(Micros delay, std::function<void()> what) { queue_.emplace(now + delay, std::move(what)); }
   void run(Micros span) {
@@ -162,14 +164,14 @@
     }
     return now - from;
   }
-  void handle(Sidecar& sidecar, const PrefixWatcher::Input& input) {
-    PrefixWatcher::Actions actions;
+  void handle(Sidecar& sidecar, const Input& input) {
+    Actions actions;
     sidecar.watcher.handle(input, now, actions);
-    for (auto& action : actions) std::visit([&](auto& what) { carryOut(sidecar, what); }, action);
-    const auto at = sidecar.watcher.wakeAt();
+    for (auto& action : actions) std::visit([&](auto& what) { execute(sidecar, what); }, action);
+    const auto at = sidecar.watcher.nextTimer();
     if (!at) return;
     after(std::max<Micros>(0, *at - now), [this, &sidecar, at] {
-      if (sidecar.watcher.wakeAt() == at) handle(sidecar, PrefixWatcher::TimerExpired{});
+      if (sidecar.watcher.nextTimer() == at) handle(sidecar, TimerExpired{});
     });
   }
 
@@ -198,32 +200,32 @@
  private:
   const Store& storeOf(const Member& member) const { return member.lagging ? *member.lagging : store; }
 
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::RangeCall& range) {
+  void execute(Sidecar& sidecar, const RangeCall& range) {
     after(latency(), [this, &sidecar, range] {
       calls.push_back(now);
       Member& member = members[range.endpoint];
-      PrefixWatcher::RangeResult result;
+      RangeResult result;
       if (member.stalled || member.behind) {
-        result = {range.call, Code::Timeout, ""};
+        result = {range.call, StatusCode::Timeout, ""};
         after(range.timeout, [this, &sidecar, result] { handle(sidecar, result); });
         return;
       }
       if (member.down) {
-        result = {range.call, Code::Unavailable, "connection refused"};
+        result = {range.call, StatusCode::Unavailable, "connection refused"};
       } else {
         pb::RangeResponse response;
         const Failure failure = storeOf(member).range(toRequest(range), response);
         result = toRangeResult(response);
         result.header = {member.cluster, range.endpoint + 1, storeOf(member).revision()};
         result.call = range.call;
-        if (failure == Failure::Compacted) result.code = Code::Compacted;
-        if (failure == Failure::FutureRevision) result.code = Code::FutureRevision;
-        if (!range.audit && range.revision == 0 && onList) onList(range.endpoint);
+        if (failure == Failure::Compacted) result.status = StatusCode::Compacted;
+        if (failure == Failure::FutureRevision) result.status = StatusCode::FutureRevision;
+        if (!range.isAudit && range.revision == 0 && onList) onList(range.endpoint);
       }
       after(latency(), [this, &sidecar, result] { handle(sidecar, result); });
     });
   }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::WatchCall& watch) {
+  void execute(Sidecar& sidecar, const WatchCall& watch) {
     after(latency(), [this, &sidecar, watch] {
       calls.push_back(now);
       sidecar.stream = watch.stream;
@@ -231,11 +233,12 @@
       sidecar.watches = Watches{};
       sidecar.watches.fragmentEvents = fragmentEvents;
       sidecar.held.clear();
-      if (members[watch.endpoint].down) return endStream(sidecar, Code::Unavailable, "connection refused");
+      if (members[watch.endpoint].down)
+        return endStream(sidecar, StatusCode::Unavailable, "connection refused");
       send(sidecar, sidecar.watches.request(toRequest(watch), storeOf(members[watch.endpoint])));
     });
   }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::ProgressRequest& ask) {
+  void execute(Sidecar& sidecar, const ProgressRequest& ask) {
     ++progressAsked;
     after(latency(), [this, &sidecar, ask] {
       if (sidecar.stream != ask.stream) return;
@@ -244,11 +247,11 @@
       send(sidecar, sidecar.watches.request(request, storeOf(members[sidecar.member])));
     });
   }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::WatchClose& close) {
+  void execute(Sidecar& sidecar, const WatchClose& close) {
     if (sidecar.stream == close.stream) sidecar.stream = 0;
   }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::Publish& publish) {
-    if (publish.whole) sidecar.list.clear();
+  void execute(Sidecar& sidecar, const Publish& publish) {
+    if (publish.isComplete) sidecar.list.clear();
     for (const Instance& instance : publish.instances) {
       if (instance.state == balancer::EndpointState::Gone) {
         sidecar.list.erase(instance.id);
@@ -258,10 +261,8 @@
     }
     sidecar.published.push_back(publish);
   }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::FetchFailure& /*failed*/) { ++sidecar.fetchFailed; }
-  void carryOut(Sidecar& sidecar, const PrefixWatcher::LogLine& report) {
-    sidecar.reports.push_back(report.text);
-  }
+  void execute(Sidecar& sidecar, const FetchFailure& /*failed*/) { ++sidecar.fetchFailed; }
+  void execute(Sidecar& sidecar, const LogLine& report) { sidecar.reports.push_back(report.text); }
 
   void poll(Sidecar& sidecar) {
     if (sidecar.stream == 0 || members[sidecar.member].withheld || members[sidecar.member].behind) return;
@@ -270,26 +271,26 @@
   void send(Sidecar& sidecar, const std::vector<pb::WatchResponse>& responses) {
     Member& member = members[sidecar.member];
     for (const auto& response : responses) {
-      PrefixWatcher::WatchResult watched = toWatchResult(response);
+      WatchResult watched = toWatchResult(response);
       watched.stream = sidecar.stream;
       watched.header.cluster = member.cluster;
       if (member.withheld && !watched.events.empty()) continue;
       if (member.progressAhead && !watched.events.empty()) {
-        PrefixWatcher::WatchResult progress;
+        WatchResult progress;
         progress.stream = sidecar.stream;
         progress.header = {member.cluster, 1, store.revision()};
         deliver(sidecar, progress);
       }
-      const bool cut = member.cutFragment && watched.fragment;
-      if (member.repeated && !watched.fragment) deliver(sidecar, watched);
+      const bool cut = member.cutFragment && watched.isFragment;
+      if (member.repeated && !watched.isFragment) deliver(sidecar, watched);
       deliver(sidecar, std::move(watched));
       if (cut) {
         member.cutFragment = false;
-        return endStream(sidecar, Code::Unavailable, "cut");
+        return endStream(sidecar, StatusCode::Unavailable, "cut");
       }
     }
   }
-  void deliver(Sidecar& sidecar, PrefixWatcher::WatchResult watched) {
+  void deliver(Sidecar& sidecar, WatchResult watched) {
     if (members[sidecar.member].stalled) {
       sidecar.held.push_back(std::move(watched));
       return;
@@ -299,13 +300,13 @@
       if (watched.stream == sidecar.stream) handle(sidecar, watched);
     });
   }
-  void endStream(Sidecar& sidecar, Code code, const std::string& text) {
+  void endStream(Sidecar& sidecar, StatusCode status, const std::string& text) {
     const std::uint64_t stream = sidecar.stream;
     sidecar.clearAt = std::max(sidecar.clearAt, now + latency());
-    after(sidecar.clearAt - now, [this, &sidecar, stream, code, text] {
+    after(sidecar.clearAt - now, [this, &sidecar, stream, status, text] {
       if (sidecar.stream != stream) return;
       sidecar.stream = 0;
-      handle(sidecar, PrefixWatcher::WatchEnd{stream, code, text});
+      handle(sidecar, WatchEnd{stream, status, text});
     });
   }
 
