--- a/src/etcd/api_client.cpp
+++ b/src/discovery/etcd/api_client.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/api_client.h"
+#include "discovery/etcd/api_client.h"
 
 #include <grpc/support/time.h>
 #include <grpcpp/client_context.h>
@@ -11,16 +11,16 @@
 #include <utility>
 #include <vector>
 
+#include "discovery/etcd/api_conversion.h"
+#include "discovery/etcd/channel.h"
+#include "discovery/etcd/credentials.h"
+#include "discovery/etcd/grpc_status.h"
+#include "discovery/etcd/outstanding_calls.h"
+#include "discovery/etcd/watch_stream.h"
 #include "etcd.grpc.pb.h"
-#include "etcd/api_conversion.h"
-#include "etcd/channel.h"
-#include "etcd/credentials.h"
-#include "etcd/grpc_status.h"
-#include "etcd/outstanding_calls.h"
-#include "etcd/watch_stream.h"
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -311,4 +311,4 @@
   impl_->close(stream);
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/api_client.h
+++ b/src/discovery/etcd/api_client.h
@@ -1,17 +1,17 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_API_CLIENT_H_
-#define IVYPOST_ETCD_API_CLIENT_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_API_CLIENT_H_
+#define IVYPOST_DISCOVERY_ETCD_API_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
 #include <functional>
 #include <memory>
 
+#include "discovery/etcd/options.h"
+#include "discovery/etcd/watcher_events.h"
 #include "discovery/source.h"
-#include "etcd/options.h"
-#include "etcd/watcher_events.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// Carries a watcher's calls out over gRPC. gRPC's threads only fill messages; what came is posted to the
 /// event loop, whose thread alone calls this class and is called by it.
@@ -52,6 +52,6 @@
   std::shared_ptr<Impl> impl_;
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_API_CLIENT_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_API_CLIENT_H_
--- a/src/etcd/api_conversion.cpp
+++ b/src/discovery/etcd/api_conversion.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/api_conversion.h"
+#include "discovery/etcd/api_conversion.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 namespace pb = etcdserverpb;
@@ -67,4 +67,4 @@
   return result;
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/api_conversion.h
+++ b/src/discovery/etcd/api_conversion.h
@@ -1,11 +1,11 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_API_CONVERSION_H_
-#define IVYPOST_ETCD_API_CONVERSION_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_API_CONVERSION_H_
+#define IVYPOST_DISCOVERY_ETCD_API_CONVERSION_H_
 
+#include "discovery/etcd/watcher_events.h"
 #include "etcd.pb.h"
-#include "etcd/watcher_events.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 // Between the watcher's actions and inputs and the messages of etcd's v3 API. No I/O.
 
@@ -18,6 +18,6 @@
 /// The id of the stream is left to the caller.
 [[nodiscard]] WatchResult toWatchResult(const etcdserverpb::WatchResponse& response);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_API_CONVERSION_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_API_CONVERSION_H_
--- a/src/etcd/channel.cpp
+++ b/src/discovery/etcd/channel.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/channel.h"
+#include "discovery/etcd/channel.h"
 
 #include <grpcpp/create_channel.h>
 #include <grpcpp/security/credentials.h>
 #include <grpcpp/support/channel_arguments.h>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 // A response may hold a page of the list, or the largest transaction that etcd takes by default (1.5 MiB)
@@ -56,4 +56,4 @@
   return grpc::CreateCustomChannel(uriOf(*target), tls, settings);
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/contradiction.cpp
+++ b/src/discovery/etcd/contradiction.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/contradiction.h"
+#include "discovery/etcd/contradiction.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 // Lists in a row that have to say the same. An empty one is asked for again at once, so that nodes that have
@@ -42,4 +42,4 @@
   return "";
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/contradiction.h
+++ b/src/discovery/etcd/contradiction.h
@@ -1,15 +1,15 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_CONTRADICTION_H_
-#define IVYPOST_ETCD_CONTRADICTION_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_CONTRADICTION_H_
+#define IVYPOST_DISCOVERY_ETCD_CONTRADICTION_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <set>
 
-#include "etcd/messages.h"
+#include "discovery/etcd/messages.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// Counts the lists that contradict what is known, and decides when one has to be believed. No I/O and no
 /// clock.
@@ -54,6 +54,6 @@
 /// As the log names it: "no key at all", "an older revision than is known", "another cluster's keys".
 [[nodiscard]] const char* describe(Contradiction::Kind kind);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_CONTRADICTION_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_CONTRADICTION_H_
--- a/src/etcd/credentials.cpp
+++ b/src/discovery/etcd/credentials.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/credentials.h"
+#include "discovery/etcd/credentials.h"
 
 #include <fstream>
 #include <iterator>
 
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 // `key`: of the options, for the message.
@@ -28,4 +28,4 @@
   return credentials;
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/credentials.h
+++ b/src/discovery/etcd/credentials.h
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_CREDENTIALS_H_
-#define IVYPOST_ETCD_CREDENTIALS_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_CREDENTIALS_H_
+#define IVYPOST_DISCOVERY_ETCD_CREDENTIALS_H_
 
 #include <string>
 
-#include "etcd/options.h"
+#include "discovery/etcd/options.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// The contents of the files that Options names; empty where it names none.
 struct Credentials {
@@ -22,6 +22,6 @@
 /// Reads the files. Throws settings::FormatError, one line, for one that can't be read or is empty.
 [[nodiscard]] Credentials readCredentials(const Options& options);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_CREDENTIALS_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_CREDENTIALS_H_
--- a/src/etcd/etcd_source.cpp
+++ b/src/discovery/etcd/etcd_source.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/etcd_source.h"
+#include "discovery/etcd/etcd_source.h"
 
 #include <chrono>
 #include <utility>
@@ -7,7 +7,7 @@
 
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 using std::chrono::microseconds;
@@ -74,4 +74,4 @@
       });
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/etcd_source.h
+++ b/src/discovery/etcd/etcd_source.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_ETCD_SOURCE_H_
-#define IVYPOST_ETCD_ETCD_SOURCE_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_ETCD_SOURCE_H_
+#define IVYPOST_DISCOVERY_ETCD_ETCD_SOURCE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -8,11 +8,11 @@
 #include <deque>
 #include <memory>
 
+#include "discovery/etcd/api_client.h"
+#include "discovery/etcd/prefix_watcher.h"
 #include "discovery/source.h"
-#include "etcd/api_client.h"
-#include "etcd/prefix_watcher.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// etcd as a source of endpoint lists: the watcher decides, its client and its timer carry out.
 class EtcdSource final : public discovery::Source {
@@ -52,6 +52,6 @@
   ApiClient client_;  // the last: its end waits for its calls
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_ETCD_SOURCE_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_ETCD_SOURCE_H_
--- a/src/etcd/grpc_status.cpp
+++ b/src/discovery/etcd/grpc_status.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/grpc_status.h"
+#include "discovery/etcd/grpc_status.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 StatusCode toStatusCode(const grpc::Status& status) {
   switch (status.error_code()) {
@@ -25,4 +25,4 @@
   }
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- /dev/null
+++ b/src/discovery/etcd/grpc_status.h
@@ -0,0 +1,16 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#ifndef IVYPOST_DISCOVERY_ETCD_GRPC_STATUS_H_
+#define IVYPOST_DISCOVERY_ETCD_GRPC_STATUS_H_
+
+#include <grpcpp/support/status.h>
+
+#include "discovery/etcd/messages.h"
+
+namespace ivypost::discovery::etcd {
+
+/// The status as the watcher tells them apart.
+[[nodiscard]] StatusCode toStatusCode(const grpc::Status& status);
+
+}  // namespace ivypost::discovery::etcd
+
+#endif  // IVYPOST_DISCOVERY_ETCD_GRPC_STATUS_H_
--- a/src/etcd/instance_entry.cpp
+++ b/src/discovery/etcd/instance_entry.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/instance_entry.h"
+#include "discovery/etcd/instance_entry.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 using settings::bad;
@@ -41,4 +41,4 @@
   }
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/instance_entry.h
+++ b/src/discovery/etcd/instance_entry.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_INSTANCE_ENTRY_H_
-#define IVYPOST_ETCD_INSTANCE_ENTRY_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_INSTANCE_ENTRY_H_
+#define IVYPOST_DISCOVERY_ETCD_INSTANCE_ENTRY_H_
 
 #include <cstddef>
 #include <optional>
@@ -9,7 +9,7 @@
 
 #include "discovery/endpoint_list.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 // The form of keys and values: <prefix>/<service>/<instanceId> holds the JSON of an instance, as the
 // platform's discovery has it. The id is the key's; a value that names one has to name the same.
@@ -29,6 +29,6 @@
 /// whose lifecycle is "removed": an instance that has gone is a key that has gone).
 [[nodiscard]] discovery::Instance parseInstance(std::string_view id, std::string_view value);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_INSTANCE_ENTRY_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_INSTANCE_ENTRY_H_
--- a/src/etcd/key_mirror.cpp
+++ b/src/discovery/etcd/key_mirror.cpp
@@ -1,14 +1,14 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/key_mirror.h"
+#include "discovery/etcd/key_mirror.h"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-#include "etcd/instance_entry.h"
+#include "discovery/etcd/instance_entry.h"
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 bool isControl(char one) {
@@ -152,4 +152,4 @@
   remember(revision);
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/key_mirror.h
+++ b/src/discovery/etcd/key_mirror.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_KEY_MIRROR_H_
-#define IVYPOST_ETCD_KEY_MIRROR_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_KEY_MIRROR_H_
+#define IVYPOST_DISCOVERY_ETCD_KEY_MIRROR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "etcd/watcher_events.h"
+#include "discovery/etcd/watcher_events.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// The keys of one prefix as lists and events have them, and the instances that their values name. No I/O and
 /// no clock.
@@ -103,6 +103,6 @@
 /// characters.
 [[nodiscard]] std::string printable(std::string text);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_KEY_MIRROR_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_KEY_MIRROR_H_
--- a/src/etcd/messages.cpp
+++ b/src/discovery/etcd/messages.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/messages.h"
+#include "discovery/etcd/messages.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 const char* nameOf(StatusCode code) {
   switch (code) {
@@ -36,4 +36,4 @@
   return prefix;
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/messages.h
+++ b/src/discovery/etcd/messages.h
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_MESSAGES_H_
-#define IVYPOST_ETCD_MESSAGES_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_MESSAGES_H_
+#define IVYPOST_DISCOVERY_ETCD_MESSAGES_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 // What etcd says, with no more of gRPC than the names: the types are those of the messages of etcdserverpb
 // and mvccpb in its v3 API, as far as they are used.
@@ -60,6 +60,6 @@
 /// "\0", all keys from the prefix on, where it has no byte that can be raised.
 [[nodiscard]] std::string prefixEnd(std::string prefix);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_MESSAGES_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_MESSAGES_H_
--- a/src/etcd/options.cpp
+++ b/src/discovery/etcd/options.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/options.h"
+#include "discovery/etcd/options.h"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
 #include <memory>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 using Flaw = std::optional<std::string>;
@@ -113,4 +113,4 @@
   return std::nullopt;
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/options.h
+++ b/src/discovery/etcd/options.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_OPTIONS_H_
-#define IVYPOST_ETCD_OPTIONS_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_OPTIONS_H_
+#define IVYPOST_DISCOVERY_ETCD_OPTIONS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// What operators set for discovery by etcd. Reading it needs no part of gRPC.
 struct Options {
@@ -89,6 +89,6 @@
 /// What can't be meant, in one line that begins with the key's name, for operators. None: it can be used.
 [[nodiscard]] std::optional<std::string> flawOf(const Options& options);
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_OPTIONS_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_OPTIONS_H_
--- a/src/etcd/outstanding_calls.h
+++ b/src/discovery/etcd/outstanding_calls.h
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_OUTSTANDING_CALLS_H_
-#define IVYPOST_ETCD_OUTSTANDING_CALLS_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_OUTSTANDING_CALLS_H_
+#define IVYPOST_DISCOVERY_ETCD_OUTSTANDING_CALLS_H_
 
 #include <condition_variable>
 #include <cstddef>
 #include <mutex>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// Counts what is under way at gRPC, so that whoever ends the client can wait until there is none. Any thread
 /// may call it.
@@ -34,6 +34,6 @@
   std::size_t count_ = 0;
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_OUTSTANDING_CALLS_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_OUTSTANDING_CALLS_H_
--- a/src/etcd/prefix_watcher.cpp
+++ b/src/discovery/etcd/prefix_watcher.cpp
@@ -1,10 +1,10 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/prefix_watcher.h"
+#include "discovery/etcd/prefix_watcher.h"
 
 #include <algorithm>
 #include <chrono>
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 // An audit that has changes which the watch has not brought waits so long for them: the two come over
@@ -384,4 +384,4 @@
       std::to_string((now_ - provenAt_) / kMicrosPerMilli) + " ms ago");
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/prefix_watcher.h
+++ b/src/discovery/etcd/prefix_watcher.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_PREFIX_WATCHER_H_
-#define IVYPOST_ETCD_PREFIX_WATCHER_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_PREFIX_WATCHER_H_
+#define IVYPOST_DISCOVERY_ETCD_PREFIX_WATCHER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,14 +11,14 @@
 #include <utility>
 #include <vector>
 
+#include "discovery/etcd/contradiction.h"
+#include "discovery/etcd/key_mirror.h"
+#include "discovery/etcd/options.h"
+#include "discovery/etcd/watcher_events.h"
 #include "discovery/source.h"
-#include "etcd/contradiction.h"
-#include "etcd/key_mirror.h"
-#include "etcd/options.h"
-#include "etcd/watcher_events.h"
 #include "util/bounded_math.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// Keeps the endpoint list by the keys of one prefix in etcd: lists them at a revision, watches from the next
 /// one on, and resumes after a cut. No I/O and no clock; random numbers come from a seed.
@@ -178,6 +178,6 @@
   Counts counts_;
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_PREFIX_WATCHER_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_PREFIX_WATCHER_H_
--- a/src/etcd/watch_stream.cpp
+++ b/src/discovery/etcd/watch_stream.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/watch_stream.h"
+#include "discovery/etcd/watch_stream.h"
 
 #include <boost/asio/post.hpp>
 #include <utility>
 
-#include "etcd/api_conversion.h"
+#include "discovery/etcd/api_conversion.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 namespace pb = etcdserverpb;
 
@@ -94,4 +94,4 @@
   outstanding->end();
 }
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/src/etcd/watch_stream.h
+++ b/src/discovery/etcd/watch_stream.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_WATCH_STREAM_H_
-#define IVYPOST_ETCD_WATCH_STREAM_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_WATCH_STREAM_H_
+#define IVYPOST_DISCOVERY_ETCD_WATCH_STREAM_H_
 
 #include <grpcpp/client_context.h>
 #include <grpcpp/support/client_callback.h>
@@ -12,11 +12,11 @@
 #include <memory>
 #include <mutex>
 
+#include "discovery/etcd/outstanding_calls.h"
+#include "discovery/etcd/watcher_events.h"
 #include "etcd.grpc.pb.h"
-#include "etcd/outstanding_calls.h"
-#include "etcd/watcher_events.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// A watch's stream over gRPC. Its reactions (On...) run on gRPC's threads, all else, also its owner's
 /// callbacks, on the event loop's. gRPC refers to it until OnDone(), so it holds itself until then.
@@ -86,6 +86,6 @@
   etcdserverpb::WatchResponse response_;  // gRPC's while it reads, the loop's until readNext()
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_WATCH_STREAM_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_WATCH_STREAM_H_
--- a/src/etcd/watcher_events.h
+++ b/src/discovery/etcd/watcher_events.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_ETCD_WATCHER_EVENTS_H_
-#define IVYPOST_ETCD_WATCHER_EVENTS_H_
+#ifndef IVYPOST_DISCOVERY_ETCD_WATCHER_EVENTS_H_
+#define IVYPOST_DISCOVERY_ETCD_WATCHER_EVENTS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "discovery/endpoint_list.h"
-#include "etcd/messages.h"
+#include "discovery/etcd/messages.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 /// Microseconds: a span, or a moment by the caller's monotonic clock.
 using Micros = balancer::Micros;
@@ -106,6 +106,6 @@
 /// Any of them.
 using Input = std::variant<Start, Fetch, TimerExpired, RangeResult, WatchResult, WatchEnd>;
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_ETCD_WATCHER_EVENTS_H_
+#endif  // IVYPOST_DISCOVERY_ETCD_WATCHER_EVENTS_H_
--- a/src/operator/file.cpp
+++ b/src/operator/file.cpp
@@ -55,7 +55,7 @@
   if (const auto error = degradation::validate(file.degradation.settings))
     fail("levels", degradation::describe(*error));
   if (file.membership.source == File::Membership::Source::Etcd) {
-    if (const auto flaw = etcd::flawOf(file.membership.etcd)) fail("membership", "etcd." + *flaw);
+    if (const auto flaw = discovery::etcd::flawOf(file.membership.etcd)) fail("membership", "etcd." + *flaw);
   }
   if (file.peers.on) {
     if (const auto flaw = peers::flawOf(file.peers)) fail("peers", *flaw);
--- a/src/operator/file.h
+++ b/src/operator/file.h
@@ -13,7 +13,7 @@
 #include "admission/door.h"
 #include "admission/queue.h"
 #include "degradation/settings.h"
-#include "etcd/options.h"
+#include "discovery/etcd/options.h"
 #include "peers/options.h"
 
 namespace ivypost::op {
@@ -43,7 +43,7 @@
   struct Membership {
     enum class Source : std::uint8_t { Platform, Etcd };
     Source source = Source::Platform;
-    etcd::Options etcd;  // without a flaw where it is the source; else as it stands in the file
+    discovery::etcd::Options etcd;  // without a flaw where it is the source; else as it stands in the file
     bool operator==(const Membership&) const = default;
   } membership;
 };
--- a/src/operator/keys.cpp
+++ b/src/operator/keys.cpp
@@ -182,7 +182,7 @@
   return {"membership.etcd.endpoints",
           "The members' client addresses, as \"https://10.0.0.4:2379\"; 16 at the most.",
           [](File& file, Table& table, std::string_view leaf) {
-            file.membership.etcd.endpoints = table.texts(leaf, etcd::kMaxEndpoints);
+            file.membership.etcd.endpoints = table.texts(leaf, discovery::etcd::kMaxEndpoints);
           },
           [](const File& file) { return shownList(file.membership.etcd.endpoints); }};
 }
--- a/src/sidecar/etcd_source.cpp
+++ b/src/sidecar/etcd_source.cpp
@@ -3,14 +3,14 @@
 
 #include <cstdio>
 
-#include "etcd/etcd_source.h"
+#include "discovery/etcd/etcd_source.h"
 
 namespace ivypost {
 
 Sidecar::MakeEtcd etcdSource() {
-  return [](boost::asio::io_context& io, const etcd::Options& options, std::uint64_t seed,
+  return [](boost::asio::io_context& io, const discovery::etcd::Options& options, std::uint64_t seed,
             discovery::Source::Callbacks callbacks) -> std::unique_ptr<discovery::Source> {
-    return std::make_unique<etcd::EtcdSource>(
+    return std::make_unique<discovery::etcd::EtcdSource>(
         io, options, seed, std::move(callbacks),
         [](const std::string& line) { std::fprintf(stderr, "%s\n", line.c_str()); });
   };
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -38,7 +38,8 @@
   // Makes the source that follows etcd; empty where this program is built without it. Throws
   // settings::FormatError, one line, for options that can't be used.
   using MakeEtcd = std::function<std::unique_ptr<discovery::Source>(
-      boost::asio::io_context&, const etcd::Options&, std::uint64_t seed, discovery::Source::Callbacks)>;
+      boost::asio::io_context&, const discovery::etcd::Options&, std::uint64_t seed,
+      discovery::Source::Callbacks)>;
 
   // Throws settings::FormatError for an operator's file that does not fit the configuration or this
   // program, and what the server throws.
--- a/tests/etcd/certificates.h
+++ b/tests/discovery/etcd/certificates.h
@@ -3,10 +3,10 @@
 // Certificates of the tests' own, good for nothing else: an authority, a server (etcd.test, 127.0.0.1) with
 // one that has run out too (same key), a client, and another authority. Made by openssl, valid for a hundred
 // years.
-#ifndef IVYPOST_TESTS_ETCD_CERTIFICATES_H_
-#define IVYPOST_TESTS_ETCD_CERTIFICATES_H_
+#ifndef IVYPOST_TESTS_DISCOVERY_ETCD_CERTIFICATES_H_
+#define IVYPOST_TESTS_DISCOVERY_ETCD_CERTIFICATES_H_
 
-namespace ivypost::etcd::certificates {
+namespace ivypost::discovery::etcd::certificates {
 
 constexpr const char* kCa = R"(-----BEGIN CERTIFICATE-----
 MIIBijCCATGgAwIBAgIUE0ZY2E8QT/N2uFpDDd5XmvTnmBYwCgYIKoZIzj0EAwIw
@@ -86,6 +86,6 @@
 -----END PRIVATE KEY-----
 )";
 
-}  // namespace ivypost::etcd::certificates
+}  // namespace ivypost::discovery::etcd::certificates
 
-#endif  // IVYPOST_TESTS_ETCD_CERTIFICATES_H_
+#endif  // IVYPOST_TESTS_DISCOVERY_ETCD_CERTIFICATES_H_
--- a/tests/etcd/etcd_source_test.cpp
+++ b/tests/discovery/etcd/etcd_source_test.cpp
@@ -2,7 +2,7 @@
 //
 // The source over gRPC against a fake cluster, on loopback: what only real connections show (tokens,
 // certificates, members that hang or refuse, ends in the middle of calls).
-#include "etcd/etcd_source.h"
+#include "discovery/etcd/etcd_source.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -16,12 +16,12 @@
 #include <memory>
 #include <string>
 
-#include "etcd/certificates.h"
+#include "discovery/etcd/certificates.h"
 #include "fault/proxy.h"
 #include "settings/settings.h"
 #include "standins/etcd/cluster.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 namespace asio = boost::asio;
@@ -323,4 +323,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/tests/etcd/options_test.cpp
+++ b/tests/discovery/etcd/options_test.cpp
@@ -1,12 +1,12 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "etcd/options.h"
+#include "discovery/etcd/options.h"
 
 #include <gtest/gtest.h>
 
-#include "etcd/instance_entry.h"
-#include "etcd/messages.h"
+#include "discovery/etcd/instance_entry.h"
+#include "discovery/etcd/messages.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 struct TargetRow {
@@ -95,4 +95,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/tests/etcd/prefix_watcher_test.cpp
+++ b/tests/discovery/etcd/prefix_watcher_test.cpp
@@ -1,16 +1,16 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // The watcher in simulated time: one test a hard case, then any series of faults, then many watchers at once.
-#include "etcd/prefix_watcher.h"
+#include "discovery/etcd/prefix_watcher.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "etcd/instance_entry.h"
-#include "etcd/simulation.h"
+#include "discovery/etcd/instance_entry.h"
+#include "discovery/etcd/simulation.h"
 #include "settings/settings.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 using Ports = std::map<std::string, int>;
@@ -689,4 +689,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/tests/etcd/sidecar_test.cpp
+++ b/tests/discovery/etcd/sidecar_test.cpp
@@ -20,7 +20,7 @@
 #include <string>
 #include <vector>
 
-#include "etcd/etcd_source.h"
+#include "discovery/etcd/etcd_source.h"
 #include "operator/file.h"
 #include "settings/settings.h"
 #include "standins/client.h"
@@ -30,7 +30,7 @@
 #include "standins/ledger.h"
 #include "standins/node.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 namespace {
 
 namespace asio = boost::asio;
@@ -339,4 +339,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
--- a/tests/etcd/simulation.h
+++ b/tests/discovery/etcd/simulation.h
@@ -3,8 +3,8 @@
 // Watchers against an etcd in simulated time: the fake's store and watches, members that fail in every way
 // that tests ask for, and a network whose messages take their time. Nothing waits and nothing is random but
 // by the simulation's seed.
-#ifndef IVYPOST_TESTS_ETCD_SIMULATION_H_
-#define IVYPOST_TESTS_ETCD_SIMULATION_H_
+#ifndef IVYPOST_TESTS_DISCOVERY_ETCD_SIMULATION_H_
+#define IVYPOST_TESTS_DISCOVERY_ETCD_SIMULATION_H_
 
 #include <algorithm>
 #include <functional>
@@ -17,12 +17,12 @@
 #include <utility>
 #include <vector>
 
-#include "etcd/api_conversion.h"
-#include "etcd/prefix_watcher.h"
+#include "discovery/etcd/api_conversion.h"
+#include "discovery/etcd/prefix_watcher.h"
 #include "standins/etcd/store.h"
 #include "standins/etcd/watches.h"
 
-namespace ivypost::etcd {
+namespace ivypost::discovery::etcd {
 
 namespace pb = etcdserverpb;
 namespace fakes = standins;
@@ -313,6 +313,6 @@
   std::multimap<Micros, std::function<void()>> queue_;
 };
 
-}  // namespace ivypost::etcd
+}  // namespace ivypost::discovery::etcd
 
-#endif  // IVYPOST_TESTS_ETCD_SIMULATION_H_
+#endif  // IVYPOST_TESTS_DISCOVERY_ETCD_SIMULATION_H_
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -63,7 +63,7 @@
   exit 1
 fi
 cmake -S . -B build-lint "${common[@]}" -DIVYPOST_PCH=OFF -DCMAKE_EXPORT_COMPILE_COMMANDS=ON >/dev/null
-cmake --build build-lint --target ivypost_etcd_generated -- --no-print-directory -s
+cmake --build build-lint --target ivypost_discovery_etcd_generated -- --no-print-directory -s
 sed -n 's/^  "file": "\(.*\)"$/\1/p' build-lint/compile_commands.json | grep -v -e '/tests/' -e '/cmake/' -e '/generated/' |
   xargs -n1 -P"$jobs" clang-tidy -p build-lint --quiet --checks=-bugprone-suspicious-include --warnings-as-errors='*' >build-lint/lint.log 2>&1 ||
   {
