--- a/src/peers/exchange.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -9,20 +9,20 @@
 #include <tuple>
 #include <utility>
 
-#include "peers/entries.h"
-#include "peers/members.h"
+#include "gossip/entry_codec.h"
+#include "gossip/members.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 constexpr std::uint8_t kRangeBits = 2;
 static_assert(kRanges == 1U << kRangeBits);
 // A filter over more members than this holds too many by mistake.
-constexpr std::size_t kMaxFiltered = 8 * Filter::kMaxBytes / 5;
+constexpr std::size_t kMaxFiltered = 8 * BloomFilter::kMaxBytes / 5;
 // With more members than this to be told of as alive, rumours would only repeat what pages tell better.
-constexpr std::size_t kMassNews = 64;
+constexpr std::size_t kMassUpdates = 64;
 // A pull that brought so many has found somebody worth asking again at once.
-constexpr std::size_t kWorthwhile = 4;
+constexpr std::size_t kProductivePull = 4;
 // From a suspicion to its refutation, by the simulated fleets of up to 1,320.
 constexpr Micros kRefutation = 1'000'000;
 // Of those who spoke of an earlier life: told so at the most in one datagram.
@@ -39,16 +39,16 @@
 
 }  // namespace
 
-Update Members::own() const {
+Update Members::ownUpdate() const {
   Update update{settings_.self, settings_.incarnation, settings_.address, State::Alive, 0};
   update.region = settings_.region;
-  update.compares = settings_.antiEntropy;
+  update.usesAntiEntropy = settings_.antiEntropy;
   return update;
 }
 
-bool Members::compares(PeerId id) const {
+bool Members::usesAntiEntropy(PeerId id) const {
   const auto found = members_.find(id);
-  return settings_.antiEntropy && found != members_.end() && found->second.update.compares;
+  return settings_.antiEntropy && found != members_.end() && found->second.update.usesAntiEntropy;
 }
 
 bool Members::inRange(PeerId id, const Range& range) const {
@@ -62,11 +62,11 @@
     tableChanged_ = false;
     table_ = Table();
     table_.region = settings_.region;
-    table_.heard = static_cast<std::uint16_t>(heard());
+    table_.reachable = static_cast<std::uint16_t>(reachableCount());
     const auto add = [&](const Update& update) {
       table_.digests.at(rangeOf(update.id, kRangeBits)) ^= static_cast<std::uint32_t>(keyOf(update));
     };
-    add(own());
+    add(ownUpdate());
     for (const auto& [id, member] : members_)
       if (member.update.state != State::Dead) add(member.update);
   }
@@ -83,21 +83,22 @@
     entries.push_back(found->second.update);
   std::vector<Member*> owed;
   std::size_t alive = 0;
-  if (std::exchange(news_, false))
+  if (std::exchange(hasPendingUpdates_, false))
     for (auto& [id, member] : members_) {
-      if (member.tellings == 0) continue;
-      news_ = true;
+      if (member.transmissionsLeft == 0) continue;
+      hasPendingUpdates_ = true;
       alive += member.update.state == State::Alive ? 1 : 0;
       if (id != receiver) owed.push_back(&member);
     }
   // What all would tell all of, as after a start of the whole fleet, is fetched by those who lack it.
-  if (alive > kMassNews && !differing_.empty() && message.kind == Kind::Rumours)
+  if (alive > kMassUpdates && !differingTables_.empty() && message.kind == Kind::Rumours)
     std::erase_if(owed, [](const Member* one) { return one->update.state == State::Alive; });
   const std::size_t refuted = entries.size();
   const std::size_t count = std::min(owed.size(), kMaxEntries - refuted);
   // Among equals chance decides, or all would tell of the same first.
   const auto rank = [&](const Member* one) {
-    return std::tuple(one->update.state == State::Alive, ~one->tellings, mix(one->update.id ^ message.nonce));
+    return std::tuple(one->update.state == State::Alive, ~one->transmissionsLeft,
+                      mix(one->update.id ^ message.nonce));
   };
   std::partial_sort(owed.begin(), owed.begin() + static_cast<std::ptrdiff_t>(count), owed.end(),
                     [&](const Member* a, const Member* b) { return rank(a) < rank(b); });
@@ -112,23 +113,23 @@
   std::vector<std::uint8_t> packed;
   const std::size_t fits = packEntries(entries, std::min(room, roomForEntries(message)), packed);
   entries.resize(fits);
-  for (std::size_t n = refuted; n < fits; ++n) --owed[n - refuted]->tellings;
+  for (std::size_t n = refuted; n < fits; ++n) --owed[n - refuted]->transmissionsLeft;
   message.entries = std::move(entries);
 }
 
 // Who has the same table knows of every life that this one knows of; only suspicions are no part of it.
-void Members::calmDown() {
+void Members::halveTransmissions() {
   for (auto& [id, member] : members_)
-    if (member.update.state != State::Suspect) member.tellings /= 2;
+    if (member.update.state != State::Suspect) member.transmissionsLeft /= 2;
 }
 
-void Members::gossip(Micros now, std::vector<Outgoing>& out) {
-  if (!news_) return;
-  auto to = someAlive(kGossipFanOut - 1, settings_.self, now - kSpokeWithin);
+void Members::sendRumours(Micros now, std::vector<Outgoing>& out) {
+  if (!hasPendingUpdates_) return;
+  auto to = pickAlive(kGossipFanOut - 1, settings_.self, now - kRecentContact);
   const PeerId first = to.empty() ? settings_.self : to.front()->update.id;
-  for (const Member* one : someAlive(1, first)) to.push_back(one);
+  for (const Member* one : pickAlive(1, first)) to.push_back(one);
   for (const Member* one : to) {
-    if (!one->update.compares || budget_.credit(now) <= 0 || gossipBudget_.credit(now) < kMaxDatagram)
+    if (!one->update.usesAntiEntropy || budget_.credit(now) <= 0 || gossipBudget_.credit(now) < kMaxDatagram)
       continue;
     Message message = make(Kind::Rumours, ++lastNonce_);
     addEntries(message, one->update.id, kMaxDatagram);
@@ -141,72 +142,74 @@
 
 // ---- Anti-entropy -----------------------------------------------------------------------------------------
 
-void Members::compare(const Message& message, Micros now) {
+void Members::compareTables(const Message& message, Micros now) {
   if (!message.table) return;
-  mostTold_ = std::max(mostTold_, message.table->heard);
+  mostReported_ = std::max(mostReported_, message.table->reachable);
   const Table mine = table();
   std::uint8_t ranges = 0;
   for (std::size_t n = 0; n < kRanges; ++n)
     if (mine.digests.at(n) != message.table->digests.at(n)) ranges |= static_cast<std::uint8_t>(1U << n);
-  std::erase_if(differing_, [&](const Differing& one) { return one.id == message.sender; });
-  if (ranges == 0) return calmDown();
-  if (differing_.size() == kMaxDiffering) differing_.erase(differing_.begin());
-  differing_.push_back({message.sender, ranges, now});
+  std::erase_if(differingTables_, [&](const DifferingTable& one) { return one.id == message.sender; });
+  if (ranges == 0) return halveTransmissions();
+  if (differingTables_.size() == kMaxDiffering) differingTables_.erase(differingTables_.begin());
+  differingTables_.push_back({message.sender, ranges, now});
 }
 
-bool Members::hasExchange() const {
-  return settings_.antiEntropy && (news_ || !pending_.empty() || !differing_.empty());
+bool Members::hasAntiEntropyWork() const {
+  return settings_.antiEntropy &&
+         (hasPendingUpdates_ || !pendingAnswers_.empty() || !differingTables_.empty());
 }
 
 bool Members::isJoining(Micros now) const {
   if (!settings_.antiEntropy || now - startedAt_ > kMaxJoining) return false;
-  return now - startedAt_ < kLeastJoining ||
-         static_cast<double>(heard()) < kJoined * static_cast<double>(mostTold_);
+  return now - startedAt_ < kMinJoining ||
+         static_cast<double>(reachableCount()) < kJoinedFraction * static_cast<double>(mostReported_);
 }
 
-void Members::exchange(Micros now, std::vector<Outgoing>& out) {
-  nextExchange_ = now + kGossipEvery;
-  std::erase_if(differing_, [&](const Differing& one) {
-    return now - one.at > kDiffersFor || !isHeard(one.id) || !compares(one.id);
+void Members::runAntiEntropy(Micros now, std::vector<Outgoing>& out) {
+  nextAntiEntropy_ = now + kGossipEvery;
+  std::erase_if(differingTables_, [&](const DifferingTable& one) {
+    return now - one.at > kDiffersFor || !isReachable(one.id) || !usesAntiEntropy(one.id);
   });
-  std::erase_if(pulled_, [&](const Pulled& one) { return now - one.at > kPullTimeout; });
-  std::erase_if(pending_, [&](const Pending& one) { return now > one.until; });
-  gossip(now, out);
-  pull(now, out);
-  answerPulls(now, out);
+  std::erase_if(outstandingPulls_, [&](const OutstandingPull& one) { return now - one.at > kPullTimeout; });
+  std::erase_if(pendingAnswers_, [&](const PendingAnswer& one) { return now > one.until; });
+  sendRumours(now, out);
+  sendPull(now, out);
+  sendPages(now, out);
 }
 
-void Members::pull(Micros now, std::vector<Outgoing>& out) {
-  if (pulled_.size() >= kMaxPulls || now < nextPull_) return;
+void Members::sendPull(Micros now, std::vector<Outgoing>& out) {
+  if (outstandingPulls_.size() >= kMaxPulls || now < nextPull_) return;
   // Who has just started lacks what anybody has, and who is asked learns of it.
-  Differing from{0, (1U << kRanges) - 1, now};
+  DifferingTable from{0, (1U << kRanges) - 1, now};
   if (isJoining(now)) {
     // Those who have not spoken yet come first: perhaps nobody has spoken to them.
-    auto anybody = someAlive(kMaxMembers, settings_.self);
-    std::erase_if(anybody, [](const Member* one) { return !one->update.compares; });
+    auto anybody = pickAlive(kMaxMembers, settings_.self);
+    std::erase_if(anybody, [](const Member* one) { return !one->update.usesAntiEntropy; });
     if (anybody.empty()) return;
-    const auto silent =
-        std::find_if(anybody.begin(), anybody.end(), [](const Member* one) { return one->windowOf == 0; });
+    const auto silent = std::find_if(anybody.begin(), anybody.end(),
+                                     [](const Member* one) { return one->windowIncarnation == 0; });
     from.id = (silent != anybody.end() ? *silent : anybody.front())->update.id;
-  } else if (!differing_.empty()) {
-    from = differing_[static_cast<std::size_t>(uniform() * static_cast<double>(differing_.size()))];
+  } else if (!differingTables_.empty()) {
+    from =
+        differingTables_[static_cast<std::size_t>(uniform() * static_cast<double>(differingTables_.size()))];
   }
   const auto found = members_.find(from.id);
   if (found == members_.end()) return;
   Message message = make(Kind::Pull, ++lastNonce_);
   message.table = table();
-  if (heard() > kMaxFiltered || std::popcount(from.ranges) == 1) {
+  if (reachableCount() > kMaxFiltered || std::popcount(from.ranges) == 1) {
     message.range.bits = kRangeBits;
     do {
       message.range.index = static_cast<std::uint8_t>(uniform() * static_cast<double>(kRanges));
     } while ((from.ranges >> message.range.index & 1) == 0);
-    while (heard() >> message.range.bits > kMaxFiltered && message.range.bits < kMaxRangeBits) {
+    while (reachableCount() >> message.range.bits > kMaxFiltered && message.range.bits < kMaxRangeBits) {
       ++message.range.bits;
       message.range.index = static_cast<std::uint8_t>(message.range.index << 1 | (uniform() < 0.5 ? 0U : 1U));
     }
   }
-  Filter filter(heard() >> message.range.bits, message.nonce);
-  if (inRange(settings_.self, message.range)) filter.add(keyOf(own()));
+  BloomFilter filter(reachableCount() >> message.range.bits, message.nonce);
+  if (inRange(settings_.self, message.range)) filter.add(keyOf(ownUpdate()));
   for (const auto& [id, member] : members_)
     if (member.update.state != State::Dead && inRange(id, message.range)) filter.add(keyOf(member.update));
   message.filter = filter.bytes();
@@ -214,51 +217,51 @@
   const std::size_t bytes = encode(message).size() + kSealBytes + kDatagramOverhead;
   if (!pullBudget_.take(bytes, now)) return;
   if (!send(found->second.update.address, std::move(message), Need::Optional, now, out)) return;
-  pulled_.push_back({nonce, from.id, now, 0, 0});
+  outstandingPulls_.push_back({nonce, from.id, now, 0, 0});
   nextPull_ = now + pullGap_;
   pullGap_ = std::min(2 * pullGap_, kMaxPullGap);
 }
 
-void Members::beginAnswer(const Message& pull, Micros now, std::vector<Outgoing>& out) {
-  std::erase_if(pending_, [&](const Pending& one) { return one.who == pull.sender; });
-  if (pending_.size() == kMaxPending) return;
-  const Filter filter(pull.filter, pull.nonce);
-  Pending pending{pull.nonce, pull.sender, pull.address, now + kPullTimeout, {}, 0, false};
-  const auto look = [&](const Update& update) {
+void Members::beginPages(const Message& pull, Micros now, std::vector<Outgoing>& out) {
+  std::erase_if(pendingAnswers_, [&](const PendingAnswer& one) { return one.who == pull.sender; });
+  if (pendingAnswers_.size() == kMaxPending) return;
+  const BloomFilter filter(pull.filter, pull.nonce);
+  PendingAnswer pending{pull.nonce, pull.sender, pull.address, now + kPullTimeout, {}, 0, false};
+  const auto consider = [&](const Update& update) {
     if (!inRange(update.id, pull.range) || update.id == pull.sender) return;
     // The dead are told of to who believes in them.
     if (filter.holds(keyOf(update)) == (update.state == State::Dead)) pending.missing.push_back(update.id);
   };
-  look(own());
-  for (const auto& [id, member] : members_) look(member.update);
+  consider(ownUpdate());
+  for (const auto& [id, member] : members_) consider(member.update);
   // What has been told least comes first, as it is what the fewest know; among equals chance decides.
   const auto rank = [&](PeerId id) {
     const auto found = members_.find(id);
-    return std::pair(found == members_.end() ? 0 : ~found->second.tellings, mix(id ^ pull.nonce));
+    return std::pair(found == members_.end() ? 0 : ~found->second.transmissionsLeft, mix(id ^ pull.nonce));
   };
   const std::size_t most = std::min(pending.missing.size(), kPagesPerPull * kMaxEntries);
   std::partial_sort(pending.missing.begin(), pending.missing.begin() + static_cast<std::ptrdiff_t>(most),
                     pending.missing.end(), [&](PeerId a, PeerId b) { return rank(a) < rank(b); });
-  pending.more = pending.missing.size() > most;
+  pending.isTruncated = pending.missing.size() > most;
   pending.missing.resize(most);
-  pending_.push_back(std::move(pending));
-  answerPulls(now, out);
-  nextExchange_ = std::min(nextExchange_, now + kGossipEvery);
+  pendingAnswers_.push_back(std::move(pending));
+  sendPages(now, out);
+  nextAntiEntropy_ = std::min(nextAntiEntropy_, now + kGossipEvery);
 }
 
 // Pages as far as the bytes reach, each asker in turn.
-void Members::answerPulls(Micros now, std::vector<Outgoing>& out) {
-  while (!pending_.empty()) {
-    Pending pending = std::move(pending_.front());
-    pending_.erase(pending_.begin());
+void Members::sendPages(Micros now, std::vector<Outgoing>& out) {
+  while (!pendingAnswers_.empty()) {
+    PendingAnswer pending = std::move(pendingAnswers_.front());
+    pendingAnswers_.erase(pendingAnswers_.begin());
     Message page = make(Kind::Page, pending.nonce);
     std::vector<Update> entries;
     std::vector<std::size_t> ends;  // where in `missing` each entry ends
-    for (std::size_t n = pending.told; n < pending.missing.size() && entries.size() < kMaxEntries; ++n) {
+    for (std::size_t n = pending.sent; n < pending.missing.size() && entries.size() < kMaxEntries; ++n) {
       const PeerId id = pending.missing[n];
       const auto found = members_.find(id);
       if (id != settings_.self && found == members_.end()) continue;
-      Update update = id == settings_.self ? own() : found->second.update;
+      Update update = id == settings_.self ? ownUpdate() : found->second.update;
       // A suspicion goes by rumours, with its witnesses; here it is a life that is believed in.
       if (update.state == State::Suspect) update.state = State::Alive;
       entries.push_back(update);
@@ -267,42 +270,42 @@
     std::vector<std::uint8_t> packed;
     const std::size_t fits = packEntries(entries, roomForEntries(page), packed);
     entries.resize(fits);
-    const std::size_t told = fits > 0 ? ends[fits - 1] : pending.missing.size();
-    const bool last = told >= pending.missing.size();
-    page.pageFlags =
-        static_cast<std::uint8_t>((last ? kLastPage : 0) | (last && pending.more ? kMorePages : 0));
+    const std::size_t sentUntil = fits > 0 ? ends[fits - 1] : pending.missing.size();
+    const bool isLast = sentUntil >= pending.missing.size();
+    page.pageFlags = static_cast<std::uint8_t>((isLast ? kLastPage : 0) |
+                                               (isLast && pending.isTruncated ? kTruncated : 0));
     page.entries = std::move(entries);
     if (!send(pending.to, std::move(page), Need::Optional, now, out)) {
-      pending_.insert(pending_.begin(), std::move(pending));
+      pendingAnswers_.insert(pendingAnswers_.begin(), std::move(pending));
       return;
     }
-    for (std::size_t n = pending.told; n < told; ++n) {
+    for (std::size_t n = pending.sent; n < sentUntil; ++n) {
       const auto found = members_.find(pending.missing[n]);
-      if (found != members_.end() && found->second.tellings > 0) --found->second.tellings;
+      if (found != members_.end() && found->second.transmissionsLeft > 0) --found->second.transmissionsLeft;
     }
-    pending.told = told;
-    if (!last) pending_.push_back(std::move(pending));
+    pending.sent = sentUntil;
+    if (!isLast) pendingAnswers_.push_back(std::move(pending));
   }
 }
 
-void Members::takePage(const Message& page, Micros now, std::vector<Outgoing>& out) {
-  const auto found = std::find_if(pulled_.begin(), pulled_.end(), [&](const Pulled& one) {
-    return one.nonce == page.nonce && one.from == page.sender;
-  });
+void Members::receivePage(const Message& page, Micros now, std::vector<Outgoing>& out) {
+  const auto found = std::find_if(
+      outstandingPulls_.begin(), outstandingPulls_.end(),
+      [&](const OutstandingPull& one) { return one.nonce == page.nonce && one.from == page.sender; });
   // Not asked for, too late, or more than a pull brings: nothing is taken from it.
-  if (found == pulled_.end() || ++found->pages > 2 * kPagesPerPull) return;
-  lastHeard_ = std::max(lastHeard_.value_or(found->at), found->at);
-  found->gained += takeEntries(page, now, out);
-  if (found->gained >= kWorthwhile) {
+  if (found == outstandingPulls_.end() || ++found->pages > 2 * kPagesPerPull) return;
+  lastAnsweredPingAt_ = std::max(lastAnsweredPingAt_.value_or(found->at), found->at);
+  found->gained += mergeEntries(page, now, out);
+  if (found->gained >= kProductivePull) {
     pullGap_ = kPullGap;
     nextPull_ = std::min(nextPull_, now + kPullGap);
   }
-  if ((page.pageFlags & kLastPage) != 0) pulled_.erase(found);
+  if ((page.pageFlags & kLastPage) != 0) outstandingPulls_.erase(found);
 }
 
 // How many were news. Who tells of an earlier life than is known here is told more, as far as one datagram
 // holds.
-std::size_t Members::takeEntries(const Message& message, Micros now, std::vector<Outgoing>& out) {
+std::size_t Members::mergeEntries(const Message& message, Micros now, std::vector<Outgoing>& out) {
   std::size_t gained = 0;
   std::vector<Update> corrections;
   std::optional<Update> doubtful;
@@ -311,9 +314,10 @@
     // So it is one more witness, and the suspect is probed (as hashicorp/memberlist merges a remote state);
     // unless it has been a suspect here for longer than a refutation takes.
     const auto known = members_.find(entry.id);
-    const bool unrefuted = known != members_.end() && known->second.update.state == State::Suspect &&
-                           now - known->second.since >= kRefutation;
-    if (message.kind == Kind::Page && entry.state == State::Dead && entry.witness != entry.id && !unrefuted) {
+    const bool isUnrefuted = known != members_.end() && known->second.update.state == State::Suspect &&
+                             now - known->second.stateSince >= kRefutation;
+    if (message.kind == Kind::Page && entry.state == State::Dead && entry.witness != entry.id &&
+        !isUnrefuted) {
       entry.state = State::Suspect;
       entry.witness = message.sender;
     }
@@ -326,13 +330,13 @@
     const Update& held = found->second.update;
     if (held.incarnation > entry.incarnation && corrections.size() < kCorrections)
       corrections.push_back(held);
-    const bool denied = held.incarnation == entry.incarnation && held.state == State::Dead &&
-                        entry.state == State::Alive && !found->second.left();
-    if (denied && message.kind == Kind::Page && (!doubtful || uniform() < 0.5)) doubtful = held;
+    const bool isDenied = held.incarnation == entry.incarnation && held.state == State::Dead &&
+                          entry.state == State::Alive && !found->second.hasLeft();
+    if (isDenied && message.kind == Kind::Page && (!doubtful || uniform() < 0.5)) doubtful = held;
   }
   // It can speak for itself: the ping tells it what to refute.
   if (doubtful) ping(doubtful->address, doubtful->id, Need::Optional, now, out);
-  if (!corrections.empty() && compares(message.sender)) {
+  if (!corrections.empty() && usesAntiEntropy(message.sender)) {
     Message answer = make(Kind::Rumours, ++lastNonce_);
     answer.entries = std::move(corrections);
     send(message.address, std::move(answer), Need::Optional, now, out);
@@ -340,4 +344,4 @@
   return gained;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/filter.h
+++ b/src/gossip/bloom_filter.h
@@ -3,8 +3,8 @@
 // A Bloom filter over 64-bit keys with a salt (Bloom 1970; the positions by double hashing, Kirsch and
 // Mitzenmacher 2006). Who asks for a part of a table tells by it what it has already. A key that it holds by
 // mistake is not sent, this time: the next filter has another salt, and another mistake.
-#ifndef IVYPOST_PEERS_FILTER_H_
-#define IVYPOST_PEERS_FILTER_H_
+#ifndef IVYPOST_GOSSIP_BLOOM_FILTER_H_
+#define IVYPOST_GOSSIP_BLOOM_FILTER_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 // SplitMix64's finisher: every bit of the number bears on every bit of the result.
 constexpr std::uint64_t mix(std::uint64_t number) {
@@ -21,32 +21,32 @@
   return number ^ number >> 31;
 }
 
-class Filter {
+class BloomFilter {
  public:
   static constexpr std::size_t kMaxBytes = 168;
   // With so many bits a key one in 200 is held by mistake; at the 5 of 268 keys in kMaxBytes one in 11.
-  static constexpr std::size_t kBitsAKey = 16;
+  static constexpr std::size_t kBitsPerKey = 16;
 
   // Empty, wide enough for so many keys if kMaxBytes are.
-  Filter(std::size_t keys, std::uint32_t salt)
-      : bytes_(std::clamp<std::size_t>((keys * kBitsAKey + 7) / 8, 8, kMaxBytes)), salt_(salt) {}
+  BloomFilter(std::size_t keys, std::uint32_t salt)
+      : bytes_(std::clamp<std::size_t>((keys * kBitsPerKey + 7) / 8, 8, kMaxBytes)), salt_(salt) {}
   // As it came; empty bytes hold nothing.
-  Filter(std::vector<std::uint8_t> bytes, std::uint32_t salt) : bytes_(std::move(bytes)), salt_(salt) {}
+  BloomFilter(std::vector<std::uint8_t> bytes, std::uint32_t salt) : bytes_(std::move(bytes)), salt_(salt) {}
 
   void add(std::uint64_t key) {
-    each(key, [&](std::size_t bit) { bytes_[bit / 8] |= static_cast<std::uint8_t>(1U << bit % 8); });
+    forEachBit(key, [&](std::size_t bit) { bytes_[bit / 8] |= static_cast<std::uint8_t>(1U << bit % 8); });
   }
   bool holds(std::uint64_t key) const {
     if (bytes_.empty()) return false;
     bool all = true;
-    each(key, [&](std::size_t bit) { all = all && (bytes_[bit / 8] >> bit % 8 & 1U) != 0; });
+    forEachBit(key, [&](std::size_t bit) { all = all && (bytes_[bit / 8] >> bit % 8 & 1U) != 0; });
     return all;
   }
   const std::vector<std::uint8_t>& bytes() const { return bytes_; }
 
  private:
   template <class Visit>
-  void each(std::uint64_t key, Visit visit) const {
+  void forEachBit(std::uint64_t key, Visit visit) const {
     constexpr int kHashes = 3;
     const std::uint64_t hash = mix(key ^ mix(salt_));
     const std::uint64_t step = hash >> 32 | 1;
@@ -58,6 +58,6 @@
   std::uint32_t salt_;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_FILTER_H_
+#endif  // IVYPOST_GOSSIP_BLOOM_FILTER_H_
--- a/src/peers/byte_budget.h
+++ b/src/gossip/byte_budget.h
@@ -3,14 +3,14 @@
 // A token bucket over bytes (RFC 2697's committed rate and burst) that bounds what is sent in any second, and
 // that what must go may overdraw by a little. In any second at most rate + depth + debt go out, which
 // together are what the operator allows.
-#ifndef IVYPOST_PEERS_BYTE_BUDGET_H_
-#define IVYPOST_PEERS_BYTE_BUDGET_H_
+#ifndef IVYPOST_GOSSIP_BYTE_BUDGET_H_
+#define IVYPOST_GOSSIP_BYTE_BUDGET_H_
 
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 class ByteBudget {
  public:
@@ -50,6 +50,6 @@
   Micros at_;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_BYTE_BUDGET_H_
+#endif  // IVYPOST_GOSSIP_BYTE_BUDGET_H_
--- a/src/peers/entries.cpp
+++ b/src/gossip/entry_codec.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/entries.h"
+#include "gossip/entry_codec.h"
 
 #include <algorithm>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 constexpr std::uint8_t kLeft = 3;  // State::Dead by its own word
@@ -15,13 +15,13 @@
   return number >> 1 ^ ((number & 1) != 0 ? ~std::uint64_t{0} : 0);
 }
 
-void putVarint(Writer& to, std::uint64_t number) {
+void writeVarint(Writer& to, std::uint64_t number) {
   for (; number >= 0x80; number >>= 7) to.put(static_cast<std::uint8_t>(number | 0x80));
   to.put(static_cast<std::uint8_t>(number));
 }
 
 // Ten bytes at the most; more, or bits beyond 64, are an error.
-bool getVarint(Reader& from, std::uint64_t& number) {
+bool readVarint(Reader& from, std::uint64_t& number) {
   number = 0;
   for (int shift = 0; shift < 64; shift += 7) {
     const auto byte = from.get<std::uint8_t>();
@@ -47,11 +47,11 @@
     if (one.state == State::Dead && one.witness == one.id) state = kLeft;
     to.put(static_cast<std::uint8_t>(state | one.region << 2));
     to.put(one.id);
-    putVarint(to, zigzag(one.incarnation - incarnation));
+    writeVarint(to, zigzag(one.incarnation - incarnation));
     incarnation = one.incarnation;
     if (one.state == State::Suspect) to.put(one.witness);
     if (one.state != State::Alive) continue;
-    putVarint(to, zigzag(numberOf(one.address) - address) << 1 | (one.compares ? 1U : 0U));
+    writeVarint(to, zigzag(numberOf(one.address) - address) << 1 | (one.usesAntiEntropy ? 1U : 0U));
     address = numberOf(one.address);
   }
 }
@@ -84,14 +84,14 @@
     one.region = head >> 2;
     one.id = from.get<PeerId>();
     std::uint64_t difference = 0;
-    if (!getVarint(from, difference) || one.id == 0) return false;
+    if (!readVarint(from, difference) || one.id == 0) return false;
     one.incarnation = incarnation += unzigzag(difference);
     one.state = state == kLeft ? State::Dead : static_cast<State>(state);
     if (state == kLeft) one.witness = one.id;
     if (one.state == State::Suspect) one.witness = from.get<PeerId>();
     if (one.state == State::Alive) {
-      if (!getVarint(from, difference)) return false;
-      one.compares = (difference & 1) != 0;
+      if (!readVarint(from, difference)) return false;
+      one.usesAntiEntropy = (difference & 1) != 0;
       address += unzigzag(difference >> 1);
       if (address >= kAddresses) return false;
       one.address = {static_cast<std::uint32_t>(address >> 16), static_cast<std::uint16_t>(address)};
@@ -102,4 +102,4 @@
   return true;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/entries.h
+++ b/src/gossip/entry_codec.h
@@ -11,17 +11,17 @@
 //   Suspect      8 bytes: the witness
 //
 // A varint is LEB128's (DWARF 5, section 7.6), zigzag Protocol Buffers' (encoding of signed integers).
-#ifndef IVYPOST_PEERS_ENTRIES_H_
-#define IVYPOST_PEERS_ENTRIES_H_
+#ifndef IVYPOST_GOSSIP_ENTRY_CODEC_H_
+#define IVYPOST_GOSSIP_ENTRY_CODEC_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <span>
 #include <vector>
 
-#include "peers/message.h"
+#include "gossip/message.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 // Appends the first so many of them that fit the room, in the order of their addresses; how many.
 std::size_t packEntries(std::span<const Update> entries, std::size_t room, std::vector<std::uint8_t>& to);
@@ -29,6 +29,6 @@
 // Appends what is packed there. False: it is no entries.
 bool unpackEntries(std::span<const std::uint8_t> packed, std::vector<Update>& to);
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_ENTRIES_H_
+#endif  // IVYPOST_GOSSIP_ENTRY_CODEC_H_
--- a/src/peers/members.cpp
+++ b/src/gossip/members.cpp
@@ -1,17 +1,17 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/members.h"
+#include "gossip/members.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 // Every so many periods somebody is tried who should be there and is not heard, or a seed.
-constexpr std::uint64_t kLookAround = 4;
+constexpr std::uint64_t kReconnectPeriods = 4;
 // Pings to be answered, and pings passed on for others, that are remembered at the most. The first are enough
 // for some seconds, the second for as many sidecars that doubt somebody in the same moment.
-constexpr std::size_t kMaxAsked = 64, kMaxRelayed = 64;
+constexpr std::size_t kMaxSentPings = 64, kMaxRelayed = 64;
 // Updates in an ack, which has to leave room for facts.
 constexpr std::size_t kAckUpdates = 2;
 constexpr std::size_t kAckEntryBytes = 64;
@@ -20,9 +20,9 @@
 constexpr std::size_t kMaxChanges = 256;
 
 // Whether what is told outbids what is believed (SWIM, 4.2).
-bool outbids(const Update& told, const Update& believed) {
-  if (told.incarnation != believed.incarnation) return told.incarnation > believed.incarnation;
-  return told.state > believed.state;
+bool outbids(const Update& received, const Update& believed) {
+  if (received.incarnation != believed.incarnation) return received.incarnation > believed.incarnation;
+  return received.state > believed.state;
 }
 
 }  // namespace
@@ -32,13 +32,13 @@
       random_(seed),
       lastTick_(now),
       nextPeriod_(now),
-      newsAt_(now),
-      asksAt_(now),
-      budget_(kRatePart * settings_.bytesPerSecond, kDepthPart * settings_.bytesPerSecond,
-              kDebtPart * settings_.bytesPerSecond, now),
-      pullBudget_(kPullPart * settings_.bytesPerSecond, 2.0 * kMaxDatagram, 0, now),
-      gossipBudget_(kGossipPart * settings_.bytesPerSecond, 2.0 * kMaxDatagram, 0, now),
-      nextExchange_(now),
+      announcementAt_(now),
+      announcementAnswerAt_(now),
+      budget_(kRateFraction * settings_.bytesPerSecond, kDepthFraction * settings_.bytesPerSecond,
+              kDebtFraction * settings_.bytesPerSecond, now),
+      pullBudget_(kPullFraction * settings_.bytesPerSecond, 2.0 * kMaxDatagram, 0, now),
+      gossipBudget_(kGossipFraction * settings_.bytesPerSecond, 2.0 * kMaxDatagram, 0, now),
+      nextAntiEntropy_(now),
       nextPull_(now),
       startedAt_(now) {
   settings_.period = std::max<Micros>(settings_.period, 1000);
@@ -48,27 +48,27 @@
   nextPeriod_ = now + static_cast<Micros>(uniform() * static_cast<double>(settings_.period));
 }
 
-Micros Members::next() const {
+Micros Members::nextTick() const {
   Micros at = nextPeriod_;
   if (probe_ && !probe_->acked && !probe_->relayed) at = std::min(at, probe_->relayAt);
   for (const Relayed& one : relayed_)
     if (!one.nacked) at = std::min(at, one.nackAt);
-  if (hasExchange()) at = std::min(at, nextExchange_);
+  if (hasAntiEntropyWork()) at = std::min(at, nextAntiEntropy_);
   return at;
 }
 
 void Members::tick(Micros now, std::vector<Outgoing>& out) {
   const Micros gap = now - lastTick_;
-  if (static_cast<double>(gap) > kStopped * static_cast<double>(period())) {
+  if (static_cast<double>(gap) > kPausedPeriods * static_cast<double>(period())) {
     // Guards against accusing others of what was this process's own absence: it doubts itself first, and
     // suspicions get the time back in which they could not be answered.
-    worse(kMaxHealth);
+    adjustLocalHealth(kMaxLocalHealth);
     probe_.reset();
     for (auto& [id, member] : members_) member.deadline += gap;
     nextPeriod_ = now;
   }
   lastTick_ = now;
-  std::erase_if(asked_, [&](const Asked& one) { return now - one.at > 2 * settings_.deafAfter; });
+  std::erase_if(sentPings_, [&](const SentPing& one) { return now - one.at > 2 * settings_.isolatedAfter; });
   for (Relayed& one : relayed_) {
     if (one.nacked || now < one.nackAt) continue;
     one.nacked = true;
@@ -80,46 +80,51 @@
     const auto target = members_.find(probe_->target);
     // A suspect of others' is probed for one more witness, not to find out whether it is there.
     if (target != members_.end() && !probe_->suspected)
-      for (const Member* other : someAlive(settings_.relays, probe_->target)) {
+      for (const Member* other : pickAlive(settings_.relays, probe_->target)) {
         Message message = make(Kind::Relay, ++lastNonce_);
         message.target = target->second.update;
         const std::uint32_t nonce = message.nonce;
         if (!send(other->update.address, std::move(message), Need::Required, now, out)) continue;
         probe_->relays.push_back(nonce);
-        asked_.push_back({nonce, now});
+        sentPings_.push_back({nonce, now});
       }
   }
   if (now >= nextPeriod_) {
     endProbe(now);
     for (auto at = members_.begin(); at != members_.end();) {
       Member& member = at->second;
-      if (member.update.state == State::Suspect && now >= member.deadline) become(member, State::Dead, now);
-      const bool over = member.update.state == State::Dead && now - member.since > settings_.forget;
-      if (over && !member.left()) {
-        if (lost_.size() == kMaxLost)
-          lost_.erase(lost_.begin() + static_cast<std::ptrdiff_t>(uniform() * static_cast<double>(kMaxLost)));
-        lost_.push_back(member.update.address);
+      if (member.update.state == State::Suspect && now >= member.deadline)
+        changeState(member, State::Dead, now);
+      const bool isForgotten =
+          member.update.state == State::Dead && now - member.stateSince > settings_.forget;
+      if (isForgotten && !member.hasLeft()) {
+        if (forgottenAddresses_.size() == kMaxForgottenAddresses)
+          forgottenAddresses_.erase(
+              forgottenAddresses_.begin() +
+              static_cast<std::ptrdiff_t>(uniform() * static_cast<double>(kMaxForgottenAddresses)));
+        forgottenAddresses_.push_back(member.update.address);
       }
-      if (over) full_ = false;
-      at = over ? members_.erase(at) : std::next(at);
+      if (isForgotten) isFull_ = false;
+      at = isForgotten ? members_.erase(at) : std::next(at);
     }
     if (!isJoining(now)) beginProbe(now, out);
-    if (settings_.antiEntropy) askNear(now, out);
-    const bool due = ++periods_ % kLookAround == 0 && !isJoining(now);
-    if (due || alive_ == 0) lookAround(now, out);
+    if (settings_.antiEntropy) pingOwnRegion(now, out);
+    const bool isDue = ++periods_ % kReconnectPeriods == 0 && !isJoining(now);
+    if (isDue || aliveCount_ == 0) reconnect(now, out);
     nextPeriod_ = now + period();
   }
-  if (settings_.antiEntropy && now >= nextExchange_ && hasExchange()) exchange(now, out);
-  if (asked_.size() > kMaxAsked) asked_.erase(asked_.begin(), asked_.end() - kMaxAsked);
-  judgePart(now);
+  if (settings_.antiEntropy && now >= nextAntiEntropy_ && hasAntiEntropyWork()) runAntiEntropy(now, out);
+  if (sentPings_.size() > kMaxSentPings)
+    sentPings_.erase(sentPings_.begin(), sentPings_.end() - kMaxSentPings);
+  updateQuorum(now);
 }
 
 void Members::leave(Micros now, std::vector<Outgoing>& out) {
   const Update gone{settings_.self, settings_.incarnation, settings_.address, State::Dead, settings_.self};
-  for (const Member* one : someAlive(tellings(), settings_.self)) {
-    const bool compares = settings_.antiEntropy && one->update.compares;
-    Message message = make(compares ? Kind::Rumours : Kind::Ping, ++lastNonce_);
-    (compares ? message.entries : message.updates) = {gone};
+  for (const Member* one : pickAlive(transmissionLimit(), settings_.self)) {
+    const bool usesAntiEntropy = settings_.antiEntropy && one->update.usesAntiEntropy;
+    Message message = make(usesAntiEntropy ? Kind::Rumours : Kind::Ping, ++lastNonce_);
+    (usesAntiEntropy ? message.entries : message.updates) = {gone};
     if (!send(one->update.address, std::move(message), Need::Required, now, out)) return;
   }
 }
@@ -128,10 +133,11 @@
   if (settings_.antiEntropy) budget_.charge(bytes, now);
 }
 
-std::vector<const Members::Member*> Members::someAlive(std::uint32_t most, PeerId butNot, Micros heardSince) {
+std::vector<const Members::Member*> Members::pickAlive(std::uint32_t most, PeerId butNot,
+                                                       Micros heardNoEarlierThan) {
   std::vector<const Member*> alive, some;
   for (const auto& [id, member] : members_)
-    if (member.update.state == State::Alive && id != butNot && member.heardAt >= heardSince)
+    if (member.update.state == State::Alive && id != butNot && member.lastMessageAt >= heardNoEarlierThan)
       alive.push_back(&member);
   while (some.size() < most && !alive.empty()) {
     const auto at = static_cast<std::size_t>(uniform() * static_cast<double>(alive.size()));
@@ -151,9 +157,9 @@
 }
 
 void Members::announce(Micros now, std::vector<Outgoing>& out) {
-  if (!takeToken(newsCredit_, newsAt_, kNewsPerSecond, now)) return;
-  for (const Member* one : someAlive(kFanOut, settings_.self))
-    send(one->update.address, make(Kind::News, ++lastNonce_), Need::Optional, now, out);
+  if (!takeToken(announcementCredit_, announcementAt_, kAnnouncementsPerSecond, now)) return;
+  for (const Member* one : pickAlive(kFanOut, settings_.self))
+    send(one->update.address, make(Kind::Announce, ++lastNonce_), Need::Optional, now, out);
 }
 
 // ---- Messages ---------------------------------------------------------------------------------------------
@@ -185,37 +191,39 @@
   piggyback(message, about, false, now);
   const std::uint32_t nonce = message.nonce;
   if (!send(to, std::move(message), need, now, out)) return std::nullopt;
-  asked_.push_back({nonce, now});
+  sentPings_.push_back({nonce, now});
   return nonce;
 }
 
-std::optional<Micros> Members::asked(const Message& ack, Micros now) const {
+std::optional<Micros> Members::elapsedSincePing(const Message& ack, Micros now) const {
   if (ack.kind != Kind::Ack && ack.kind != Kind::Nack) return std::nullopt;
-  const auto found =
-      std::find_if(asked_.begin(), asked_.end(), [&](const Asked& one) { return one.nonce == ack.nonce; });
-  if (found == asked_.end() || now - found->at > settings_.deafAfter) return std::nullopt;
+  const auto found = std::find_if(sentPings_.begin(), sentPings_.end(),
+                                  [&](const SentPing& one) { return one.nonce == ack.nonce; });
+  if (found == sentPings_.end() || now - found->at > settings_.isolatedAfter) return std::nullopt;
   return now - found->at;
 }
 
 bool Members::receive(const Message& message, Micros now, std::vector<Outgoing>& out) {
   if (message.sender == settings_.self) {
     // An echo of one's own is nothing; somebody else under this name is.
-    if (message.address != settings_.address || message.incarnation > settings_.incarnation) twinSeen_ = now;
+    if (message.address != settings_.address || message.incarnation > settings_.incarnation)
+      nameConflictAt_ = now;
     return false;
   }
   Update sender{message.sender, message.incarnation, message.address, State::Alive, 0};
-  sender.compares = settings_.antiEntropy && (message.table.has_value() || message.kind > Kind::News);
+  sender.usesAntiEntropy =
+      settings_.antiEntropy && (message.table.has_value() || message.kind > Kind::Announce);
   sender.region = message.table ? message.table->region : std::uint8_t{0};
   apply(sender, now);
   const auto found = members_.find(message.sender);
   if (found == members_.end()) return false;  // the table is full
-  if (!takeSequence(found->second, message, now, out)) return false;
-  found->second.heardAt = now;
+  if (!acceptSequence(found->second, message, now, out)) return false;
+  found->second.lastMessageAt = now;
   for (const Update& update : message.updates) apply(update, now);
   if (settings_.antiEntropy) {
     // Those of a page count only where it answers a pull.
-    if (message.kind != Kind::Page) takeEntries(message, now, out);
-    compare(message, now);
+    if (message.kind != Kind::Page) mergeEntries(message, now, out);
+    compareTables(message, now);
   }
   switch (message.kind) {
     case Kind::Ping: {
@@ -223,9 +231,9 @@
       if (settings_.antiEntropy) ack.table = table();
       // Who knows nobody yet asks again. While all start at once a few are asked by all, and must not miss
       // the probes of those who know them.
-      const bool hello = message.table && message.table->heard <= 1;
-      piggyback(ack, message.sender, hello, now);
-      send(message.address, std::move(ack), hello ? Need::Optional : Need::Required, now, out);
+      const bool isNewcomer = message.table && message.table->reachable <= 1;
+      piggyback(ack, message.sender, isNewcomer, now);
+      send(message.address, std::move(ack), isNewcomer ? Need::Optional : Need::Required, now, out);
       break;
     }
     case Kind::Relay: {
@@ -241,31 +249,31 @@
       relayed_.push_back(one);
       break;
     }
-    case Kind::News:
-      if (takeToken(asksCredit_, asksAt_, kFanOut * kNewsPerSecond, now))
+    case Kind::Announce:
+      if (takeToken(announcementAnswerCredit_, announcementAnswerAt_, kFanOut * kAnnouncementsPerSecond, now))
         ping(message.address, message.sender, Need::Optional, now, out);
       break;
     case Kind::Rumours:
       break;
     case Kind::Pull:
-      if (settings_.antiEntropy) beginAnswer(message, now, out);
+      if (settings_.antiEntropy) beginPages(message, now, out);
       break;
     case Kind::Page:
-      if (settings_.antiEntropy) takePage(message, now, out);
+      if (settings_.antiEntropy) receivePage(message, now, out);
       break;
     case Kind::Ack:
     case Kind::Nack:
-      heardAnswer(message, now, out);
+      receiveAnswer(message, now, out);
       break;
   }
-  judgePart(now);
+  updateQuorum(now);
   return true;
 }
 
 // A replay, or what speaks with an incarnation that has been outbid. The latter is told so, and not too
 // often: after a restart with its clock set back it could not be heard again otherwise.
-bool Members::takeSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out) {
-  if (message.incarnation < member.windowOf) {
+bool Members::acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out) {
+  if (message.incarnation < member.windowIncarnation) {
     if (message.kind != Kind::Ping ||
         (member.correctedAt != 0 && now - member.correctedAt < settings_.period))
       return false;
@@ -275,17 +283,17 @@
     send(message.address, std::move(ack), Need::Required, now, out);
     return false;
   }
-  if (message.incarnation > member.windowOf) {
+  if (message.incarnation > member.windowIncarnation) {
     member.window = ReplayWindow();
-    member.windowOf = message.incarnation;
+    member.windowIncarnation = message.incarnation;
   }
   return member.window.take(message.sequence);
 }
 
-void Members::heardAnswer(const Message& message, Micros now, std::vector<Outgoing>& out) {
-  if (const auto age = asked(message, now))
-    lastHeard_ = std::max(lastHeard_.value_or(now - *age), now - *age);
-  std::erase_if(asked_, [&](const Asked& one) { return one.nonce == message.nonce; });
+void Members::receiveAnswer(const Message& message, Micros now, std::vector<Outgoing>& out) {
+  if (const auto age = elapsedSincePing(message, now))
+    lastAnsweredPingAt_ = std::max(lastAnsweredPingAt_.value_or(now - *age), now - *age);
+  std::erase_if(sentPings_, [&](const SentPing& one) { return one.nonce == message.nonce; });
   for (Relayed& one : relayed_) {
     if (one.nonce != message.nonce || message.kind != Kind::Ack) continue;
     one.nacked = true;
@@ -308,53 +316,55 @@
 
 // First what the receiver has to refute, then news, the least told first, then one that is no news: in time
 // everybody has told everybody of all, whatever was lost (anti-entropy).
-void Members::piggyback(Message& message, PeerId about, bool hello, Micros now) {
-  if (compares(about) || (settings_.antiEntropy && about == 0)) {
+void Members::piggyback(Message& message, PeerId about, bool isNewcomer, Micros now) {
+  if (usesAntiEntropy(about) || (settings_.antiEntropy && about == 0)) {
     if (about == 0 || budget_.credit(now) <= 0) return;
     // An ack leaves room for facts, but to who knows nobody yet.
-    const bool leaveRoom = message.kind == Kind::Ack && !hello;
+    const bool leaveRoom = message.kind == Kind::Ack && !isNewcomer;
     return addEntries(message, about, leaveRoom ? kAckEntryBytes : kMaxDatagram);
   }
   const std::size_t most = message.kind == Kind::Ack ? kAckUpdates : kMaxUpdates;
   const auto receiver = members_.find(about);
   if (receiver != members_.end() && receiver->second.update.state != State::Alive)
     message.updates.push_back(receiver->second.update);
-  std::vector<Member*> news;
+  std::vector<Member*> pendingUpdates;
   for (auto& [id, member] : members_)
-    if (member.tellings > 0 && id != about) news.push_back(&member);
-  const std::size_t count = std::min(news.size(), most - 1 - message.updates.size());
-  std::partial_sort(news.begin(), news.begin() + static_cast<std::ptrdiff_t>(count), news.end(),
-                    [](const Member* a, const Member* b) { return a->tellings > b->tellings; });
+    if (member.transmissionsLeft > 0 && id != about) pendingUpdates.push_back(&member);
+  const std::size_t count = std::min(pendingUpdates.size(), most - 1 - message.updates.size());
+  std::partial_sort(pendingUpdates.begin(), pendingUpdates.begin() + static_cast<std::ptrdiff_t>(count),
+                    pendingUpdates.end(), [](const Member* a, const Member* b) {
+                      return a->transmissionsLeft > b->transmissionsLeft;
+                    });
   for (std::size_t n = 0; n < count; ++n) {
-    --news[n]->tellings;
-    message.updates.push_back(news[n]->update);
+    --pendingUpdates[n]->transmissionsLeft;
+    message.updates.push_back(pendingUpdates[n]->update);
   }
   if (members_.empty()) return;
-  auto next = members_.upper_bound(lastTold_);
+  auto next = members_.upper_bound(lastFiller_);
   if (next == members_.end()) next = members_.begin();
-  lastTold_ = next->first;
-  const bool there = std::any_of(message.updates.begin(), message.updates.end(),
-                                 [&](const Update& one) { return one.id == next->first; });
-  if (!there && next->first != about) message.updates.push_back(next->second.update);
+  lastFiller_ = next->first;
+  const bool isIncluded = std::any_of(message.updates.begin(), message.updates.end(),
+                                      [&](const Update& one) { return one.id == next->first; });
+  if (!isIncluded && next->first != about) message.updates.push_back(next->second.update);
 }
 
 // ---- Probes -----------------------------------------------------------------------------------------------
 
 void Members::beginProbe(Micros now, std::vector<Outgoing>& out) {
   for (std::size_t tries = 0; tries < 2 * members_.size() + 1; ++tries) {
-    if (nextInOrder_ >= order_.size()) {
-      order_.clear();
+    if (nextInProbeOrder_ >= probeOrder_.size()) {
+      probeOrder_.clear();
       for (const auto& [id, member] : members_)
-        if (member.update.state != State::Dead) order_.push_back(id);
-      std::shuffle(order_.begin(), order_.end(), random_);
-      nextInOrder_ = 0;
-      if (order_.empty()) return;
+        if (member.update.state != State::Dead) probeOrder_.push_back(id);
+      std::shuffle(probeOrder_.begin(), probeOrder_.end(), random_);
+      nextInProbeOrder_ = 0;
+      if (probeOrder_.empty()) return;
     }
-    const auto found = members_.find(order_[nextInOrder_++]);
+    const auto found = members_.find(probeOrder_[nextInProbeOrder_++]);
     if (found == members_.end() || found->second.update.state == State::Dead) continue;
     const bool suspected = settings_.antiEntropy && found->second.update.state == State::Suspect;
     // Its witnesses are enough: a further one would change nothing.
-    if (suspected && found->second.witnesses.size() > kConfirm) continue;
+    if (suspected && found->second.witnesses.size() > kConfirmations) continue;
     Probe probe;
     probe.suspected = suspected;
     probe.target = found->first;
@@ -372,14 +382,15 @@
 // While most of those probed are out of reach, one more is asked each period, of the own region if that is
 // told: a small region that is cut off would be deaf for want of having asked the right ones. It is drawn as
 // any, so who hears few stays deaf.
-void Members::askNear(Micros now, std::vector<Outgoing>& out) {
-  if (lastHeard_ && now - *lastHeard_ < settings_.deafAfter / 4) return;
-  std::vector<const Member*> near;
+void Members::pingOwnRegion(Micros now, std::vector<Outgoing>& out) {
+  if (lastAnsweredPingAt_ && now - *lastAnsweredPingAt_ < settings_.isolatedAfter / 4) return;
+  std::vector<const Member*> inRegion;
   for (const auto& [id, member] : members_)
     if (member.update.state != State::Dead && member.update.region == settings_.region)
-      near.push_back(&member);
-  if (near.empty()) return;
-  const Update& one = near[static_cast<std::size_t>(uniform() * static_cast<double>(near.size()))]->update;
+      inRegion.push_back(&member);
+  if (inRegion.empty()) return;
+  const Update& one =
+      inRegion[static_cast<std::size_t>(uniform() * static_cast<double>(inRegion.size()))]->update;
   ping(one.address, one.id, Need::Required, now, out);
 }
 
@@ -387,50 +398,52 @@
   if (!probe_) return;
   const Probe probe = std::move(*probe_);
   probe_.reset();
-  if (probe.acked) return worse(-1);
+  if (probe.acked) return adjustLocalHealth(-1);
   // Lifeguard, 3.1: a failed probe, and relays that did not even say that they are there. Missing ones count
   // only where all are missing: in a partition half of them are, and this process is not slow for that.
   // With anti-entropy a failed probe whose relays are there says nothing against this process: in a cut that
   // half of the fleet is behind, all would be slow to find it (as hashicorp/memberlist counts it).
   const bool cleared = settings_.antiEntropy && (probe.suspected || probe.nacks > 0);
-  if (!cleared) worse(!probe.relays.empty() && probe.nacks == 0 ? 2 : 1);
+  if (!cleared) adjustLocalHealth(!probe.relays.empty() && probe.nacks == 0 ? 2 : 1);
   const auto found = members_.find(probe.target);
   if (found != members_.end()) suspect(found->second, settings_.self, now);
 }
 
 // Somebody who should be there: the dead that are remembered, and seeds at whose address nobody is heard.
-void Members::lookAround(Micros now, std::vector<Outgoing>& out) {
-  std::vector<std::pair<Address, PeerId>> missing;
-  std::vector<Address> heard = {settings_.address};
+void Members::reconnect(Micros now, std::vector<Outgoing>& out) {
+  std::vector<std::pair<Address, PeerId>> candidates;
+  std::vector<Address> reachable = {settings_.address};
   for (const auto& [id, member] : members_) {
-    if (member.update.state != State::Dead) heard.push_back(member.update.address);
-    if (member.update.state == State::Dead && !member.left()) missing.emplace_back(member.update.address, id);
+    if (member.update.state != State::Dead) reachable.push_back(member.update.address);
+    if (member.update.state == State::Dead && !member.hasLeft())
+      candidates.emplace_back(member.update.address, id);
   }
-  std::sort(heard.begin(), heard.end());
-  std::erase_if(lost_,
-                [&](const Address& one) { return std::binary_search(heard.begin(), heard.end(), one); });
-  for (const auto* from : {&settings_.seeds, &lost_})
+  std::sort(reachable.begin(), reachable.end());
+  std::erase_if(forgottenAddresses_, [&](const Address& one) {
+    return std::binary_search(reachable.begin(), reachable.end(), one);
+  });
+  for (const auto* from : {&settings_.seeds, &forgottenAddresses_})
     for (const Address& one : *from)
-      if (!std::binary_search(heard.begin(), heard.end(), one)) missing.emplace_back(one, 0);
-  if (missing.empty()) return;
+      if (!std::binary_search(reachable.begin(), reachable.end(), one)) candidates.emplace_back(one, 0);
+  if (candidates.empty()) return;
   const auto& [address, id] =
-      missing[static_cast<std::size_t>(uniform() * static_cast<double>(missing.size()))];
+      candidates[static_cast<std::size_t>(uniform() * static_cast<double>(candidates.size()))];
   ping(address, id, Need::Required, now, out);
 }
 
-// Lifeguard's stretched period. With anti-entropy it stays under a third of deafAfter, or a slow process
+// Lifeguard's stretched period. With anti-entropy it stays under a third of isolatedAfter, or a slow process
 // would be deaf for want of having asked.
 Micros Members::period() const {
-  const Micros stretched = settings_.period * (health_ + 1);
+  const Micros stretched = settings_.period * (localHealth_ + 1);
   if (!settings_.antiEntropy) return stretched;
-  return std::min(stretched, std::max(settings_.period, settings_.deafAfter / 3));
+  return std::min(stretched, std::max(settings_.period, settings_.isolatedAfter / 3));
 }
 Micros Members::timeout() const {
   return settings_.timeout * period() / settings_.period;
 }
 
-void Members::worse(int by) {
-  health_ = std::clamp(health_ + by, 0, kMaxHealth);
+void Members::adjustLocalHealth(int by) {
+  localHealth_ = std::clamp(localHealth_ + by, 0, kMaxLocalHealth);
 }
 
 // ---- What is believed -------------------------------------------------------------------------------------
@@ -443,10 +456,11 @@
 bool Members::apply(Update update, Micros now) {
   if (update.id == settings_.self) {
     const bool older = update.incarnation < settings_.incarnation;
-    if (update.state == State::Alive && update.address != settings_.address && !older) twinSeen_ = now;
+    if (update.state == State::Alive && update.address != settings_.address && !older) nameConflictAt_ = now;
     const bool mine = update.state == State::Alive && update.incarnation == settings_.incarnation;
     if (older || mine) return false;
-    if (update.state != State::Alive) worse(1);  // Lifeguard: to have to refute is a sign of being slow
+    if (update.state != State::Alive)
+      adjustLocalHealth(1);  // Lifeguard: to have to refute is a sign of being slow
     refute(update.incarnation);
     return true;
   }
@@ -455,24 +469,26 @@
     // Where it is has to be told with it.
     if (update.state == State::Dead || (update.state == State::Suspect && update.address == Address{}))
       return false;
-    if (members_.size() >= kMaxMembers) return !(full_ = true);
+    if (members_.size() >= kMaxMembers) return !(isFull_ = true);
     Member member;
     member.update = update;
     member.update.state = State::Alive;
-    member.since = now;
-    member.tellings = tellings();
-    news_ = tableChanged_ = true;
+    member.stateSince = now;
+    member.transmissionsLeft = transmissionLimit();
+    hasPendingUpdates_ = tableChanged_ = true;
     Member& stored = members_.emplace(update.id, std::move(member)).first->second;
-    if (++alive_ == 1) {
+    if (++aliveCount_ == 1) {
       startedAt_ = now;
-      mostTold_ = 0;
+      mostReported_ = 0;
     }
     if (changes_.size() < kMaxChanges) changes_.push_back({update.id, update.address, State::Alive});
     // Where it comes into the order of probes is chance (SWIM, 4.3).
-    const auto at = nextInOrder_ + static_cast<std::size_t>(
-                                       uniform() * static_cast<double>(order_.size() - nextInOrder_ + 1));
-    if (order_.size() < kMaxMembers)
-      order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(std::min(at, order_.size())), update.id);
+    const auto at =
+        nextInProbeOrder_ +
+        static_cast<std::size_t>(uniform() * static_cast<double>(probeOrder_.size() - nextInProbeOrder_ + 1));
+    if (probeOrder_.size() < kMaxMembers)
+      probeOrder_.insert(probeOrder_.begin() + static_cast<std::ptrdiff_t>(std::min(at, probeOrder_.size())),
+                         update.id);
     if (update.state == State::Suspect) suspect(stored, update.witness, now);
     return true;
   }
@@ -483,45 +499,45 @@
   if (update.incarnation == member.update.incarnation) {
     // What only some tell of a life; the merge is the greater of each.
     member.update.region = std::max(member.update.region, update.region);
-    member.update.compares = member.update.compares || update.compares;
+    member.update.usesAntiEntropy = member.update.usesAntiEntropy || update.usesAntiEntropy;
   }
   if (!outbids(update, member.update)) return false;
   if (update.incarnation > member.update.incarnation) {
-    member.update.compares = update.compares;
+    member.update.usesAntiEntropy = update.usesAntiEntropy;
     if (update.region != 0) member.update.region = update.region;
   }
   member.update.incarnation = update.incarnation;
   tableChanged_ = true;
   if (update.state == State::Alive) member.update.address = update.address;
   if (update.state == State::Suspect) {
-    if (member.update.state == State::Dead) become(member, State::Alive, now);  // it was back since
+    if (member.update.state == State::Dead) changeState(member, State::Alive, now);  // it was back since
     suspect(member, update.witness, now);
     return true;
   }
   const State before = member.update.state;
   member.update.witness = update.witness;
   if (before != update.state) {
-    become(member, update.state, now);
+    changeState(member, update.state, now);
   } else {
-    member.tellings = tellings();
-    news_ = true;
+    member.transmissionsLeft = transmissionLimit();
+    hasPendingUpdates_ = true;
   }
   return true;
 }
 
-void Members::become(Member& member, State state, Micros now) {
+void Members::changeState(Member& member, State state, Micros now) {
   const State before = member.update.state;
   if (state != State::Dead) member.update.witness = 0;
-  if (before == State::Dead && state != State::Dead) ++alive_;
-  if (before != State::Dead && state == State::Dead) --alive_;
+  if (before == State::Dead && state != State::Dead) ++aliveCount_;
+  if (before != State::Dead && state == State::Dead) --aliveCount_;
   member.update.state = state;
   if (state == State::Alive) member.witnesses.clear();
-  member.since = now;
-  member.tellings = tellings();
-  news_ = tableChanged_ = true;
+  member.stateSince = now;
+  member.transmissionsLeft = transmissionLimit();
+  hasPendingUpdates_ = tableChanged_ = true;
   // Guards against one that comes and goes faster than the order is worked off; it is in the next one anyway.
-  if (before == State::Dead && state == State::Alive && order_.size() < kMaxMembers)
-    order_.push_back(member.update.id);
+  if (before == State::Dead && state == State::Alive && probeOrder_.size() < kMaxMembers)
+    probeOrder_.push_back(member.update.id);
   if (changes_.size() < kMaxChanges) changes_.push_back({member.update.id, member.update.address, state});
 }
 
@@ -530,79 +546,87 @@
 bool Members::suspect(Member& member, PeerId witness, Micros now) {
   if (member.update.state == State::Dead) return false;
   if (member.update.state == State::Alive) {
-    become(member, State::Suspect, now);
+    changeState(member, State::Suspect, now);
     member.update.witness = witness;
     member.witnesses = {witness};
-    member.deadline = now + suspicionFor(0);
+    member.deadline = now + suspicionTimeout(0);
     if (settings_.antiEntropy && witness != settings_.self &&
-        uniform() * static_cast<double>(alive_) < kProbers && order_.size() < kMaxMembers)
-      order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(std::min(nextInOrder_, order_.size())),
-                    member.update.id);
+        uniform() * static_cast<double>(aliveCount_) < kSuspectProbers && probeOrder_.size() < kMaxMembers)
+      probeOrder_.insert(
+          probeOrder_.begin() + static_cast<std::ptrdiff_t>(std::min(nextInProbeOrder_, probeOrder_.size())),
+          member.update.id);
     return true;
   }
-  const auto& told = member.witnesses;
-  if (told.size() > kConfirm || std::find(told.begin(), told.end(), witness) != told.end()) return false;
+  const auto& witnesses = member.witnesses;
+  if (witnesses.size() > kConfirmations ||
+      std::find(witnesses.begin(), witnesses.end(), witness) != witnesses.end())
+    return false;
   member.witnesses.push_back(witness);
   member.update.witness = witness;
   // The suspicion is known already; a further witness needs to reach a few, who then know of the death.
-  member.tellings = settings_.antiEntropy ? std::max(member.tellings, tellings() / 4) : tellings();
-  news_ = true;
-  member.deadline = std::min(member.deadline, member.since + suspicionFor(member.witnesses.size() - 1));
+  member.transmissionsLeft = settings_.antiEntropy
+                                 ? std::max(member.transmissionsLeft, transmissionLimit() / 4)
+                                 : transmissionLimit();
+  hasPendingUpdates_ = true;
+  member.deadline =
+      std::min(member.deadline, member.stateSince + suspicionTimeout(member.witnesses.size() - 1));
   return true;
 }
 
-Micros Members::suspicionFor(std::size_t confirmations) const {
+Micros Members::suspicionTimeout(std::size_t confirmations) const {
   double magnitude = std::max(1.0, std::log10(static_cast<double>(members_.size() + 1)));
-  if (settings_.antiEntropy) magnitude = std::min(magnitude, kMostMagnitude);
-  const double least = kSuspicion * magnitude * static_cast<double>(settings_.period);
-  const double most = kLongest * least;
-  const double part = std::log(static_cast<double>(confirmations) + 1) / std::log(kConfirm + 1.0);
+  if (settings_.antiEntropy) magnitude = std::min(magnitude, kMaxMagnitude);
+  const double least = kSuspicionFactor * magnitude * static_cast<double>(settings_.period);
+  const double most = kMaxSuspicionFactor * least;
+  const double part = std::log(static_cast<double>(confirmations) + 1) / std::log(kConfirmations + 1.0);
   return static_cast<Micros>(std::max(least, most - (most - least) * part));
 }
 
-std::uint32_t Members::tellings() const {
-  return static_cast<std::uint32_t>(std::ceil(kTold * std::log2(static_cast<double>(members_.size()) + 2)));
+std::uint32_t Members::transmissionLimit() const {
+  return static_cast<std::uint32_t>(
+      std::ceil(kTransmissionFactor * std::log2(static_cast<double>(members_.size()) + 2)));
 }
 
-std::size_t Members::known() const {
+std::size_t Members::knownCount() const {
   return static_cast<std::size_t>(
-      std::count_if(members_.begin(), members_.end(), [](const auto& one) { return !one.second.left(); }));
+      std::count_if(members_.begin(), members_.end(), [](const auto& one) { return !one.second.hasLeft(); }));
 }
 
-double Members::part() const {
+double Members::reachableFraction() const {
   if (settings_.region == 0) {
-    const double should = std::ceil(static_cast<double>(settings_.expected) / kWrongBy);
-    return static_cast<double>(heard()) / std::max(static_cast<double>(known() + 1), should);
+    const double should = std::ceil(static_cast<double>(settings_.expected) / kExpectedTolerance);
+    return static_cast<double>(reachableCount()) / std::max(static_cast<double>(knownCount() + 1), should);
   }
-  std::size_t heardHere = 1, knownHere = 1;
+  std::size_t reachableHere = 1, knownHere = 1;
   for (const auto& [id, member] : members_) {
-    if (member.update.region != settings_.region || member.left()) continue;
+    if (member.update.region != settings_.region || member.hasLeft()) continue;
     ++knownHere;
-    heardHere += member.update.state != State::Dead ? 1 : 0;
+    reachableHere += member.update.state != State::Dead ? 1 : 0;
   }
-  const double should = std::ceil(static_cast<double>(settings_.regionExpected) / kWrongBy);
-  return static_cast<double>(heardHere) / std::max(static_cast<double>(knownHere), should);
+  const double should = std::ceil(static_cast<double>(settings_.regionExpected) / kExpectedTolerance);
+  return static_cast<double>(reachableHere) / std::max(static_cast<double>(knownHere), should);
 }
 
-void Members::judgePart(Micros now) {
-  if (part() >= settings_.deafPart) {
-    fewSince_.reset();
-  } else if (!fewSince_) {
-    fewSince_ = now;
+void Members::updateQuorum(Micros now) {
+  if (reachableFraction() >= settings_.quorumFraction) {
+    belowQuorumSince_.reset();
+  } else if (!belowQuorumSince_) {
+    belowQuorumSince_ = now;
   }
 }
 
-bool Members::deaf(Micros now) const {
-  if (alive_ == 0 || !lastHeard_ || now - *lastHeard_ > settings_.deafAfter) return true;
-  return twin(now) || (fewSince_ && now - *fewSince_ > settings_.deafAfter);
+bool Members::isIsolated(Micros now) const {
+  if (aliveCount_ == 0 || !lastAnsweredPingAt_ || now - *lastAnsweredPingAt_ > settings_.isolatedAfter)
+    return true;
+  return hasNameConflict(now) || (belowQuorumSince_ && now - *belowQuorumSince_ > settings_.isolatedAfter);
 }
 
-bool Members::isHeard(PeerId id) const {
+bool Members::isReachable(PeerId id) const {
   const auto found = members_.find(id);
   return id == settings_.self || (found != members_.end() && found->second.update.state != State::Dead);
 }
 
-PeerId Members::turnAt(std::uint64_t thing) const {
+PeerId Members::ownerOf(std::uint64_t thing) const {
   PeerId best = settings_.self;
   std::uint64_t most = mix(thing ^ mix(best));
   for (const auto& [id, member] : members_) {
@@ -614,11 +638,11 @@
   return best;
 }
 
-std::vector<Update> Members::all() const {
+std::vector<Update> Members::updates() const {
   std::vector<Update> all;
   all.reserve(members_.size());
   for (const auto& [id, member] : members_) all.push_back(member.update);
   return all;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/message.cpp
+++ b/src/gossip/message.cpp
@@ -1,19 +1,19 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/message.h"
+#include "gossip/message.h"
 
 #include <algorithm>
 
-#include "peers/entries.h"
-#include "peers/filter.h"
+#include "gossip/bloom_filter.h"
+#include "gossip/entry_codec.h"
 #include "util/fnv1a.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 enum class Tag : std::uint8_t {
   Target = 1,
   Updates = 2,
-  Facts = 3,
+  Payload = 3,
   Table = 4,
   Entries = 5,
   Filter = 6,
@@ -62,13 +62,13 @@
   return hash == 0 ? 1 : hash;
 }
 
-std::size_t roomForFacts(const Message& message) {
+std::size_t roomForPayload(const Message& message) {
   const std::size_t used = encode(message).size() + kSectionBytes;
   return used < kMaxBody ? kMaxBody - used : 0;
 }
 
 std::size_t roomForEntries(const Message& message) {
-  return roomForFacts(message);
+  return roomForPayload(message);
 }
 
 std::vector<std::uint8_t> encode(const Message& message) {
@@ -99,7 +99,7 @@
   if (message.table) {
     section(Tag::Table, kTableBytes);
     for (const std::uint32_t digest : message.table->digests) to.put(digest);
-    to.put(message.table->heard);
+    to.put(message.table->reachable);
     to.put(message.table->region);
   }
   if (message.kind == Kind::Pull) {
@@ -123,9 +123,9 @@
       bytes.insert(bytes.end(), packed.begin(), packed.end());
     }
   }
-  if (!message.facts.empty() && message.facts.size() <= room()) {
-    section(Tag::Facts, message.facts.size());
-    bytes.insert(bytes.end(), message.facts.begin(), message.facts.end());
+  if (!message.payload.empty() && message.payload.size() <= room()) {
+    section(Tag::Payload, message.payload.size());
+    bytes.insert(bytes.end(), message.payload.begin(), message.payload.end());
   }
   return bytes;
 }
@@ -164,13 +164,13 @@
           message.updates.push_back(*update);
         }
         break;
-      case Tag::Facts:
-        message.facts.assign(body.begin(), body.end());
+      case Tag::Payload:
+        message.payload.assign(body.begin(), body.end());
         break;
       case Tag::Table: {
         Table table;
         for (std::uint32_t& digest : table.digests) digest = part.get<std::uint32_t>();
-        table.heard = part.get<std::uint16_t>();
+        table.reachable = part.get<std::uint16_t>();
         table.region = part.get<std::uint8_t>();
         if (!part.good() || table.region > kMaxRegion) return std::nullopt;
         message.table = table;
@@ -183,7 +183,7 @@
         message.range.index = part.get<std::uint8_t>();
         message.range.bits = part.get<std::uint8_t>();
         const auto filter = part.take(part.left());
-        if (!part.good() || filter.empty() || filter.size() > Filter::kMaxBytes ||
+        if (!part.good() || filter.empty() || filter.size() > BloomFilter::kMaxBytes ||
             message.range.bits > kMaxRangeBits || message.range.index >> message.range.bits != 0)
           return std::nullopt;
         message.filter.assign(filter.begin(), filter.end());
@@ -200,4 +200,4 @@
   return message;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/message.h
+++ b/src/gossip/message.h
@@ -14,8 +14,8 @@
 // no messages; so these go only to who has sent a Table.
 //
 // All numbers are big-endian. A version that is not known is an error; a later one keeps the first two bytes.
-#ifndef IVYPOST_PEERS_MESSAGE_H_
-#define IVYPOST_PEERS_MESSAGE_H_
+#ifndef IVYPOST_GOSSIP_MESSAGE_H_
+#define IVYPOST_GOSSIP_MESSAGE_H_
 
 #include <array>
 #include <cstddef>
@@ -25,7 +25,7 @@
 #include <string>
 #include <vector>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 using Micros = std::int64_t;
 using PeerId = std::uint64_t;  // a hash of the sidecar's name; 0 is nobody
@@ -60,17 +60,17 @@
   State state = State::Alive;
   PeerId witness = 0;       // of Suspect and Dead: who says so; of Dead it is its own id for who has left
   std::uint8_t region = 0;  // Settings::region of it; 0: not known
-  bool compares = false;    // it takes part in anti-entropy
+  bool usesAntiEntropy = false;  // it takes part in anti-entropy
   bool operator==(const Update&) const = default;
 };
 constexpr std::size_t kUpdateBytes = 31;  // in the section Updates, without region and compares
 
-// What one's table comes to: ivypost::peers::Digest of each of kRanges ranges of it.
+// What one's table comes to: ivypost::gossip::Digest of each of kRanges ranges of it.
 constexpr std::size_t kRanges = 4;
 struct Table {
   std::array<std::uint32_t, kRanges> digests{};
-  std::uint16_t heard = 0;  // members that are not dead, the sender among them
-  std::uint8_t region = 0;  // the sender's
+  std::uint16_t reachable = 0;  // members that are not dead, the sender among them
+  std::uint8_t region = 0;      // the sender's
   bool operator==(const Table&) const = default;
 };
 
@@ -82,14 +82,14 @@
 constexpr std::uint8_t kMaxRangeBits = 8;
 
 enum class Kind : std::uint8_t {
-  Ping = 1,     // answer with Ack
-  Ack = 2,      // of the ping with this nonce
-  Relay = 3,    // ping `target` and pass its ack on
-  Nack = 4,     // the relayed ping has no answer yet (Lifeguard, 3.1): the relay itself is there
-  News = 5,     // there are new facts: ask for them by a ping
-  Rumours = 6,  // changes; not answered
-  Pull = 7,     // answer with Pages of what this filter over a range does not hold
-  Page = 8,     // of the answer to the pull with this nonce
+  Ping = 1,      // answer with Ack
+  Ack = 2,       // of the ping with this nonce
+  Relay = 3,     // ping `target` and pass its ack on
+  Nack = 4,      // the relayed ping has no answer yet (Lifeguard, 3.1): the relay itself is there
+  Announce = 5,  // there are new facts: ask for them by a ping
+  Rumours = 6,   // changes; not answered
+  Pull = 7,      // answer with Pages of what this filter over a range does not hold
+  Page = 8,      // of the answer to the pull with this nonce
 };
 constexpr Kind kLastKind = Kind::Page;
 
@@ -102,18 +102,18 @@
   std::uint32_t nonce = 0;
   std::optional<Update> target;  // of Relay
   std::vector<Update> updates;
-  std::vector<std::uint8_t> facts;  // of acks; what they are is src/health_reports's
+  std::vector<std::uint8_t> payload;  // of acks; what they are is src/health_reports's
   std::optional<Table> table;
-  std::vector<Update> entries;       // beside or instead of updates, packed (entries.h); of Page and Rumours
-  Range range;                       // of Pull
-  std::vector<std::uint8_t> filter;  // of Pull; peers::Filter's, salted with the nonce
+  std::vector<Update> entries;  // beside or instead of updates, packed (entry_codec.h); of Page and Rumours
+  Range range;                  // of Pull
+  std::vector<std::uint8_t> filter;  // of Pull; gossip::Filter's, salted with the nonce
   std::uint8_t pageFlags = 0;        // of Page
 };
 constexpr std::uint8_t kLastPage = 1;   // no more pages come for this pull
-constexpr std::uint8_t kMorePages = 2;  // there was more than was sent
+constexpr std::uint8_t kTruncated = 2;  // there was more than was sent
 
 // Bytes that are left for facts beside what the message holds; 0 if that alone doesn't fit.
-std::size_t roomForFacts(const Message& message);
+std::size_t roomForPayload(const Message& message);
 // Bytes that are left for entries, likewise.
 std::size_t roomForEntries(const Message& message);
 constexpr std::size_t kMaxUpdates = 4;
@@ -169,6 +169,6 @@
   bool good_ = true;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_MESSAGE_H_
+#endif  // IVYPOST_GOSSIP_MESSAGE_H_
--- a/src/peers/options.cpp
+++ b/src/gossip/options.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/options.h"
+#include "gossip/options.h"
 
 #include <charconv>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 std::optional<Address> parseAddress(const std::string& text) {
   Address address;
@@ -44,8 +44,8 @@
     return "region_sidecars counts for nothing without region; set region, 1 to " +
            std::to_string(kMaxRegion) + ", or leave both out";
   if (options.timeout >= options.period) return "timeout has to be under period";
-  if (options.deafAfter < 4 * options.period) return "deaf_after has to be at least four times period";
+  if (options.isolatedAfter < 4 * options.period) return "deaf_after has to be at least four times period";
   return std::nullopt;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/options.h
+++ b/src/gossip/options.h
@@ -1,23 +1,23 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // [peers] of the operator's file, as it stands there, and what it comes to for one sidecar.
-#ifndef IVYPOST_PEERS_OPTIONS_H_
-#define IVYPOST_PEERS_OPTIONS_H_
+#ifndef IVYPOST_GOSSIP_OPTIONS_H_
+#define IVYPOST_GOSSIP_OPTIONS_H_
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
 
-#include "peers/members.h"
+#include "gossip/members.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 constexpr std::size_t kMaxSeeds = 64;
 // Bytes a second that may be set. Below the first, the probes and answers of a calm fleet alone (1.2 kB a
 // second at a period of 250 ms) would leave too little for what changes; the last is more than any fleet has
 // to say.
-constexpr std::int64_t kLeastBytes = 2000, kMostBytes = 1'000'000;
+constexpr std::int64_t kMinBytesPerSecond = 2000, kMaxBytesPerSecond = 1'000'000;
 
 struct Options {
   bool on = false;
@@ -30,8 +30,8 @@
   std::int64_t bytesPerSecond = Settings{}.bytesPerSecond;
   std::int64_t period = Settings{}.period;
   std::int64_t timeout = Settings{}.timeout;
-  std::int64_t deafAfter = Settings{}.deafAfter;
-  double deafPart = Settings{}.deafPart;
+  std::int64_t isolatedAfter = Settings{}.isolatedAfter;
+  double quorumFraction = Settings{}.quorumFraction;
   bool operator==(const Options&) const = default;
 };
 
@@ -41,6 +41,6 @@
 // What makes them unfit for use by themselves, one line that names the key; none: nothing.
 std::optional<std::string> flawOf(const Options& options);
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_OPTIONS_H_
+#endif  // IVYPOST_GOSSIP_OPTIONS_H_
--- a/src/peers/replay_window.h
+++ b/src/gossip/replay_window.h
@@ -2,12 +2,12 @@
 //
 // The sliding window against replays of RFC 4303 (3.4.3), 64 wide, of one sender's incarnation: each sequence
 // number is taken once, and none that is more than the window behind the highest one taken.
-#ifndef IVYPOST_PEERS_REPLAY_WINDOW_H_
-#define IVYPOST_PEERS_REPLAY_WINDOW_H_
+#ifndef IVYPOST_GOSSIP_REPLAY_WINDOW_H_
+#define IVYPOST_GOSSIP_REPLAY_WINDOW_H_
 
 #include <cstdint>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 class ReplayWindow {
  public:
@@ -33,6 +33,6 @@
   std::uint64_t highest_ = 0, seen_ = 1;  // sequence 0 is never sent
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_REPLAY_WINDOW_H_
+#endif  // IVYPOST_GOSSIP_REPLAY_WINDOW_H_
--- a/src/peers/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/seal.h"
+#include "gossip/seal.h"
 
 #include <sodium.h>
 
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <stdexcept>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 Seal Seal::read(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -38,4 +38,4 @@
   return message;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/peers/seal.h
+++ b/src/gossip/seal.h
@@ -2,8 +2,8 @@
 //
 // The keyed seal behind every message: BLAKE2b with a key (RFC 7693), 16 bytes, by libsodium. One key for
 // the whole fleet, out of one file: it proves that a message is from somebody who has the key, not from whom.
-#ifndef IVYPOST_PEERS_SEAL_H_
-#define IVYPOST_PEERS_SEAL_H_
+#ifndef IVYPOST_GOSSIP_SEAL_H_
+#define IVYPOST_GOSSIP_SEAL_H_
 
 #include <array>
 #include <cstdint>
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "peers/message.h"
+#include "gossip/message.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 constexpr std::size_t kKeyBytes = 32;
 
@@ -34,6 +34,6 @@
   std::array<std::uint8_t, kKeyBytes> key_;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_SEAL_H_
+#endif  // IVYPOST_GOSSIP_SEAL_H_
--- a/src/peers/peers_io.h
+++ b/src/gossip/transport.h
@@ -3,10 +3,10 @@
 // Carries the membership of sidecars out over UDP: one socket, one timer. What is decided is Members'.
 //
 // Threads: everything on the io_context's one thread. Bounds: a datagram is 256 bytes at the most; of those
-// that come, kMostInTick are looked at in each kTick, and what is beyond waits in the kernel or is lost
+// that come, kMaxPerSlice are looked at in each kSlice, and what is beyond waits in the kernel or is lost
 // there.
-#ifndef IVYPOST_PEERS_PEERS_IO_H_
-#define IVYPOST_PEERS_PEERS_IO_H_
+#ifndef IVYPOST_GOSSIP_TRANSPORT_H_
+#define IVYPOST_GOSSIP_TRANSPORT_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -19,23 +19,23 @@
 #include <string>
 #include <vector>
 
-#include "peers/members.h"
-#include "peers/seal.h"
+#include "gossip/members.h"
+#include "gossip/seal.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
-class PeersIo {
+class Transport {
  public:
-  static constexpr Micros kTick = 100'000;
-  static constexpr std::uint32_t kMostInTick = 250;
+  static constexpr Micros kSlice = 100'000;
+  static constexpr std::uint32_t kMaxPerSlice = 250;
 
   struct Callbacks {
     // Facts for a message, of so many bytes at the most.
-    std::function<std::vector<std::uint8_t>(std::size_t room)> tell;
+    std::function<std::vector<std::uint8_t>(std::size_t room)> makePayload;
     // Facts of an answer, that were on the way for so long at the most: whether they were news; none: they
     // are no facts.
-    std::function<std::optional<bool>(std::span<const std::uint8_t> facts, Micros late)> told;
-    std::function<void(const Change&)> changed;
+    std::function<std::optional<bool>(std::span<const std::uint8_t> payload, Micros delay)> receivePayload;
+    std::function<void(const Change&)> memberChanged;
     std::function<void(const std::string& line)> log;
   };
   struct Counts {
@@ -46,10 +46,10 @@
   };
 
   // `listen`: where to bind; tried again each second while it is taken, as while a process is replaced.
-  PeersIo(boost::asio::io_context& io, const Settings& settings, const Address& listen, const Seal& seal,
-          std::uint64_t seed, Callbacks callbacks);
-  PeersIo(const PeersIo&) = delete;
-  PeersIo& operator=(const PeersIo&) = delete;
+  Transport(boost::asio::io_context& io, const Settings& settings, const Address& listen, const Seal& seal,
+            std::uint64_t seed, Callbacks callbacks);
+  Transport(const Transport&) = delete;
+  Transport& operator=(const Transport&) = delete;
 
   // There are new facts.
   void announce();
@@ -63,13 +63,13 @@
 
  private:
   void open();
-  void receive();
-  void read();
-  void take(std::size_t length);
-  void arm();
-  void ticked();
+  void waitReadable();
+  void readDatagrams();
+  void handleDatagram(std::size_t length);
+  void armTimer();
+  void onTick();
   void send(std::vector<Outgoing>& out);
-  void complain(const char* what);
+  void logThrottled(const char* what);
 
   boost::asio::io_context& io_;
   boost::asio::ip::udp::endpoint listen_;
@@ -77,15 +77,15 @@
   Callbacks callbacks_;
   Members members_;
   boost::asio::ip::udp::socket socket_;
-  boost::asio::steady_timer timer_, openTimer_, pause_;
+  boost::asio::steady_timer timer_, rebindTimer_, resumeTimer_;
   boost::asio::ip::udp::endpoint from_;
   std::array<std::uint8_t, kMaxDatagram + 1> buffer_{};
   Counts counts_;
-  Micros slice_ = 0, complainedAt_ = 0;
-  std::uint32_t inSlice_ = 0;
-  bool openFailed_ = false;
+  Micros slice_ = 0, loggedAt_ = 0;
+  std::uint32_t takenInSlice_ = 0;
+  bool bindFailed_ = false;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
-#endif  // IVYPOST_PEERS_PEERS_IO_H_
+#endif  // IVYPOST_GOSSIP_TRANSPORT_H_
--- a/src/health_reports/health_report.cpp
+++ b/src/health_reports/health_report.cpp
@@ -32,7 +32,7 @@
 
 void encode(const HealthReport& report, std::vector<std::uint8_t>& bytes) {
   const std::int64_t startedAt = report.incarnation.startedAt.time_since_epoch().count();
-  peers::Writer writer(bytes);
+  gossip::Writer writer(bytes);
   writer.put(static_cast<std::uint8_t>(report.status));
   writer.put(report.incarnation.endpoint);
   writer.put(static_cast<std::uint16_t>(startedAt >> kLowStartBits));
@@ -44,7 +44,7 @@
   writer.put(encodedAge(report.age));
 }
 
-std::optional<HealthReport> decode(peers::Reader& reader) {
+std::optional<HealthReport> decode(gossip::Reader& reader) {
   HealthReport report;
   const auto status = reader.get<std::uint8_t>();
   report.incarnation.endpoint = reader.get<std::uint64_t>();
--- a/src/health_reports/health_report.h
+++ b/src/health_reports/health_report.h
@@ -8,12 +8,12 @@
 #include <optional>
 #include <vector>
 
-#include "peers/message.h"
+#include "gossip/message.h"
 
 namespace ivypost::health_reports {
 
 /// The id of a sidecar, a hash of its name; 0 is nobody.
-using PeerId = peers::PeerId;
+using PeerId = gossip::PeerId;
 /// A span of elapsed time.
 using Duration = std::chrono::microseconds;
 /// A moment by this process's monotonic clock.
@@ -64,7 +64,7 @@
 void encode(const HealthReport& report, std::vector<std::uint8_t>& bytes);
 /// Reads one report. None where bytes are missing, the status is unknown, nobody is the reporter, or more
 /// attempts failed than were made.
-[[nodiscard]] std::optional<HealthReport> decode(peers::Reader& reader);
+[[nodiscard]] std::optional<HealthReport> decode(gossip::Reader& reader);
 
 }  // namespace ivypost::health_reports
 
--- a/src/health_reports/health_report_table.cpp
+++ b/src/health_reports/health_report_table.cpp
@@ -128,7 +128,7 @@
 }
 
 ReceiveResult HealthReportTable::receive(std::span<const std::uint8_t> bytes, Duration delay, TimePoint now) {
-  peers::Reader reader(bytes);
+  gossip::Reader reader(bytes);
   bool isChanged = false;
   while (reader.left() > 0) {
     const std::optional<HealthReport> report = decode(reader);
--- a/src/operator/file.cpp
+++ b/src/operator/file.cpp
@@ -58,7 +58,7 @@
     if (const auto flaw = etcd::flawOf(file.membership.etcd)) fail("membership", "etcd." + *flaw);
   }
   if (file.peers.on) {
-    if (const auto flaw = peers::flawOf(file.peers)) fail("peers", *flaw);
+    if (const auto flaw = gossip::flawOf(file.peers)) fail("peers", *flaw);
   }
   if (file.door.keepUsed < file.door.keepAny) fail("door", "keep_used has to be no less than keep_any");
   if (file.admission.figures.interval < file.admission.figures.target)
--- a/src/operator/file.h
+++ b/src/operator/file.h
@@ -14,7 +14,7 @@
 #include "admission/queue.h"
 #include "degradation/settings.h"
 #include "etcd/options.h"
-#include "peers/options.h"
+#include "gossip/options.h"
 
 namespace ivypost::op {
 
@@ -39,7 +39,7 @@
     bool level = false;  // GET /status/level on the listening address
     bool peers = false;  // GET /status/peers likewise
   } status;
-  peers::Options peers;  // without a flaw where they are on
+  gossip::Options peers;  // without a flaw where they are on
   struct Membership {
     enum class Source : std::uint8_t { Platform, Etcd };
     Source source = Source::Platform;
--- a/src/operator/keys.cpp
+++ b/src/operator/keys.cpp
@@ -193,7 +193,7 @@
       "Where others may be found, as \"10.0.0.5:7946\", 64 at the most; a few that rarely move are enough.\n"
       "Empty: the platform's peers.",
       [](File& file, Table& table, std::string_view leaf) {
-        file.peers.seeds = table.texts(leaf, peers::kMaxSeeds);
+        file.peers.seeds = table.texts(leaf, gossip::kMaxSeeds);
       },
       [](const File& file) { return shownList(file.peers.seeds); }};
 }
@@ -203,7 +203,7 @@
   return {std::move(path), "",
           [field](File& file, Table& table, std::string_view leaf) {
             if (table.has(leaf))
-              field(file) = table.integer(leaf, 1, static_cast<std::int64_t>(peers::kMaxMembers));
+              field(file) = table.integer(leaf, 1, static_cast<std::int64_t>(gossip::kMaxMembers));
           },
           [](const File&) { return std::string(); }};
 }
@@ -226,12 +226,12 @@
       "peers.region",
       "The region that this sidecar is in, 1 to 63; 0: not told. With one, deaf is judged by the\n"
       "sidecars of the region alone, and region_sidecars has to say how many there should be.",
-      0, peers::kMaxRegion, [](File& f) -> std::int64_t& { return f.peers.region; }));
+      0, gossip::kMaxRegion, [](File& f) -> std::int64_t& { return f.peers.region; }));
   all.push_back(
       members("peers.region_sidecars", [](File& f) -> std::int64_t& { return f.peers.regionSidecars; }));
   all.push_back(whole<std::int64_t>(
       "peers.bytes_per_second", "Sent to others in any second at the most, with the headers of IPv4 and UDP.",
-      peers::kLeastBytes, peers::kMostBytes,
+      gossip::kMinBytesPerSecond, gossip::kMaxBytesPerSecond,
       [](File& f) -> std::int64_t& { return f.peers.bytesPerSecond; }));
   all.push_back(time("peers.period",
                      "Between two probes of others; 1 to 2 kB a second are sent at 250ms, in any fleet.",
@@ -242,8 +242,8 @@
       time("peers.deaf_after",
            "With no answer for so long, or with fewer than deaf_part of the sidecars heard, this one is\n"
            "deaf: it decides as without peers.",
-           40'000, [](File& f) -> std::int64_t& { return f.peers.deafAfter; }));
-  all.push_back(part("peers.deaf_part", "", 0.01, [](File& f) -> double& { return f.peers.deafPart; }));
+           40'000, [](File& f) -> std::int64_t& { return f.peers.isolatedAfter; }));
+  all.push_back(part("peers.deaf_part", "", 0.01, [](File& f) -> double& { return f.peers.quorumFraction; }));
 }
 
 Key order() {
--- a/src/scale/hollow.cpp
+++ b/src/scale/hollow.cpp
@@ -22,8 +22,8 @@
 #include <vector>
 
 #include "fleet/process.h"
-#include "peers/members.h"
-#include "peers/seal.h"
+#include "gossip/members.h"
+#include "gossip/seal.h"
 #include "scale/hollow_worker.h"
 #include "standins/clock.h"
 #include "standins/discovery.h"
@@ -33,8 +33,8 @@
 namespace {
 
 namespace asio = boost::asio;
+using gossip::Micros;
 using nlohmann::json;
-using peers::Micros;
 using standins::nowMicros;
 
 // What a run is reckoned to take before it begins, above what was measured: a member in a table, the rest of
@@ -72,17 +72,17 @@
 void check(const HollowPlan& plan) {
   const auto bad = [](const std::string& line) { throw std::invalid_argument(line); };
   const std::uint32_t all = plan.sidecars + plan.real;
-  if (all < 2 || all > peers::kMaxMembers)
+  if (all < 2 || all > gossip::kMaxMembers)
     bad("--sidecars " + std::to_string(plan.sidecars) + ": with the real ones from 2 to " +
-        std::to_string(peers::kMaxMembers) + ", which a table of members holds");
+        std::to_string(gossip::kMaxMembers) + ", which a table of members holds");
   if (plan.processes < 1 || plan.processes > plan.sidecars)
     bad("--processes " + std::to_string(plan.processes) + ": from 1 to as many as --sidecars, " +
         std::to_string(plan.sidecars));
   if (plan.processes + plan.real + 1 > kMaxProcesses)
     bad("--processes " + std::to_string(plan.processes) + ": with --real and ivyscale itself at most " +
         std::to_string(kMaxProcesses) + " processes; give fewer");
-  if (plan.regions > peers::kMaxRegion)
-    bad("--regions " + std::to_string(plan.regions) + ": at most " + std::to_string(peers::kMaxRegion));
+  if (plan.regions > gossip::kMaxRegion)
+    bad("--regions " + std::to_string(plan.regions) + ": at most " + std::to_string(gossip::kMaxRegion));
   if (plan.zones < std::max(plan.regions, 1U))
     bad("--zones " + std::to_string(plan.zones) + ": fewer than --regions " + std::to_string(plan.regions) +
         ", and each region has one at the least; give more");
@@ -97,7 +97,7 @@
         " MB may be used, half of the machine's or --memory; give fewer");
   if (!plan.keyFile.empty()) {
     try {
-      peers::Seal::read(plan.keyFile);
+      gossip::Seal::read(plan.keyFile);
     } catch (const std::runtime_error& error) {
       bad("--key-file: " + std::string(error.what()) + "; leave the option away for a key made up");
     }
@@ -194,7 +194,7 @@
     std::random_device random;
     std::ofstream file(key_);
     chmod(key_.c_str(), S_IRUSR | S_IWUSR);
-    for (std::size_t n = 0; n < 2 * peers::kKeyBytes; ++n) file << "0123456789abcdef"[random() % 16];
+    for (std::size_t n = 0; n < 2 * gossip::kKeyBytes; ++n) file << "0123456789abcdef"[random() % 16];
     file << "\n";
   }
 
@@ -264,10 +264,10 @@
       std::ofstream own(folder_ / (name + ".toml"));
       if (peersOn) {
         own << "[peers]\non = true\nkey_file = \"" << key_ << "\"\naddress = \""
-            << peers::format(fleet_.addressOf(number)) << "\"\nsidecars = " << fleet_.sidecars
+            << gossip::format(fleet_.addressOf(number)) << "\"\nsidecars = " << fleet_.sidecars
             << "\nseeds = [";
         for (std::uint32_t seed = 0; seed < std::min(kFleetSeeds, fleet_.sidecars); ++seed)
-          own << "\"" << peers::format(fleet_.addressOf(seed)) << "\", ";
+          own << "\"" << gossip::format(fleet_.addressOf(seed)) << "\", ";
         own << "]\n";
       }
       own.close();
--- a/src/scale/hollow_worker.cpp
+++ b/src/scale/hollow_worker.cpp
@@ -16,14 +16,14 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "sidecar/fleet_view.h"
+#include "sidecar/gossip_health_view.h"
 
 namespace ivypost::scale {
 namespace {
 
 namespace asio = boost::asio;
+using gossip::Micros;
 using nlohmann::json;
-using peers::Micros;
 
 constexpr std::uint32_t kOnANet = 250;  // last bytes of an address, from 1
 constexpr std::uint32_t kFirstNet = 127U << 24 | 64U << 16;
@@ -49,7 +49,7 @@
 class Worker {
  public:
   explicit Worker(const WorkerPlan& plan)
-      : plan_(plan), seal_(peers::Seal::read(plan.keyFile)), signals_(io_, SIGTERM, SIGINT), look_(io_) {}
+      : plan_(plan), seal_(gossip::Seal::read(plan.keyFile)), signals_(io_, SIGTERM, SIGINT), look_(io_) {}
 
   void run() {
     signals_.async_wait([this](const boost::system::error_code&, int) { io_.stop(); });
@@ -62,18 +62,19 @@
 
  private:
   struct Hollow {
-    std::unique_ptr<FleetView> view;
+    std::unique_ptr<GossipHealthView> view;
     std::uint64_t sent = 0, received = 0;  // bytes as of the last report
   };
 
   void start() {
     for (std::uint32_t n = plan_.first; n < plan_.first + plan_.count; ++n) {
-      const peers::Settings settings = plan_.fleet.settingsOf(n);
+      const gossip::Settings settings = plan_.fleet.settingsOf(n);
       Hollow hollow;
-      hollow.view = std::make_unique<FleetView>(
-          io_, FleetView::Place{settings, settings.address, seal_}, plan_.seed * 0x9e3779b97f4a7c15u + n,
-          FleetView::Callbacks{[] { return std::vector<FleetView::Listed>(); },
-                               [](const balancer::HealthReport&) {}, [](const std::string&) {}});
+      hollow.view = std::make_unique<GossipHealthView>(
+          io_, GossipHealthView::Identity{settings, settings.address, seal_},
+          plan_.seed * 0x9e3779b97f4a7c15u + n,
+          GossipHealthView::Callbacks{[] { return std::vector<GossipHealthView::Listed>(); },
+                                      [](const balancer::HealthReport&) {}, [](const std::string&) {}});
       hollows_.push_back(std::move(hollow));
     }
     nextReport_ = now();
@@ -82,7 +83,8 @@
 
   void look() {
     const auto hearsAll = [this](const Hollow& one) {
-      return !one.view->deaf() && one.view->peers().members().heard() == plan_.fleet.sidecars;
+      return !one.view->isIsolated() &&
+             one.view->transport().members().reachableCount() == plan_.fleet.sidecars;
     };
     if (allAt_ == 0 && std::all_of(hollows_.begin(), hollows_.end(), hearsAll)) allAt_ = now();
     if (now() >= nextReport_) report();
@@ -98,9 +100,9 @@
     std::uint64_t unsent = 0;
     std::size_t deaf = 0, fewest = plan_.fleet.sidecars;
     for (Hollow& one : hollows_) {
-      const auto& counts = one.view->peers().counts();
-      const std::uint64_t sentNow = counts.sentBytes + peers::kDatagramOverhead * counts.sent;
-      const std::uint64_t receivedNow = counts.receivedBytes + peers::kDatagramOverhead * counts.received;
+      const auto& counts = one.view->transport().counts();
+      const std::uint64_t sentNow = counts.sentBytes + gossip::kDatagramOverhead * counts.sent;
+      const std::uint64_t receivedNow = counts.receivedBytes + gossip::kDatagramOverhead * counts.received;
       worstSent = std::max(worstSent, sentNow - one.sent);
       worstReceived = std::max(worstReceived, receivedNow - one.received);
       one.sent = sentNow;
@@ -109,8 +111,8 @@
       received += receivedNow;
       datagrams += counts.sent;
       unsent += counts.unsent;
-      deaf += one.view->deaf() ? 1 : 0;
-      fewest = std::min(fewest, one.view->peers().members().heard());
+      deaf += one.view->isIsolated() ? 1 : 0;
+      fewest = std::min(fewest, one.view->transport().members().reachableCount());
     }
     const Micros at = now();
     // The worst of a sidecar is of the time since the last report, which is a second and up to a look.
@@ -133,7 +135,7 @@
 
   const WorkerPlan& plan_;
   asio::io_context io_{1};
-  peers::Seal seal_;
+  gossip::Seal seal_;
   asio::signal_set signals_;
   asio::steady_timer look_;
   std::vector<Hollow> hollows_;
@@ -146,7 +148,7 @@
   return std::string("s").append(std::to_string(number));
 }
 
-peers::Address Fleet::addressOf(std::uint32_t number) const {
+gossip::Address Fleet::addressOf(std::uint32_t number) const {
   return {kFirstNet + (number / kOnANet << 8) + 1 + number % kOnANet, port};
 }
 
@@ -154,9 +156,9 @@
   return regions == 0 ? std::uint8_t{0} : static_cast<std::uint8_t>(number % zones % regions + 1);
 }
 
-peers::Settings Fleet::settingsOf(std::uint32_t number) const {
-  peers::Settings settings;
-  settings.self = peers::idOf(nameOfSidecar(number));
+gossip::Settings Fleet::settingsOf(std::uint32_t number) const {
+  gossip::Settings settings;
+  settings.self = gossip::idOf(nameOfSidecar(number));
   settings.address = addressOf(number);
   settings.incarnation = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
                                                         std::chrono::system_clock::now().time_since_epoch())
--- a/src/scale/hollow_worker.h
+++ b/src/scale/hollow_worker.h
@@ -1,15 +1,15 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Hollow sidecars in one process: of each the control part as in ivypost (FleetView with its membership and
-// judgements, its socket, seal and timers), and no data plane, no list of upstreams, no operators' calls.
-// Tells what they cost on its standard error, one line of JSON a second.
+// Hollow sidecars in one process: of each the control part as in ivypost (GossipHealthView with its
+// membership and judgements, its socket, seal and timers), and no data plane, no list of upstreams, no
+// operators' calls. Tells what they cost on its standard error, one line of JSON a second.
 #ifndef IVYPOST_SCALE_HOLLOW_WORKER_H_
 #define IVYPOST_SCALE_HOLLOW_WORKER_H_
 
 #include <cstdint>
 #include <string>
 
-#include "peers/members.h"
+#include "gossip/members.h"
 
 namespace ivypost::scale {
 
@@ -21,10 +21,10 @@
   std::uint16_t port = 0;
 
   // Each has a loopback address of its own, and all the same port.
-  peers::Address addressOf(std::uint32_t number) const;
+  gossip::Address addressOf(std::uint32_t number) const;
   std::uint8_t regionOf(std::uint32_t number) const;
   // Of a sidecar of this number, a new life of it.
-  peers::Settings settingsOf(std::uint32_t number) const;
+  gossip::Settings settingsOf(std::uint32_t number) const;
 };
 constexpr std::uint32_t kFleetSeeds = 3;
 std::string nameOfSidecar(std::uint32_t number);
@@ -34,7 +34,7 @@
   std::uint32_t first = 0, count = 1;
   std::uint64_t seed = 1;
   std::string keyFile;
-  peers::Micros startAt = 0;  // by the monotonic clock, which is the same in all processes
+  gossip::Micros startAt = 0;  // by the monotonic clock, which is the same in all processes
 };
 
 // Runs until SIGTERM or SIGINT. Throws std::runtime_error, one line.
--- a/src/scale/runs.cpp
+++ b/src/scale/runs.cpp
@@ -13,11 +13,11 @@
 namespace ivypost::scale {
 namespace {
 
-using peers::kMs;
-using peers::kSecond;
-using peers::Members;
-using peers::PeerId;
-using peers::SimulatedNetwork;
+using gossip::kMs;
+using gossip::kSecond;
+using gossip::Members;
+using gossip::PeerId;
+using gossip::SimulatedNetwork;
 
 constexpr std::array<const char*, kEvents> kNames = {"start", "return",      "rack",    "zone",
                                                      "cut",   "cut-unequal", "rolling", "calm"};
@@ -212,32 +212,32 @@
     return std::all_of(those.begin(), those.end(), holds);
   }
   // Hears each that runs, and no other. The counts first, which cost nothing.
-  bool hearsAll(std::size_t n) const { return members(n).heard() == running() && namesRight(n); }
+  bool hearsAll(std::size_t n) const { return members(n).reachableCount() == running() && namesRight(n); }
   bool namesRight(std::size_t n) const {
     for (std::size_t other = 0; other < plan_.sidecars; ++other)
-      if (network_.runs(other) && !members(n).isHeard(ids_[other])) return false;
+      if (network_.runs(other) && !members(n).isReachable(ids_[other])) return false;
     return true;
   }
   bool allHearAll() const {
     const std::size_t count = running();
-    return everybody([&](std::size_t n) { return members(n).heard() == count; }) &&
+    return everybody([&](std::size_t n) { return members(n).reachableCount() == count; }) &&
            everybody([&](std::size_t n) { return namesRight(n); });
   }
   bool nobodyDeaf() const {
-    return everybody([&](std::size_t n) { return !members(n).deaf(network_.now); });
+    return everybody([&](std::size_t n) { return !members(n).isIsolated(network_.now); });
   }
   double deafShare() const {
     std::size_t deaf = 0, count = 0;
     for (std::size_t n = 0; n < plan_.sidecars; ++n) {
       if (!network_.runs(n)) continue;
       ++count;
-      deaf += members(n).deaf(network_.now) ? 1 : 0;
+      deaf += members(n).isIsolated(network_.now) ? 1 : 0;
     }
     return static_cast<double>(deaf) / static_cast<double>(std::max<std::size_t>(count, 1));
   }
   // Hears these in the lives that they have now.
   bool hearsLives(std::size_t n, const std::vector<std::size_t>& those) const {
-    if (!allOf(those, [&](std::size_t one) { return members(n).isHeard(ids_[one]); })) return false;
+    if (!allOf(those, [&](std::size_t one) { return members(n).isReachable(ids_[one]); })) return false;
     const auto lives = livesAt(n);
     return allOf(those, [&](std::size_t one) {
       if (one == n) return true;
@@ -247,9 +247,9 @@
   }
   // Believes of nobody what was outbid before.
   bool upToDate(std::size_t n, const std::vector<std::uint64_t>& lives) const {
-    for (const peers::Update& update : members(n).all()) {
+    for (const gossip::Update& update : members(n).updates()) {
       const auto number = numbers_.find(update.id);
-      if (number == numbers_.end() || update.state == peers::State::Dead ||
+      if (number == numbers_.end() || update.state == gossip::State::Dead ||
           update.incarnation < lives[number->second])
         return false;
     }
@@ -258,18 +258,18 @@
   bool othersNotHeard() const {
     return everybody([&](std::size_t n) {
       const std::size_t own = regionOf(n) == 1 ? firstRegion_ : plan_.sidecars - firstRegion_;
-      if (members(n).heard() > own) return false;
+      if (members(n).reachableCount() > own) return false;
       for (std::size_t other = 0; other < plan_.sidecars; ++other)
-        if (regionOf(other) != regionOf(n) && members(n).isHeard(ids_[other])) return false;
+        if (regionOf(other) != regionOf(n) && members(n).isReachable(ids_[other])) return false;
       return true;
     });
   }
   // Incarnations of those whom it does not take for dead, by their numbers.
   std::unordered_map<std::size_t, std::uint64_t> livesAt(std::size_t n) const {
     std::unordered_map<std::size_t, std::uint64_t> lives;
-    for (const peers::Update& update : members(n).all()) {
+    for (const gossip::Update& update : members(n).updates()) {
       const auto number = numbers_.find(update.id);
-      if (number != numbers_.end() && update.state != peers::State::Dead)
+      if (number != numbers_.end() && update.state != gossip::State::Dead)
         lives[number->second] = update.incarnation;
     }
     return lives;
@@ -281,7 +281,7 @@
   std::uint8_t regionOf(std::size_t n) const { return n < firstRegion_ ? 1 : 2; }
 
   void start(std::size_t number) {
-    network_.start(number, static_cast<std::uint32_t>(plan_.sidecars), [&](peers::Settings& settings) {
+    network_.start(number, static_cast<std::uint32_t>(plan_.sidecars), [&](gossip::Settings& settings) {
       settings.antiEntropy = plan_.antiEntropy;
       if (!regions_) return;
       settings.region = regionOf(number);
@@ -297,9 +297,9 @@
     network_.run(span);
     for (std::size_t n = 0; n < plan_.sidecars; ++n) {
       if (!network_.runs(n)) continue;
-      for (const peers::Change& change : network_.at(n).takeChanges()) {
+      for (const gossip::Change& change : network_.at(n).takeChanges()) {
         const auto number = numbers_.find(change.id);
-        if (change.state != peers::State::Dead || number == numbers_.end() || !network_.runs(number->second))
+        if (change.state != gossip::State::Dead || number == numbers_.end() || !network_.runs(number->second))
           continue;
         const bool reachable = !network_.faults.passes || network_.faults.passes(n, number->second);
         falseDeaths_ += reachable ? 1 : 0;
@@ -390,9 +390,9 @@
 }
 
 Figures run(const Plan& plan) {
-  if (plan.sidecars < 2 * kZones || plan.sidecars > peers::kMaxMembers)
+  if (plan.sidecars < 2 * kZones || plan.sidecars > gossip::kMaxMembers)
     throw std::invalid_argument("a run takes from " + std::to_string(2 * kZones) + " to " +
-                                std::to_string(peers::kMaxMembers) + " sidecars, not " +
+                                std::to_string(gossip::kMaxMembers) + " sidecars, not " +
                                 std::to_string(plan.sidecars));
   return Run(plan).play();
 }
--- a/src/scale/simulated_network.h
+++ b/src/scale/simulated_network.h
@@ -20,9 +20,9 @@
 #include <utility>
 #include <vector>
 
-#include "peers/members.h"
+#include "gossip/members.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 constexpr Micros kMs = 1'000, kSecond = 1'000'000;
 
@@ -199,7 +199,7 @@
   // As a timer that is armed anew after each event: of those queued only the last one set counts.
   void wake(std::size_t number) {
     Node& node = nodes_[number];
-    const Micros next = std::max(now + 1, at(number).next());
+    const Micros next = std::max(now + 1, at(number).nextTick());
     if (node.wakeAt == next) return;
     node.wakeAt = next;
     events_.push({next, ++order_, number, node.life, nullptr, 0});
@@ -240,6 +240,6 @@
   std::uint64_t order_ = 0;
 };
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
 
 #endif  // IVYPOST_SCALE_SIMULATED_NETWORK_H_
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -13,7 +13,7 @@
 #include <string_view>
 
 #include "console/console_io.h"
-#include "peers/options.h"
+#include "gossip/options.h"
 
 namespace ivypost {
 namespace {
@@ -82,7 +82,7 @@
 // Likewise: what [peers] of the operator's file needs it says itself where this is missing.
 void readPeers(const json& file, Config& config) {
   const auto address = [](const json& text) {
-    const auto read = peers::parseAddress(text.get<std::string>());
+    const auto read = gossip::parseAddress(text.get<std::string>());
     if (!read) bad("no IPv4 address and port:", text.dump());
     return *read;
   };
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "gossip/message.h"
 #include "membership/instance.h"
-#include "peers/message.h"
 #include "settings/settings.h"
 
 namespace ivypost {
@@ -24,8 +24,8 @@
   std::optional<Endpoint> console;  // the operators' address; none: off
   // Where this sidecar hears the others, and where each of them is reached, by number; none: the platform
   // gives none.
-  std::optional<peers::Address> peerListen;
-  std::vector<peers::Address> peers;
+  std::optional<gossip::Address> peerListen;
+  std::vector<gossip::Address> peers;
   // The platform's listening socket for clients; none: this process makes its own.
   std::optional<int> listener;
   std::string tempFolder;  // that outlives the process while it is replaced; empty: none
--- a/src/sidecar/fleet_view.h
+++ b/src/sidecar/gossip_health_view.h
@@ -4,10 +4,11 @@
 // only where the operator's file has [peers] on.
 //
 // What holds always: the module hears of an upstream's judgements only while this sidecar is not deaf, and
-// what it has heard lapses by its own clock within kHolds. So who is deaf decides as without peers within
-// Settings::deafAfter and kHolds, also right after a stop of the process, before any message or timer.
-#ifndef IVYPOST_FLEET_VIEW_H_
-#define IVYPOST_FLEET_VIEW_H_
+// what it has heard lapses by its own clock within kReportValidity. So who is deaf decides as without peers
+// within Settings::isolatedAfter and kReportValidity, also right after a stop of the process, before any
+// message or timer.
+#ifndef IVYPOST_GOSSIP_HEALTH_VIEW_H_
+#define IVYPOST_GOSSIP_HEALTH_VIEW_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -21,18 +22,18 @@
 
 #include "clock.h"
 #include "config.h"
+#include "gossip/options.h"
+#include "gossip/transport.h"
 #include "health_reports/health_report_table.h"
 #include "ivypost/balancer.h"
-#include "peers/options.h"
-#include "peers/peers_io.h"
 
 namespace ivypost {
 
-class FleetView {
+class GossipHealthView {
  public:
   // Between two looks at what is known, and how long the module goes by one.
-  static constexpr std::chrono::milliseconds kEvery{100};
-  static constexpr Micros kHolds = 500'000;
+  static constexpr std::chrono::milliseconds kPublishInterval{100};
+  static constexpr Micros kReportValidity = 500'000;
 
   // An upstream of the list, by what others call it.
   struct Listed {
@@ -43,29 +44,30 @@
   };
   struct Callbacks {
     std::function<std::vector<Listed>()> listed;
-    std::function<void(const balancer::HealthReport&)> hearsay;
+    std::function<void(const balancer::HealthReport&)> report;
     std::function<void(const std::string&)> log;
   };
   // What the options come to for this sidecar.
-  struct Place {
-    peers::Settings settings;
-    peers::Address listen;
-    peers::Seal seal;
+  struct Identity {
+    gossip::Settings settings;
+    gossip::Address listen;
+    gossip::Seal seal;
   };
 
   // Throws settings::FormatError, one line that names the key and the mend, where they can't be used here:
   // no own address, or a key file that can't be read.
-  static Place placeOf(const peers::Options& options, const Config& config);
+  static Identity identityOf(const gossip::Options& options, const Config& config);
 
-  FleetView(boost::asio::io_context& io, const Place& place, std::uint64_t seed, Callbacks callbacks);
+  GossipHealthView(boost::asio::io_context& io, const Identity& identity, std::uint64_t seed,
+                   Callbacks callbacks);
 
   // The end of an attempt at an upstream in this life, so long after it was sent.
-  void attempted(const health_reports::Incarnation& incarnation, balancer::Outcome outcome, Micros lag);
+  void recordAttempt(const health_reports::Incarnation& incarnation, balancer::Outcome outcome, Micros lag);
   // This sidecar ends, or the operator has switched it off.
   void leave();
 
-  bool deaf() const { return io_.members().deaf(now()); }
-  const peers::PeersIo& peers() const { return io_; }
+  bool isIsolated() const { return transport_.members().isIsolated(now()); }
+  const gossip::Transport& transport() const { return transport_; }
   const health_reports::HealthReportTable& healthReports() const { return healthReports_; }
   // For GET /status/peers: whom it hears, what part that is, judgements with witnesses and ages, bytes.
   nlohmann::json status() const;
@@ -73,19 +75,19 @@
  private:
   // What others have sent. Whether it changes anything; none if it can't be read.
   std::optional<bool> receive(std::span<const std::uint8_t> reports, std::chrono::microseconds delay);
-  void look();
-  void lookLater(std::chrono::milliseconds wait);
+  void publish();
+  void publishLater(std::chrono::milliseconds wait);
 
   Callbacks callbacks_;
   health_reports::HealthReportTable healthReports_;
   boost::asio::steady_timer timer_;
-  peers::PeersIo io_;
-  bool wasDeaf_ = true;
-  Micros countedAt_ = 0;
-  std::uint64_t countedBytes_ = 0;
+  gossip::Transport transport_;
+  bool wasIsolated_ = true;
+  Micros rateMeasuredAt_ = 0;
+  std::uint64_t rateMeasuredBytes_ = 0;
   double bytesPerSecond_ = 0;
 };
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_FLEET_VIEW_H_
+#endif  // IVYPOST_GOSSIP_HEALTH_VIEW_H_
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -136,7 +136,7 @@
 
 void Sidecar::reload(const Config& config, const op::File& file) {
   server_.gate().check(file);
-  if (file.peers.on && !(file.peers == peersAs_)) FleetView::placeOf(file.peers, config_);
+  if (file.peers.on && !(file.peers == peersAs_)) GossipHealthView::identityOf(file.peers, config_);
   follow(file.membership, config.discovery);
   if (!(file.peers == peersAs_)) {
     if (fleet_) {
@@ -239,7 +239,7 @@
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
   if (const Known& known = known_[attempt.upstream]; fleet_ && known.listed)
-    fleet_->attempted(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
+    fleet_->recordAttempt(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   balancer::AttemptOutcome event;
@@ -490,12 +490,12 @@
 // ---- Peers
 // ------------------------------------------------------------------------------------------------------
 
-std::unique_ptr<FleetView> Sidecar::viewOf(const peers::Options& options) {
+std::unique_ptr<GossipHealthView> Sidecar::viewOf(const gossip::Options& options) {
   if (!options.on) return nullptr;
-  return std::make_unique<FleetView>(
-      io_, FleetView::placeOf(options, config_), config_.seed,
-      FleetView::Callbacks{[this] { return listed(); },
-                           [this](const balancer::HealthReport& hearsay) { handle(hearsay); }, log});
+  return std::make_unique<GossipHealthView>(
+      io_, GossipHealthView::identityOf(options, config_), config_.seed,
+      GossipHealthView::Callbacks{[this] { return listed(); },
+                                  [this](const balancer::HealthReport& hearsay) { handle(hearsay); }, log});
 }
 
 health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
@@ -503,8 +503,8 @@
           health_reports::WallTime(std::chrono::milliseconds(known.startedAtMs))};
 }
 
-std::vector<FleetView::Listed> Sidecar::listed() const {
-  std::vector<FleetView::Listed> all;
+std::vector<GossipHealthView::Listed> Sidecar::listed() const {
+  std::vector<GossipHealthView::Listed> all;
   for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
     const Known& known = known_[upstream];
     if (known.listed) all.push_back({incarnationOf(known), upstream, known.launchedAt, known.id});
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -22,7 +22,7 @@
 #include "degradation_manager.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
-#include "fleet_view.h"
+#include "gossip_health_view.h"
 #include "lifecycle/lifecycle.h"
 #include "membership/membership.h"
 #include "membership/platform.h"
@@ -58,7 +58,7 @@
   // None: there is no console, or it could not be bound yet.
   std::optional<std::uint16_t> consolePort() const;
   // None: peers are off.
-  const FleetView* fleet() const { return fleet_.get(); }
+  const GossipHealthView* fleet() const { return fleet_.get(); }
   membership::Freshness freshness() const { return membership_.freshness(); }
   // For tests: the upstreams' numbers, in use and free; connections to them that are not up yet.
   std::size_t upstreamNumbers() const { return known_.size(); }
@@ -118,8 +118,8 @@
   void onLevel(degradation::Level level);
   degradation::Measurements gauges();
   std::string status() const;
-  std::unique_ptr<FleetView> viewOf(const peers::Options& options);
-  std::vector<FleetView::Listed> listed() const;
+  std::unique_ptr<GossipHealthView> viewOf(const gossip::Options& options);
+  std::vector<GossipHealthView::Listed> listed() const;
 
   // Gives the module one event and carries out what it answers.
   void handle(const balancer::Event& event);
@@ -173,8 +173,8 @@
   exclusion::ExclusionFile exclusionFile_;
   std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
   boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
-  peers::Options peersAs_;            // as the operator has set them
-  std::unique_ptr<FleetView> fleet_;  // none: off
+  gossip::Options peersAs_;                  // as the operator has set them
+  std::unique_ptr<GossipHealthView> fleet_;  // none: off
   bool consoleFailed_ = false;
   std::unique_ptr<console::Console> console_;
 };
--- a/tests/compatibility/operator_file_test.cpp
+++ b/tests/compatibility/operator_file_test.cpp
@@ -78,8 +78,8 @@
   put("peers.bytes_per_second", peers.bytesPerSecond);
   put("peers.period", peers.period);
   put("peers.timeout", peers.timeout);
-  put("peers.deaf_after", peers.deafAfter);
-  put("peers.deaf_part", peers.deafPart);
+  put("peers.deaf_after", peers.isolatedAfter);
+  put("peers.deaf_part", peers.quorumFraction);
   for (std::size_t n = 0; n < kSignals.size(); ++n)
     put((std::string("levels.smoothing.") + kSignals.at(n)).c_str(),
         degradation.smoothingTimes[ivypost::degradation::kSignals.at(n)].count());
--- a/tests/compatibility/peer_messages_test.cpp
+++ b/tests/compatibility/peer_messages_test.cpp
@@ -7,15 +7,15 @@
 #include <sstream>
 
 #include "compatibility/support.h"
+#include "gossip/entry_codec.h"
+#include "gossip/message.h"
+#include "gossip/seal.h"
 #include "health_reports/health_report_table.h"
-#include "peers/entries.h"
-#include "peers/message.h"
-#include "peers/seal.h"
 
 namespace compatibility {
 namespace {
 
-namespace peers = ivypost::peers;
+namespace gossip = ivypost::gossip;
 namespace health_reports = ivypost::health_reports;
 using namespace std::chrono_literals;
 
@@ -28,20 +28,20 @@
   return {bytes.begin(), bytes.end()};
 }
 
-peers::Update update(std::uint64_t number, peers::State state) {
-  peers::Update one;
+gossip::Update update(std::uint64_t number, gossip::State state) {
+  gossip::Update one;
   one.id = 0x1100000000000000 + number;
   one.incarnation = 1'790'000'000'000 + 3 * number;
   one.address = {static_cast<std::uint32_t>(0x0a000001 + number), static_cast<std::uint16_t>(7946 + number)};
   one.state = state;
-  if (state != peers::State::Alive) one.witness = 0x2200000000000000 + number;
+  if (state != gossip::State::Alive) one.witness = 0x2200000000000000 + number;
   return one;
 }
 
-peers::Message message(peers::Kind kind) {
-  peers::Message one;
+gossip::Message message(gossip::Kind kind) {
+  gossip::Message one;
   one.kind = kind;
-  one.sender = peers::idOf("s1");
+  one.sender = gossip::idOf("s1");
   one.incarnation = 1'790'000'000'123;
   one.address = {0x7f000001, 7946};
   one.sequence = 0x0102030405060708;
@@ -50,12 +50,12 @@
 }
 
 // Every kind, and every section where it stands.
-std::vector<std::pair<std::string, peers::Message>> messages() {
-  using peers::Kind;
-  using peers::State;
-  std::vector<std::pair<std::string, peers::Message>> all;
+std::vector<std::pair<std::string, gossip::Message>> messages() {
+  using gossip::Kind;
+  using gossip::State;
+  std::vector<std::pair<std::string, gossip::Message>> all;
   for (const auto& [name, kind] : std::vector<std::pair<std::string, Kind>>{
-           {"ping", Kind::Ping}, {"ack", Kind::Ack}, {"nack", Kind::Nack}, {"news", Kind::News}})
+           {"ping", Kind::Ping}, {"ack", Kind::Ack}, {"nack", Kind::Nack}, {"news", Kind::Announce}})
     all.emplace_back(name, message(kind));
   auto one = message(Kind::Ping);
   one.updates = {update(1, State::Alive), update(2, State::Suspect), update(3, State::Dead)};
@@ -64,11 +64,11 @@
   one.target = update(4, State::Alive);
   all.emplace_back("relay", one);
   one = message(Kind::Ack);
-  one.table = peers::Table{{0x01020304, 0x05060708, 0x090a0b0c, 0x0d0e0f10}, 330, 5};
-  one.facts = {0xfa, 0xc7, 0x05};
+  one.table = gossip::Table{{0x01020304, 0x05060708, 0x090a0b0c, 0x0d0e0f10}, 330, 5};
+  one.payload = {0xfa, 0xc7, 0x05};
   all.emplace_back("ack with table and facts", one);
   one = message(Kind::Pull);
-  one.table = peers::Table{{1, 2, 3, 4}, 9, 0};
+  one.table = gossip::Table{{1, 2, 3, 4}, 9, 0};
   one.range = {3, 2};
   one.filter = {0xf1, 0x17, 0xe4};
   all.emplace_back("pull", one);
@@ -77,7 +77,7 @@
   left.witness = left.id;
   auto comparing = update(5, State::Alive);
   comparing.region = 9;
-  comparing.compares = true;
+  comparing.usesAntiEntropy = true;
   one.entries = {comparing, update(6, State::Suspect), left, update(8, State::Dead)};
   all.emplace_back("rumours", one);
   one = message(Kind::Page);
@@ -87,38 +87,38 @@
   return all;
 }
 
-void print(std::ostream& to, const char* name, const peers::Update& one) {
+void print(std::ostream& to, const char* name, const gossip::Update& one) {
   to << "  " << name << " id=" << std::hex << one.id << " witness=" << one.witness << std::dec
-     << " incarnation=" << one.incarnation << " address=" << peers::format(one.address)
+     << " incarnation=" << one.incarnation << " address=" << gossip::format(one.address)
      << " state=" << static_cast<int>(one.state) << " region=" << static_cast<int>(one.region)
-     << " compares=" << one.compares << "\n";
+     << " compares=" << one.usesAntiEntropy << "\n";
 }
 
-std::string meaningOf(const peers::Message& one) {
+std::string meaningOf(const gossip::Message& one) {
   std::ostringstream out;
   out << "kind=" << static_cast<int>(one.kind) << " sender=" << std::hex << one.sender << std::dec
-      << " incarnation=" << one.incarnation << " address=" << peers::format(one.address) << std::hex
+      << " incarnation=" << one.incarnation << " address=" << gossip::format(one.address) << std::hex
       << " sequence=" << one.sequence << " nonce=" << one.nonce << std::dec << "\n";
   if (one.target) print(out, "target", *one.target);
   for (const auto& each : one.updates) print(out, "update", each);
   if (one.table) {
     out << "  table" << std::hex;
     for (const auto digest : one.table->digests) out << " " << digest;
-    out << std::dec << " heard=" << one.table->heard << " region=" << static_cast<int>(one.table->region)
+    out << std::dec << " heard=" << one.table->reachable << " region=" << static_cast<int>(one.table->region)
         << "\n";
   }
   for (const auto& each : one.entries) print(out, "entry", each);
   if (!one.filter.empty())
     out << "  filter " << static_cast<int>(one.range.index) << "/" << static_cast<int>(one.range.bits) << " "
         << hexOf(one.filter) << "\n";
-  if (!one.facts.empty()) out << "  facts " << hexOf(one.facts) << "\n";
-  if (one.kind == peers::Kind::Page) out << "  flags " << static_cast<int>(one.pageFlags) << "\n";
+  if (!one.payload.empty()) out << "  facts " << hexOf(one.payload) << "\n";
+  if (one.kind == gossip::Kind::Page) out << "  flags " << static_cast<int>(one.pageFlags) << "\n";
   return out.str();
 }
 
 TEST(PeerMessages, EncodeToTheSameBytes) {
   std::string text;
-  for (const auto& [name, one] : messages()) text += name + " " + hexOf(peers::encode(one)) + "\n";
+  for (const auto& [name, one] : messages()) text += name + " " + hexOf(gossip::encode(one)) + "\n";
   expectGolden(text, "peer-messages.hex");
 }
 
@@ -126,7 +126,7 @@
   std::istringstream lines(golden("peer-messages.hex"));
   std::string text;
   for (std::string line; std::getline(lines, line);) {
-    const auto decoded = peers::decode(bytesOf(line.substr(line.rfind(' ') + 1)));
+    const auto decoded = gossip::decode(bytesOf(line.substr(line.rfind(' ') + 1)));
     text += line.substr(0, line.rfind(' ')) + "\n" + (decoded ? meaningOf(*decoded) : "no message\n");
   }
   expectGolden(text, "peer-messages.txt");
@@ -135,22 +135,22 @@
 TEST(PeerMessages, IdsOfNamesAreTheSame) {
   std::ostringstream text;
   for (const char* name : {"s1", "sidecar-0042", "", "caf\xc3\xa9"})
-    text << name << " " << std::hex << peers::idOf(name) << "\n";
+    text << name << " " << std::hex << gossip::idOf(name) << "\n";
   expectGolden(text.str(), "peer-ids.txt");
 }
 
 // The seal needs no random number, so a sealed datagram is the same each time.
 TEST(PeerMessages, SealToTheSameBytes) {
   const Folder folder;
-  const auto seal = peers::Seal::read(folder.write("key", golden("peers.key")));
-  auto bytes = peers::encode(message(peers::Kind::Ping));
+  const auto seal = gossip::Seal::read(folder.write("key", golden("peers.key")));
+  auto bytes = gossip::encode(message(gossip::Kind::Ping));
   seal.close(bytes);
   expectGolden(hexOf(bytes) + "\n", "peer-sealed.hex");
 }
 
 TEST(PeerMessages, RecordedSealOpens) {
   const Folder folder;
-  const auto seal = peers::Seal::read(folder.write("key", golden("peers.key")));
+  const auto seal = gossip::Seal::read(folder.write("key", golden("peers.key")));
   std::string digits = golden("peer-sealed.hex");
   digits.pop_back();
   const auto bytes = bytesOf(digits);
--- a/tests/compatibility/platform_settings_test.cpp
+++ b/tests/compatibility/platform_settings_test.cpp
@@ -118,8 +118,8 @@
   to.put("discovery", config.discovery);
   if (config.console) to.put("console", *config.console);
   to.put("seed", config.seed);
-  if (config.peerListen) to.put("peer_listen", ivypost::peers::format(*config.peerListen));
-  for (const auto& one : config.peers) to.put("peers", ivypost::peers::format(one));
+  if (config.peerListen) to.put("peer_listen", ivypost::gossip::format(*config.peerListen));
+  for (const auto& one : config.peers) to.put("peers", ivypost::gossip::format(one));
   to.put("limits.sockets", config.sockets);
   to.put("limits.memory_mb", config.memoryMb);
   to.put("limits.cores", config.cores);
--- a/tests/peers/exchange_test.cpp
+++ b/tests/gossip/anti_entropy_test.cpp
@@ -12,13 +12,13 @@
 #include <utility>
 #include <vector>
 
-#include "peers/byte_budget.h"
-#include "peers/entries.h"
-#include "peers/filter.h"
-#include "peers/members.h"
+#include "gossip/bloom_filter.h"
+#include "gossip/byte_budget.h"
+#include "gossip/entry_codec.h"
+#include "gossip/members.h"
 #include "scale/simulated_network.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 // ---- Entries, filter, budget ------------------------------------------------------------------------------
@@ -29,12 +29,12 @@
                      rc::gen::arbitrary<std::uint32_t>(), rc::gen::arbitrary<std::uint16_t>(),
                      rc::gen::inRange(0, 4), rc::gen::inRange(0, kMaxRegion + 1), rc::gen::arbitrary<bool>()),
       [](const auto& parts) {
-        const auto& [id, incarnation, ip, port, state, region, compares] = parts;
+        const auto& [id, incarnation, ip, port, state, region, usesAntiEntropy] = parts;
         Update one{id, incarnation, {}, static_cast<State>(std::min(state, 2)), 0};
         one.region = static_cast<std::uint8_t>(region);
         if (state == 0) {
           one.address = {ip, port};
-          one.compares = compares;
+          one.usesAntiEntropy = usesAntiEntropy;
         }
         if (state == 1) one.witness = id ^ 1;
         if (state == 3) one.witness = id;  // it has left
@@ -42,7 +42,7 @@
       });
 }
 
-RC_GTEST_PROP(Entries, ComeBackAsTheyWere, ()) {
+RC_GTEST_PROP(EntryCodec, RoundTrips, ()) {
   const auto entries = *rc::gen::resize(30, rc::gen::container<std::vector<Update>>(anEntry()));
   const auto room = *rc::gen::inRange<std::size_t>(0, 240);
   std::vector<std::uint8_t> packed;
@@ -53,8 +53,8 @@
   RC_ASSERT(unpackEntries(packed, back));
   std::vector<Update> sent(entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(count));
   const auto order = [](const Update& a, const Update& b) {
-    return std::tuple(a.id, a.incarnation, a.state, a.address, a.witness, a.region, a.compares) <
-           std::tuple(b.id, b.incarnation, b.state, b.address, b.witness, b.region, b.compares);
+    return std::tuple(a.id, a.incarnation, a.state, a.address, a.witness, a.region, a.usesAntiEntropy) <
+           std::tuple(b.id, b.incarnation, b.state, b.address, b.witness, b.region, b.usesAntiEntropy);
   };
   std::sort(sent.begin(), sent.end(), order);
   std::sort(back.begin(), back.end(), order);
@@ -62,7 +62,7 @@
 }
 
 // As a datagram that was cut would leave them: refused, or fewer of the same.
-TEST(Entries, CutAnywhereAreRefusedOrFewer) {
+TEST(EntryCodec, RejectsOrShortensTruncatedBytes) {
   std::vector<Update> entries;
   for (std::uint64_t n = 1; n <= 9; ++n)
     entries.push_back({n, 1'790'000'000'000 + 977 * n, {0x0a000001, 7946}, static_cast<State>(n % 3), 5});
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(Entries, AreRefusedWhereTheyAreNone) {
+TEST(EntryCodec, RejectsMalformedBytes) {
   const struct {
     const char* what;
     std::vector<std::uint8_t> packed;
@@ -100,12 +100,12 @@
   EXPECT_FALSE(unpackEntries(many, back));
 }
 
-TEST(Filters, HoldWhatWasAddedAndLittleElse) {
+TEST(BloomFilter, HoldsWhatWasAddedAndFewOthers) {
   for (const std::size_t keys : {1, 20, 84, 268}) {
-    Filter filter(keys, 99);
+    BloomFilter filter(keys, 99);
     for (std::uint64_t n = 1; n <= keys; ++n) filter.add(mix(n));
     int mistakes = 0, again = 0;
-    Filter other(keys, 100);
+    BloomFilter other(keys, 100);
     for (std::uint64_t n = 1; n <= keys; ++n) other.add(mix(n));
     for (std::uint64_t n = 1; n <= keys; ++n) ASSERT_TRUE(filter.holds(mix(n)));
     for (std::uint64_t n = 1001; n <= 11'000; ++n) {
@@ -114,11 +114,11 @@
     }
     EXPECT_LE(mistakes, 1300) << keys;  // one in 11 at the fullest, and chance
     EXPECT_LE(again, mistakes / 3 + 5) << keys << ": another salt makes other mistakes";
-    EXPECT_LE(filter.bytes().size(), Filter::kMaxBytes);
+    EXPECT_LE(filter.bytes().size(), BloomFilter::kMaxBytes);
   }
 }
 
-RC_GTEST_PROP(Budgets, GiveOutNoMoreInAnySecond, ()) {
+RC_GTEST_PROP(ByteBudget, StaysWithinItsRateInAnySecond, ()) {
   ByteBudget budget(5100, 600, 300, 0);
   std::deque<std::pair<Micros, std::size_t>> taken;
   Micros now = 0;
@@ -174,7 +174,7 @@
     return std::nullopt;
   }
   std::optional<Update> of(PeerId id) const {
-    for (const Update& one : members.all())
+    for (const Update& one : members.updates())
       if (one.id == id) return one;
     return std::nullopt;
   }
@@ -182,13 +182,13 @@
 
 Update alive(PeerId id, std::uint64_t incarnation) {
   Update one{id, incarnation, {0x0a000000 + static_cast<std::uint32_t>(id), 7946}, State::Alive, 0};
-  one.compares = true;
+  one.usesAntiEntropy = true;
   return one;
 }
 
 constexpr Micros kStart = 1000 * kSecond;
 
-TEST(Exchange, APageCountsOnceAndOnlyWhereItWasAskedFor) {
+TEST(AntiEntropy, AcceptsAPageOnlyOnceAndOnlyWhenItWasPulled) {
   One one;
   Message page = one.from(2, Kind::Page, {alive(3, 5)});
   page.nonce = 12345;
@@ -212,7 +212,7 @@
   EXPECT_FALSE(one.of(4)) << "behind the last page";
 }
 
-TEST(Exchange, PagesBeyondThoseOfAPullAreNotTaken) {
+TEST(AntiEntropy, RejectsPagesBeyondThoseOfAPull) {
   One one;
   const auto pull = one.pullAfterPingOf(2, kStart + kSecond);
   ASSERT_TRUE(pull);
@@ -221,11 +221,11 @@
     page.nonce = pull->nonce;
     one.members.receive(page, kStart + kSecond + kGossipEvery, one.out);
   }
-  EXPECT_EQ(one.members.known(), 1 + 2 * kPagesPerPull);
+  EXPECT_EQ(one.members.knownCount(), 1 + 2 * kPagesPerPull);
 }
 
 // An earlier life changes nothing, and who tells of it is told of the later one.
-TEST(Exchange, AnEarlierLifeIsNotTakenAndIsCorrected) {
+TEST(AntiEntropy, RejectsAndCorrectsAnEarlierIncarnation) {
   One one;
   one.members.receive(one.from(2, Kind::Rumours, {alive(3, 7)}), kStart, one.out);
   one.out.clear();
@@ -242,30 +242,30 @@
 }
 
 // Of a member that is gone and forgotten, or never was.
-TEST(Exchange, TheDeathOfWhoIsNotKnownMakesNobodyKnown) {
+TEST(AntiEntropy, IgnoresTheDeathOfAnUnknownMember) {
   One one;
   one.members.receive(
       one.from(2, Kind::Rumours,
                {{3, 7, {}, State::Dead, 0}, {4, 7, {}, State::Suspect, 9}, {5, 7, {}, State::Dead, 5}}),
       kStart, one.out);
-  EXPECT_EQ(one.members.known(), 1u);
+  EXPECT_EQ(one.members.knownCount(), 1u);
 }
 
 // A death ends with the refutation of a later life, whichever way the death comes again.
-TEST(Exchange, ADeathDoesNotOutliveItsRefutation) {
+TEST(AntiEntropy, KeepsAMemberAliveThatRefutedItsDeath) {
   One one;
   const Update death{3, 7, {}, State::Dead, 0};
   one.members.receive(one.from(2, Kind::Rumours, {alive(3, 7)}), kStart, one.out);
   one.members.receive(one.from(2, Kind::Rumours, {death}), kStart, one.out);
-  EXPECT_FALSE(one.members.isHeard(3));
+  EXPECT_FALSE(one.members.isReachable(3));
   one.members.receive(one.from(4, Kind::Rumours, {alive(3, 8)}), kStart, one.out);
-  EXPECT_TRUE(one.members.isHeard(3));
+  EXPECT_TRUE(one.members.isReachable(3));
   one.members.receive(one.from(5, Kind::Rumours, {death}), kStart, one.out);
-  EXPECT_TRUE(one.members.isHeard(3));
+  EXPECT_TRUE(one.members.isReachable(3));
 }
 
 // What a page tells may be from before a cut that has healed: who is well is suspected by it, and not buried.
-TEST(Exchange, APagesDeathIsAWitnessAndNoVerdict) {
+TEST(AntiEntropy, TreatsADeathInAPageAsASuspicion) {
   One one;
   one.members.receive(one.from(2, Kind::Rumours, {alive(3, 7)}), kStart, one.out);
   const auto pull = one.pullAfterPingOf(2, kStart + kMaxJoining + kSecond);
@@ -274,10 +274,10 @@
   page.nonce = pull->nonce;
   one.members.receive(page, kStart + kMaxJoining + kSecond + kGossipEvery, one.out);
   EXPECT_EQ(one.of(3)->state, State::Suspect);
-  EXPECT_TRUE(one.members.isHeard(3));
+  EXPECT_TRUE(one.members.isReachable(3));
 }
 
-TEST(Exchange, APullIsAnsweredWithAllThatItsFilterLacksAndNothingElse) {
+TEST(AntiEntropy, AnswersAPullWithExactlyWhatItsFilterLacks) {
   One one;
   std::set<PeerId> known = {1, 2};
   std::vector<Update> entries;
@@ -286,24 +286,24 @@
     one.members.receive(one.from(2, Kind::Rumours, {alive(id, 5)}), kStart, one.out);
   }
   Message pull = one.from(2, Kind::Pull);
-  Filter filter(20, pull.nonce);
+  BloomFilter filter(20, pull.nonce);
   for (PeerId id = 10; id < 30; ++id) filter.add(mix(id ^ mix(5)));
   pull.filter = filter.bytes();
   one.out.clear();
   one.members.receive(pull, kStart, one.out);
-  std::set<PeerId> told;
+  std::set<PeerId> sent;
   for (const Outgoing& page : one.out) {
     if (page.message.kind != Kind::Page) continue;
     for (const Update& entry : page.message.entries)
-      EXPECT_TRUE(told.insert(entry.id).second) << "twice " << entry.id;
+      EXPECT_TRUE(sent.insert(entry.id).second) << "twice " << entry.id;
   }
-  for (PeerId id = 30; id < 50; ++id) EXPECT_EQ(told.count(id), 1u) << id;
-  EXPECT_EQ(told.count(1), 1u) << "of itself too";
-  EXPECT_EQ(told.size(), 21u);
+  for (PeerId id = 30; id < 50; ++id) EXPECT_EQ(sent.count(id), 1u) << id;
+  EXPECT_EQ(sent.count(1), 1u) << "of itself too";
+  EXPECT_EQ(sent.size(), 21u);
 }
 
 // Pulls as fast as they come: no more is queued than its bound, and no more is sent than the bytes allow.
-TEST(Exchange, AFloodOfPullsIsAnsweredWithinTheBytes) {
+TEST(AntiEntropy, StaysWithinItsBytesUnderAFloodOfPulls) {
   One one(6000);
   for (PeerId id = 10; id < 200; ++id)
     one.members.receive(one.from(2, Kind::Rumours, {alive(id, 5)}), kStart, one.out);
@@ -311,7 +311,7 @@
   std::size_t bytes = 0;
   for (Micros at = kStart; at < kStart + kSecond; at += 1000) {
     Message pull = one.from(10 + static_cast<PeerId>(at / 1000 % 100), Kind::Pull);
-    pull.filter = Filter(1, 0).bytes();
+    pull.filter = BloomFilter(1, 0).bytes();
     one.members.receive(pull, at, one.out);
     one.members.tick(at, one.out);
     for (const Outgoing& sent : std::exchange(one.out, {}))
@@ -321,7 +321,7 @@
   EXPECT_GT(bytes, 4000u);
 }
 
-TEST(Exchange, BeyondTheTablesBoundOneIsNotTakenIn) {
+TEST(AntiEntropy, RejectsNewMembersWhenTheTableIsFull) {
   One one;
   std::vector<Update> entries;
   for (PeerId id = 10; id < 10 + kMaxMembers + 50; ++id) {
@@ -329,18 +329,18 @@
     if (entries.size() < 10) continue;
     one.members.receive(one.from(2, Kind::Rumours, std::exchange(entries, {})), kStart, one.out);
   }
-  EXPECT_EQ(one.members.known(), kMaxMembers);
-  EXPECT_TRUE(one.members.full());
-  EXPECT_TRUE(one.members.isHeard(10)) << "those who are known stay so";
+  EXPECT_EQ(one.members.knownCount(), kMaxMembers);
+  EXPECT_TRUE(one.members.isFull());
+  EXPECT_TRUE(one.members.isReachable(10)) << "those who are known stay so";
 }
 
 // ---- The merge
 // ---------------------------------------------------------------------------------------------
 
 // Whatever the order and however often: of each member the same is believed.
-RC_GTEST_PROP(Exchange, MergesTheSameInAnyOrder, ()) {
+RC_GTEST_PROP(AntiEntropy, MergesTheSameInAnyOrder, ()) {
   constexpr PeerId kFirst = 10, kLast = 14;
-  const auto told = *rc::gen::container<std::vector<Update>>(
+  const auto received = *rc::gen::container<std::vector<Update>>(
       rc::gen::map(rc::gen::tuple(rc::gen::inRange<PeerId>(kFirst, kLast),
                                   rc::gen::inRange<std::uint64_t>(1, 5), rc::gen::inRange(0, 3)),
                    [](const auto& parts) {
@@ -350,8 +350,8 @@
                      if (one.state == State::Suspect) one.witness = 99;
                      return one;
                    }));
-  auto other = told;
-  other.insert(other.end(), told.begin(), told.end());
+  auto other = received;
+  other.insert(other.end(), received.begin(), received.end());
   std::shuffle(other.begin(), other.end(), std::mt19937(*rc::gen::arbitrary<std::uint32_t>()));
   const auto believed = [&](const std::vector<Update>& updates) {
     One one;
@@ -363,18 +363,18 @@
     for (PeerId id = kFirst; id < kLast; ++id) table.emplace_back(one.of(id)->incarnation, one.of(id)->state);
     return table;
   };
-  RC_ASSERT(believed(told) == believed(other));
+  RC_ASSERT(believed(received) == believed(other));
 }
 
 // ---- Many
 // --------------------------------------------------------------------------------------------------
 
 bool allHear(SimulatedNetwork& net, std::size_t count) {
-  return net.all([&](Members& one) { return one.heard() == count && !one.deaf(net.now); });
+  return net.all([&](Members& one) { return one.reachableCount() == count && !one.isIsolated(net.now); });
 }
 
 // Stopped while all fetch from all, for longer than the others take to bury them.
-TEST(Exchange, TheStoppedInTheMiddleOfItKnowAllAfterwards) {
+TEST(AntiEntropy, ConvergesAfterAPauseInTheMiddle) {
   SimulatedNetwork net(21);
   for (std::size_t n = 0; n < 60; ++n) net.start(n, 60);
   net.run(kSecond);
@@ -382,7 +382,7 @@
   net.run(30 * kSecond);
   net.all([](Members& one) { return one.takeChanges(), true; });
   for (std::size_t n = 10; n < 14; ++n) net.resume(n);
-  for (std::size_t n = 10; n < 14; ++n) EXPECT_TRUE(net.at(n).deaf(net.now));
+  for (std::size_t n = 10; n < 14; ++n) EXPECT_TRUE(net.at(n).isIsolated(net.now));
   EXPECT_TRUE(net.until([&] { return allHear(net, 60); }, 8 * kSecond));
   std::set<PeerId> stopped;
   for (std::size_t n = 10; n < 14; ++n) stopped.insert(SimulatedNetwork::idAt(n));
@@ -394,7 +394,7 @@
 }
 
 // Old and new in one fleet: the old are spoken to as before, and all hear all.
-TEST(Exchange, AMixedFleetHearsAllAndFindsADeath) {
+TEST(AntiEntropy, ConvergesAndDetectsADeathInAMixedFleet) {
   SimulatedNetwork net(23);
   for (std::size_t n = 0; n < 24; ++n)
     net.start(n, 24, [&](Settings& settings) { settings.antiEntropy = n % 2 == 0; });
@@ -407,9 +407,9 @@
   EXPECT_TRUE(net.until([&] { return allHear(net, 24); }, 20 * kSecond));
 }
 
-// Three of twelve in a region of their own are cut off: nobody is deaf, since each hears its whole region;
-// without regions the three are.
-TEST(Exchange, WhoHearsItsRegionIsNotDeaf) {
+// Three of twelve in a region of their own are cut off: nobody is isolated, since each hears its whole
+// region; without regions the three are.
+TEST(AntiEntropy, IsNotIsolatedWhileItsRegionIsReachable) {
   for (const bool regions : {true, false}) {
     SimulatedNetwork net(25);
     for (std::size_t n = 0; n < 12; ++n)
@@ -420,12 +420,12 @@
       });
     ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
     net.faults.passes = [](std::size_t from, std::size_t to) { return (from < 3) == (to < 3); };
-    bool deaf = false;
+    bool isIsolated = false;
     for (int n = 0; n < 40; ++n) {
       net.run(500 * kMs);
-      deaf = deaf || !net.all([&](Members& one) { return !one.deaf(net.now); });
+      isIsolated = isIsolated || !net.all([&](Members& one) { return !one.isIsolated(net.now); });
     }
-    EXPECT_EQ(deaf, !regions);
+    EXPECT_EQ(isIsolated, !regions);
     net.run(70 * kSecond);  // longer than the dead are remembered, and both seeds are on one side
     net.faults.passes = nullptr;
     EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 8 * kSecond)) << regions;
@@ -433,7 +433,7 @@
 }
 
 // Without a seed on the other side either: those forgotten are tried at where they were.
-TEST(Exchange, TwoSidesFindEachOtherWithoutSeedsAfterAnHour) {
+TEST(AntiEntropy, ReconnectsTwoSidesWithoutSeedsAfterAnHour) {
   SimulatedNetwork net(27);
   for (std::size_t n = 0; n < 10; ++n) net.start(n, 10);
   ASSERT_TRUE(net.until([&] { return allHear(net, 10); }, 10 * kSecond));
@@ -441,10 +441,10 @@
   net.run(10 * kSecond);
   net.faults.passes = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
   net.run(3600 * kSecond);
-  EXPECT_TRUE(net.all([](Members& one) { return one.heard() < 7; }));
+  EXPECT_TRUE(net.all([](Members& one) { return one.reachableCount() < 7; }));
   net.faults.passes = nullptr;
   EXPECT_TRUE(net.until([&] { return allHear(net, 7); }, 30 * kSecond));
 }
 
 }  // namespace
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/tests/peers/plays.h
+++ b/tests/gossip/fleet_run.h
@@ -4,8 +4,8 @@
 // from its log, and where a test wants it from GET /status/peers of each, asked over and over.
 //
 // What every play asks for by itself: rules 1 to 4 (the ledger), nobody crashed, four in five served.
-#ifndef IVYPOST_TESTS_PEERS_PLAYS_H_
-#define IVYPOST_TESTS_PEERS_PLAYS_H_
+#ifndef IVYPOST_TESTS_GOSSIP_FLEET_RUN_H_
+#define IVYPOST_TESTS_GOSSIP_FLEET_RUN_H_
 
 #include <gtest/gtest.h>
 
@@ -32,8 +32,8 @@
 #include <vector>
 
 #include "fleet/fleet.h"
-#include "peers/options.h"
-#include "peers/peers_io.h"
+#include "gossip/options.h"
+#include "gossip/transport.h"
 #include "standins/clock.h"
 
 namespace ivypost::fleet {
@@ -58,7 +58,7 @@
   std::size_t datagrams(const char* key) const { return body.at("datagrams").value(key, std::size_t{0}); }
 };
 
-struct Play {
+struct FleetRun {
   Result result;
   std::vector<Line> lines;       // those about peers and ejections
   std::vector<Status> statuses;  // in the order of their times
@@ -87,13 +87,13 @@
     return static_cast<std::size_t>(
         std::count_if(missed.begin(), missed.end(), [](const auto& one) { return one.second; }));
   }
-  // Whether this one's last word was that it is deaf, or that it has not been otherwise.
-  bool endsDeaf(std::uint32_t sidecar) const {
-    bool deaf = true;
+  // Whether this one's last word was that it is isolated, or that it has not been otherwise.
+  bool endsIsolated(std::uint32_t sidecar) const {
+    bool isIsolated = true;
     for (const Line& line : lines)
       if (line.sidecar == sidecar && line.text.find("deaf") != std::string::npos)
-        deaf = line.text.find("not deaf") == std::string::npos;
-    return deaf;
+        isIsolated = line.text.find("not deaf") == std::string::npos;
+    return isIsolated;
   }
   // The last that it answered; null: nothing.
   const Status* last(std::uint32_t sidecar) const {
@@ -172,9 +172,9 @@
 class StatusWatch : public std::enable_shared_from_this<StatusWatch> {
  public:
   static constexpr std::chrono::milliseconds kAsked{200};
-  using Told = std::function<void(std::uint32_t sidecar, nlohmann::json body)>;
+  using StatusHandler = std::function<void(std::uint32_t sidecar, nlohmann::json body)>;
 
-  StatusWatch(asio::io_context& io, Told told) : io_(io), told_(std::move(told)) {}
+  StatusWatch(asio::io_context& io, StatusHandler onStatus) : io_(io), onStatus_(std::move(onStatus)) {}
 
   void listens(std::uint32_t sidecar, std::uint16_t port) {
     if (ports_.emplace(sidecar, port).second) ask(sidecar);
@@ -209,7 +209,7 @@
                        const auto head = call->answer.find("\r\n\r\n");
                        if (ended == asio::error::eof && head != std::string::npos) {
                          auto body = nlohmann::json::parse(call->answer.substr(head + 4), nullptr, false);
-                         if (body.is_object()) self->told_(call->sidecar, std::move(body));
+                         if (body.is_object()) self->onStatus_(call->sidecar, std::move(body));
                        }
                        self->askLater(call);
                      });
@@ -223,11 +223,11 @@
   }
 
   asio::io_context& io_;
-  Told told_;
+  StatusHandler onStatus_;
   std::map<std::uint32_t, std::uint16_t> ports_;
 };
 
-inline Play play(const Plan& plan) {
+inline FleetRun runFleet(const Plan& plan) {
   std::string work = std::filesystem::temp_directory_path() / "peers-XXXXXX";
   if (mkdtemp(work.data()) == nullptr) throw std::runtime_error("no folder");
   std::string head = plan.head;
@@ -242,7 +242,7 @@
       "[[node]]\ncount = 8\ncores = 4\n[[class]]\nname = \"reserva\"\neffect = \"unsafe\"\n"
       "work = \"5ms\"\naim = \"300ms\"\ndeadline = \"600ms\"\n" +
       plan.events;
-  Play play;
+  FleetRun run;
   Fleet::Options options;
   options.program = IVYPOST_PROGRAM;
   options.workDir = work;
@@ -262,7 +262,7 @@
   options.built = [&](asio::io_context& io, const std::vector<std::string>& listens) {
     if (plan.statuses)
       watch = std::make_shared<StatusWatch>(io, [&](std::uint32_t sidecar, nlohmann::json body) {
-        play.statuses.push_back({standins::nowMicros(), sidecar, std::move(body)});
+        run.statuses.push_back({standins::nowMicros(), sidecar, std::move(body)});
       });
     return plan.built ? plan.built(io, listens) : nullptr;
   };
@@ -276,68 +276,68 @@
   };
   {
     Fleet fleet(parseScenario(text, "p"), options);
-    play.result = fleet.play();
+    run.result = fleet.play();
     watch.reset();  // its last handlers go with the fleet's loop
   }
   std::filesystem::remove_all(work);
   for (const auto& [at, line] : logged) {
     if (at > lastSecond) break;
     const auto colon = line.find(": ");
-    play.lines.push_back({at - first.value_or(at),
-                          static_cast<std::uint32_t>(std::stoi(line.substr(1, colon - 1))),
-                          line.substr(colon + 2)});
+    run.lines.push_back({at - first.value_or(at),
+                         static_cast<std::uint32_t>(std::stoi(line.substr(1, colon - 1))),
+                         line.substr(colon + 2)});
   }
-  std::erase_if(play.statuses, [&](const Status& one) { return one.at > lastSecond; });
-  for (Status& one : play.statuses) one.at -= first.value_or(one.at);
+  std::erase_if(run.statuses, [&](const Status& one) { return one.at > lastSecond; });
+  for (Status& one : run.statuses) one.at -= first.value_or(one.at);
   for (std::size_t rule = plan.stops == Stops::None ? 1 : 2; rule <= 4; ++rule)
-    EXPECT_EQ(play.result.tally.breaches.at(rule), 0u) << play.result.breaches.at(0).what;
-  for (const SidecarResult& one : play.result.sidecars) EXPECT_FALSE(one.crashed);
-  EXPECT_GT(play.result.tally.served, play.result.tally.sent * 8 / 10);
-  return play;
+    EXPECT_EQ(run.result.tally.breaches.at(rule), 0u) << run.result.breaches.at(0).what;
+  for (const SidecarResult& one : run.result.sidecars) EXPECT_FALSE(one.crashed);
+  EXPECT_GT(run.result.tally.served, run.result.tally.sent * 8 / 10);
+  return run;
 }
 
-inline Play play(const std::string& events, std::uint32_t sidecars = 12, int seconds = 9, Built built = {},
-                 Stops stops = Stops::None) {
+inline FleetRun runFleet(const std::string& events, std::uint32_t sidecars = 12, int seconds = 9,
+                         Built built = {}, Stops stops = Stops::None) {
   Plan plan;
   plan.events = events;
   plan.sidecars = sidecars;
   plan.seconds = seconds;
   plan.built = std::move(built);
   plan.stops = stops;
-  return play(plan);
+  return runFleet(plan);
 }
 
 // ---- Guests: members in the test's own process
 // -------------------------------------------------------------
 
 struct Guest {
-  peers::Settings settings;
-  peers::Seal seal{{}};
+  gossip::Settings settings;
+  gossip::Seal seal{{}};
 };
 
 // A member under this name that knows the fleet's key and where all of it listens.
 inline Guest guestAs(asio::io_context& io, const std::string& name, const std::vector<std::string>& listens) {
   Guest guest;
   udp::socket free(io, udp::endpoint(asio::ip::address_v4::loopback(), 0));
-  guest.settings.self = peers::idOf(name);
+  guest.settings.self = gossip::idOf(name);
   guest.settings.address = {0x7f000001, free.local_endpoint().port()};
   guest.settings.incarnation = 1;
-  for (const std::string& listen : listens) guest.settings.seeds.push_back(*peers::parseAddress(listen));
-  std::array<std::uint8_t, peers::kKeyBytes> key{};
+  for (const std::string& listen : listens) guest.settings.seeds.push_back(*gossip::parseAddress(listen));
+  std::array<std::uint8_t, gossip::kKeyBytes> key{};
   key.fill(0xaa);
-  guest.seal = peers::Seal(key);
+  guest.seal = gossip::Seal(key);
   return guest;
 }
 
-inline std::shared_ptr<peers::PeersIo> join(asio::io_context& io, const Guest& guest,
-                                            std::function<std::vector<std::uint8_t>(std::size_t)> tell) {
-  return std::make_shared<peers::PeersIo>(
+inline std::shared_ptr<gossip::Transport> join(asio::io_context& io, const Guest& guest,
+                                               std::function<std::vector<std::uint8_t>(std::size_t)> tell) {
+  return std::make_shared<gossip::Transport>(
       io, guest.settings, guest.settings.address, guest.seal, 3,
-      peers::PeersIo::Callbacks{std::move(tell),
-                                [](std::span<const std::uint8_t>, Micros) { return std::optional(false); },
-                                [](const peers::Change&) {}, [](const std::string&) {}});
+      gossip::Transport::Callbacks{std::move(tell),
+                                   [](std::span<const std::uint8_t>, Micros) { return std::optional(false); },
+                                   [](const gossip::Change&) {}, [](const std::string&) {}});
 }
 
 }  // namespace ivypost::fleet
 
-#endif  // IVYPOST_TESTS_PEERS_PLAYS_H_
+#endif  // IVYPOST_TESTS_GOSSIP_FLEET_RUN_H_
--- a/tests/peers/fuzz.cpp
+++ b/tests/gossip/fuzz.cpp
@@ -2,7 +2,7 @@
 //
 // A fuzz target (libFuzzer) for all that comes from another sidecar behind the seal: datagrams one after the
 // other, with time between them, into membership and health reports. Built without a fuzzer it plays the
-// files that it is given. tests/peers/fuzz.sh builds and runs it by hand; CI plays the corpus.
+// files that it is given. tests/gossip/fuzz.sh builds and runs it by hand; CI plays the corpus.
 //
 // The input: for each datagram its length (one byte), the time since the last one in units of 5 ms (one
 // byte), and its bytes without the seal.
@@ -14,8 +14,8 @@
 #include <span>
 #include <vector>
 
+#include "gossip/members.h"
 #include "health_reports/health_report_table.h"
-#include "peers/members.h"
 
 namespace {
 
@@ -27,21 +27,21 @@
   std::abort();
 }
 
-health_reports::TimePoint timePoint(peers::Micros at) {
+health_reports::TimePoint timePoint(gossip::Micros at) {
   return health_reports::TimePoint(std::chrono::microseconds(at));
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  peers::Settings settings;
+  gossip::Settings settings;
   settings.self = 1;
   settings.address = {0x7f000001, 1};
   settings.seeds = {{0x7f000001, 2}};
   settings.expected = 12;
-  peers::Members members(settings, 1, 0);
+  gossip::Members members(settings, 1, 0);
   health_reports::HealthReportTable reports(1, 1);
-  peers::Micros now = 1'000'000'000;
+  gossip::Micros now = 1'000'000'000;
   std::span<const std::uint8_t> input(data, size);
   std::uint64_t sequence = 0;
   while (input.size() > 2) {
@@ -49,28 +49,28 @@
     now += input[1] * 5000;
     const auto datagram = input.subspan(2, length);
     input = input.subspan(2 + length);
-    std::vector<peers::Outgoing> out;
+    std::vector<gossip::Outgoing> out;
     members.tick(now, out);
-    auto message = peers::decode(datagram);
+    auto message = gossip::decode(datagram);
     if (message) {
-      require(peers::encode(*message).size() + peers::kSealBytes <= peers::kMaxDatagram, "a message fits");
+      require(gossip::encode(*message).size() + gossip::kSealBytes <= gossip::kMaxDatagram, "a message fits");
       // A fuzzer would hardly count up by itself, nor answer a ping that it can't see.
       message->sequence = ++sequence;
-      for (const peers::Outgoing& one : out)
-        if (one.message.kind == peers::Kind::Ping && message->kind == peers::Kind::Ack)
+      for (const gossip::Outgoing& one : out)
+        if (one.message.kind == gossip::Kind::Ping && message->kind == gossip::Kind::Ack)
           message->nonce = one.message.nonce;
-      const auto late = members.asked(*message, now);
-      require(!late || *late <= settings.deafAfter, "an answer that counts is fresh");
+      const auto late = members.elapsedSincePing(*message, now);
+      require(!late || *late <= settings.isolatedAfter, "an answer that counts is fresh");
       if (members.receive(*message, now, out) && late)
-        reports.receive(message->facts, std::chrono::microseconds(*late), timePoint(now));
+        reports.receive(message->payload, std::chrono::microseconds(*late), timePoint(now));
     }
     require(out.size() <= 16, "one datagram causes few");
-    for (const peers::Outgoing& one : out)
-      require(peers::encode(one.message).size() + peers::kSealBytes <= peers::kMaxDatagram,
+    for (const gossip::Outgoing& one : out)
+      require(gossip::encode(one.message).size() + gossip::kSealBytes <= gossip::kMaxDatagram,
               "what is sent fits");
-    require(members.known() <= peers::kMaxMembers, "the table's bound");
-    require(members.heard() <= members.known() + 1, "heard are known");
-    require(members.part() > 0 && members.part() <= 1, "a part");
+    require(members.knownCount() <= gossip::kMaxMembers, "the table's bound");
+    require(members.reachableCount() <= members.knownCount() + 1, "heard are known");
+    require(members.reachableFraction() > 0 && members.reachableFraction() <= 1, "a part");
     require(reports.size() <= health_reports::kMaxReports, "the health reports' bound");
     for (const health_reports::HealthReport& one : reports.reports(timePoint(now)))
       require(one.age >= health_reports::Duration::zero() && one.age < health_reports::kTimeToLive,
--- a/tests/peers/members_test.cpp
+++ b/tests/gossip/members_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/members.h"
+#include "gossip/members.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 
 #include "scale/simulated_network.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 void startAll(SimulatedNetwork& net, std::size_t count) {
@@ -16,25 +16,25 @@
 }
 
 bool allHear(SimulatedNetwork& net, std::size_t count) {
-  return net.all([&](Members& one) { return one.heard() == count && !one.deaf(net.now); });
+  return net.all([&](Members& one) { return one.reachableCount() == count && !one.isIsolated(net.now); });
 }
 
-TEST(Members, FindEachOtherAndTakeTurnsTheSameWay) {
+TEST(Members, FindEachOtherAndAgreeOnOwnersAfterAStart) {
   SimulatedNetwork net(1);
   startAll(net, 12);
-  EXPECT_TRUE(net.at(5).deaf(net.now)) << "before anybody was heard";
+  EXPECT_TRUE(net.at(5).isIsolated(net.now)) << "before anybody was heard";
   ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
   std::map<PeerId, int> turns;
   for (std::uint64_t thing = 1; thing <= 600; ++thing) {
-    const PeerId turn = net.at(0).turnAt(thing);
-    EXPECT_TRUE(net.all([&](Members& one) { return one.turnAt(thing) == turn; }));
+    const PeerId turn = net.at(0).ownerOf(thing);
+    EXPECT_TRUE(net.all([&](Members& one) { return one.ownerOf(thing) == turn; }));
     ++turns[turn];
   }
   EXPECT_EQ(turns.size(), 12u);
   for (const auto& [id, count] : turns) EXPECT_LT(count, 100);  // 50 each, and chance
 }
 
-TEST(Members, LearnOfADeathWithinItsTimeAndHandTheTurnsOn) {
+TEST(Members, DetectADeathWithinItsTimeAndReassignOwnership) {
   for (const std::size_t count : {2, 3, 12, 48}) {
     SimulatedNetwork net(count);
     startAll(net, count);
@@ -42,16 +42,16 @@
     const PeerId gone = SimulatedNetwork::idAt(1);
     net.kill(1);
     // A probe of each within so many periods, then a suspicion; with few witnesses the longest.
-    ASSERT_TRUE(
-        net.until([&] { return net.all([&](Members& one) { return !one.isHeard(gone); }); }, 20 * kSecond))
+    ASSERT_TRUE(net.until([&] { return net.all([&](Members& one) { return !one.isReachable(gone); }); },
+                          20 * kSecond))
         << count;
     for (std::uint64_t thing = 1; thing <= 100; ++thing)
-      EXPECT_TRUE(net.all([&](Members& one) { return one.turnAt(thing) != gone; }));
+      EXPECT_TRUE(net.all([&](Members& one) { return one.ownerOf(thing) != gone; }));
   }
 }
 
 // Nobody is declared dead for loss alone, at a rate that a network may have.
-TEST(Members, SuspectFewForLossAndBuryNone) {
+TEST(Members, DeclareNobodyDeadUnderPacketLoss) {
   for (const double loss : {0.01, 0.05, 0.1}) {
     SimulatedNetwork net(7);
     startAll(net, 24);
@@ -72,25 +72,25 @@
 
 // Half cannot be heard by the other half for 10 s: each side goes on by itself, and they find each other
 // again.
-TEST(Members, TwoHalvesPartAndComeTogether) {
+TEST(Members, SplitInAPartitionAndMergeWhenItHeals) {
   SimulatedNetwork net(3);
   startAll(net, 12);
   ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
   net.faults.passes = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
-  ASSERT_TRUE(
-      net.until([&] { return net.all([](Members& one) { return one.heard() == 6; }); }, 10 * kSecond));
-  EXPECT_TRUE(net.all([&](Members& one) { return !one.deaf(net.now); })) << "half is not too few";
-  EXPECT_EQ(net.at(0).turnAt(99), net.at(2).turnAt(99));
+  ASSERT_TRUE(net.until([&] { return net.all([](Members& one) { return one.reachableCount() == 6; }); },
+                        10 * kSecond));
+  EXPECT_TRUE(net.all([&](Members& one) { return !one.isIsolated(net.now); })) << "half is not too few";
+  EXPECT_EQ(net.at(0).ownerOf(99), net.at(2).ownerOf(99));
   net.faults.passes = nullptr;
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 8 * kSecond));
 }
 
 // One that can send but hears nothing, one that hears but cannot send, and one that hears only one other.
-TEST(Members, KnowThatTheyAreDeafByTheirOwnClock) {
+TEST(Members, AreIsolatedByTheirOwnClockWhenCutOff) {
   const struct {
     const char* what;
     std::function<bool(std::size_t, std::size_t)> passes;
-    bool deaf;
+    bool isIsolated;
   } rows[] = {
       {"hears nothing", [](std::size_t, std::size_t to) { return to != 4; }, true},
       {"cannot send", [](std::size_t from, std::size_t) { return from != 4; }, true},
@@ -102,27 +102,27 @@
     startAll(net, 12);
     ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
     net.faults.passes = row.passes;
-    // Either no answer at all for deafAfter, or too few of the others are left for as long.
-    net.until([&] { return net.at(4).deaf(net.now); }, 40 * kSecond);
-    EXPECT_EQ(net.at(4).deaf(net.now), row.deaf) << row.what;
+    // Either no answer at all for isolatedAfter, or too few of the others are left for as long.
+    net.until([&] { return net.at(4).isIsolated(net.now); }, 40 * kSecond);
+    EXPECT_EQ(net.at(4).isIsolated(net.now), row.isIsolated) << row.what;
     for (std::size_t n = 0; n < 12; ++n)
-      EXPECT_FALSE(n != 4 && net.at(n).deaf(net.now)) << row.what << " " << n;
+      EXPECT_FALSE(n != 4 && net.at(n).isIsolated(net.now)) << row.what << " " << n;
   }
 }
 
-// After a stop of the process it is deaf before it has read anything, and answers that have waited in the
+// After a stop of the process it is isolated before it has read anything, and answers that have waited in the
 // kernel meanwhile do not change that.
-TEST(Members, AreDeafRightAfterAStop) {
+TEST(Members, AreIsolatedRightAfterAPauseOfTheProcess) {
   for (const Micros stop : {5 * kSecond, 30 * kSecond}) {
     SimulatedNetwork net(5);
     startAll(net, 12);
     ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
     for (std::size_t n = 0; n < 4; ++n) net.pause(n);
     net.run(stop);
-    for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).deaf(net.now)) << n;
+    for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).isIsolated(net.now)) << n;
     net.all([](Members& one) { return one.takeChanges(), true; });
     for (std::size_t n = 0; n < 4; ++n) net.resume(n);
-    for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).deaf(net.now)) << n << " by old answers";
+    for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).isIsolated(net.now)) << n << " by old answers";
     EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 5 * kSecond)) << stop;
     // Those who were stopped bury nobody for it.
     std::set<PeerId> stopped;
@@ -133,18 +133,18 @@
   }
 }
 
-TEST(Members, AllStartAtOnceWithoutSeedsForAMinute) {
+TEST(Members, FindEachOtherWhenTheSeedsComeUpAfterAMinute) {
   SimulatedNetwork net(9);
   startAll(net, 12);
   net.faults.passes = [](std::size_t, std::size_t to) { return to > 2; };  // the seeds hear nobody
   net.run(60 * kSecond);
-  EXPECT_TRUE(net.all([&](Members& one) { return one.deaf(net.now); }));
+  EXPECT_TRUE(net.all([&](Members& one) { return one.isIsolated(net.now); }));
   net.faults.passes = nullptr;
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
 }
 
 // A restart under the same name, also with a clock that was set back.
-TEST(Members, ANameComesBackInAHundredMilliseconds) {
+TEST(Members, AcceptANewIncarnationAfterAHundredMilliseconds) {
   for (const std::uint64_t incarnation : {std::uint64_t{0}, std::uint64_t{1}}) {
     SimulatedNetwork net(13);
     startAll(net, 6);
@@ -160,20 +160,22 @@
   }
 }
 
-TEST(Members, TwoProcessesWithOneNameBothTakeThemselvesForDeaf) {
+TEST(Members, AreIsolatedWhenTwoProcessesShareAName) {
   SimulatedNetwork net(17);
   startAll(net, 6);
   ASSERT_TRUE(net.until([&] { return allHear(net, 6); }, 10 * kSecond));
   net.start(6, 6, [](Settings& s) { s.self = SimulatedNetwork::idAt(2); });
-  ASSERT_TRUE(net.until([&] { return net.at(2).twin(net.now) && net.at(6).twin(net.now); }, 10 * kSecond));
-  EXPECT_TRUE(net.at(2).deaf(net.now));
-  EXPECT_TRUE(net.at(6).deaf(net.now));
-  EXPECT_FALSE(net.at(0).deaf(net.now));
+  ASSERT_TRUE(
+      net.until([&] { return net.at(2).hasNameConflict(net.now) && net.at(6).hasNameConflict(net.now); },
+                10 * kSecond));
+  EXPECT_TRUE(net.at(2).isIsolated(net.now));
+  EXPECT_TRUE(net.at(6).isIsolated(net.now));
+  EXPECT_FALSE(net.at(0).isIsolated(net.now));
   net.kill(6);
   EXPECT_TRUE(net.until([&] { return allHear(net, 6); }, 20 * kSecond));
 }
 
-TEST(Members, WhoLeavesIsMissedByNobody) {
+TEST(Members, DoNotMissWhoLeft) {
   SimulatedNetwork net(19);
   startAll(net, 12);
   ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
@@ -184,16 +186,16 @@
     net.kill(n);
   }
   EXPECT_TRUE(net.until([&] { return allHear(net, 4); }, 3 * kSecond));
-  EXPECT_DOUBLE_EQ(net.at(0).part(), 1.0);
-  EXPECT_EQ(net.at(0).known(), 3u);
+  EXPECT_DOUBLE_EQ(net.at(0).reachableFraction(), 1.0);
+  EXPECT_EQ(net.at(0).knownCount(), 3u);
   // Found by the fuzz target: who is back after it had left was not counted among the known again.
   for (std::size_t n = 4; n < 12; ++n) net.start(n, 12);
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
-  EXPECT_TRUE(net.all([](Members& one) { return one.known() == 11; }));
+  EXPECT_TRUE(net.all([](Members& one) { return one.knownCount() == 11; }));
 }
 
 // What one sends a second does not grow with the fleet; S wrong by four times either way changes nothing.
-TEST(Members, BytesASecondStayWithinTheirBound) {
+TEST(Members, StayWithinBytesPerSecond) {
   std::map<std::size_t, double> bytes;
   for (const std::size_t count : {2, 12, 48, 300}) {
     SimulatedNetwork net(count);
@@ -209,7 +211,7 @@
 }
 
 // The table's bound, and that what is beyond it does no harm.
-TEST(Members, TakeNoMoreThanTheTableHolds) {
+TEST(Members, RejectNewMembersWhenTheTableIsFull) {
   Settings settings;
   settings.self = 1;
   Members members(settings, 1, 0);
@@ -221,11 +223,11 @@
     message.sequence = 1;
     EXPECT_EQ(members.receive(message, 0, out), n < kMaxMembers);
   }
-  EXPECT_EQ(members.known(), kMaxMembers);
+  EXPECT_EQ(members.knownCount(), kMaxMembers);
 }
 
 // One with the key that dies and comes back with ever new incarnations, between two periods.
-TEST(Members, WhoComesAndGoesFillsNoQueue) {
+TEST(Members, KeepTheProbeQueueBoundedWhenMembersFlap) {
   for (const bool antiEntropy : {false, true}) {
     Settings settings;
     settings.self = 1;
@@ -233,7 +235,7 @@
     Members members(settings, 1, 0);
     std::vector<Outgoing> out;
     Message message;
-    message.kind = Kind::News;
+    message.kind = Kind::Announce;
     message.sender = 2;
     for (std::uint64_t n = 1; n <= 2 * kMaxMembers; ++n) {
       message.sequence = n;
@@ -241,20 +243,20 @@
       members.receive(message, 0, out);
       members.takeChanges();
     }
-    EXPECT_EQ(members.order(), kMaxMembers);
+    EXPECT_EQ(members.probeQueueSize(), kMaxMembers);
     // And news ask for no more than their bucket holds, nor for more than the bytes of a moment.
     std::size_t bytes = 0;
     for (const Outgoing& one : out) bytes += encode(one.message).size() + kSealBytes + kDatagramOverhead;
     if (antiEntropy) {
       EXPECT_GT(out.size(), 0u);
-      EXPECT_LE(static_cast<double>(bytes), (kDepthPart + kDebtPart) * settings.bytesPerSecond);
+      EXPECT_LE(static_cast<double>(bytes), (kDepthFraction + kDebtFraction) * settings.bytesPerSecond);
     } else {
-      EXPECT_EQ(out.size(), static_cast<std::size_t>(kFanOut * kNewsPerSecond));
+      EXPECT_EQ(out.size(), static_cast<std::size_t>(kFanOut * kAnnouncementsPerSecond));
     }
   }
 }
 
-TEST(Members, AReplayIsDroppedAndWhatAnswersNothingIsNotHeard) {
+TEST(Members, DropReplaysAndIgnoreUnsolicitedAnswers) {
   Settings settings;
   settings.self = 1;
   Members members(settings, 1, 0);
@@ -270,10 +272,10 @@
   message.kind = Kind::Ack;
   message.sequence = 6;
   message.nonce = 12345;
-  EXPECT_FALSE(members.asked(message, 0));
+  EXPECT_FALSE(members.elapsedSincePing(message, 0));
   EXPECT_TRUE(members.receive(message, 0, out));
-  EXPECT_TRUE(members.deaf(0)) << "an ack that nobody asked for";
+  EXPECT_TRUE(members.isIsolated(0)) << "an ack that nobody asked for";
 }
 
 }  // namespace
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/tests/peers/message_test.cpp
+++ b/tests/gossip/message_test.cpp
@@ -1,20 +1,20 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/message.h"
+#include "gossip/message.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "peers/options.h"
-#include "peers/replay_window.h"
+#include "gossip/options.h"
+#include "gossip/replay_window.h"
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 Update someUpdate(std::uint64_t number) {
   return {number + 1, 3 * number, {0x0a000001, 7946}, static_cast<State>(number % 3), number};
 }
 
-Message someMessage(Kind kind, std::size_t updates, std::size_t facts) {
+Message someMessage(Kind kind, std::size_t updates, std::size_t payload) {
   Message message;
   message.kind = kind;
   message.sender = idOf("s1");
@@ -24,22 +24,22 @@
   message.nonce = 0xfffffffe;
   if (kind == Kind::Relay) message.target = someUpdate(9);
   for (std::size_t n = 0; n < updates; ++n) message.updates.push_back(someUpdate(n));
-  message.facts.assign(facts, 0xab);
+  message.payload.assign(payload, 0xab);
   return message;
 }
 
-TEST(Messages, ComeBackAsTheyWereAndFitTheDatagram) {
+TEST(MessageCodec, RoundTripsWithinADatagram) {
   for (const Kind kind : {Kind::Ping, Kind::Ack, Kind::Relay, Kind::Nack}) {
     for (std::size_t updates = 0; updates <= kMaxUpdates; ++updates) {
-      for (const std::size_t facts :
-           {std::size_t{0}, std::size_t{1}, roomForFacts(someMessage(kind, updates, 0))}) {
-        const Message message = someMessage(kind, updates, facts);
+      for (const std::size_t payload :
+           {std::size_t{0}, std::size_t{1}, roomForPayload(someMessage(kind, updates, 0))}) {
+        const Message message = someMessage(kind, updates, payload);
         const auto bytes = encode(message);
         EXPECT_LE(bytes.size() + kSealBytes, kMaxDatagram);
         const auto back = decode(bytes);
-        ASSERT_TRUE(back) << updates << " " << facts;
+        ASSERT_TRUE(back) << updates << " " << payload;
         EXPECT_EQ(back->updates, message.updates);
-        EXPECT_EQ(back->facts, message.facts);
+        EXPECT_EQ(back->payload, message.payload);
         EXPECT_EQ(back->target, message.target);
         EXPECT_EQ(back->sequence, message.sequence);
         EXPECT_EQ(back->nonce, message.nonce);
@@ -51,16 +51,16 @@
 }
 
 // Six updates are asked for, and facts for which no room is left.
-TEST(Messages, LeaveOutWhatDoesNotFit) {
+TEST(MessageCodec, OmitsWhatDoesNotFit) {
   const auto bytes = encode(someMessage(Kind::Ping, 6, 200));
   EXPECT_LE(bytes.size() + kSealBytes, kMaxDatagram);
   const auto back = decode(bytes);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->updates.size(), kMaxUpdates);
-  EXPECT_TRUE(back->facts.empty());
+  EXPECT_TRUE(back->payload.empty());
 }
 
-TEST(Messages, SkipASectionOfAnUnknownTag) {
+TEST(MessageCodec, SkipsSectionsOfUnknownTags) {
   auto bytes = encode(someMessage(Kind::Ack, 1, 0));
   bytes.insert(bytes.end(), {200, 3, 1, 2, 3});
   const auto back = decode(bytes);
@@ -68,13 +68,13 @@
   EXPECT_EQ(back->updates.size(), 1u);
 }
 
-TEST(Messages, AreRefusedWhereTheyAreNone) {
+TEST(MessageCodec, RejectsMalformedMessages) {
   const auto good = encode(someMessage(Kind::Relay, 2, 0));
   ASSERT_TRUE(decode(good));
   for (std::size_t length = 0; length < good.size(); ++length) {
-    // Cut between two sections, the target's and the updates', it is whole but for the updates.
-    const bool whole = length == kHeaderBytes + 2 + kUpdateBytes;
-    EXPECT_EQ(decode(std::span(good).first(length)).has_value(), whole) << length;
+    // Cut between two sections, the target's and the updates', it is complete but for the updates.
+    const bool isComplete = length == kHeaderBytes + 2 + kUpdateBytes;
+    EXPECT_EQ(decode(std::span(good).first(length)).has_value(), isComplete) << length;
   }
   const struct {
     const char* what;
@@ -94,13 +94,13 @@
 }
 
 // Bytes that nobody wrote for it: what is read fits into a message again.
-RC_GTEST_PROP(Messages, ReadAnyBytesWithoutHarm, (std::vector<std::uint8_t> bytes)) {
+RC_GTEST_PROP(MessageCodec, ReadsAnyBytesWithoutHarm, (std::vector<std::uint8_t> bytes)) {
   if (bytes.size() > 2) bytes[0] = kVersion, bytes[1] = static_cast<std::uint8_t>(1 + bytes[1] % 4);
   const auto message = decode(bytes);
   if (message) RC_ASSERT(encode(*message).size() + kSealBytes <= kMaxDatagram);
 }
 
-TEST(Addresses, AreReadAndWritten) {
+TEST(Addresses, ParseAndFormat) {
   for (const char* text : {"0.0.0.0:0", "127.0.0.1:7946", "255.255.255.255:65535"}) {
     const auto address = parseAddress(text);
     ASSERT_TRUE(address) << text;
@@ -112,7 +112,8 @@
 }
 
 // RFC 4303, 3.4.3: against a set of all that was taken.
-RC_GTEST_PROP(ReplayWindow, TakesEachOnceAndNoneFromBehindIt, (std::vector<std::uint8_t> steps)) {
+RC_GTEST_PROP(ReplayWindow, AcceptsEachSequenceOnceAndNoneBehindTheWindow,
+              (std::vector<std::uint8_t> steps)) {
   ReplayWindow window;
   std::vector<std::uint64_t> taken;
   std::uint64_t highest = 0;
@@ -127,4 +128,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/tests/peers/options_test.cpp
+++ b/tests/gossip/options_test.cpp
@@ -1,16 +1,16 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/options.h"
+#include "gossip/options.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <string>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 namespace {
 
 // Each flaw is one line that names the key and the mend; what is fit for use has none.
-TEST(Options, TellTheirFlawInOneLine) {
+TEST(Options, DescribeAnInvalidValueInOneLine) {
   const struct {
     const char* what;
     std::function<void(Options&)> change;
@@ -29,14 +29,14 @@
        },
        "seeds: '' is no address as 10.0.0.4:7946"},
       {"a time-out of a period", [](Options& o) { o.timeout = o.period; }, "timeout has to be under period"},
-      {"deaf at once", [](Options& o) { o.deafAfter = 4 * o.period - 1; },
+      {"isolated at once", [](Options& o) { o.isolatedAfter = 4 * o.period - 1; },
        "deaf_after has to be at least four times period"},
       {"a region and how many are in it", [](Options& o) { o.region = 63, o.regionSidecars = 1; }, nullptr},
       {"a region alone", [](Options& o) { o.region = 2; },
        "region_sidecars is missing: how many sidecars there should be in this one's region, as 330"},
       {"sidecars of no region", [](Options& o) { o.regionSidecars = 6; },
        "region_sidecars counts for nothing without region; set region, 1 to 63, or leave both out"},
-      {"the fewest bytes", [](Options& o) { o.bytesPerSecond = kLeastBytes; }, nullptr},
+      {"the fewest bytes", [](Options& o) { o.bytesPerSecond = kMinBytesPerSecond; }, nullptr},
   };
   for (const auto& row : rows) {
     Options options;
@@ -48,4 +48,4 @@
 }
 
 }  // namespace
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/tests/peers/processes_test.cpp
+++ b/tests/gossip/processes_test.cpp
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
+#include "fleet_run.h"
 #include "health_reports/health_report_table.h"
-#include "plays.h"
 #include "settings/settings.h"
 
 namespace ivypost::fleet {
 namespace {
 
-TEST(Processes, ANodeThatHangsIsFoundOnceForAll) {
-  const Play calm = play("[[event]]\nat = \"4s\"\ndo = \"hang\"\nnode = 1\nfor = \"6s\"\n");
+TEST(GossipProcesses, AHungEndpointIsDetectedOnceForAll) {
+  const FleetRun calm = runFleet("[[event]]\nat = \"4s\"\ndo = \"hang\"\nnode = 1\nfor = \"6s\"\n");
   // Far from all of the twelve have lost attempts of their own to it, and nearly all leave it out.
   EXPECT_GE(calm.everywhere("upstream ejected", 0, 4 * kSecond), 9u);
   EXPECT_LE(calm.result.hungArrivals, 20u);
@@ -25,8 +25,8 @@
 }
 
 // Six hear only each other, and a node hangs for one side alone: the other side keeps it.
-TEST(Processes, HalvesJudgeForThemselvesAndAgreeAfterwards) {
-  const Play halves = play(
+TEST(GossipProcesses, HalvesDecideAloneInAPartitionAndAgreeAfterwards) {
+  const FleetRun halves = runFleet(
       "[[event]]\nat = \"4s\"\ndo = \"partition\"\ngroup = [1, 2, 3, 4, 5, 6]\nfor = \"6s\"\n"
       "[[event]]\nat = \"5s\"\ndo = \"fault\"\nnode = 1\ngroup = [1, 2, 3, 4, 5, 6]\nfor = \"4s\"\n"
       "[[event.plan.rule]]\n[[event.plan.rule.answer]]\nat = { head = \"each\", offset = 0 }\ndo = "
@@ -37,30 +37,30 @@
   EXPECT_GE(here, 3u);
   for (std::uint32_t n = 7; n <= 12; ++n) EXPECT_EQ(halves.count(n, "upstream ejected"), 0u) << n;
   for (std::uint32_t n = 1; n <= 12; ++n) {
-    EXPECT_FALSE(halves.endsDeaf(n)) << n;
+    EXPECT_FALSE(halves.endsIsolated(n)) << n;
     EXPECT_EQ(halves.missedAtTheEnd(n), 0u) << n;
   }
 }
 
 // A third hears nothing but sends; the others hear all of them.
-TEST(Processes, WhoHearsNothingIsDeafAndNobodyElse) {
-  const Play deaf =
-      play("[[event]]\nat = \"3s\"\ndo = \"deafen\"\ngroup = [1, 2, 3, 4]\nfor = \"4s\"\n", 12, 11);
+TEST(GossipProcesses, OnlyWhoReceivesNothingIsIsolated) {
+  const FleetRun isolated =
+      runFleet("[[event]]\nat = \"3s\"\ndo = \"deafen\"\ngroup = [1, 2, 3, 4]\nfor = \"4s\"\n", 12, 11);
   for (std::uint32_t n = 1; n <= 12; ++n) {
     // deaf_after, and the time between two looks, and room for a busy machine.
-    EXPECT_EQ(deaf.count(n, "peers: deaf", kSecond, 4 * kSecond), n <= 4 ? 1u : 0u) << n;
-    EXPECT_FALSE(deaf.endsDeaf(n)) << n;
+    EXPECT_EQ(isolated.count(n, "peers: deaf", kSecond, 4 * kSecond), n <= 4 ? 1u : 0u) << n;
+    EXPECT_FALSE(isolated.endsIsolated(n)) << n;
   }
 }
 
 // Stopped for less than others take to miss them, and for longer.
-TEST(Processes, TheStoppedAreHeardAgainAndTryNothingOutOfTurn) {
-  const Play stopped = play(
+TEST(GossipProcesses, PausedSidecarsAreReachableAgainAndTryNothingOutOfTurn) {
+  const FleetRun stopped = runFleet(
       "[[event]]\nat = \"3s\"\ndo = \"hang\"\nnode = 1\nfor = \"9s\"\n"
       "[[event]]\nat = \"5s\"\ndo = \"pause\"\ngroup = [1, 2, 3, 4]\nfor = \"5s\"\n",
       12, 16, {}, Stops::Some);
-  for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_FALSE(stopped.endsDeaf(n)) << n;
-  // Of the others nobody is deaf for it, and who was missed is heard again at the end.
+  for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_FALSE(stopped.endsIsolated(n)) << n;
+  // Of the others nobody is isolated for it, and who was missed is heard again at the end.
   for (std::uint32_t n = 5; n <= 12; ++n) {
     EXPECT_EQ(stopped.count(n, "peers: deaf"), 0u) << n;
     EXPECT_EQ(stopped.missedAtTheEnd(n), 0u) << n;
@@ -68,49 +68,53 @@
   EXPECT_LE(stopped.result.hungArrivals, 40u);
 }
 
-TEST(Processes, HalfKilledAndBackAreHeardUnderTheirNames) {
-  const Play killed = play("[[event]]\nat = \"4s\"\ndo = \"kill\"\nshare = 0.5\nfor = \"300ms\"\n", 12, 12);
+TEST(GossipProcesses, RestartedSidecarsAreReachableUnderTheirNames) {
+  const FleetRun killed =
+      runFleet("[[event]]\nat = \"4s\"\ndo = \"kill\"\nshare = 0.5\nfor = \"300ms\"\n", 12, 12);
   for (std::uint32_t n = 1; n <= 12; ++n) {
-    EXPECT_FALSE(killed.endsDeaf(n)) << n;
+    EXPECT_FALSE(killed.endsIsolated(n)) << n;
     EXPECT_EQ(killed.missedAtTheEnd(n), 0u) << n;
   }
 }
 
-TEST(Processes, AllKilledAtOnceFindEachOtherAnew) {
-  const Play killed = play("[[event]]\nat = \"3s\"\ndo = \"kill\"\nshare = 1\nfor = \"500ms\"\n", 12, 10);
+TEST(GossipProcesses, AllFindEachOtherAfterASimultaneousRestart) {
+  const FleetRun killed =
+      runFleet("[[event]]\nat = \"3s\"\ndo = \"kill\"\nshare = 1\nfor = \"500ms\"\n", 12, 10);
   for (std::uint32_t n = 1; n <= 12; ++n) {
-    EXPECT_FALSE(killed.endsDeaf(n)) << n;
+    EXPECT_FALSE(killed.endsIsolated(n)) << n;
     EXPECT_EQ(killed.missedAtTheEnd(n), 0u) << n;
   }
 }
 
-// The first sidecar's name is another process's too: it goes by itself, and nobody else is deaf for it.
-TEST(Processes, WhoseNameIsTakenGoesByItself) {
-  const Play twins = play("", 6, 8, [&](asio::io_context& io, const std::vector<std::string>& listens) {
-    return join(io, guestAs(io, "s1", listens), [](std::size_t) { return std::vector<std::uint8_t>(); });
-  });
-  for (std::uint32_t n = 1; n <= 6; ++n) EXPECT_EQ(twins.endsDeaf(n), n == 1) << n;
+// The first sidecar's name is another process's too: it goes by itself, and nobody else is isolated for it.
+TEST(GossipProcesses, IsIsolatedWhenAnotherProcessHasItsName) {
+  const FleetRun twins =
+      runFleet("", 6, 8, [&](asio::io_context& io, const std::vector<std::string>& listens) {
+        return join(io, guestAs(io, "s1", listens), [](std::size_t) { return std::vector<std::uint8_t>(); });
+      });
+  for (std::uint32_t n = 1; n <= 6; ++n) EXPECT_EQ(twins.endsIsolated(n), n == 1) << n;
 }
 
 // One with the key that says of every node that it fails, under its own name.
-TEST(Processes, OneThatLiesTakesNobodyOut) {
-  std::uint64_t told = 0, version = 1;
-  const Play lies = play("", 6, 10, [&](asio::io_context& io, const std::vector<std::string>& listens) {
-    const Guest guest = guestAs(io, "liar", listens);
-    const auto tell = [&told, &version, self = guest.settings.self](std::size_t room) {
-      health_reports::HealthReportTable reports(self, version += 1000);
-      const health_reports::TimePoint now{std::chrono::microseconds(standins::nowMicros())};
-      for (int node = 1; node <= 8; ++node)
-        for (int failures = 0; failures < 3; ++failures)
-          reports.recordAttempt({settings::identity("n" + std::to_string(node)), {}},
-                                health_reports::AttemptHistory::Outcome::Failed, std::chrono::milliseconds(1),
-                                now);
-      ++told;
-      return reports.encodeNext(room, now);
-    };
-    return join(io, guest, tell);
-  });
-  EXPECT_GT(told, 20u) << "it was asked";
+TEST(GossipProcesses, ALyingMemberEjectsNoEndpoint) {
+  std::uint64_t sent = 0, version = 1;
+  const FleetRun lies =
+      runFleet("", 6, 10, [&](asio::io_context& io, const std::vector<std::string>& listens) {
+        const Guest guest = guestAs(io, "liar", listens);
+        const auto tell = [&sent, &version, self = guest.settings.self](std::size_t room) {
+          health_reports::HealthReportTable reports(self, version += 1000);
+          const health_reports::TimePoint now{std::chrono::microseconds(standins::nowMicros())};
+          for (int node = 1; node <= 8; ++node)
+            for (int failures = 0; failures < 3; ++failures)
+              reports.recordAttempt({settings::identity("n" + std::to_string(node)), {}},
+                                    health_reports::AttemptHistory::Outcome::Failed,
+                                    std::chrono::milliseconds(1), now);
+          ++sent;
+          return reports.encodeNext(room, now);
+        };
+        return join(io, guest, tell);
+      });
+  EXPECT_GT(sent, 20u) << "it was asked";
   EXPECT_EQ(lies.everywhere("upstream ejected"), 0u);
   EXPECT_EQ(lies.result.tally.failed, 0u);
 }
@@ -119,19 +123,19 @@
 class Flood {
  public:
   Flood(asio::io_context& io, const std::string& to, std::uint64_t& sent)
-      : to_(asio::ip::address_v4::loopback(), peers::parseAddress(to)->port),
+      : to_(asio::ip::address_v4::loopback(), gossip::parseAddress(to)->port),
         socket_(io, udp::endpoint(asio::ip::address_v4::loopback(), 0)),
         timer_(io),
         sent_(sent) {
-    std::array<std::uint8_t, peers::kKeyBytes> key{};
+    std::array<std::uint8_t, gossip::kKeyBytes> key{};
     key.fill(0xaa);
-    peers::Message good;
-    good.kind = peers::Kind::News;
-    good.sender = peers::idOf("flood");
+    gossip::Message good;
+    good.kind = gossip::Kind::Announce;
+    good.sender = gossip::idOf("flood");
     good.sequence = 1;
     good.address = {0x7f000001, 9};
-    replay_ = peers::encode(good);
-    peers::Seal(key).close(replay_);
+    replay_ = gossip::encode(good);
+    gossip::Seal(key).close(replay_);
     flood();
   }
 
@@ -158,11 +162,12 @@
 };
 
 // Every length from 0 to 1,500, random bytes, and one good datagram again and again.
-TEST(Processes, AFloodCostsABoundedPartOfACore) {
+TEST(GossipProcesses, AFloodOfDatagramsCostsABoundedShareOfACore) {
   std::uint64_t sent = 0;
-  const Play flooded = play("", 6, 10, [&](asio::io_context& io, const std::vector<std::string>& listens) {
-    return std::make_shared<Flood>(io, listens[0], sent);
-  });
+  const FleetRun flooded =
+      runFleet("", 6, 10, [&](asio::io_context& io, const std::vector<std::string>& listens) {
+        return std::make_shared<Flood>(io, listens[0], sent);
+      });
   const auto& all = flooded.result.sidecars;
   EXPECT_GT(sent, 50'000u);
   EXPECT_LT(all[0].cpuSeconds, all[1].cpuSeconds + 2.0)
--- a/tests/peers/regions_test.cpp
+++ b/tests/gossip/regions_test.cpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "plays.h"
+#include "fleet_run.h"
 
 namespace ivypost::fleet {
 namespace {
 
 // They end with the play's loop, so a test only looks at them while it goes on.
-using Guests = std::vector<std::shared_ptr<peers::PeersIo>>;
+using Guests = std::vector<std::shared_ptr<gossip::Transport>>;
 
 // From the end of a fault until all know all; the mechanism's own figure is 8 s at 660, and a busy machine
 // gets more.
@@ -31,25 +31,25 @@
   return list + "]";
 }
 
-void expectAllAgree(const Play& play, std::size_t many, Micros from, Micros within = kAgreed) {
-  const auto agreed = play.allHear(many, from);
+void expectAllAgree(const FleetRun& run, std::size_t many, Micros from, Micros within = kAgreed) {
+  const auto agreed = run.allHear(many, from);
   EXPECT_TRUE(agreed && *agreed <= within)
-      << (agreed ? "only after " + std::to_string(*agreed / 1000) + " ms" : "not by the end") << play.lasts();
+      << (agreed ? "only after " + std::to_string(*agreed / 1000) + " ms" : "not by the end") << run.lasts();
   if (agreed) ::testing::Test::RecordProperty("agreed_after_ms", std::to_string(*agreed / 1000));
-  for (std::uint32_t n = 1; n <= play.result.sidecars.size(); ++n) {
-    const Status* const last = play.last(n);
+  for (std::uint32_t n = 1; n <= run.result.sidecars.size(); ++n) {
+    const Status* const last = run.last(n);
     ASSERT_NE(last, nullptr) << n;
     EXPECT_EQ(last->number("known"), many) << n;
     for (const auto& member : last->body.at("members")) EXPECT_EQ(member.at("state"), "alive") << n;
     EXPECT_EQ(last->datagrams("malformed"), 0u) << n;
     EXPECT_EQ(last->datagrams("unsealed"), 0u) << n;
-    EXPECT_FALSE(play.endsDeaf(n)) << n;
+    EXPECT_FALSE(run.endsIsolated(n)) << n;
   }
 }
 
 // Six of eighteen, one region of two, hear only each other for 20 s, and a node swallows what these six send
 // it.
-TEST(Regions, OneThatIsCutOffDecidesByItselfAndAllAgreeAfterwards) {
+TEST(GossipRegions, OneThatIsCutOffDecidesAloneAndAllAgreeAfterwards) {
   Plan plan;
   plan.sidecars = 18;
   plan.seconds = 30;
@@ -61,7 +61,7 @@
                 event("5s", "fault", "node = 1\nregion = 2\nfor = \"8s\"") +
                 "[[event.plan.rule]]\n[[event.plan.rule.answer]]\nat = { head = \"each\", offset = 0 }\n"
                 "do = \"swallow\"\n";
-  const Play cut = play(plan);
+  const FleetRun cut = runFleet(plan);
   std::size_t ejected = 0;
   for (std::uint32_t n = 1; n <= 18; ++n) {
     const bool six = n % 3 == 2;
@@ -79,13 +79,13 @@
   for (std::uint32_t n = 1; n <= 18; ++n) {
     const Status* const last = cut.last(n);
     if (last == nullptr) continue;
-    for (const auto& judgement : last->body.at("judgements"))
-      EXPECT_FALSE(judgement.at("upstream") == "n1" && judgement.at("finding") != "well")
-          << n << ": " << judgement.dump();
+    for (const auto& report : last->body.at("judgements"))
+      EXPECT_FALSE(report.at("upstream") == "n1" && report.at("finding") != "well")
+          << n << ": " << report.dump();
   }
 }
 
-TEST(Regions, HalfOfEachZoneKilledAtOnceAreHeardAgain) {
+TEST(GossipRegions, HalfOfEachZoneIsReachableAgainAfterARestart) {
   Plan plan;
   plan.sidecars = 18;
   plan.seconds = 11;
@@ -95,7 +95,7 @@
   plan.stops = Stops::Some;
   for (const char* zone : {"1", "2", "3"})
     plan.events += event("3s", "kill", std::string("zone = ") + zone + "\nshare = 0.5\nfor = \"300ms\"");
-  const Play killed = play(plan);
+  const FleetRun killed = runFleet(plan);
   std::uint32_t starts = 0;
   for (const SidecarResult& one : killed.result.sidecars) starts += one.starts;
   EXPECT_EQ(starts, 27u);
@@ -104,7 +104,7 @@
 }
 
 // The first sends in vain and hears all; later the last hears nothing, and all that it sends arrives.
-TEST(Regions, WhoseMessagesAreLostOneWayIsDeafAlone) {
+TEST(GossipRegions, OnlyWhoseMessagesAreLostOneWayIsIsolated) {
   Plan plan;
   plan.seconds = 15;
   plan.statuses = true;
@@ -112,7 +112,7 @@
       event("3s", "datagrams",
             "group = [1]\nto = " + numbers(2, 12) + "\nfor = \"3500ms\"\nplan = { silent = true }") +
       event("8s", "deafen", "group = [12]\nfor = \"3500ms\"");
-  const Play lost = play(plan);
+  const FleetRun lost = runFleet(plan);
   for (std::uint32_t n = 1; n <= 12; ++n) {
     EXPECT_EQ(lost.count(n, "peers: deaf", kSecond, 3'500'000), n == 1 ? 1u : 0u) << n;
     EXPECT_EQ(lost.count(n, "peers: deaf", 6 * kSecond, 8'500'000), n == 12 ? 1u : 0u) << n;
@@ -122,7 +122,7 @@
 }
 
 // Stopped for 30 s right when another's table is being fetched, and one more joins meanwhile.
-TEST(Regions, OneThatIsStoppedWhileOthersJoinKnowsThemAllAfterwards) {
+TEST(GossipRegions, APausedSidecarLearnsOfAllWhoJoinedMeanwhile) {
   std::weak_ptr<Guests> guests;
   std::vector<std::size_t> heard;
   std::function<void(const std::string&)> joins;
@@ -149,9 +149,9 @@
   plan.second = [&] {
     heard.clear();
     const auto joined = guests.lock();
-    for (const auto& guest : *joined) heard.push_back(guest->members().heard());
+    for (const auto& guest : *joined) heard.push_back(guest->members().reachableCount());
   };
-  const Play stopped = play(plan);
+  const FleetRun stopped = runFleet(plan);
   ASSERT_NE(stopped.last(4), nullptr);
   const std::string itself = stopped.last(4)->body.at("address");
   for (const Line& line : stopped.lines) {
@@ -169,7 +169,7 @@
 }
 
 // Regions of three: one moves to the other region, and later a whole region does, each by SIGHUP under load.
-TEST(Regions, AnotherOneAtSighupKeepsServing) {
+TEST(GossipRegions, AnotherOneAtSighupKeepsServing) {
   Plan plan;
   plan.sidecars = 6;
   plan.seconds = 9;
@@ -177,7 +177,7 @@
   plan.statuses = true;
   plan.events = event("3s", "reload", "sidecar = 1\nnew_region = 2") +
                 event("5s", "reload", "region = 2\nnew_region = 1");
-  const Play moved = play(plan);
+  const FleetRun moved = runFleet(plan);
   EXPECT_EQ(moved.result.tally.failed, 0u);
   EXPECT_EQ(moved.result.tally.unanswered, 0u);
   const std::size_t ends[] = {2, 1, 1, 1, 1, 1};
@@ -192,11 +192,11 @@
 }
 
 // Three that speak as before the comparison of tables, among six processes of the program.
-TEST(Regions, SomeOfAnOlderVersionAndTheOthersHearEachOther) {
+TEST(GossipRegions, OldAndNewVersionsReachEachOther) {
   std::weak_ptr<Guests> guests;
   struct Seen {
-    std::size_t heard = 0;
-    bool deaf = true;
+    std::size_t reachable = 0;
+    bool isIsolated = true;
     std::uint64_t malformed = 0, unsealed = 0, received = 0;
   };
   std::vector<Seen> seen;
@@ -221,15 +221,15 @@
     const auto old = guests.lock();
     for (const auto& one : *old) {
       const auto& counts = one->counts();
-      seen.push_back({one->members().heard(), one->members().deaf(standins::nowMicros()), counts.malformed,
-                      counts.unsealed, counts.received});
+      seen.push_back({one->members().reachableCount(), one->members().isIsolated(standins::nowMicros()),
+                      counts.malformed, counts.unsealed, counts.received});
     }
   };
-  const Play mixed = play(plan);
+  const FleetRun mixed = runFleet(plan);
   ASSERT_EQ(seen.size(), 3u);
   for (const Seen& one : seen) {
-    EXPECT_EQ(one.heard, 9u);
-    EXPECT_FALSE(one.deaf);
+    EXPECT_EQ(one.reachable, 9u);
+    EXPECT_FALSE(one.isIsolated);
     EXPECT_EQ(one.malformed, 0u);
     EXPECT_EQ(one.unsealed, 0u);
     EXPECT_GT(one.received, 50u);
--- a/tests/health_reports/health_report_test.cpp
+++ b/tests/health_reports/health_report_test.cpp
@@ -23,7 +23,7 @@
 }
 
 std::optional<HealthReport> decoded(const std::vector<std::uint8_t>& bytes) {
-  peers::Reader reader(bytes);
+  gossip::Reader reader(bytes);
   return decode(reader);
 }
 
--- a/tests/scale/runs_test.cpp
+++ b/tests/scale/runs_test.cpp
@@ -15,8 +15,8 @@
 namespace ivypost::scale {
 namespace {
 
-using peers::kDatagramOverhead;
-using peers::kSecond;
+using gossip::kDatagramOverhead;
+using gossip::kSecond;
 
 constexpr std::size_t kSmall = 30, kLarge = 120;
 // Four times the sidecars, and at the most so much more time.
@@ -158,7 +158,7 @@
 
 TEST(Runs, SizesThatCantBeRunAreRefused) {
   EXPECT_THROW(run(planOf(Event::Start, 2 * kZones - 1)), std::invalid_argument);
-  EXPECT_THROW(run(planOf(Event::Start, peers::kMaxMembers + 1)), std::invalid_argument);
+  EXPECT_THROW(run(planOf(Event::Start, gossip::kMaxMembers + 1)), std::invalid_argument);
 }
 
 TEST(Runs, EachEventHasAName) {
@@ -170,14 +170,14 @@
 }
 
 TEST(Traffic, ThePeakIsThatOfTheWorstSecond) {
-  peers::Traffic traffic;
+  gossip::Traffic traffic;
   const std::uint64_t whole = 100 + kDatagramOverhead;
-  for (peers::Micros at = 0; at < 10 * kSecond; at += kSecond / 2) traffic.add(100, at);
+  for (gossip::Micros at = 0; at < 10 * kSecond; at += kSecond / 2) traffic.add(100, at);
   EXPECT_EQ(traffic.datagrams(), 20u);
   EXPECT_EQ(traffic.bytes(), 20 * whole);
   EXPECT_EQ(traffic.peak(), 2 * whole);
   // Three that fall into one second, over the edge of one by the clock.
-  for (const peers::Micros at : {20'900'000, 21'000'000, 21'500'000}) traffic.add(100, at);
+  for (const gossip::Micros at : {20'900'000, 21'000'000, 21'500'000}) traffic.add(100, at);
   EXPECT_EQ(traffic.peak(), 3 * whole);
   traffic.add(100, 21'900'000);
   EXPECT_EQ(traffic.peak(), 3 * whole);
--- a/tests/util/fnv1a_test.cpp
+++ b/tests/util/fnv1a_test.cpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "peers/message.h"
+#include "gossip/message.h"
 #include "settings/settings.h"
 
 namespace ivypost::util {
@@ -25,7 +25,7 @@
 TEST(Fnv1a, IsTheIdOfEndpointsAndOfSidecars) {
   for (const std::string name : {"", "s1", "sidecar-0042", "node-1", "caf\xc3\xa9"}) {
     EXPECT_EQ(settings::identity(name), fnv1a(name)) << name;
-    EXPECT_EQ(peers::idOf(name), fnv1a(name)) << name;
+    EXPECT_EQ(gossip::idOf(name), fnv1a(name)) << name;
   }
 }
 
--- a/tools/ivyscale/main.cpp
+++ b/tools/ivyscale/main.cpp
@@ -258,7 +258,7 @@
       "microseconds\n"
       "a sidecar and simulated second of the whole simulation, and of Members alone. Nothing here has a\n"
       "socket, a seal or a data plane.\n",
-      ivypost::peers::kDatagramOverhead);
+      ivypost::gossip::kDatagramOverhead);
 }
 
 std::ofstream openJson(const std::string& path) {
@@ -357,7 +357,7 @@
       "loopback, which loses nothing. Bytes are with %zu of headers a datagram; before: from the start "
       "until\n"
       "all heard all.\n",
-      ivypost::peers::kDatagramOverhead);
+      ivypost::gossip::kDatagramOverhead);
 }
 
 int hollow(scale::HollowPlan plan, const std::string& path) {
