--- a/src/gossip/replay_window.h
+++ b/src/gossip/replay_window.h
@@ -1,7 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// The sliding window against replays of RFC 4303 (3.4.3), 64 wide, of one sender's incarnation: each sequence
-// number is taken once, and none that is more than the window behind the highest one taken.
 #ifndef IVYPOST_GOSSIP_REPLAY_WINDOW_H_
 #define IVYPOST_GOSSIP_REPLAY_WINDOW_H_
 
@@ -9,11 +6,15 @@
 
 namespace ivypost::gossip {
 
+/// The sliding window against replays of RFC 4303 (section 3.4.3) over one sender's incarnation: each
+/// sequence number is taken once, and none that is kWidth or more behind the highest one taken.
 class ReplayWindow {
  public:
+  /// Sequence numbers that the window spans.
   static constexpr std::uint64_t kWidth = 64;
 
-  bool take(std::uint64_t sequence) {
+  /// Whether the number is neither a replay nor too old; it is a replay from then on.
+  [[nodiscard]] bool take(std::uint64_t sequence) {
     if (sequence > highest_) {
       const std::uint64_t by = sequence - highest_;
       seen_ = by >= kWidth ? 0 : seen_ << by;
@@ -30,7 +31,8 @@
   }
 
  private:
-  std::uint64_t highest_ = 0, seen_ = 1;  // sequence 0 is never sent
+  std::uint64_t highest_ = 0;
+  std::uint64_t seen_ = 1;  // sequence 0 is never sent
 };
 
 }  // namespace ivypost::gossip
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -7,6 +7,7 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
+#include <utility>
 
 namespace ivypost {
 namespace {
@@ -14,8 +15,10 @@
 using balancer::Outcome;
 using settings::bad;
 
-// Members and judgements that GET /status/peers tells at the most.
+// Members and health reports that GET /status/peers tells at the most.
 constexpr std::size_t kShown = 256;
+// The rate of bytes is measured over so long at the least, in microseconds.
+constexpr Micros kRateInterval = 1'000'000;
 
 std::string hex(std::uint64_t number) {
   std::array<char, 17> text{};
@@ -151,36 +154,46 @@
 
 void GossipHealthView::publish() {
   const Micros at = now();
-  const gossip::Members& members = transport_.members();
-  if (at - rateMeasuredAt_ >= 1'000'000) {
-    const std::uint64_t bytes = transport_.counts().sentBytes;
-    bytesPerSecond_ =
-        static_cast<double>(bytes - rateMeasuredBytes_) * 1e6 / static_cast<double>(at - rateMeasuredAt_);
-    rateMeasuredAt_ = at;
-    rateMeasuredBytes_ = bytes;
-  }
-  const bool isIsolated = members.isIsolated(at);
-  if (isIsolated != wasIsolated_) {
-    std::array<char, 96> line{};
-    std::snprintf(line.data(), line.size(), "peers: %s, %zu of %zu sidecars heard",
-                  isIsolated ? "deaf" : "not deaf", members.reachableCount(), members.knownCount() + 1);
-    callbacks_.log(line.data());
-  }
-  wasIsolated_ = isIsolated;
+  measureRate(at);
+  const bool isIsolated = transport_.members().isIsolated(at);
+  logIsolation(isIsolated);
   if (healthReports_.size() == 0) return;
+  const gossip::Members& members = transport_.members();
   healthReports_.setFleetSize(members.reachableCount());
   const std::vector<Listed> listed = callbacks_.listed();
-  const auto isReachable = [&](gossip::PeerId id) { return members.isReachable(id); };
   healthReports_.removeStale(
       [&](const health_reports::Incarnation& incarnation) {
         return std::any_of(listed.begin(), listed.end(),
                            [&](const Listed& one) { return one.incarnation == incarnation; });
       },
-      isReachable, timePoint(at));
-  if (isIsolated) return;
-  const std::vector<health_reports::Incarnation> judged = healthReports_.incarnations();
+      [&](gossip::PeerId id) { return members.isReachable(id); }, timePoint(at));
+  if (!isIsolated) publishSummaries(listed, at);
+}
+
+void GossipHealthView::measureRate(Micros at) {
+  if (at - rateMeasuredAt_ < kRateInterval) return;
+  const std::uint64_t bytes = transport_.counts().sentBytes;
+  bytesPerSecond_ =
+      static_cast<double>(bytes - rateMeasuredBytes_) * 1e6 / static_cast<double>(at - rateMeasuredAt_);
+  rateMeasuredAt_ = at;
+  rateMeasuredBytes_ = bytes;
+}
+
+void GossipHealthView::logIsolation(bool isIsolated) {
+  if (std::exchange(wasIsolated_, isIsolated) == isIsolated) return;
+  const gossip::Members& members = transport_.members();
+  std::array<char, 96> line{};
+  std::snprintf(line.data(), line.size(), "peers: %s, %zu of %zu sidecars heard",
+                isIsolated ? "deaf" : "not deaf", members.reachableCount(), members.knownCount() + 1);
+  callbacks_.log(line.data());
+}
+
+void GossipHealthView::publishSummaries(const std::vector<Listed>& listed, Micros at) {
+  const gossip::Members& members = transport_.members();
+  const auto isReachable = [&](gossip::PeerId id) { return members.isReachable(id); };
+  const std::vector<health_reports::Incarnation> reported = healthReports_.incarnations();
   for (const Listed& one : listed) {
-    if (!std::binary_search(judged.begin(), judged.end(), one.incarnation)) continue;
+    if (!std::binary_search(reported.begin(), reported.end(), one.incarnation)) continue;
     const auto summary = healthReports_.summarize(one.incarnation, isReachable, timePoint(at));
     balancer::HealthReport report;
     report.upstream = one.upstream;
@@ -216,28 +229,38 @@
                              {"malformed", counts.malformed},
                              {"replayed", counts.replayed},
                              {"unsent", counts.unsent}}}};
-  auto& shown = status["members"] = nlohmann::json::array();
-  for (const gossip::Update& one : members.updates()) {
+  status["members"] = membersStatus();
+  status["judgements"] = reportsStatus(at);
+  return status;
+}
+
+nlohmann::json GossipHealthView::membersStatus() const {
+  nlohmann::json shown = nlohmann::json::array();
+  for (const gossip::Update& one : transport_.members().updates()) {
     if (shown.size() == kShown) break;
     shown.push_back(
         {{"id", hex(one.id)}, {"address", gossip::format(one.address)}, {"state", nameOf(one.state)}});
   }
-  auto& judged = status["judgements"] = nlohmann::json::array();
+  return shown;
+}
+
+nlohmann::json GossipHealthView::reportsStatus(Micros at) const {
+  nlohmann::json shown = nlohmann::json::array();
   const std::vector<Listed> listed = callbacks_.listed();
   for (const health_reports::HealthReport& one : healthReports_.reports(timePoint(at))) {
-    if (judged.size() == kShown) break;
+    if (shown.size() == kShown) break;
     const auto found = std::find_if(listed.begin(), listed.end(), [&](const Listed& other) {
       return other.incarnation == one.incarnation;
     });
-    judged.push_back({{"upstream", found == listed.end() ? hex(one.incarnation.endpoint) : found->id},
-                      {"started_at_ms", one.incarnation.startedAt.time_since_epoch().count()},
-                      {"witness", hex(one.reporter)},
-                      {"finding", health_reports::nameOf(one.status)},
-                      {"attempts", one.attempts},
-                      {"failures", one.failures},
-                      {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.age).count()}});
+    shown.push_back({{"upstream", found == listed.end() ? hex(one.incarnation.endpoint) : found->id},
+                     {"started_at_ms", one.incarnation.startedAt.time_since_epoch().count()},
+                     {"witness", hex(one.reporter)},
+                     {"finding", health_reports::nameOf(one.status)},
+                     {"attempts", one.attempts},
+                     {"failures", one.failures},
+                     {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(one.age).count()}});
   }
-  return status;
+  return shown;
 }
 
 }  // namespace ivypost
