--- /dev/null
+++ b/tests/gossip/bloom_filter_test.cpp
@@ -0,0 +1,30 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "gossip/bloom_filter.h"
+
+#include <gtest/gtest.h>
+
+#include <cstdint>
+
+namespace ivypost::gossip {
+namespace {
+
+TEST(BloomFilter, HoldsWhatWasAddedAndFewOthers) {
+  for (const std::size_t keys : {1, 20, 84, 268}) {
+    BloomFilter filter(keys, 99);
+    for (std::uint64_t n = 1; n <= keys; ++n) filter.add(mix(n));
+    int mistakes = 0, again = 0;
+    BloomFilter other(keys, 100);
+    for (std::uint64_t n = 1; n <= keys; ++n) other.add(mix(n));
+    for (std::uint64_t n = 1; n <= keys; ++n) ASSERT_TRUE(filter.holds(mix(n)));
+    for (std::uint64_t n = 1001; n <= 11'000; ++n) {
+      mistakes += filter.holds(mix(n)) ? 1 : 0;
+      again += filter.holds(mix(n)) && other.holds(mix(n)) ? 1 : 0;
+    }
+    EXPECT_LE(mistakes, 1300) << keys;  // one in 11 at the fullest, and chance
+    EXPECT_LE(again, mistakes / 3 + 5) << keys << ": another salt makes other mistakes";
+    EXPECT_LE(filter.bytes().size(), BloomFilter::kMaxBytes);
+  }
+}
+
+}  // namespace
+}  // namespace ivypost::gossip
