--- a/src/configuration/operator_file.h
+++ b/src/configuration/operator_file.h
@@ -14,7 +14,7 @@
 #include "admission/queue.h"
 #include "degradation/settings.h"
 #include "discovery/etcd/options.h"
-#include "peers/options.h"
+#include "gossip/options.h"
 
 namespace ivypost::configuration {
 
@@ -55,8 +55,8 @@
     bool peers = false;  ///< GET /status/peers
   } status;              ///< [status]
 
-  /// [peers]: how sidecars find each other; without a flaw by peers::flawOf() where they are on.
-  peers::Options peers;
+  /// [peers]: how sidecars find each other; without a flaw by gossip::flawOf() where they are on.
+  gossip::Options peers;
 
   /// [membership]: where the list of upstreams comes from.
   struct Membership {
--- a/src/configuration/operator_keys.cpp
+++ b/src/configuration/operator_keys.cpp
@@ -90,7 +90,7 @@
   return {std::move(path), "",
           [field](OperatorFile& file, Table& table, std::string_view leaf) {
             if (table.has(leaf))
-              field(file) = table.integer(leaf, 1, static_cast<std::int64_t>(peers::kMaxMembers));
+              field(file) = table.integer(leaf, 1, static_cast<std::int64_t>(gossip::kMaxMembers));
           },
           [](const OperatorFile&) { return std::string(); }};
 }
@@ -233,7 +233,7 @@
                   "Where others may be found, as \"10.0.0.5:7946\", 64 at the most; a few that rarely move "
                   "are enough.\n"
                   "Empty: the platform's peers.",
-                  peers::kMaxSeeds,
+                  gossip::kMaxSeeds,
                   [](OperatorFile& f) -> std::vector<std::string>& { return f.peers.seeds; }),
       textKey(
           "peers.key_file",
@@ -243,12 +243,12 @@
       integerKey("peers.region",
                  "The region that this sidecar is in, 1 to 63; 0: not told. With one, deaf is judged by the\n"
                  "sidecars of the region alone, and region_sidecars has to say how many there should be.",
-                 0, peers::kMaxRegion, [](OperatorFile& f) -> std::int64_t& { return f.peers.region; }),
+                 0, gossip::kMaxRegion, [](OperatorFile& f) -> std::int64_t& { return f.peers.region; }),
       sidecarCountKey("peers.region_sidecars",
                       [](OperatorFile& f) -> std::int64_t& { return f.peers.regionSidecars; }),
       integerKey("peers.bytes_per_second",
                  "Sent to others in any second at the most, with the headers of IPv4 and UDP.",
-                 peers::kLeastBytes, peers::kMostBytes,
+                 gossip::kMinBytesPerSecond, gossip::kMaxBytesPerSecond,
                  [](OperatorFile& f) -> std::int64_t& { return f.peers.bytesPerSecond; }),
       timeKey("peers.period",
               "Between two probes of others; 1 to 2 kB a second are sent at 250ms, in any fleet.", 10ms,
@@ -258,8 +258,9 @@
       timeKey("peers.deaf_after",
               "With no answer for so long, or with fewer than deaf_part of the sidecars heard, this one is\n"
               "deaf: it decides as without peers.",
-              40ms, [](OperatorFile& f) -> std::int64_t& { return f.peers.deafAfter; }),
-      fractionKey("peers.deaf_part", "", 0.01, [](OperatorFile& f) -> double& { return f.peers.deafPart; }),
+              40ms, [](OperatorFile& f) -> std::int64_t& { return f.peers.isolatedAfter; }),
+      fractionKey("peers.deaf_part", "", 0.01,
+                  [](OperatorFile& f) -> double& { return f.peers.quorumFraction; }),
   };
 }
 
--- /dev/null
+++ b/src/gossip/anti_entropy.cpp
@@ -0,0 +1,298 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// Comparison of tables, and pulls of what differs (Demers et al. 1987). Every message of it may be left out,
+// lost, doubled or late: what it does is merge what others believe, so none does harm.
+#include <algorithm>
+#include <bit>
+#include <optional>
+#include <utility>
+
+#include "gossip/entry_codec.h"
+#include "gossip/members.h"
+
+namespace ivypost::gossip {
+namespace {
+
+constexpr std::uint8_t kRangeBits = 2;
+static_assert(kRanges == 1U << kRangeBits);
+constexpr unsigned kIdBits = 64;
+// A filter over more members than this holds too many by mistake: under five bits a member.
+constexpr std::size_t kMaxFiltered = 8 * BloomFilter::kMaxBytes / 5;
+// A pull that brought so many has found somebody worth asking again at once.
+constexpr std::size_t kProductivePull = 4;
+// From a suspicion to its refutation, by the simulated fleets of up to 1,320.
+constexpr Micros kRefutation = 1'000'000;
+// Corrections of earlier incarnations that answer one message, in one datagram.
+constexpr std::size_t kCorrections = 8;
+
+// What a range's digest and a filter are made of: an incarnation that is believed in.
+std::uint64_t keyOf(const Update& update) {
+  return mix(update.id ^ mix(update.incarnation));
+}
+
+std::size_t rangeOf(PeerId id, std::uint8_t bits) {
+  return bits == 0 ? 0 : static_cast<std::size_t>(mix(id) >> (kIdBits - bits));
+}
+
+bool isInRange(PeerId id, const Range& range) {
+  return rangeOf(id, range.bits) == range.index;
+}
+
+}  // namespace
+
+Update Members::ownUpdate() const {
+  Update update{settings_.self, settings_.incarnation, settings_.address, State::Alive, 0};
+  update.region = settings_.region;
+  update.usesAntiEntropy = settings_.antiEntropy;
+  return update;
+}
+
+bool Members::usesAntiEntropy(PeerId id) const {
+  const auto found = members_.find(id);
+  return settings_.antiEntropy && found != members_.end() && found->second.update.usesAntiEntropy;
+}
+
+// The dead are no part of it: they are forgotten at different times, and who never knew one need not learn of
+// it. That one believes in a life and the other does not makes the difference.
+Table Members::table() {
+  if (tableChanged_) {
+    tableChanged_ = false;
+    table_ = Table();
+    table_.region = settings_.region;
+    table_.reachable = static_cast<std::uint16_t>(reachableCount());
+    const auto add = [&](const Update& update) {
+      table_.digests.at(rangeOf(update.id, kRangeBits)) ^= static_cast<std::uint32_t>(keyOf(update));
+    };
+    add(ownUpdate());
+    for (const auto& [id, member] : members_)
+      if (member.update.state != State::Dead) add(member.update);
+  }
+  return table_;
+}
+
+void Members::compareTables(const Message& message, Micros now) {
+  if (!message.table) return;
+  mostReported_ = std::max(mostReported_, message.table->reachable);
+  const Table mine = table();
+  std::uint8_t ranges = 0;
+  for (std::size_t n = 0; n < kRanges; ++n)
+    if (mine.digests.at(n) != message.table->digests.at(n)) ranges |= static_cast<std::uint8_t>(1U << n);
+  std::erase_if(differingTables_, [&](const DifferingTable& one) { return one.id == message.sender; });
+  if (ranges == 0) return halveTransmissions();
+  if (differingTables_.size() == kMaxDiffering) differingTables_.erase(differingTables_.begin());
+  differingTables_.push_back({message.sender, ranges, now});
+}
+
+bool Members::hasAntiEntropyWork() const {
+  return settings_.antiEntropy &&
+         (hasPendingUpdates_ || !pendingAnswers_.empty() || !differingTables_.empty());
+}
+
+bool Members::isJoining(Micros now) const {
+  if (!settings_.antiEntropy || now - startedAt_ > kMaxJoining) return false;
+  return now - startedAt_ < kMinJoining ||
+         static_cast<double>(reachableCount()) < kJoinedFraction * static_cast<double>(mostReported_);
+}
+
+void Members::runAntiEntropy(Micros now, std::vector<Outgoing>& out) {
+  nextAntiEntropy_ = now + kGossipEvery;
+  std::erase_if(differingTables_, [&](const DifferingTable& one) {
+    return now - one.at > kDiffersFor || !isReachable(one.id) || !usesAntiEntropy(one.id);
+  });
+  std::erase_if(outstandingPulls_, [&](const OutstandingPull& one) { return now - one.at > kPullTimeout; });
+  std::erase_if(pendingAnswers_, [&](const PendingAnswer& one) { return now > one.until; });
+  sendRumours(now, out);
+  sendPull(now, out);
+  sendPages(now, out);
+}
+
+void Members::sendPull(Micros now, std::vector<Outgoing>& out) {
+  if (outstandingPulls_.size() >= kMaxPulls || now < nextPull_) return;
+  const auto source = choosePullSource(now);
+  if (!source) return;
+  const auto found = members_.find(source->id);
+  if (found == members_.end()) return;
+  Message message = make(Kind::Pull, ++lastNonce_);
+  message.table = table();
+  message.range = choosePullRange(source->ranges);
+  message.filter = filterOver(message.range, message.nonce).bytes();
+  const std::uint32_t nonce = message.nonce;
+  const std::size_t bytes = encode(message).size() + kSealBytes + kDatagramOverhead;
+  if (!pullBudget_.take(bytes, now)) return;
+  if (!send(found->second.update.address, std::move(message), Need::Optional, now, out)) return;
+  outstandingPulls_.push_back({nonce, source->id, now, 0, 0});
+  nextPull_ = now + pullGap_;
+  pullGap_ = std::min(2 * pullGap_, kMaxPullGap);
+}
+
+std::optional<Members::DifferingTable> Members::choosePullSource(Micros now) {
+  if (!isJoining(now)) {
+    if (differingTables_.empty()) return std::nullopt;
+    return differingTables_[static_cast<std::size_t>(uniform() *
+                                                     static_cast<double>(differingTables_.size()))];
+  }
+  // Who has just started lacks what anybody has, and who is asked learns of it. Those who have not spoken yet
+  // come first: perhaps nobody has spoken to them.
+  auto anybody = pickAlive(kMaxMembers, settings_.self);
+  std::erase_if(anybody, [](const Member* one) { return !one->update.usesAntiEntropy; });
+  if (anybody.empty()) return std::nullopt;
+  const auto silent = std::find_if(anybody.begin(), anybody.end(),
+                                   [](const Member* one) { return one->windowIncarnation == 0; });
+  const Member* const source = silent != anybody.end() ? *silent : anybody.front();
+  return DifferingTable{source->update.id, (1U << kRanges) - 1, now};
+}
+
+Range Members::choosePullRange(std::uint8_t ranges) {
+  Range range;
+  if (reachableCount() <= kMaxFiltered && std::popcount(ranges) != 1) return range;
+  range.bits = kRangeBits;
+  do {
+    range.index = static_cast<std::uint8_t>(uniform() * static_cast<double>(kRanges));
+  } while ((ranges >> range.index & 1) == 0);
+  while (reachableCount() >> range.bits > kMaxFiltered && range.bits < kMaxRangeBits) {
+    ++range.bits;
+    range.index = static_cast<std::uint8_t>(range.index << 1 | (isHeads() ? 0U : 1U));
+  }
+  return range;
+}
+
+BloomFilter Members::filterOver(const Range& range, std::uint32_t salt) const {
+  BloomFilter filter(reachableCount() >> range.bits, salt);
+  if (isInRange(settings_.self, range)) filter.add(keyOf(ownUpdate()));
+  for (const auto& [id, member] : members_)
+    if (member.update.state != State::Dead && isInRange(id, range)) filter.add(keyOf(member.update));
+  return filter;
+}
+
+void Members::beginPages(const Message& pull, Micros now, std::vector<Outgoing>& out) {
+  std::erase_if(pendingAnswers_, [&](const PendingAnswer& one) { return one.who == pull.sender; });
+  if (pendingAnswers_.size() == kMaxPending) return;
+  const BloomFilter filter(pull.filter, pull.nonce);
+  PendingAnswer pending{pull.nonce, pull.sender, pull.address, now + kPullTimeout, {}, 0, false};
+  const auto consider = [&](const Update& update) {
+    if (!isInRange(update.id, pull.range) || update.id == pull.sender) return;
+    // The dead are told of to who believes in them.
+    if (filter.holds(keyOf(update)) == (update.state == State::Dead)) pending.missing.push_back(update.id);
+  };
+  consider(ownUpdate());
+  for (const auto& [id, member] : members_) consider(member.update);
+  // What has been told least comes first, as it is what the fewest know; among equals chance decides.
+  const auto rank = [&](PeerId id) {
+    const auto found = members_.find(id);
+    return std::pair(found == members_.end() ? 0 : ~found->second.transmissionsLeft, mix(id ^ pull.nonce));
+  };
+  const std::size_t most = std::min(pending.missing.size(), kPagesPerPull * kMaxEntries);
+  std::partial_sort(pending.missing.begin(), pending.missing.begin() + static_cast<std::ptrdiff_t>(most),
+                    pending.missing.end(), [&](PeerId a, PeerId b) { return rank(a) < rank(b); });
+  pending.isTruncated = pending.missing.size() > most;
+  pending.missing.resize(most);
+  pendingAnswers_.push_back(std::move(pending));
+  sendPages(now, out);
+  nextAntiEntropy_ = std::min(nextAntiEntropy_, now + kGossipEvery);
+}
+
+// Pages as far as the bytes reach, each asker in turn.
+void Members::sendPages(Micros now, std::vector<Outgoing>& out) {
+  while (!pendingAnswers_.empty()) {
+    PendingAnswer pending = std::move(pendingAnswers_.front());
+    pendingAnswers_.erase(pendingAnswers_.begin());
+    Message page = make(Kind::Page, pending.nonce);
+    const std::size_t sentUntil = fillPage(page, pending);
+    const bool isLast = sentUntil >= pending.missing.size();
+    if (!send(pending.to, std::move(page), Need::Optional, now, out)) {
+      pendingAnswers_.insert(pendingAnswers_.begin(), std::move(pending));
+      return;
+    }
+    for (std::size_t n = pending.sent; n < sentUntil; ++n) {
+      const auto found = members_.find(pending.missing[n]);
+      if (found != members_.end() && found->second.transmissionsLeft > 0) --found->second.transmissionsLeft;
+    }
+    pending.sent = sentUntil;
+    if (!isLast) pendingAnswers_.push_back(std::move(pending));
+  }
+}
+
+std::size_t Members::fillPage(Message& page, const PendingAnswer& pending) const {
+  std::vector<Update> entries;
+  std::vector<std::size_t> ends;  // where in `missing` each entry ends
+  for (std::size_t n = pending.sent; n < pending.missing.size() && entries.size() < kMaxEntries; ++n) {
+    const PeerId id = pending.missing[n];
+    const auto found = members_.find(id);
+    if (id != settings_.self && found == members_.end()) continue;
+    Update update = id == settings_.self ? ownUpdate() : found->second.update;
+    // A suspicion goes by rumours, with its witnesses; here it is an incarnation that is believed in.
+    if (update.state == State::Suspect) update.state = State::Alive;
+    entries.push_back(update);
+    ends.push_back(n + 1);
+  }
+  std::vector<std::uint8_t> packed;
+  const std::size_t fits = packEntries(entries, roomForEntries(page), packed);
+  entries.resize(fits);
+  const std::size_t sentUntil = fits > 0 ? ends[fits - 1] : pending.missing.size();
+  const bool isLast = sentUntil >= pending.missing.size();
+  page.pageFlags =
+      static_cast<std::uint8_t>((isLast ? kLastPage : 0) | (isLast && pending.isTruncated ? kTruncated : 0));
+  page.entries = std::move(entries);
+  return sentUntil;
+}
+
+void Members::receivePage(const Message& page, Micros now, std::vector<Outgoing>& out) {
+  const auto found = std::find_if(
+      outstandingPulls_.begin(), outstandingPulls_.end(),
+      [&](const OutstandingPull& one) { return one.nonce == page.nonce && one.from == page.sender; });
+  // Not asked for, too late, or more than a pull brings: nothing is taken from it.
+  if (found == outstandingPulls_.end() || ++found->pages > 2 * kPagesPerPull) return;
+  lastAnsweredPingAt_ = std::max(lastAnsweredPingAt_.value_or(found->at), found->at);
+  found->gained += mergeEntries(page, now, out);
+  if (found->gained >= kProductivePull) {
+    pullGap_ = kPullGap;
+    nextPull_ = std::min(nextPull_, now + kPullGap);
+  }
+  if ((page.pageFlags & kLastPage) != 0) outstandingPulls_.erase(found);
+}
+
+std::size_t Members::mergeEntries(const Message& message, Micros now, std::vector<Outgoing>& out) {
+  std::size_t gained = 0;
+  std::vector<Update> corrections;
+  std::optional<Update> doubtful;
+  for (const Update& received : message.entries) {
+    const Update entry = message.kind == Kind::Page ? weighDeath(received, message.sender, now) : received;
+    if (apply(entry, now)) {
+      ++gained;
+      continue;
+    }
+    const auto found = members_.find(entry.id);
+    if (found == members_.end() || entry.id == message.sender) continue;
+    const Update& held = found->second.update;
+    if (held.incarnation > entry.incarnation && corrections.size() < kCorrections)
+      corrections.push_back(held);
+    const bool isDenied = held.incarnation == entry.incarnation && held.state == State::Dead &&
+                          entry.state == State::Alive && !found->second.hasLeft();
+    if (isDenied && message.kind == Kind::Page && (!doubtful || isHeads())) doubtful = held;
+  }
+  // It can speak for itself: the ping tells it what to refute.
+  if (doubtful) ping(doubtful->address, doubtful->id, Need::Optional, now, out);
+  if (!corrections.empty() && usesAntiEntropy(message.sender)) {
+    Message answer = make(Kind::Rumours, ++lastNonce_);
+    answer.entries = std::move(corrections);
+    send(message.address, std::move(answer), Need::Optional, now, out);
+  }
+  return gained;
+}
+
+// A rumour of a death is as old as its way; what a page holds may be from before a cut that has healed. So it
+// is one more witness, and the suspect is probed (as hashicorp/memberlist merges a remote state); unless it
+// has been a suspect here for longer than a refutation takes.
+Update Members::weighDeath(const Update& entry, PeerId sender, Micros now) const {
+  if (entry.state != State::Dead || entry.witness == entry.id) return entry;
+  const auto known = members_.find(entry.id);
+  const bool isUnrefuted = known != members_.end() && known->second.update.state == State::Suspect &&
+                           now - known->second.stateSince >= kRefutation;
+  if (isUnrefuted) return entry;
+  Update suspicion = entry;
+  suspicion.state = State::Suspect;
+  suspicion.witness = sender;
+  return suspicion;
+}
+
+}  // namespace ivypost::gossip
--- /dev/null
+++ b/src/gossip/members.cpp
@@ -0,0 +1,299 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+//
+// Members: what goes in and out, and what it answers when asked.
+#include "gossip/members.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace ivypost::gossip {
+namespace {
+
+// Every so many periods somebody is tried who should be there and is not reachable, or a seed.
+constexpr std::uint64_t kReconnectPeriods = 4;
+// Pings to be answered that are remembered: enough for some seconds.
+constexpr std::size_t kMaxSentPings = 64;
+constexpr double kMicrosPerSecond = 1e6;
+// Bytes that may be saved up for pulls, and for rumours.
+constexpr double kBurst = 2.0 * kMaxDatagram;
+constexpr Micros kMinPeriod = 1000;
+
+Settings clamped(Settings settings) {
+  settings.period = std::max(settings.period, kMinPeriod);
+  settings.timeout = std::clamp<Micros>(settings.timeout, 1, settings.period - 1);
+  return settings;
+}
+
+}  // namespace
+
+Members::Members(Settings settings, std::uint64_t seed, Micros now)
+    : settings_(clamped(std::move(settings))),
+      random_(seed),
+      lastNonce_(static_cast<std::uint32_t>(random_())),
+      lastTick_(now),
+      // Sidecars that start together must not all speak in the same moment.
+      nextPeriod_(now + static_cast<Micros>(uniform() * static_cast<double>(settings_.period))),
+      announcementAt_(now),
+      announcementAnswerAt_(now),
+      budget_(kRateFraction * settings_.bytesPerSecond, kDepthFraction * settings_.bytesPerSecond,
+              kDebtFraction * settings_.bytesPerSecond, now),
+      pullBudget_(kPullFraction * settings_.bytesPerSecond, kBurst, 0, now),
+      gossipBudget_(kGossipFraction * settings_.bytesPerSecond, kBurst, 0, now),
+      nextAntiEntropy_(now),
+      nextPull_(now),
+      startedAt_(now) {}
+
+Micros Members::nextTick() const {
+  Micros at = nextPeriod_;
+  if (probe_ && !probe_->acked && !probe_->relayed) at = std::min(at, probe_->relayAt);
+  for (const Relayed& one : relayed_)
+    if (!one.nacked) at = std::min(at, one.nackAt);
+  if (hasAntiEntropyWork()) at = std::min(at, nextAntiEntropy_);
+  return at;
+}
+
+void Members::tick(Micros now, std::vector<Outgoing>& out) {
+  resumeAfterPause(now);
+  std::erase_if(sentPings_, [&](const SentPing& one) { return now - one.at > 2 * settings_.isolatedAfter; });
+  sweepRelays(now, out);
+  relayProbe(now, out);
+  if (now >= nextPeriod_) beginPeriod(now, out);
+  if (settings_.antiEntropy && now >= nextAntiEntropy_ && hasAntiEntropyWork()) runAntiEntropy(now, out);
+  if (sentPings_.size() > kMaxSentPings)
+    sentPings_.erase(sentPings_.begin(), sentPings_.end() - kMaxSentPings);
+  updateQuorum(now);
+}
+
+void Members::beginPeriod(Micros now, std::vector<Outgoing>& out) {
+  endProbe(now);
+  sweepMembers(now);
+  if (!isJoining(now)) beginProbe(now, out);
+  if (settings_.antiEntropy) pingOwnRegion(now, out);
+  const bool isDue = ++periods_ % kReconnectPeriods == 0 && !isJoining(now);
+  if (isDue || aliveCount_ == 0) reconnect(now, out);
+  nextPeriod_ = now + period();
+}
+
+void Members::leave(Micros now, std::vector<Outgoing>& out) {
+  const Update gone{settings_.self, settings_.incarnation, settings_.address, State::Dead, settings_.self};
+  for (const Member* one : pickAlive(transmissionLimit(), settings_.self)) {
+    const bool usesAntiEntropy = settings_.antiEntropy && one->update.usesAntiEntropy;
+    Message message = make(usesAntiEntropy ? Kind::Rumours : Kind::Ping, ++lastNonce_);
+    (usesAntiEntropy ? message.entries : message.updates) = {gone};
+    if (!send(one->update.address, std::move(message), Need::Required, now, out)) return;
+  }
+}
+
+void Members::charge(std::size_t bytes, Micros now) {
+  if (settings_.antiEntropy) budget_.charge(bytes, now);
+}
+
+std::vector<const Members::Member*> Members::pickAlive(std::uint32_t most, PeerId butNot,
+                                                       Micros heardNoEarlierThan) {
+  std::vector<const Member*> alive;
+  std::vector<const Member*> some;
+  for (const auto& [id, member] : members_)
+    if (member.update.state == State::Alive && id != butNot && member.lastMessageAt >= heardNoEarlierThan)
+      alive.push_back(&member);
+  while (some.size() < most && !alive.empty()) {
+    const auto at = static_cast<std::size_t>(uniform() * static_cast<double>(alive.size()));
+    some.push_back(alive[at]);
+    alive[at] = alive.back();
+    alive.pop_back();
+  }
+  return some;
+}
+
+bool Members::takeToken(double& credit, Micros& at, double perSecond, Micros now) {
+  credit = std::min(perSecond, credit + perSecond * static_cast<double>(now - at) / kMicrosPerSecond);
+  at = now;
+  if (credit < 1) return false;
+  credit -= 1;
+  return true;
+}
+
+// ---- Messages ---------------------------------------------------------------------------------------------
+
+Message Members::make(Kind kind, std::uint32_t nonce) {
+  Message message;
+  message.kind = kind;
+  message.sender = settings_.self;
+  message.incarnation = settings_.incarnation;
+  message.address = settings_.address;
+  message.sequence = ++sequence_;
+  message.nonce = nonce;
+  return message;
+}
+
+bool Members::send(const Address& to, Message message, Need need, Micros now, std::vector<Outgoing>& out) {
+  if (settings_.antiEntropy) {
+    const std::size_t bytes = encode(message).size() + kSealBytes + kDatagramOverhead;
+    if (need == Need::Optional ? !budget_.take(bytes, now) : !budget_.demand(bytes, now)) return false;
+  }
+  out.push_back({to, std::move(message)});
+  return true;
+}
+
+std::optional<std::uint32_t> Members::ping(const Address& to, PeerId about, Need need, Micros now,
+                                           std::vector<Outgoing>& out) {
+  Message message = make(Kind::Ping, ++lastNonce_);
+  if (settings_.antiEntropy) message.table = table();
+  piggyback(message, about, false, now);
+  const std::uint32_t nonce = message.nonce;
+  if (!send(to, std::move(message), need, now, out)) return std::nullopt;
+  sentPings_.push_back({nonce, now});
+  return nonce;
+}
+
+std::optional<Micros> Members::elapsedSincePing(const Message& ack, Micros now) const {
+  if (ack.kind != Kind::Ack && ack.kind != Kind::Nack) return std::nullopt;
+  const auto found = std::find_if(sentPings_.begin(), sentPings_.end(),
+                                  [&](const SentPing& one) { return one.nonce == ack.nonce; });
+  if (found == sentPings_.end() || now - found->at > settings_.isolatedAfter) return std::nullopt;
+  return now - found->at;
+}
+
+bool Members::receive(const Message& message, Micros now, std::vector<Outgoing>& out) {
+  if (message.sender == settings_.self) {
+    // An echo of one's own is nothing; somebody else under this name is.
+    if (message.address != settings_.address || message.incarnation > settings_.incarnation)
+      nameConflictAt_ = now;
+    return false;
+  }
+  Update sender{message.sender, message.incarnation, message.address, State::Alive, 0};
+  sender.usesAntiEntropy =
+      settings_.antiEntropy && (message.table.has_value() || message.kind > Kind::Announce);
+  sender.region = message.table ? message.table->region : std::uint8_t{0};
+  apply(sender, now);
+  const auto found = members_.find(message.sender);
+  if (found == members_.end()) return false;  // the table is full
+  if (!acceptSequence(found->second, message, now, out)) return false;
+  found->second.lastMessageAt = now;
+  for (const Update& update : message.updates) apply(update, now);
+  if (settings_.antiEntropy) {
+    // Those of a page count only where it answers a pull.
+    if (message.kind != Kind::Page) mergeEntries(message, now, out);
+    compareTables(message, now);
+  }
+  dispatch(message, now, out);
+  updateQuorum(now);
+  return true;
+}
+
+void Members::dispatch(const Message& message, Micros now, std::vector<Outgoing>& out) {
+  switch (message.kind) {
+    case Kind::Ping:
+      return answerPing(message, now, out);
+    case Kind::Relay:
+      return beginRelay(message, now, out);
+    case Kind::Announce:
+      if (takeToken(announcementAnswerCredit_, announcementAnswerAt_, kFanOut * kAnnouncementsPerSecond, now))
+        ping(message.address, message.sender, Need::Optional, now, out);
+      return;
+    case Kind::Rumours:
+      return;
+    case Kind::Pull:
+      if (settings_.antiEntropy) beginPages(message, now, out);
+      return;
+    case Kind::Page:
+      if (settings_.antiEntropy) receivePage(message, now, out);
+      return;
+    case Kind::Ack:
+    case Kind::Nack:
+      return receiveAnswer(message, now, out);
+  }
+}
+
+void Members::answerPing(const Message& message, Micros now, std::vector<Outgoing>& out) {
+  Message ack = make(Kind::Ack, message.nonce);
+  if (settings_.antiEntropy) ack.table = table();
+  // Who knows nobody yet asks again. While all start at once a few are asked by all, and must not miss the
+  // probes of those who know them.
+  const bool isNewcomer = message.table && message.table->reachable <= 1;
+  piggyback(ack, message.sender, isNewcomer, now);
+  send(message.address, std::move(ack), isNewcomer ? Need::Optional : Need::Required, now, out);
+}
+
+// A replay, or what speaks with an incarnation that has been outbid. The latter is told so, and not too
+// often: after a restart with its clock set back it could not be heard again otherwise.
+bool Members::acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out) {
+  if (message.incarnation < member.windowIncarnation) {
+    if (message.kind != Kind::Ping ||
+        (member.correctedAt != 0 && now - member.correctedAt < settings_.period))
+      return false;
+    member.correctedAt = now;
+    Message ack = make(Kind::Ack, message.nonce);
+    ack.updates = {member.update};
+    send(message.address, std::move(ack), Need::Required, now, out);
+    return false;
+  }
+  if (message.incarnation > member.windowIncarnation) {
+    member.window = ReplayWindow();
+    member.windowIncarnation = message.incarnation;
+  }
+  return member.window.take(message.sequence);
+}
+
+// ---- What is known ----------------------------------------------------------------------------------------
+
+std::size_t Members::knownCount() const {
+  return static_cast<std::size_t>(
+      std::count_if(members_.begin(), members_.end(), [](const auto& one) { return !one.second.hasLeft(); }));
+}
+
+double Members::reachableFraction() const {
+  if (settings_.region == 0) {
+    const double should = std::ceil(static_cast<double>(settings_.expected) / kExpectedTolerance);
+    return static_cast<double>(reachableCount()) / std::max(static_cast<double>(knownCount() + 1), should);
+  }
+  std::size_t reachableHere = 1;
+  std::size_t knownHere = 1;
+  for (const auto& [id, member] : members_) {
+    if (member.update.region != settings_.region || member.hasLeft()) continue;
+    ++knownHere;
+    reachableHere += member.update.state != State::Dead ? 1 : 0;
+  }
+  const double should = std::ceil(static_cast<double>(settings_.regionExpected) / kExpectedTolerance);
+  return static_cast<double>(reachableHere) / std::max(static_cast<double>(knownHere), should);
+}
+
+void Members::updateQuorum(Micros now) {
+  if (reachableFraction() >= settings_.quorumFraction) {
+    belowQuorumSince_.reset();
+  } else if (!belowQuorumSince_) {
+    belowQuorumSince_ = now;
+  }
+}
+
+bool Members::isIsolated(Micros now) const {
+  if (aliveCount_ == 0 || !lastAnsweredPingAt_ || now - *lastAnsweredPingAt_ > settings_.isolatedAfter)
+    return true;
+  return hasNameConflict(now) || (belowQuorumSince_ && now - *belowQuorumSince_ > settings_.isolatedAfter);
+}
+
+bool Members::isReachable(PeerId id) const {
+  const auto found = members_.find(id);
+  return id == settings_.self || (found != members_.end() && found->second.update.state != State::Dead);
+}
+
+PeerId Members::ownerOf(std::uint64_t key) const {
+  PeerId best = settings_.self;
+  std::uint64_t most = mix(key ^ mix(best));
+  for (const auto& [id, member] : members_) {
+    const std::uint64_t weight = mix(key ^ mix(id));
+    if (member.update.state == State::Dead || weight <= most) continue;
+    best = id;
+    most = weight;
+  }
+  return best;
+}
+
+std::vector<Update> Members::updates() const {
+  std::vector<Update> all;
+  all.reserve(members_.size());
+  for (const auto& [id, member] : members_) all.push_back(member.update);
+  return all;
+}
+
+}  // namespace ivypost::gossip
--- a/src/peers/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "peers/seal.h"
+#include "gossip/seal.h"
 
 #include <sodium.h>
 
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <stdexcept>
 
-namespace ivypost::peers {
+namespace ivypost::gossip {
 
 Seal Seal::read(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -34,8 +34,8 @@
   const auto message = datagram.first(datagram.size() - kSealBytes);
   std::array<std::uint8_t, kSealBytes> seal{};
   crypto_generichash(seal.data(), seal.size(), message.data(), message.size(), key_.data(), key_.size());
-  if (sodium_memcmp(seal.data(), datagram.data() + message.size(), kSealBytes) != 0) return {};
+  if (sodium_memcmp(seal.data(), datagram.last(kSealBytes).data(), kSealBytes) != 0) return {};
   return message;
 }
 
-}  // namespace ivypost::peers
+}  // namespace ivypost::gossip
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "discovery/endpoint_list.h"
-#include "peers/message.h"
+#include "gossip/message.h"
 #include "settings/format_error.h"
 #include "settings/site.h"
 
@@ -25,8 +25,8 @@
   std::optional<Endpoint> console;  // the operators' address; none: off
   // Where this sidecar hears the others, and where each of them is reached, by number; none: the platform
   // gives none.
-  std::optional<peers::Address> peerListen;
-  std::vector<peers::Address> peers;
+  std::optional<gossip::Address> peerListen;
+  std::vector<gossip::Address> peers;
   // The platform's listening socket for clients; none: this process makes its own.
   std::optional<int> listener;
   std::string tempFolder;  // that outlives the process while it is replaced; empty: none
