--- a/src/admission/admission_queue.cpp
+++ b/src/admission/admission_queue.cpp
@@ -22,8 +22,8 @@
   std::vector<std::size_t> order(classCount_);
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(),
-                   [&](auto a, auto b) { return priorityWeights[a] > priorityWeights[b]; });
-  for (std::size_t n = 0; n < classCount_; ++n) laneOfClass_[order[n]] = n;
+                   [&](auto a, auto b) { return priorityWeights.at(a) > priorityWeights.at(b); });
+  for (std::size_t n = 0; n < classCount_; ++n) laneOfClass_.at(order.at(n)) = n;
 }
 
 std::size_t AdmissionQueue::laneOf(const QueuedRequest& request) const {
@@ -34,15 +34,15 @@
   if (laneById_.empty()) nonEmptySince_ = now;
   const std::size_t lane = laneOf(request);
   // By arrival, which may lie before that of one read earlier.
-  auto& requests = lanes_[lane].requests;
+  auto& requests = lanes_.at(lane).requests;
   const auto position =
       std::upper_bound(requests.begin(), requests.end(), request.arrived,
                        [](Micros at, const QueuedRequest& other) { return at < other.arrived; });
   requests.insert(position, request);
   laneById_.emplace(request.id, lane);
   if (request.tenant) {
-    const auto own = static_cast<double>(++countByTenant_[*request.tenant]);
-    if (own > std::max(1.0, settings_.maxTenantFraction * static_cast<double>(settings_.maxRequests)))
+    const auto count = static_cast<double>(++countByTenant_[*request.tenant]);
+    if (count > std::max(1.0, settings_.maxTenantFraction * static_cast<double>(settings_.maxRequests)))
       return evictFrom(request.tenant, Outcome::TenantFull);
   }
   if (laneById_.size() > settings_.maxRequests) return evictFrom(std::nullopt, Outcome::QueueFull);
@@ -52,12 +52,12 @@
 std::optional<Decision> AdmissionQueue::next(Micros now) {
   if (laneById_.empty()) return std::nullopt;
   if (const auto late = rejectLate(now)) return late;
-  const bool overload = isOverloaded(now);
-  const auto lane = overload || alwaysByPriority_ ? highestPriorityLane() : oldestLane();
+  const bool isOverload = isOverloaded(now);
+  const auto lane = isOverload || alwaysByPriority_ ? highestPriorityLane() : oldestLane();
   if (!lane) return std::nullopt;
-  auto& chosen = lanes_[*lane];
+  auto& chosen = lanes_.at(*lane);
   chosen.servedAt = ++turn_;
-  const QueuedRequest request = take(*lane, overload ? chosen.requests.size() - 1 : 0);
+  const QueuedRequest request = remove(*lane, isOverload ? chosen.requests.size() - 1 : 0);
   if (request.deadline - now < settings_.minRemainingTime) return Decision{request.id, Outcome::TooLate};
   return Decision{request.id, Outcome::Forward};
 }
@@ -70,23 +70,23 @@
   const auto found = laneById_.find(id);
   if (found == laneById_.end()) return false;
   const std::size_t lane = found->second;
-  const auto& requests = lanes_[lane].requests;
+  const auto& requests = lanes_.at(lane).requests;
   const auto position =
       std::find_if(requests.begin(), requests.end(), [id](const QueuedRequest& one) { return one.id == id; });
-  take(lane, static_cast<std::size_t>(position - requests.begin()));
+  remove(lane, static_cast<std::size_t>(position - requests.begin()));
   return true;
 }
 
-// The oldest of each lane stand in front, so that what is late is found at once, wherever its turn would be.
+// The oldest of each lane stands in front, so that what is late is found at once, wherever its turn would be.
 std::optional<Decision> AdmissionQueue::rejectLate(Micros now) {
-  const bool overload = isOverloaded(now);
+  const bool isOverload = isOverloaded(now);
   for (std::size_t lane = lanes_.size(); lane-- > 0;) {
-    if (lanes_[lane].requests.empty()) continue;
-    const QueuedRequest& oldest = lanes_[lane].requests.front();
+    if (lanes_.at(lane).requests.empty()) continue;
+    const QueuedRequest& oldest = lanes_.at(lane).requests.front();
     if (oldest.deadline - now < settings_.minRemainingTime)
-      return Decision{take(lane, 0).id, Outcome::TooLate};
-    const Micros most = lane == 0 ? settings_.interval : settings_.targetDelay;
-    if (overload && now - oldest.arrived > most) return Decision{take(lane, 0).id, Outcome::Overload};
+      return Decision{remove(lane, 0).id, Outcome::TooLate};
+    const Micros maxWait = lane == 0 ? settings_.interval : settings_.targetDelay;
+    if (isOverload && now - oldest.arrived > maxWait) return Decision{remove(lane, 0).id, Outcome::Overload};
   }
   return std::nullopt;
 }
@@ -94,39 +94,40 @@
 std::optional<std::size_t> AdmissionQueue::oldestLane() const {
   std::optional<std::size_t> found;
   for (std::size_t lane = 0; lane < lanes_.size(); ++lane) {
-    if (lanes_[lane].requests.empty()) continue;
-    if (!found || lanes_[lane].requests.front().arrived < lanes_[*found].requests.front().arrived)
+    if (lanes_.at(lane).requests.empty()) continue;
+    if (!found || lanes_.at(lane).requests.front().arrived < lanes_.at(*found).requests.front().arrived)
       found = lane;
   }
   return found;
 }
 
-std::optional<std::size_t> AdmissionQueue::highestPriorityLane() {
-  std::optional<std::size_t> best, servedLongestAgo;
+std::optional<std::size_t> AdmissionQueue::highestPriorityLane() const {
+  std::optional<std::size_t> best;
+  std::optional<std::size_t> servedLongestAgo;
   for (std::size_t lane = 0; lane < lanes_.size(); ++lane) {
-    if (lanes_[lane].requests.empty()) continue;
+    if (lanes_.at(lane).requests.empty()) continue;
     if (!best) best = lane;
-    if (!servedLongestAgo || lanes_[lane].servedAt < lanes_[*servedLongestAgo].servedAt)
+    if (!servedLongestAgo || lanes_.at(lane).servedAt < lanes_.at(*servedLongestAgo).servedAt)
       servedLongestAgo = lane;
   }
   return (turn_ + 1) % kFairTurnInterval == 0 ? servedLongestAgo : best;
 }
 
-// Of the least worthy lane the one that has waited longest: it has the least time left.
+// Of the lane of the lowest priority, the one that has waited longest: it has the least time left.
 std::optional<Decision> AdmissionQueue::evictFrom(std::optional<std::uint32_t> tenant, Outcome outcome) {
   for (std::size_t lane = lanes_.size(); lane-- > 0;) {
-    const auto& requests = lanes_[lane].requests;
+    const auto& requests = lanes_.at(lane).requests;
     const auto position = std::find_if(requests.begin(), requests.end(), [&](const QueuedRequest& one) {
       return !tenant || one.tenant == tenant;
     });
     if (position != requests.end())
-      return Decision{take(lane, static_cast<std::size_t>(position - requests.begin())).id, outcome};
+      return Decision{remove(lane, static_cast<std::size_t>(position - requests.begin())).id, outcome};
   }
   return std::nullopt;
 }
 
-QueuedRequest AdmissionQueue::take(std::size_t lane, std::size_t position) {
-  auto& requests = lanes_[lane].requests;
+QueuedRequest AdmissionQueue::remove(std::size_t lane, std::size_t position) {
+  auto& requests = lanes_.at(lane).requests;
   const auto at = requests.begin() + static_cast<std::ptrdiff_t>(position);
   const QueuedRequest request = *at;
   requests.erase(at);
--- a/src/admission/connection_limiter.cpp
+++ b/src/admission/connection_limiter.cpp
@@ -12,7 +12,7 @@
   return list.insert(list.end(), Connection{id, State::Silent, now, 0, 0});
 }
 
-// Within the lists, so that nothing is allocated for a request.
+// Splices within the lists, so that nothing is allocated for a request.
 void ConnectionLimiter::move(Slot slot, State state, Micros now) {
   auto& to = listOf(state);
   to.splice(to.end(), listOf(slot->state), slot);
@@ -28,9 +28,9 @@
 }
 
 bool ConnectionLimiter::keepsAlive(Slot slot) const {
-  const auto part = static_cast<double>(size_) / static_cast<double>(settings_.maxConnections);
-  if (part <= settings_.keepAnyFraction) return true;
-  return part <= settings_.keepReusedFraction && slot->requests > 1 &&
+  const auto fraction = static_cast<double>(size_) / static_cast<double>(settings_.maxConnections);
+  if (fraction <= settings_.keepAnyFraction) return true;
+  return fraction <= settings_.keepReusedFraction && slot->requests > 1 &&
          slot->lastIdleTime <= settings_.idleTimeout;
 }
 
@@ -54,27 +54,27 @@
 
 std::vector<ConnectionId> ConnectionLimiter::evictionCandidates(Micros now) const {
   std::vector<ConnectionId> found;
-  const auto take = [&](State state, Micros keep) {
+  const auto append = [&](State state, Micros timeout) {
     for (const Connection& connection : listOf(state)) {
-      if (found.size() >= kMaxCandidates || now - connection.since < keep) break;
+      if (found.size() >= kMaxCandidates || now - connection.since < timeout) break;
       found.push_back(connection.id);
     }
   };
-  take(State::Closing, 0);
-  take(State::Silent, settings_.silentTimeout);
-  take(State::Idle, settings_.idleTimeout);
+  append(State::Closing, 0);
+  append(State::Silent, settings_.silentTimeout);
+  append(State::Idle, settings_.idleTimeout);
   return found;
 }
 
 Micros ConnectionLimiter::nextEvictionAt(Micros now) const {
   Micros next = now + kMaxWait;
-  const auto due = [&](State state, Micros keep) {
-    if (!listOf(state).empty()) next = std::min(next, listOf(state).front().since + keep);
+  const auto consider = [&](State state, Micros timeout) {
+    if (!listOf(state).empty()) next = std::min(next, listOf(state).front().since + timeout);
   };
-  // Whether an answer has arrived is known only by looking.
-  due(State::Closing, 0);
-  due(State::Silent, settings_.silentTimeout);
-  due(State::Idle, settings_.idleTimeout);
+  // Whether its last response is acknowledged is known only by asking the kernel.
+  consider(State::Closing, 0);
+  consider(State::Silent, settings_.silentTimeout);
+  consider(State::Idle, settings_.idleTimeout);
   return std::max(next, now + kMinWait);
 }
 
--- a/src/admission/expiring_average.h
+++ b/src/admission/expiring_average.h
@@ -1,36 +1,39 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// How long something took lately. No I/O and no clock.
 #ifndef IVYPOST_ADMISSION_EXPIRING_AVERAGE_H_
 #define IVYPOST_ADMISSION_EXPIRING_AVERAGE_H_
 
-#include <cstdint>
 #include <optional>
 
-namespace ivypost::admission {
+#include "admission/time.h"
 
-using Micros = std::int64_t;
+namespace ivypost::admission {
 
-// Guards against an estimate that keeps itself alive: when everything is refused because of it, nothing is
-// measured any more, and it would never change. So one that is older than kTimeToLive says nothing, and what
-// is then let through measures anew.
+/// An exponentially weighted moving average of recent durations, which expires. No I/O and no clock.
+///
+/// Guards against an average that keeps itself alive: when all requests are rejected because of it, nothing
+/// is measured any more, and it would never change. So one that is older than kTimeToLive is unknown, and
+/// what is admitted then is measured anew.
 class ExpiringAverage {
  public:
-  void add(Micros took, Micros now) {
-    value_ = isCurrent(now) ? value_ + (took - value_) / kWeightDivisor : took;
-    addedAt_ = now;
-  }
-  // 0: nothing is known.
-  Micros value(Micros now) const { return isCurrent(now) ? value_ : 0; }
-
+  /// A new measurement counts for one part of so many.
   static constexpr Micros kWeightDivisor = 16;
+  /// How long after its last measurement the average is known.
   static constexpr Micros kTimeToLive = 500'000;
 
+  /// Adds a duration that was measured at `now`. The first one, and the first after an expiry, is the
+  /// average.
+  void add(Micros duration, Micros now) {
+    value_ = isCurrent(now) ? value_ + (duration - value_) / kWeightDivisor : duration;
+    addedAt_ = now;
+  }
+  /// The average; 0: unknown.
+  [[nodiscard]] Micros value(Micros now) const { return isCurrent(now) ? value_ : 0; }
+
  private:
-  bool isCurrent(Micros now) const { return addedAt_ && now - *addedAt_ <= kTimeToLive; }
+  [[nodiscard]] bool isCurrent(Micros now) const { return addedAt_ && now - *addedAt_ <= kTimeToLive; }
 
   Micros value_ = 0;
-  std::optional<Micros> addedAt_;  // of the last measure
+  std::optional<Micros> addedAt_;  // of the last measurement
 };
 
 }  // namespace ivypost::admission
--- a/src/admission/tcp_state.h
+++ b/src/admission/tcp_state.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// What the kernel knows of the other end of a TCP connection. One system call each, none waits. Linux only;
-// where the kernel doesn't say, the answer is the one that changes nothing.
+/// \file
+/// What the kernel knows of a TCP connection and its other end. One system call each, which does not wait.
+/// Linux only. Where the kernel gives an error, each returns what has its caller change nothing.
 #ifndef IVYPOST_ADMISSION_TCP_STATE_H_
 #define IVYPOST_ADMISSION_TCP_STATE_H_
 
@@ -9,19 +9,21 @@
 
 namespace ivypost::admission {
 
-// It has ended its sending, or the connection has broken; data that came before may still stand unread.
-bool hasPeerClosed(int socket);
+/// Whether the other end has ended its sending, or the connection is broken; data that came before that may
+/// be unread (poll(2), POLLRDHUP). False on an error.
+[[nodiscard]] bool hasPeerClosed(int socket);
 
-// Since data last came, in whole milliseconds, rounded down; 0 where unknown (tcp(7), TCP_INFO:
-// tcpi_last_data_recv). What stood in a queue was received by then, whenever it is read.
-std::chrono::milliseconds timeSinceLastData(int socket);
+/// The time since data last came, in whole milliseconds, rounded down (tcp(7), TCP_INFO:
+/// tcpi_last_data_recv). What stood in a queue had been received by then, whenever it is read. 0 on an error.
+[[nodiscard]] std::chrono::milliseconds timeSinceLastData(int socket);
 
-// All that was sent, and the end of sending, has been acknowledged: closing can cost the peer nothing that it
-// has not got (tcp(7), SIOCOUTQ).
-bool isAllAcknowledged(int socket);
+/// Whether all that was sent, and the end of sending, has been acknowledged (tcp(7), SIOCOUTQ): closing can
+/// lose nothing that the other end has not got. False on an error.
+[[nodiscard]] bool isAllAcknowledged(int socket);
 
-// Something that was sent, or the end of sending, is known to be on its way still.
-bool hasUnacknowledgedData(int socket);
+/// Whether something that was sent, or the end of sending, is not acknowledged. False on an error, so this is
+/// not the contrary of isAllAcknowledged().
+[[nodiscard]] bool hasUnacknowledgedData(int socket);
 
 }  // namespace ivypost::admission
 
--- a/src/admission/tenant_quotas.cpp
+++ b/src/admission/tenant_quotas.cpp
@@ -18,23 +18,23 @@
   if (now <= decayedAt_) return;
   const double kept = std::exp(-static_cast<double>(now - decayedAt_) / kTimeConstant);
   decayedAt_ = now;
-  total_ *= kept;
+  requests_ *= kept;
   beyondQuota_ *= kept;
-  for (Tenant& tenant : tenants_) tenant.sum *= kept;
+  for (Tenant& tenant : tenants_) tenant.requests *= kept;
 }
 
 bool TenantQuotas::recordArrival(std::optional<std::uint32_t> tenant, Micros now) {
   decay(now);
-  total_ += 1;
+  requests_ += 1;
   if (!hasQuotas_ || !tenant || *tenant >= tenants_.size()) return false;
-  Tenant& own = tenants_[*tenant];
-  own.sum += 1;
-  const double allowed = own.quota * total_ * kTolerance;
-  if (total_ < kMinRequests || own.sum <= allowed) {
+  Tenant& own = tenants_.at(*tenant);
+  own.requests += 1;
+  const double allowed = own.quota * requests_ * kTolerance;
+  if (requests_ < kMinRequests || own.requests <= allowed) {
     own.credit = 0;
     return false;
   }
-  own.credit += allowed / own.sum;
+  own.credit += allowed / own.requests;
   if (own.credit >= 1) {
     own.credit -= 1;
     return false;
@@ -45,7 +45,7 @@
 
 double TenantQuotas::beyondQuotaFraction(Micros now) {
   decay(now);
-  return total_ < kMinRequests ? 0 : std::min(1.0, beyondQuota_ / total_);
+  return requests_ < kMinRequests ? 0 : std::min(1.0, beyondQuota_ / requests_);
 }
 
 }  // namespace ivypost::admission
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -1,10 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Which requests lie within their school's share of the traffic. A school that sends more keeps its share: of
-// its requests just so many are marked as beyond it. No I/O and no clock.
-//
-// Rates are sums that decay with kTimeConstant, so that a school which was quiet may send a burst before it
-// counts as over its share, and one that has stopped is forgotten.
 #ifndef IVYPOST_ADMISSION_TENANT_QUOTAS_H_
 #define IVYPOST_ADMISSION_TENANT_QUOTAS_H_
 
@@ -12,38 +6,48 @@
 #include <optional>
 #include <vector>
 
-namespace ivypost::admission {
+#include "admission/time.h"
 
-using Micros = std::int64_t;
+namespace ivypost::admission {
 
+/// Which requests lie within their tenant's quota, a fraction of all traffic. A tenant that sends more keeps
+/// its quota: of its requests just so many are marked as beyond it. No I/O and no clock.
+///
+/// Invariant: rates are sums that decay with kTimeConstant of the caller's monotonic clock, so that a tenant
+/// that was quiet may send a burst before it exceeds its quota, and one that has stopped is forgotten. It
+/// holds one entry a tenant of the settings.
 class TenantQuotas {
  public:
-  // `shares`: by school's number, of all traffic; negative or not finite counts as 0. When all are 0, nobody
-  // is ever beyond his share.
-  explicit TenantQuotas(std::vector<double> quotas);
+  /// Time constant of the decay, in microseconds.
+  static constexpr double kTimeConstant = 2e6;
+  /// With fewer recent requests than this nothing is beyond a quota: they say nothing of anyone's rate.
+  static constexpr double kMinRequests = 20;
+  /// A tenant exceeds its quota only past this many times it: chance alone makes some send more than others.
+  static constexpr double kTolerance = 1.25;
 
-  // A request came: whether it lies beyond its school's share. One without a school never does; neither does
-  // one while fewer than kMinRequests lately came, which say nothing of anyone's rate.
-  bool recordArrival(std::optional<std::uint32_t> tenant, Micros now);
+  /// `quotas`: by tenant, in proportion to each other; negative or not finite counts as 0. When all are 0,
+  /// nothing is ever beyond a quota.
+  explicit TenantQuotas(std::vector<double> quotas);
 
-  // The part of the lately come requests that lay beyond a share; 0 to 1.
-  double beyondQuotaFraction(Micros now);
+  /// A request came at `now`: whether it is beyond its tenant's quota. Never one without a tenant, or of a
+  /// tenant without a quota entry.
+  [[nodiscard]] bool recordArrival(std::optional<std::uint32_t> tenant, Micros now);
 
-  static constexpr double kTimeConstant = 2e6;  // microseconds
-  static constexpr double kMinRequests = 20;
-  // A school is beyond its share only past this many times it: chance alone makes some send more than others.
-  static constexpr double kTolerance = 1.25;
+  /// The fraction of recent requests that were beyond a quota; 0 to 1.
+  [[nodiscard]] double beyondQuotaFraction(Micros now);
 
  private:
   struct Tenant {
-    double quota = 0, sum = 0;
-    double credit = 0;  // of requests within the share, carried over from the last; 0 to 1
+    double quota = 0;     // of all requests; 0 to 1
+    double requests = 0;  // decaying sum
+    double credit = 0;    // of requests within the quota, carried over from the last one; 0 to 1
   };
   void decay(Micros now);
 
   std::vector<Tenant> tenants_;
   bool hasQuotas_ = false;
-  double total_ = 0, beyondQuota_ = 0;  // decaying sums
+  double requests_ = 0;     // decaying sum
+  double beyondQuota_ = 0;  // decaying sum
   Micros decayedAt_ = 0;
 };
 
--- a/src/admission/trace_ids.cpp
+++ b/src/admission/trace_ids.cpp
@@ -5,7 +5,7 @@
 
 bool TraceIds::isFree(std::uint64_t id, Micros now) {
   removeExpired(now);
-  return ids_.count(id) == 0;
+  return !ids_.contains(id);
 }
 
 bool TraceIds::open(std::uint64_t id, Micros now) {
--- a/tests/admission/admission_queue_test.cpp
+++ b/tests/admission/admission_queue_test.cpp
@@ -9,20 +9,18 @@
 #include <set>
 #include <vector>
 
-#include "admission/expiring_average.h"
-
 namespace ivypost::admission {
 namespace {
 
-constexpr Micros kMs = 1000;
-constexpr Micros kFar = 1'000'000'000;
+constexpr Micros kMillisecond = 1000;
+constexpr Micros kFarDeadline = 1'000'000'000;
 
-// Class 1 is worth most, as reserva-sala may stand anywhere in the settings.
+// Class 1 has the highest priority, as reserva-sala may stand anywhere in the settings.
 const std::vector<double> kPriorityWeights = {2, 5, 1};
 
-QueuedRequest request(RequestId id, std::uint32_t cls, Micros arrived, bool beyond = false,
-                      std::optional<std::uint32_t> tenant = std::nullopt, Micros deadline = kFar) {
-  return {id, cls, tenant, beyond, arrived, deadline};
+QueuedRequest request(RequestId id, std::uint32_t requestClass, Micros arrived, bool beyond = false,
+                      std::optional<std::uint32_t> tenant = std::nullopt, Micros deadline = kFarDeadline) {
+  return {id, requestClass, tenant, beyond, arrived, deadline};
 }
 
 std::vector<RequestId> forwarded(AdmissionQueue& queue, Micros now) {
@@ -33,7 +31,7 @@
   return ids;
 }
 
-TEST(AdmissionQueue, GoesInTheOrderOfArrivalWhileTheCoreKeepsUp) {
+TEST(AdmissionQueue, ForwardsInTheOrderOfArrivalWhileTheCoreKeepsUp) {
   AdmissionQueue queue({}, kPriorityWeights);
   // Read in another order than they came in.
   queue.push(request(1, 0, 30), 100);
@@ -44,7 +42,7 @@
   EXPECT_EQ(queue.next(100), std::nullopt);
 }
 
-TEST(AdmissionQueue, GoesByWorthWhenItIsTold) {
+TEST(AdmissionQueue, ForwardsByPriorityWhenThatIsSet) {
   AdmissionQueue queue({}, kPriorityWeights);
   queue.setPriorityOrder(true);
   queue.push(request(1, 2, 0), 0);
@@ -52,13 +50,13 @@
   queue.push(request(3, 0, 2), 0);
   queue.push(request(4, 1, 3), 0);
   queue.push(request(5, 1, 4), 0);
-  // Within shares by worth and in the order of arrival, then beyond them.
+  // Within quotas by priority and in the order of arrival, then beyond them.
   EXPECT_EQ(forwarded(queue, 5), (std::vector<RequestId>{4, 5, 3, 1, 2}));
 }
 
-// A queue that never empties is overload: the last that came goes first, and whoever has waited for longer
-// than the target is refused, in the worthiest lane for longer than the interval.
-TEST(AdmissionQueue, TellsOverloadFromABurst) {
+// A queue that is never empty is overload: the last that came goes first, and what has waited for longer than
+// the target is rejected, in the lane of the highest priority for longer than the interval.
+TEST(AdmissionQueue, IsOverloadedWhenItWasNotEmptyForTheInterval) {
   const AdmissionQueueSettings settings;
   AdmissionQueue queue(settings, kPriorityWeights);
   queue.push(request(1, 1, 0), 0);
@@ -67,35 +65,35 @@
   queue.push(request(2, 1, settings.interval - 1), settings.interval);
   queue.push(request(3, 0, settings.interval - settings.targetDelay - 1), settings.interval);
   queue.push(request(4, 0, settings.interval - settings.targetDelay), settings.interval);
-  EXPECT_EQ(queue.next(settings.interval)->id, 3u);  // refused
+  EXPECT_EQ(queue.next(settings.interval)->id, 3u);  // rejected
   EXPECT_EQ(forwarded(queue, settings.interval), (std::vector<RequestId>{2, 1, 4}));
   // It was empty: no overload any more.
   queue.push(request(5, 0, settings.interval), settings.interval + 1);
   EXPECT_FALSE(queue.isOverloaded(settings.interval + 1));
 }
 
-TEST(AdmissionQueue, RefusesTheWorthiestOnlyAfterTheInterval) {
+TEST(AdmissionQueue, RejectsTheHighestPriorityOnlyAfterTheInterval) {
   const AdmissionQueueSettings settings;
   AdmissionQueue queue(settings, kPriorityWeights);
   queue.push(request(1, 1, 0), 0);
   queue.push(request(2, 1, 1), 1);
-  const auto refused = queue.next(settings.interval + 1);
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->id, 1u);
-  EXPECT_EQ(refused->outcome, Outcome::Overload);
+  const auto rejected = queue.next(settings.interval + 1);
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->id, 1u);
+  EXPECT_EQ(rejected->outcome, Outcome::Overload);
   EXPECT_EQ(queue.next(settings.interval + 1)->outcome, Outcome::Forward);
 }
 
-TEST(AdmissionQueue, RefusesAtOnceWhatCannotBeInTime) {
+TEST(AdmissionQueue, RejectsAtOnceWhatHasTooLittleTimeLeft) {
   const AdmissionQueueSettings settings;
   AdmissionQueue queue(settings, kPriorityWeights);
-  queue.push(request(1, 1, 0, false, std::nullopt, 100 * kMs), 0);
-  queue.push(request(2, 1, 1, false, std::nullopt, 100 * kMs), 0);
-  EXPECT_EQ(queue.next(100 * kMs - settings.minRemainingTime)->outcome, Outcome::Forward);
-  EXPECT_EQ(queue.next(100 * kMs - settings.minRemainingTime + 1)->outcome, Outcome::TooLate);
+  queue.push(request(1, 1, 0, false, std::nullopt, 100 * kMillisecond), 0);
+  queue.push(request(2, 1, 1, false, std::nullopt, 100 * kMillisecond), 0);
+  EXPECT_EQ(queue.next(100 * kMillisecond - settings.minRemainingTime)->outcome, Outcome::Forward);
+  EXPECT_EQ(queue.next(100 * kMillisecond - settings.minRemainingTime + 1)->outcome, Outcome::TooLate);
 }
 
-TEST(AdmissionQueue, IsBoundedAndRefusesTheLeastWorthy) {
+TEST(AdmissionQueue, IsBoundedAndRejectsTheLowestPriority) {
   AdmissionQueueSettings settings;
   settings.maxRequests = 4;
   settings.maxTenantFraction = 1;
@@ -104,14 +102,14 @@
   EXPECT_FALSE(queue.push(request(2, 1, 0, true), 0));
   EXPECT_FALSE(queue.push(request(3, 2, 0), 0));
   EXPECT_FALSE(queue.push(request(4, 1, 0), 0));
-  const auto expect = [&](RequestId pushed, std::uint32_t cls, RequestId refused) {
-    const auto decision = queue.push(request(pushed, cls, pushed), 0);
+  const auto expect = [&](RequestId pushed, std::uint32_t requestClass, RequestId rejected) {
+    const auto decision = queue.push(request(pushed, requestClass, pushed), 0);
     ASSERT_TRUE(decision);
-    EXPECT_EQ(decision->id, refused);
+    EXPECT_EQ(decision->id, rejected);
     EXPECT_EQ(decision->outcome, Outcome::QueueFull);
     EXPECT_EQ(queue.size(), 4u);
   };
-  expect(5, 1, 2);  // beyond its share, whatever its class
+  expect(5, 1, 2);  // beyond its quota, whatever its class
   expect(6, 1, 3);
   expect(7, 1, 1);
   expect(8, 2, 8);  // itself
@@ -119,34 +117,34 @@
   EXPECT_EQ(queue.size(), 3u);
 }
 
-TEST(AdmissionQueue, BoundsWhatOneSchoolMayHold) {
+TEST(AdmissionQueue, BoundsTheFractionOfOneTenant) {
   AdmissionQueueSettings settings;
   settings.maxRequests = 10;
   settings.maxTenantFraction = 0.3;
   AdmissionQueue queue(settings, kPriorityWeights);
   queue.push(request(1, 0, 0, false, 8), 0);
   for (RequestId id = 2; id <= 4; ++id) EXPECT_FALSE(queue.push(request(id, 1, 1, false, 7), 0));
-  const auto refused = queue.push(request(5, 2, 1, false, 7), 0);
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->id, 5u);
-  EXPECT_EQ(refused->outcome, Outcome::TenantFull);
-  // Room again when one of them has gone.
+  const auto rejected = queue.push(request(5, 2, 1, false, 7), 0);
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->id, 5u);
+  EXPECT_EQ(rejected->outcome, Outcome::TenantFull);
+  // Capacity again when one of them has gone.
   EXPECT_TRUE(queue.withdraw(2));
   EXPECT_FALSE(queue.withdraw(2));
   EXPECT_FALSE(queue.push(request(6, 2, 1, false, 7), 0));
 }
 
-// Strict order would starve what is worth less, as long as there is enough of what is worth more.
+// A strict order would starve the lower priorities as long as there is enough of the higher ones.
 TEST(AdmissionQueue, StarvesNoClass) {
   AdmissionQueue queue({}, kPriorityWeights);
   queue.setPriorityOrder(true);
   std::map<std::uint32_t, int> turns;
   RequestId id = 0;
   std::map<RequestId, std::uint32_t> classOf;
-  for (std::uint32_t cls : {0u, 2u}) {
+  for (std::uint32_t requestClass : {0u, 2u}) {
     for (int n = 0; n < 50; ++n) {
-      classOf[++id] = cls;
-      queue.push(request(id, cls, 0), 0);
+      classOf[++id] = requestClass;
+      queue.push(request(id, requestClass, 0), 0);
     }
   }
   for (int n = 0; n < 160; ++n) {
@@ -161,23 +159,23 @@
   EXPECT_EQ(turns[2], 10);
 }
 
-// A fifth of what comes can be handed on: the worthiest class hardly notices. Made-up time; a request a
-// millisecond, half of them of the worthiest class, five times what the core can do in all but 200 a second
-// for that class alone.
-TEST(AdmissionQueue, FavoursTheWorthiestUnderOverload) {
+// A quarter of what comes can be forwarded: the class of the highest priority hardly notices. Simulated
+// clock; a request a millisecond, a fifth of them of that class, four times what the core can do.
+TEST(AdmissionQueue, FavoursTheHighestPriorityUnderOverload) {
   AdmissionQueue queue({}, kPriorityWeights);
   std::map<RequestId, std::uint32_t> classOf;
   std::map<std::uint32_t, int> came, served;
   RequestId id = 0;
   Micros waited = 0;
   std::map<RequestId, Micros> arrived;
-  for (Micros now = 0; now < 10'000 * kMs; now += kMs) {
-    const std::uint32_t cls = id % 5 == 0 ? 1 : 0;  // 200 a second of the worthiest, 800 of another
-    classOf[++id] = cls;
+  for (Micros now = 0; now < 10'000 * kMillisecond; now += kMillisecond) {
+    const std::uint32_t requestClass =
+        id % 5 == 0 ? 1 : 0;  // 200 a second of the highest priority, 800 of another
+    classOf[++id] = requestClass;
     arrived[id] = now;
-    ++came[cls];
-    queue.push(request(id, cls, now, false, std::nullopt, now + 500 * kMs), now);
-    if (now % (4 * kMs) != 0) continue;  // 250 a second are handed on
+    ++came[requestClass];
+    queue.push(request(id, requestClass, now, false, std::nullopt, now + 500 * kMillisecond), now);
+    if (now % (4 * kMillisecond) != 0) continue;  // 250 a second are forwarded
     while (const auto decision = queue.next(now)) {
       if (decision->outcome != Outcome::Forward) continue;
       ++served[classOf[decision->id]];
@@ -190,58 +188,44 @@
   EXPECT_LE(waited, AdmissionQueueSettings{}.interval);
 }
 
-// What was measured long ago says nothing: an estimate because of which all is refused must not last.
-TEST(ExpiringAverage, EndsWhenNothingIsMeasured) {
-  ExpiringAverage average;
-  EXPECT_EQ(average.value(0), 0);
-  average.add(1000 * kMs, 0);
-  average.add(200 * kMs, kMs);
-  EXPECT_EQ(average.value(kMs), 950 * kMs);
-  EXPECT_EQ(average.value(kMs + ExpiringAverage::kTimeToLive), 950 * kMs);
-  EXPECT_EQ(average.value(kMs + ExpiringAverage::kTimeToLive + 1), 0);
-  average.add(10 * kMs, 1000 * kMs);
-  EXPECT_EQ(average.value(1000 * kMs), 10 * kMs);
-}
-
-// Whatever comes: each request gets exactly one decision, the bounds hold, and refuse or withdraw leaves
-// nothing.
-TEST(AdmissionQueueProperty, OneDecisionEach) {
+// Whatever comes: each request gets exactly one decision, the bounds hold, and nothing is left behind.
+TEST(AdmissionQueueProperty, EachRequestGetsOneDecisionWhateverComes) {
   EXPECT_TRUE(rc::check("one decision each", [] {
     AdmissionQueueSettings settings;
     settings.maxRequests = 6;
     settings.maxTenantFraction = 0.5;
     AdmissionQueue queue(settings, kPriorityWeights);
-    std::set<RequestId> inside;
+    std::set<RequestId> waiting;
     RequestId last = 0;
     Micros now = 0;
     const auto decided = [&](const std::optional<Decision>& decision) {
       if (!decision) return;
-      RC_ASSERT(inside.erase(decision->id) == 1u);
+      RC_ASSERT(waiting.erase(decision->id) == 1u);
     };
-    for (const auto& [what, cls, tenant, pause] :
+    for (const auto& [what, requestClass, tenant, pause] :
          *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
              rc::gen::tuple(rc::gen::inRange(0, 6), rc::gen::inRange(0, 3), rc::gen::inRange(0, 3),
                             rc::gen::inRange(0, 90'000)))) {
       now += pause;
       if (what <= 2) {
-        inside.insert(++last);
-        decided(queue.push(request(last, static_cast<std::uint32_t>(cls), now - pause / 2, tenant == 2,
-                                   static_cast<std::uint32_t>(tenant), now + 3 * pause),
+        waiting.insert(++last);
+        decided(queue.push(request(last, static_cast<std::uint32_t>(requestClass), now - pause / 2,
+                                   tenant == 2, static_cast<std::uint32_t>(tenant), now + 3 * pause),
                            now));
-      } else if (what == 3 && !inside.empty()) {
-        const RequestId id = *inside.begin();
+      } else if (what == 3 && !waiting.empty()) {
+        const RequestId id = *waiting.begin();
         RC_ASSERT(queue.withdraw(id));
-        inside.erase(id);
+        waiting.erase(id);
       } else if (what == 4) {
         decided(queue.evict());
       } else {
         decided(queue.next(now));
       }
       queue.setPriorityOrder(pause % 2 == 0);
-      RC_ASSERT(queue.size() == inside.size() && queue.size() <= settings.maxRequests);
+      RC_ASSERT(queue.size() == waiting.size() && queue.size() <= settings.maxRequests);
     }
     while (const auto decision = queue.next(now)) decided(decision);
-    RC_ASSERT(inside.empty());
+    RC_ASSERT(waiting.empty());
   }));
 }
 
--- a/tests/admission/connection_limit_io_test.cpp
+++ b/tests/admission/connection_limit_io_test.cpp
@@ -1,12 +1,11 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The door of a whole sidecar, over loopback sockets.
+// The connection limit of a complete sidecar, over loopback sockets.
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <thread>
 
-#include "admission/tcp_state.h"
 #include "sidecar_rig.h"
 
 namespace ivypost {
@@ -39,8 +38,8 @@
 };
 
 // Incident r88fa20: clients that ask once, and then hold their connections without using them, take all
-// places from the others for two seconds each. Now they get theirs one after the other.
-TEST_F(ConnectionLimitTest, AnswersEndUnusedConnectionsWhenHalfThePlacesAreTaken) {
+// slots from the others for two seconds each. Now they get theirs one after the other.
+TEST_F(ConnectionLimitTest, ResponsesCloseUnusedConnectionsWhenHalfTheSlotsAreTaken) {
   start(1, kElevenConnections);
   std::vector<Client> holding;
   for (int n = 0; n < 40; ++n) {
@@ -54,7 +53,7 @@
 }
 
 // A client that uses its connection again keeps it, while one that came for the first time does not.
-TEST_F(ConnectionLimitTest, KeepsWhatIsUsedAgain) {
+TEST_F(ConnectionLimitTest, KeepsAConnectionThatIsUsedAgain) {
   start(1, kElevenConnections);
   std::vector<Client> holding;
   for (int n = 0; n < 5; ++n) {
@@ -71,9 +70,9 @@
   EXPECT_FALSE(first.answer(0).keep_alive());
 }
 
-// A connection that its client has left while it stood in the kernel's queue goes no further, whole request
-// or not: it would cost a node's work that nobody waits for.
-TEST_F(ConnectionLimitTest, DropsThoseThatLeftInTheQueue) {
+// A connection that its client has left while it stood in the kernel's queue goes no further, complete
+// request or not: it would cost a node's work that nobody waits for.
+TEST_F(ConnectionLimitTest, DropsConnectionsThatClosedInTheAcceptQueue) {
   start(1);
   for (int n = 0; n < 20; ++n) connectAhead(Request().text()).close();
   tcp::socket half = connectAhead(Request().text());
@@ -82,9 +81,9 @@
   EXPECT_EQ(arrived(), 1u);
 }
 
-// A sidecar that was paused finds requests whose time is over: they are refused at once, and none reaches a
+// A sidecar that was paused finds requests whose time is up: they are rejected at once, and none reaches a
 // node. One with time left is served within what is left of it.
-TEST_F(ConnectionLimitTest, ARequestsTimeRunsWhileItStandsUnread) {
+TEST_F(ConnectionLimitTest, ARequestsTimeCountsWhileItIsUnread) {
   start(1);
   std::vector<tcp::socket> late;
   Request request;
@@ -112,16 +111,16 @@
   EXPECT_LE(std::stoi(std::string(left.data(), left.size())), 9'900);
 }
 
-// When nearly all places are at work, what comes further is refused at once: it would wait in the kernel's
-// queue until its time is over.
-TEST_F(ConnectionLimitTest, RefusesAtOnceWhenNearlyAllPlacesAreAtWork) {
+// When nearly all connections are active, further requests are rejected at once: they would wait in the
+// kernel's queue until their time is up.
+TEST_F(ConnectionLimitTest, RejectsAtOnceWhenNearlyAllConnectionsAreActive) {
   start(1, kElevenConnections);
-  std::vector<Client> working;
+  std::vector<Client> active;
   for (int n = 0; n < 9; ++n) {
-    working.push_back(client());
+    active.push_back(client());
     // Its last byte is yet to come.
-    const std::string whole = Request().text();
-    working.back().send(whole.substr(0, whole.size() - 1));
+    const std::string text = Request().text();
+    active.back().send(text.substr(0, text.size() - 1));
   }
   for (int n = 0; n < 5; ++n) {
     const Client more = client();
@@ -134,9 +133,9 @@
   }
 }
 
-// Places of answered clients that don't end their connections are given on as soon as the answers have
-// arrived, not after the whole time of lingering.
-TEST_F(ConnectionLimitTest, LingeringConnectionsGiveWay) {
+// Slots of clients that don't close their connections after the last response are free as soon as that is
+// acknowledged, not after the complete time of lingering.
+TEST_F(ConnectionLimitTest, EvictsClosingConnectionsOnceTheirResponsesAreAcknowledged) {
   start(1, kElevenConnections);
   std::vector<tcp::socket> staying;
   const auto from = Clock::now();
@@ -149,23 +148,5 @@
   EXPECT_LT(Clock::now() - from, std::chrono::milliseconds(2300));
 }
 
-TEST(TcpState, TellsWhatTheKernelKnows) {
-  asio::io_context io;
-  tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  tcp::socket near(io), far(io);
-  far.connect(acceptor.local_endpoint());
-  acceptor.accept(near);
-  EXPECT_FALSE(admission::hasPeerClosed(near.native_handle()));
-  EXPECT_TRUE(admission::isAllAcknowledged(near.native_handle()));
-  asio::write(far, asio::buffer("x", 1));
-  far.shutdown(tcp::socket::shutdown_send);
-  near.wait(tcp::socket::wait_read);
-  EXPECT_TRUE(admission::hasPeerClosed(near.native_handle()));
-  // What the kernel doesn't say changes nothing.
-  EXPECT_FALSE(admission::hasPeerClosed(-1));
-  EXPECT_EQ(admission::timeSinceLastData(-1).count(), 0);
-  EXPECT_FALSE(admission::isAllAcknowledged(-1));
-}
-
 }  // namespace
 }  // namespace ivypost
--- a/tests/admission/connection_limiter_test.cpp
+++ b/tests/admission/connection_limiter_test.cpp
@@ -11,58 +11,58 @@
 
 using State = ConnectionLimiter::State;
 
-ConnectionLimiterSettings withMaxConnections(std::size_t places) {
+ConnectionLimiterSettings withMaxConnections(std::size_t maxConnections) {
   ConnectionLimiterSettings settings;
-  settings.maxConnections = places;
+  settings.maxConnections = maxConnections;
   return settings;
 }
 
-// A door with so many visitors that stand idle, let in at time 0 and served once.
+// A limiter with so many connections that are idle, accepted at time 0 and served once.
 struct Filled {
-  explicit Filled(std::size_t places, std::size_t connections) : limiter(withMaxConnections(places)) {
+  Filled(std::size_t maxConnections, std::size_t connections) : limiter(withMaxConnections(maxConnections)) {
     for (std::size_t n = 0; n < connections; ++n) {
-      all.push_back(limiter.insert(n + 1, 0));
-      limiter.beginRequest(all.back(), 0);
-      limiter.beginIdle(all.back(), 0);
+      slots.push_back(limiter.insert(n + 1, 0));
+      limiter.beginRequest(slots.back(), 0);
+      limiter.beginIdle(slots.back(), 0);
     }
   }
   ConnectionLimiter limiter;
-  std::vector<ConnectionLimiter::Slot> all;
+  std::vector<ConnectionLimiter::Slot> slots;
 };
 
-TEST(ConnectionLimiter, KeepsConnectionsByTheirUseAndByTheRoom) {
+TEST(ConnectionLimiter, KeepsConnectionsAliveByReuseAndByFractionOpen) {
   struct Row {
-    std::size_t taken;
+    std::size_t open;
     int requests;
-    Micros gap;
-    bool kept;
+    Micros idleTime;
+    bool isKept;
   };
   for (const Row& row : {Row{1, 1, 0, true}, Row{50, 1, 0, true}, Row{51, 1, 0, false},
                          Row{51, 2, 2'000'000, true}, Row{51, 2, 2'000'001, false}, Row{80, 9, 100, true},
                          Row{81, 9, 100, false}, Row{100, 9, 100, false}, Row{120, 1, 0, false}}) {
-    Filled filled(100, row.taken - 1);
+    Filled filled(100, row.open - 1);
     const auto one = filled.limiter.insert(1000, 0);
     Micros now = 0;
     for (int n = 0; n < row.requests; ++n) {
       filled.limiter.beginRequest(one, now);
       if (n + 1 == row.requests) break;
       filled.limiter.beginIdle(one, now);
-      now += row.gap;
+      now += row.idleTime;
     }
-    EXPECT_EQ(filled.limiter.keepsAlive(one), row.kept)
-        << row.taken << " taken, " << row.requests << " requests";
+    EXPECT_EQ(filled.limiter.keepsAlive(one), row.isKept)
+        << row.open << " open, " << row.requests << " requests";
   }
 }
 
-TEST(ConnectionLimiter, IsFullAtItsPlacesAndHasRoomAgain) {
+TEST(ConnectionLimiter, IsFullAtTheLimitUntilASlotIsReleased) {
   Filled filled(3, 3);
   EXPECT_TRUE(filled.limiter.isFull());
-  filled.limiter.release(filled.all[1]);
+  filled.limiter.release(filled.slots[1]);
   EXPECT_FALSE(filled.limiter.isFull());
   EXPECT_EQ(filled.limiter.size(), 2u);
 }
 
-TEST(ConnectionLimiter, GivesWayInItsOrderAndNoSooner) {
+TEST(ConnectionLimiter, EvictsClosingThenSilentThenIdleConnectionsAndNoneEarly) {
   ConnectionLimiter limiter(withMaxConnections(10));
   const auto idle = limiter.insert(1, 0);
   const auto silent = limiter.insert(2, 50'000);
@@ -86,12 +86,12 @@
   EXPECT_EQ(limiter.nextEvictionAt(1'990'000), 2'000'000);
 }
 
-TEST(ConnectionLimiter, LooksAtABoundedNumberOfCandidates) {
+TEST(ConnectionLimiter, NamesABoundedNumberOfCandidates) {
   Filled filled(100, 100);
   EXPECT_EQ(filled.limiter.evictionCandidates(10'000'000).size(), ConnectionLimiter::kMaxCandidates);
 }
 
-TEST(ConnectionLimiter, KeepsPlacesForRefusals) {
+TEST(ConnectionLimiter, AdmitsNoRequestsBeyondTheActiveFraction) {
   ConnectionLimiter limiter(withMaxConnections(10));
   for (ConnectionId id = 1; id <= 10; ++id) {
     limiter.beginRequest(limiter.insert(id, 0), 0);
@@ -102,37 +102,38 @@
   EXPECT_TRUE(smallest.admitsRequests());
 }
 
-// Whatever visitors do: the counts agree, and nobody at work or too young gives way.
-TEST(ConnectionLimiterProperty, AnyVisits) {
+// Whatever connections do: the counts agree, and none that is active or not due is a candidate.
+TEST(ConnectionLimiterProperty, CountsAgreeAndCandidatesAreDueWhateverConnectionsDo) {
   EXPECT_TRUE(rc::check("counts agree and candidates are due", [] {
     const ConnectionLimiterSettings settings = withMaxConnections(8);
     ConnectionLimiter limiter(settings);
-    std::vector<ConnectionLimiter::Slot> inside;
+    std::vector<ConnectionLimiter::Slot> slots;
     ConnectionId last = 0;
     Micros now = 0;
     for (const auto& [what, who, pause] :
          *rc::gen::container<std::vector<std::tuple<int, int, int>>>(rc::gen::tuple(
              rc::gen::inRange(0, 5), rc::gen::inRange(0, 8), rc::gen::inRange(0, 1'500'000)))) {
       now += pause;
-      if (what == 0 || inside.empty()) {
-        if (!limiter.isFull()) inside.push_back(limiter.insert(++last, now));
+      if (what == 0 || slots.empty()) {
+        if (!limiter.isFull()) slots.push_back(limiter.insert(++last, now));
       } else {
-        const auto one = inside.begin() + who % static_cast<int>(inside.size());
+        const auto one = slots.begin() + who % static_cast<int>(slots.size());
         if (what == 1) limiter.beginRequest(*one, now);
         if (what == 2) limiter.beginIdle(*one, now);
         if (what == 3) limiter.beginClosing(*one, now);
         if (what == 4) {
           limiter.release(*one);
-          inside.erase(one);
+          slots.erase(one);
         }
       }
       std::size_t sum = 0;
       for (const State state : {State::Silent, State::Idle, State::Active, State::Closing})
         sum += limiter.count(state);
-      RC_ASSERT(sum == limiter.size() && sum == inside.size());
+      RC_ASSERT(sum == limiter.size() && sum == slots.size());
       for (const ConnectionId id : limiter.evictionCandidates(now)) {
-        const auto found = std::find_if(inside.begin(), inside.end(), [&](auto p) { return p->id == id; });
-        RC_ASSERT(found != inside.end());
+        const auto found =
+            std::find_if(slots.begin(), slots.end(), [&](auto slot) { return slot->id == id; });
+        RC_ASSERT(found != slots.end());
         const auto& connection = **found;
         RC_ASSERT(connection.state != State::Active);
         if (connection.state == State::Silent) RC_ASSERT(now - connection.since >= settings.silentTimeout);
--- a/tests/admission/metastable_overload_test.cpp
+++ b/tests/admission/metastable_overload_test.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A metastable overload, in made-up time: a core that answers 1,000 requests a second, and clients who send
-// 700 a second and repeat whatever is refused or not answered in time, at once, up to three times. A short
-// cause fills the queue; from then on it is the repeats that keep it full, unless the sidecar takes care what
+// A metastable overload on a simulated clock: a core that answers 1,000 requests a second, and clients that
+// send 700 a second and retry what is rejected or not answered in time, at once, up to three times. A short
+// fault fills the queue; from then on it is the retries that keep it full, unless the sidecar takes care what
 // it spends its core on (Bronson et al., "Metastable Failures in Distributed Systems", HotOS 2021).
 #include <gtest/gtest.h>
 
@@ -20,11 +20,11 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kResponseCost = 1'000;     // of the core, for a request that is handed on
-constexpr Micros kRejectionCost = 125;      // for a refusal: an eighth, as the gate counts it
-constexpr Micros kClientTimeout = 250'000;  // of a client for one try
+constexpr Micros kResponseCost = 1'000;  // of the core, for a request that is forwarded
+constexpr Micros kRejectionCost = 125;   // for a rejection: an eighth, as the admission controller counts it
+constexpr Micros kClientTimeout = 250'000;  // of a client for one attempt
 constexpr int kMaxAttempts = 4;
-constexpr double kUsualRate = 700;  // first tries a second
+constexpr double kUsualRate = 700;  // first attempts a second
 
 enum class Cause { Burst, Pause, Slow };
 enum class Order { InOrderOfArrival, Queued };
@@ -34,7 +34,7 @@
   Simulation(Order order, Cause cause)
       : order_(order), cause_(cause), queue_(AdmissionQueueSettings{}, {5, 2}) {}
 
-  // Runs until `end`; tells how many first tries of each second were served in the end, within patience.
+  // Runs until `end`; returns how many first attempts of each second were served in the end, by a deadline.
   std::vector<int> run(Micros end) {
     served_.assign(static_cast<std::size_t>(end / kSecond) + 1, 0);
     at(0, [this] { firstAttempt(); });
@@ -82,12 +82,12 @@
     } else {
       const auto requestClass = static_cast<std::uint32_t>(id % 3 == 0 ? 1 : 0);
       if (const auto tooMany = queue_.push({id, requestClass, {}, false, now_, one.deadline}, now_))
-        spend(kRejectionCost, [this, refused = tooMany->id] { retry(refused); });
+        spend(kRejectionCost, [this, rejected = tooMany->id] { retry(rejected); });
     }
     serveNext();
   }
 
-  // Refused, or out of patience: the client repeats itself at once.
+  // Rejected, or timed out: the client retries at once.
   void retry(RequestId id) {
     const auto found = open_.find(id);
     if (found == open_.end()) return;
@@ -129,7 +129,7 @@
 
   void onResponse(RequestId id) {
     const auto found = open_.find(id);
-    if (found == open_.end()) return;  // its client has given up
+    if (found == open_.end()) return;  // its client has timed out
     ++served_.at(static_cast<std::size_t>(found->second.firstAt / kSecond));
     open_.erase(found);
   }
@@ -149,22 +149,23 @@
   std::uint64_t lastEvent_ = 0;
 };
 
-class MetastableTest : public testing::TestWithParam<Cause> {};
+class MetastableOverloadTest : public testing::TestWithParam<Cause> {};
 
-TEST_P(MetastableTest, IsOverWithin5SecondsOfItsCause) {
+TEST_P(MetastableOverloadTest, EndsWithin5SecondsOfItsCause) {
   const auto served = Simulation(Order::Queued, GetParam()).run(20 * kSecond);
   for (std::size_t second = 1; second < 3; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
   for (std::size_t second = 10; second < 19; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
 }
 
-// Shows that it is one: in the order in which they came, the core works for clients who have given up.
-TEST_P(MetastableTest, WithoutTheQueueItStays) {
+// Shows that it is one: in the order of arrival, the core works for clients that have timed out.
+TEST_P(MetastableOverloadTest, StaysWithoutTheQueue) {
   const auto served = Simulation(Order::InOrderOfArrival, GetParam()).run(20 * kSecond);
   for (std::size_t second = 1; second < 3; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
   for (std::size_t second = 10; second < 19; ++second) EXPECT_LE(served[second], 0.1 * kUsualRate) << second;
 }
 
-INSTANTIATE_TEST_SUITE_P(Causes, MetastableTest, testing::Values(Cause::Burst, Cause::Pause, Cause::Slow));
+INSTANTIATE_TEST_SUITE_P(Causes, MetastableOverloadTest,
+                         testing::Values(Cause::Burst, Cause::Pause, Cause::Slow));
 
 }  // namespace
 }  // namespace ivypost::admission
--- /dev/null
+++ b/tests/admission/tcp_state_test.cpp
@@ -0,0 +1,36 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "admission/tcp_state.h"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/write.hpp>
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+
+TEST(TcpState, SaysWhatTheKernelKnowsAndNothingOnAnError) {
+  asio::io_context io;
+  tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+  tcp::socket near(io), far(io);
+  far.connect(acceptor.local_endpoint());
+  acceptor.accept(near);
+  EXPECT_FALSE(admission::hasPeerClosed(near.native_handle()));
+  EXPECT_TRUE(admission::isAllAcknowledged(near.native_handle()));
+  asio::write(far, asio::buffer("x", 1));
+  far.shutdown(tcp::socket::shutdown_send);
+  near.wait(tcp::socket::wait_read);
+  EXPECT_TRUE(admission::hasPeerClosed(near.native_handle()));
+  // Where the kernel gives an error, the caller changes nothing.
+  EXPECT_FALSE(admission::hasPeerClosed(-1));
+  EXPECT_EQ(admission::timeSinceLastData(-1).count(), 0);
+  EXPECT_FALSE(admission::isAllAcknowledged(-1));
+}
+
+}  // namespace
+}  // namespace ivypost
--- a/tests/admission/tenant_quotas_test.cpp
+++ b/tests/admission/tenant_quotas_test.cpp
@@ -12,10 +12,11 @@
 constexpr Micros kSecond = 1'000'000;
 
 struct Count {
-  double came = 0, beyond = 0;
+  double requests = 0;
+  double beyondQuota = 0;
 };
 
-// Two schools that send so many a second each, evenly, from one time to another.
+// Two tenants that send so many a second each, evenly, from one time to another.
 std::array<Count, 2> simulate(TenantQuotas& quotas, Micros from, Micros to, double first, double second) {
   std::array<Count, 2> counts;
   std::array<double, 2> due{};
@@ -23,37 +24,37 @@
   for (Micros now = from; now < to; now += 1000) {
     for (std::uint32_t n = 0; n < 2; ++n) {
       for (due[n] += rates[n] / 1000; due[n] >= 1; due[n] -= 1) {
-        ++counts[n].came;
-        if (quotas.recordArrival(n, now)) ++counts[n].beyond;
+        ++counts[n].requests;
+        if (quotas.recordArrival(n, now)) ++counts[n].beyondQuota;
       }
     }
   }
   return counts;
 }
 
-TEST(TenantQuotas, NobodyIsBeyondItWithinIt) {
+TEST(TenantQuotas, NothingIsBeyondAQuotaThatIsKept) {
   TenantQuotas quotas({0.79, 0.21});
   const auto counts = simulate(quotas, 0, 10 * kSecond, 79, 21);
-  EXPECT_EQ(counts[0].beyond + counts[1].beyond, 0);
+  EXPECT_EQ(counts[0].beyondQuota + counts[1].beyondQuota, 0);
   EXPECT_EQ(quotas.beyondQuotaFraction(10 * kSecond), 0);
 }
 
-// A school at five times its traffic keeps its share of all of it, and the other loses nothing.
-TEST(TenantQuotas, AFloodingSchoolKeepsItsShare) {
+// A tenant at five times its traffic keeps its quota of all of it, and the other loses nothing.
+TEST(TenantQuotas, AFloodingTenantKeepsItsQuota) {
   TenantQuotas quotas({0.79, 0.21});
   simulate(quotas, 0, 10 * kSecond, 79, 21);
   const auto flood = simulate(quotas, 10 * kSecond, 30 * kSecond, 79, 105);
-  EXPECT_EQ(flood[0].beyond, 0);
-  const double within = flood[1].came - flood[1].beyond;
-  EXPECT_NEAR(within / (flood[0].came + flood[1].came), 0.21 * TenantQuotas::kTolerance, 0.02);
-  EXPECT_NEAR(quotas.beyondQuotaFraction(30 * kSecond), flood[1].beyond / (flood[0].came + flood[1].came),
-              0.03);
+  EXPECT_EQ(flood[0].beyondQuota, 0);
+  const double within = flood[1].requests - flood[1].beyondQuota;
+  EXPECT_NEAR(within / (flood[0].requests + flood[1].requests), 0.21 * TenantQuotas::kTolerance, 0.02);
+  EXPECT_NEAR(quotas.beyondQuotaFraction(30 * kSecond),
+              flood[1].beyondQuota / (flood[0].requests + flood[1].requests), 0.03);
   // And it is forgotten when it has stopped.
   const auto after = simulate(quotas, 40 * kSecond, 50 * kSecond, 79, 21);
-  EXPECT_EQ(after[0].beyond + after[1].beyond, 0);
+  EXPECT_EQ(after[0].beyondQuota + after[1].beyondQuota, 0);
 }
 
-TEST(TenantQuotas, SaysNothingOfFewRequestsUnknownSchoolsAndNoShares) {
+TEST(TenantQuotas, NothingIsBeyondOfFewRequestsUnknownTenantsOrNoQuotas) {
   TenantQuotas few({0.5, 0.5});
   for (int n = 0; n < 19; ++n) EXPECT_FALSE(few.recordArrival(0, n));
   EXPECT_EQ(few.beyondQuotaFraction(20), 0);
--- a/tests/admission/trace_ids_test.cpp
+++ b/tests/admission/trace_ids_test.cpp
@@ -21,7 +21,7 @@
   EXPECT_EQ(ids.size(), 2u);
 }
 
-TEST(TraceIds, HoldsNoMorePastOnesThanItsBound) {
+TEST(TraceIds, RemembersNoMoreClosedOnesThanItsBound) {
   TraceIds ids;
   constexpr std::uint64_t kOpen = 100;
   for (std::uint64_t id = 0; id < kOpen; ++id) ASSERT_TRUE(ids.open(id, 0));
@@ -31,15 +31,16 @@
     ASSERT_LE(ids.size(), kOpen + TraceIds::kMaxClosed);
   }
   EXPECT_EQ(ids.size(), kOpen + TraceIds::kMaxClosed);
-  EXPECT_TRUE(ids.isFree(kOpen, 1)) << "the longest over has given way";
+  EXPECT_TRUE(ids.isFree(kOpen, 1)) << "the one closed longest ago is forgotten";
   EXPECT_FALSE(ids.isFree(kOpen + 3 * TraceIds::kMaxClosed - 1, 1));
-  for (std::uint64_t id = 0; id < kOpen; ++id) EXPECT_FALSE(ids.isFree(id, 1)) << "open ones never give way";
+  for (std::uint64_t id = 0; id < kOpen; ++id)
+    EXPECT_FALSE(ids.isFree(id, 1)) << "open ones are never forgotten";
   EXPECT_TRUE(ids.isFree(kOpen + 3 * TraceIds::kMaxClosed - 1, 2 + TraceIds::kRetention));
   EXPECT_EQ(ids.size(), kOpen);
 }
 
 // Against a plain map of when each id's request ended.
-RC_GTEST_PROP(TraceIds, AgreeWithAPlainMap, ()) {
+RC_GTEST_PROP(TraceIds, AgreesWithAPlainMap, ()) {
   TraceIds ids;
   std::map<std::uint64_t, Micros> ended;  // open: -1
   Micros now = 0;
