--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -58,11 +58,11 @@
       tendTimer_(io),
       deadlines_(std::make_shared<Deadlines>(io)),
       connectionLimiter_(connectionLimiterSettings(config, file)),
-      gate_(io, config, file,
-            {[this](ClientRequest request) { callbacks_.taken(std::move(request)); },
-             [this](RequestId id, admission::Outcome why) {
-               answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
-             }}),
+      admissionController_(io, config, file,
+                           {[this](ClientRequest request) { callbacks_.taken(std::move(request)); },
+                            [this](RequestId id, admission::Outcome why) {
+                              answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
+                            }}),
       statusOn_(file.status) {
   if (config.listener) {
     acceptor_.assign(config.listen.protocol(), *config.listener);
@@ -158,7 +158,8 @@
   }
   const auto session = found->second;
   endRequest(*session);
-  if (gate_.queues() && answer.status == 200) gate_.served(now() - microsOf(session->arrivedAt()));
+  if (admissionController_.hasQueue() && answer.status == 200)
+    admissionController_.recordResponseTime(now() - microsOf(session->arrivedAt()));
   session->write(std::move(answer));
 }
 
@@ -169,7 +170,7 @@
 }
 
 void Server::forward(ClientRequest request) {
-  gate_.offer(std::move(request), !connectionLimiter_.admitsRequests());
+  admissionController_.submit(std::move(request), !connectionLimiter_.admitsRequests());
 }
 
 void Server::onClosed(admission::ConnectionLimiter::Slot slot) {
@@ -191,7 +192,7 @@
 
 Answer Server::rejection(std::string reason) const {
   Answer answer = textAnswer(503, reason);
-  answer.retryAfter = gate_.comeAgain();
+  answer.retryAfter = admissionController_.retryAfter();
   return answer;
 }
 
@@ -201,20 +202,20 @@
 }
 
 void Server::cancelRequest(RequestId id) {
-  if (!gate_.withdraw(id)) callbacks_.over(id);
+  if (!admissionController_.withdraw(id)) callbacks_.over(id);
 }
 
 void Server::adopt(const op::File& file) {
   statusOn_ = file.status;
   connectionLimiter_.apply(connectionLimiterSettings(config_, file));
-  gate_.adopt(file);
+  admissionController_.apply(file);
 }
 
 std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
-  if (!gate_.refusesFromHead()) return std::nullopt;
+  if (!admissionController_.rejectsBeforeBody()) return std::nullopt;
   // Whatever is wrong with it gets its answer when it has been read.
   const auto hint = validator_.hintOf(head, unread);
-  if (!hint || !gate_.hopeless(hint->requestClass, hint->remaining)) return std::nullopt;
+  if (!hint || !admissionController_.isTooLate(hint->requestClass, hint->remaining)) return std::nullopt;
   return rejection("refused: too late");
 }
 
@@ -251,9 +252,10 @@
     return textAnswer(error->status, error->reason);
   }
   auto& request = std::get<ClientRequest>(read);
-  if (gate_.refusesFromHead() && gate_.hopeless(request.requestClass, request.expiresIn))
+  if (admissionController_.rejectsBeforeBody() &&
+      admissionController_.isTooLate(request.requestClass, request.expiresIn))
     return rejection("refused: too late");
-  if (full() || (!gate_.queues() && !connectionLimiter_.admitsRequests()))
+  if (full() || (!admissionController_.hasQueue() && !connectionLimiter_.admitsRequests()))
     return rejection("refused: too many open requests");
   request.id = ++lastId_;
   request.message = std::make_shared<const Message>(std::move(message));
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -19,13 +19,13 @@
 
 #include "admission/connection_limiter.h"
 #include "admission/trace_ids.h"
+#include "admission_controller.h"
 #include "client_request.h"
 #include "client_session.h"
 #include "client_session_host.h"
 #include "clock.h"
 #include "config.h"
 #include "deadlines.h"
-#include "gate.h"
 #include "lifecycle/lifecycle.h"
 #include "request_validator.h"
 #include "response_writer.h"
@@ -46,7 +46,7 @@
   };
 
   // Listens, and accepts when follow() says so. Throws boost::system::system_error when it cannot listen, and
-  // what Gate throws.
+  // what AdmissionController throws.
   // `budget` is for requests whose bodies are large.
   Server(boost::asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
          Callbacks callbacks);
@@ -65,10 +65,10 @@
   // What holds from now on.
   void follow(const lifecycle::Effects& effects);
 
-  // Takes the operator's file over; gate().check() has to have passed.
+  // Takes the operator's file over; admissionController().validate() has to have passed.
   void adopt(const op::File& file);
-  Gate& gate() { return gate_; }
-  const Gate& gate() const { return gate_; }
+  AdmissionController& admissionController() { return admissionController_; }
+  const AdmissionController& admissionController() const { return admissionController_; }
   const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
   // Requests that are open, of the most that may be; 0 without a limit.
   double openShare() const;
@@ -108,7 +108,7 @@
   boost::asio::steady_timer timer_, tendTimer_;
   const std::shared_ptr<Deadlines> deadlines_;  // of the sessions
   admission::ConnectionLimiter connectionLimiter_;
-  Gate gate_;
+  AdmissionController admissionController_;
   op::File::Status statusOn_;
   lifecycle::Effects effects_;     // nothing yet
   bool accepting_ = false;         // the next connection is waited for
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -135,7 +135,7 @@
 }
 
 void Sidecar::reload(const Config& config, const op::File& file) {
-  server_.gate().check(file);
+  server_.admissionController().validate(file);
   if (file.peers.on && !(file.peers == peersAs_)) FleetView::placeOf(file.peers, config_);
   follow(file.membership, config.discovery);
   if (!(file.peers == peersAs_)) {
@@ -517,7 +517,7 @@
 
 void Sidecar::onLevel(degradation::Level level) {
   const degradation::Restrictions restrictions = degradation::restrictionsAt(level);
-  server_.gate().reduce(restrictions);
+  server_.admissionController().restrict(restrictions);
   handle(balancer::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
 }
 
@@ -528,7 +528,7 @@
   const auto working = static_cast<double>(limiter.count(admission::ConnectionLimiter::State::Active));
   measurements.busyConnectionFraction =
       std::max(working / static_cast<double>(limiter.maxConnections()), upstreams_.busyShare());
-  measurements.overQuotaFraction = server_.gate().beyondShare();
+  measurements.overQuotaFraction = server_.admissionController().beyondQuotaFraction();
   measurements.endpointListAge = microseconds(membership_.freshness().age);
   return measurements;
 }
@@ -536,7 +536,7 @@
 std::string Sidecar::status() const {
   nlohmann::json status = degradation_.status();
   status["name"] = config_.name;
-  status["waiting"] = server_.gate().waiting();
+  status["waiting"] = server_.admissionController().queueSize();
   const membership::Freshness freshness = membership_.freshness();
   status["membership"] = {
       {"source", followed_.source == op::File::Membership::Source::Etcd ? "etcd" : "platform"},
@@ -544,7 +544,7 @@
       {"sure", freshness.sure}};
   for (std::size_t n = 0; n < admission::kOutcomes; ++n) {
     const auto outcome = static_cast<admission::Outcome>(n);
-    status["queue"][admission::nameOf(outcome)] = server_.gate().count(outcome);
+    status["queue"][admission::nameOf(outcome)] = server_.admissionController().count(outcome);
   }
   return status.dump();
 }
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -425,13 +425,13 @@
     request.trace = traceOf(static_cast<int>(n));
     visitors[n]->send(request.text());
   }
-  ASSERT_TRUE(wait([&] { return server->gate().waiting() > kMany / 2; }));
+  ASSERT_TRUE(wait([&] { return server->admissionController().queueSize() > kMany / 2; }));
   const std::size_t before = taken.size();
   for (std::size_t n = 0; n < kMany; ++n) visitors[n]->leave(n % 2 == 0 ? Leaves::Close : Leaves::Reset);
   pollAll(io);
   // The turn that was on, and one that comes before the loop looks at the sockets.
   EXPECT_LE(taken.size(), before + 3);
-  EXPECT_EQ(server->gate().waiting(), 0u);
+  EXPECT_EQ(server->admissionController().queueSize(), 0u);
   EXPECT_EQ(inside(), 0u);
 }
 
