--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -11,8 +11,10 @@
 using admission::Decision;
 using balancer::RequestId;
 
-// The least that a client is told to stay away, where it may be told: a turn of the queue's overload.
+// The least Retry-After, where the platform wants one.
 constexpr Micros kMinRetryAfter = 100'000;
+// Rejections cost little, but not nothing: so many count as one request in the number that a turn forwards.
+constexpr std::int64_t kRejectionsPerForward = 8;
 
 std::vector<double> quotasOf(const Config& config) {
   std::vector<double> quotas;
@@ -37,14 +39,13 @@
   *isAlive_ = false;
 }
 
-// The operator's order first, each above all that the platform's worth can be; then by that worth.
 std::vector<double> AdmissionController::priorityWeightsOf(const op::File& file) const {
   const auto& classes = config_.site.settings.classes;
   std::vector<double> weights;
   double greatest = 0;
-  for (const auto& cls : classes) {
-    weights.push_back(cls.value);
-    greatest = std::max(greatest, cls.value);
+  for (const auto& requestClass : classes) {
+    weights.push_back(requestClass.value);
+    greatest = std::max(greatest, requestClass.value);
   }
   const auto& order = file.admission.order;
   for (std::size_t n = 0; n < order.size(); ++n) {
@@ -57,7 +58,7 @@
 }
 
 void AdmissionController::validate(const op::File& file) const {
-  priorityWeightsOf(file);
+  static_cast<void>(priorityWeightsOf(file));
 }
 
 void AdmissionController::apply(const op::File& file) {
@@ -75,8 +76,8 @@
     for (const Decision& one : rejections) execute(one);
     return;
   }
-  auto left = std::exchange(queued_, {});
-  for (auto& [id, queued] : left) {
+  auto remaining = std::exchange(queued_, {});
+  for (auto& [id, queued] : remaining) {
     ++counts_.at(static_cast<std::size_t>(admission::Outcome::Forward));
     callbacks_.forward(std::move(queued.request));
   }
@@ -91,7 +92,7 @@
   const Micros at = now();
   const bool isBeyondQuota = countsArrivals_ && quotas_.recordArrival(request.tenant, at);
   if (!queue_) return callbacks_.forward(std::move(request));
-  // Nobody waits and the turn is not used up: the usual case costs no more than a post to the loop.
+  // Nothing is queued and the turn is not used up: the usual case costs no more than a post to the loop.
   if (!isOverloaded && queued_.empty() && forwardedInTurn_ < perTurn_) {
     ++forwardedInTurn_;
     scheduleTurn();
@@ -118,18 +119,18 @@
   return true;
 }
 
-bool AdmissionController::isTooLate(std::uint32_t requestClass, Micros left) const {
+bool AdmissionController::isTooLate(std::uint32_t requestClass, Micros remaining) const {
   const double greatest = *std::max_element(priorityWeights_.begin(), priorityWeights_.end());
   if (priorityWeights_.at(requestClass) < restrictions_.minPriorityWeight * greatest) return true;
   const Micros at = now();
-  return left < queueTime_.value(at) + responseTime_.value(at);
+  return remaining < queueTime_.value(at) + responseTime_.value(at);
 }
 
 Micros AdmissionController::retryAfter() const {
   const auto& settings = config_.site.settings;
   if (!settings.retryAfter) return 0;
-  const Micros away = std::max(kMinRetryAfter, 2 * queueTime_.value(now()));
-  return settings.maxRetryAfter > 0 ? std::min(away, settings.maxRetryAfter) : away;
+  const Micros delay = std::max(kMinRetryAfter, 2 * queueTime_.value(now()));
+  return settings.maxRetryAfter > 0 ? std::min(delay, settings.maxRetryAfter) : delay;
 }
 
 double AdmissionController::beyondQuotaFraction() {
@@ -149,7 +150,6 @@
   callbacks_.reject(decision.id, decision.outcome);
 }
 
-// Runs behind everything that was ready when it was set: all requests that had come by then have been read.
 void AdmissionController::scheduleTurn() {
   if (std::exchange(isTurnScheduled_, true)) return;
   boost::asio::post(io_, [this, isAlive = isAlive_] {
@@ -160,9 +160,8 @@
 void AdmissionController::runTurn() {
   isTurnScheduled_ = false;
   forwardedInTurn_ = 0;
-  // Refusals cost little, but not nothing: they count as an eighth.
   std::int64_t rejected = 0;
-  while (queue_ && forwardedInTurn_ + rejected / 8 < perTurn_) {
+  while (queue_ && forwardedInTurn_ + rejected / kRejectionsPerForward < perTurn_) {
     const auto decision = queue_->next(now());
     if (!decision) break;
     ++(decision->outcome == admission::Outcome::Forward ? forwardedInTurn_ : rejected);
--- a/src/sidecar/admission_controller.h
+++ b/src/sidecar/admission_controller.h
@@ -1,7 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Between the server and the decision module: carries out what src/admission decides on requests that have
-// been read. Where the operator has not switched the queue on, each goes on at once and nothing is kept.
 #ifndef IVYPOST_ADMISSION_CONTROLLER_H_
 #define IVYPOST_ADMISSION_CONTROLLER_H_
 
@@ -23,51 +20,77 @@
 
 namespace ivypost {
 
+/// Between the server and the decision module: executes what src/admission decides on requests that have been
+/// read. Where the operator has not switched the queue on, each is forwarded at once and nothing is kept.
+///
+/// Invariant: each request that is submitted is forwarded or rejected once, or withdrawn. The queue is
+/// bounded by the operator's settings; the controller holds the requests that are in it and no others.
 class AdmissionController {
  public:
+  /// What becomes of requests, called from within the event loop; also from within submit() and apply().
   struct Callbacks {
+    /// Takes a request on.
     std::function<void(ClientRequest)> forward;
+    /// The request of this id will not run; the outcome says why.
     std::function<void(balancer::RequestId, admission::Outcome)> reject;
   };
 
-  // Throws settings::FormatError for an order with a class that the platform doesn't have.
+  /// Throws settings::FormatError for an order with a class that the platform doesn't have. `io` and `config`
+  /// have to outlive it.
   AdmissionController(boost::asio::io_context& io, const Config& config, const op::File& file,
                       Callbacks callbacks);
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
   ~AdmissionController();
 
-  // Throws as the constructor does, for a file that apply() could not take over; changes nothing.
+  /// Throws as the constructor does, for a file that apply() could not go by; changes nothing.
   void validate(const op::File& file) const;
-  // What waits stays, in the new order.
+  /// Goes by another operator's file from now on. Queued requests stay in the queue, in the new order, or are
+  /// forwarded where there is no queue any more. Throws as the constructor does.
   void apply(const op::File& file);
+  /// Goes by the restrictions of another degradation level from now on.
   void restrict(const degradation::Restrictions& restrictions);
 
-  // Takes a request on, or one after the other refuses and hands on, from within the call or later.
-  // `isOverloaded`: there is no place for one more, so the least worthy is refused for it.
+  /// Takes a request over, whose id was never submitted: forwards, queues or rejects it. `isOverloaded`:
+  /// there is no capacity for one more, so one of the lowest priority is rejected for it.
   void submit(ClientRequest request, bool isOverloaded);
-  // Its client left or was answered. False if it does not wait here.
+  /// The client of a request has left or has its response. False if the request is not in the queue.
   bool withdraw(balancer::RequestId id);
-  // Since it was handed on.
-  void recordResponseTime(Micros took) { responseTime_.add(took, now()); }
+  /// A request was served; `duration`: microseconds since it had come.
+  void recordResponseTime(Micros duration) { responseTime_.add(duration, now()); }
 
-  bool rejectsBeforeBody() const { return restrictions_.rejectsBeforeBody; }
-  bool hasQueue() const { return queue_ != nullptr; }
-  // Whether a request of this class with so much time left can't be served, so that its body need not be
-  // read.
-  bool isTooLate(std::uint32_t requestClass, Micros left) const;
-  // When to come again, for a client that is refused now.
-  Micros retryAfter() const;
-  double beyondQuotaFraction();
-  std::size_t queueSize() const { return queue_ ? queue_->size() : 0; }
-  std::uint64_t count(admission::Outcome outcome) const {
+  /// Whether requests that can't be served are to be rejected before their body is read.
+  [[nodiscard]] bool rejectsBeforeBody() const { return restrictions_.rejectsBeforeBody; }
+  /// Whether the operator has switched the queue on.
+  [[nodiscard]] bool hasQueue() const { return queue_ != nullptr; }
+  /// Whether a request of this class with so many microseconds left can't be served: the degradation level
+  /// excludes its class, or recent requests took longer.
+  [[nodiscard]] bool isTooLate(std::uint32_t requestClass, Micros remaining) const;
+  /// Microseconds after which a client that is rejected now may come again; 0: the platform wants no advice.
+  [[nodiscard]] Micros retryAfter() const;
+  /// The fraction of recent requests that were beyond their tenant's quota; 0 to 1. 0 where neither the queue
+  /// nor degradation is on.
+  [[nodiscard]] double beyondQuotaFraction();
+  /// Requests in the queue.
+  [[nodiscard]] std::size_t queueSize() const { return queue_ ? queue_->size() : 0; }
+  /// Requests that had this outcome since the process started; none is counted while there is no queue.
+  [[nodiscard]] std::uint64_t count(admission::Outcome outcome) const {
     return counts_.at(static_cast<std::size_t>(outcome));
   }
 
  private:
-  std::vector<double> priorityWeightsOf(const op::File& file) const;
+  struct Queued {
+    ClientRequest request;
+    admission::QueuedRequest entry;
+  };
+
+  // By class. The operator's order first, each above all weights that the platform gives; then by the
+  // platform's.
+  [[nodiscard]] std::vector<double> priorityWeightsOf(const op::File& file) const;
   void execute(const admission::Decision& decision);
+  // Forwards and rejects as much as one turn of the event loop may take.
   void runTurn();
+  // Runs a turn behind everything that is ready now: all requests that have come by then have been read.
   void scheduleTurn();
 
   boost::asio::io_context& io_;
@@ -77,17 +100,13 @@
   std::int64_t perTurn_;
   std::unique_ptr<admission::AdmissionQueue> queue_;  // none: off
   admission::TenantQuotas quotas_;
-  bool countsArrivals_ = false;  // shares are of use to somebody
-  struct Queued {
-    ClientRequest request;
-    admission::QueuedRequest entry;
-  };
+  bool countsArrivals_ = false;  // quotas count: the queue or degradation is on
   std::unordered_map<balancer::RequestId, Queued> queued_;
   degradation::Restrictions restrictions_;
-  std::int64_t forwardedInTurn_ = 0;  // in this turn of the loop
+  std::int64_t forwardedInTurn_ = 0;  // of the event loop
   bool isTurnScheduled_ = false;
-  admission::ExpiringAverage queueTime_,
-      responseTime_;  // of those handed on: in the queue, and until they were served
+  admission::ExpiringAverage queueTime_;     // of forwarded requests, since they had come
+  admission::ExpiringAverage responseTime_;  // of served requests, since they had come
   std::array<std::uint64_t, admission::kOutcomes> counts_{};
   std::shared_ptr<bool> isAlive_;  // for handlers that outlive this
 };
