--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -6,7 +6,6 @@
 #include <vector>
 
 #include "admission/tcp_state.h"
-#include "network/nonblocking_io.h"
 #include "request_form.h"
 
 namespace ivypost {
@@ -21,10 +20,6 @@
 
 // While the server drains or stops, its connections are gone through so often.
 constexpr milliseconds kTendEvery{20};
-// When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
-// connections in a row ended while they stood in its queue.
-constexpr milliseconds kAcceptPause{10};
-constexpr int kMaxFailedAccepts = 16;
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientShare = 0.6112;
 
@@ -38,12 +33,6 @@
   return settings;
 }
 
-// accept() failed since the system is short of something, not since the connection had ended already.
-bool isOfTheSystem(const error_code& error) {
-  return error == asio::error::no_descriptors ||
-         error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
-}
-
 }  // namespace
 
 Server::Server(asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -53,8 +42,6 @@
       validator_(config.site),
       budget_(budget),
       callbacks_(std::move(callbacks)),
-      acceptor_(io),
-      timer_(io),
       tendTimer_(io),
       deadlines_(std::make_shared<Deadlines>(io)),
       connectionLimiter_(connectionLimiterSettings(config, file)),
@@ -63,20 +50,10 @@
                             [this](RequestId id, admission::Outcome why) {
                               answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
                             }}),
-      statusOn_(file.status) {
-  if (config.listener) {
-    acceptor_.assign(config.listen.protocol(), *config.listener);
-  } else {
-    acceptor_.open(config.listen.protocol());
-    acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(config.listen);
-    acceptor_.listen();
-  }
-  acceptor_.non_blocking(true);
-  // Asio would pass over a connection that ended in the queue and wait for the next one to come, while others
-  // stand there already.
-  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
-}
+      listener_(
+          io, config, connectionLimiter_,
+          {[this] { return evictConnection(); }, [this](tcp::socket socket) { admit(std::move(socket)); }}),
+      statusOn_(file.status) {}
 
 Server::~Server() {
   deadlines_->stop();
@@ -84,49 +61,6 @@
   for (const auto& [id, session] : sessions_) session->detach();
 }
 
-void Server::accept() {
-  if (!effects_.acceptsConnections || !acceptor_.is_open()) return;
-  if (connectionLimiter_.isFull() && !evictConnection()) return scheduleAccept();
-  if (std::exchange(accepting_, true)) return;
-  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
-    accepting_ = false;
-    // What was accepted counts as taken, also when the acceptor has been closed since.
-    if (!error) admit(std::move(socket));
-    if (!acceptor_.is_open()) return;
-    failedAccepts_ = error ? failedAccepts_ + 1 : 0;
-    const bool isShort = isOfTheSystem(error);
-    if (isShort || failedAccepts_ >= kMaxFailedAccepts) {
-      // Guards against a loop that spins when descriptors have run out.
-      if (isShort) evictConnection();
-      failedAccepts_ = 0;
-      timer_.expires_after(kAcceptPause);
-      return waitForCapacity();
-    }
-    accept();
-  });
-}
-
-// Until a connection closes, or one may give way by the time that it has been silent or idle.
-void Server::scheduleAccept() {
-  const Micros time = now();
-  timer_.expires_after(std::chrono::microseconds(connectionLimiter_.nextEvictionAt(time) - time));
-  waitForCapacity();
-}
-
-void Server::waitForCapacity() {
-  waitsForCapacity_ = true;
-  timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled && std::exchange(waitsForCapacity_, false)) accept();
-  });
-}
-
-void Server::onCapacity() {
-  if (!waitsForCapacity_ || connectionLimiter_.isFull()) return;
-  waitsForCapacity_ = false;
-  timer_.cancel();
-  accept();
-}
-
 void Server::admit(tcp::socket socket) {
   // Guards the core against those that gave up while they stood in the kernel's queue: nobody reads an
   // answer.
@@ -176,7 +110,7 @@
 void Server::onClosed(admission::ConnectionLimiter::Slot slot) {
   sessions_.erase(slot->id);
   connectionLimiter_.release(slot);
-  onCapacity();
+  listener_.onCapacity();
 }
 
 bool Server::isClientGone(RequestId id) {
@@ -265,9 +199,9 @@
 void Server::follow(const lifecycle::Effects& effects) {
   const bool accepted = std::exchange(effects_, effects).acceptsConnections;
   if (effects.acceptsConnections) {
-    if (!accepted) accept();
+    if (!accepted) listener_.start();
   } else if (accepted) {
-    closeAcceptor();
+    listener_.stop();
   }
   if (effects.closesIdleConnections && !tending_) tend();
 }
@@ -302,22 +236,4 @@
   });
 }
 
-void Server::closeAcceptor() {
-  // Whatever stands in the queue counts as taken, unless another process reads it too.
-  // One that has ended there, or the want of a descriptor, says nothing of those behind.
-  for (int failed = 0; !config_.listener && failed < kMaxFailedAccepts;) {
-    error_code error;
-    tcp::socket socket(io_);
-    acceptor_.accept(socket, error);
-    if (error == asio::error::would_block) break;
-    failed = error ? failed + 1 : 0;
-    if (isOfTheSystem(error)) evictConnection();
-    if (!error) admit(std::move(socket));
-  }
-  // Closed, and never shut down: an inherited one stays open for the other process.
-  error_code ignored;
-  acceptor_.close(ignored);
-  waitsForCapacity_ = false;
-}
-
 }  // namespace ivypost
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -27,6 +27,7 @@
 #include "config.h"
 #include "deadlines.h"
 #include "lifecycle/lifecycle.h"
+#include "listener.h"
 #include "request_validator.h"
 #include "response_writer.h"
 
@@ -73,16 +74,11 @@
   // Requests that are open, of the most that may be; 0 without a limit.
   double openShare() const;
 
-  std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
+  std::uint16_t port() const { return listener_.port(); }
 
  private:
-  void accept();
   void admit(boost::asio::ip::tcp::socket socket);
   bool evictConnection();
-  void scheduleAccept();
-  void waitForCapacity();
-  void onCapacity();
-  void closeAcceptor();
   const lifecycle::Effects& effects() const override { return effects_; }
   std::optional<Answer> rejectionFromHead(const RequestHead& head,
                                           std::chrono::milliseconds unread) const override;
@@ -104,16 +100,13 @@
   const RequestValidator validator_;
   relay::Budget& budget_;
   Callbacks callbacks_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer timer_, tendTimer_;
+  boost::asio::steady_timer tendTimer_;
   const std::shared_ptr<Deadlines> deadlines_;  // of the sessions
   admission::ConnectionLimiter connectionLimiter_;
   AdmissionController admissionController_;
+  Listener listener_;
   op::File::Status statusOn_;
-  lifecycle::Effects effects_;     // nothing yet
-  bool accepting_ = false;         // the next connection is waited for
-  int failedAccepts_ = 0;          // in a row
-  bool waitsForCapacity_ = false;  // accepting does
+  lifecycle::Effects effects_;  // nothing yet
   bool tending_ = false;
   admission::ConnectionId lastConnection_ = 0;
   std::unordered_map<admission::ConnectionId, std::shared_ptr<ClientSession>> sessions_;
