--- a/src/sidecar/client_session_host.h
+++ b/src/sidecar/client_session_host.h
@@ -13,7 +13,7 @@
 #include "admission/connection_limiter.h"
 #include "client_request.h"
 #include "lifecycle/lifecycle.h"
-#include "request_form.h"
+#include "request_parser.h"
 #include "response_writer.h"
 
 namespace ivypost {
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -78,9 +78,9 @@
   }
   if (error) return onRead(error);
   version_ = parser_->get().version();
-  if (const auto flaw = flawOf(parser_->get())) {
+  if (const auto syntaxError = findSyntaxError(parser_->get())) {
     keepAlive_ = false;
-    return write(textAnswer(flaw->status, flaw->why));
+    return write(textAnswer(syntaxError->status, syntaxError->reason));
   }
   if (parser_->is_done()) return onRead(error);
   if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
@@ -241,7 +241,7 @@
     if (error == http::error::header_limit) return write(textAnswer(431, "header over 16 KiB"));
     if (error == http::error::end_of_stream || error == http::error::partial_message) return close();
     if (error == http::error::bad_version)
-      return write(textAnswer(statusOfBadStart(received()), "malformed HTTP: " + error.message()));
+      return write(textAnswer(statusOfMalformedStartLine(received()), "malformed HTTP: " + error.message()));
     if (error.category() == make_error_code(http::error::bad_method).category())
       return write(answerToBodyError(error));
     return close();
--- a/src/sidecar/request_form.cpp
+++ b/src/sidecar/request_parser.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "request_form.h"
+#include "request_parser.h"
 
 #include <algorithm>
 #include <array>
@@ -86,27 +86,27 @@
   return Absolute{target.substr(0, end), target.substr(end)};
 }
 
-std::optional<Flaw> flawOfTarget(const RequestHead& head) {
+std::optional<SyntaxError> findTargetError(const RequestHead& head) {
   std::string_view target = view(head.target());
-  if (head.method() == http::verb::connect) return Flaw{501, "CONNECT is not served"};
+  if (head.method() == http::verb::connect) return SyntaxError{501, "CONNECT is not served"};
   if (target == "*")
-    return head.method() == http::verb::options ? Flaw{501, "OPTIONS is not served"}
-                                                : Flaw{400, "the target * is for OPTIONS only"};
+    return head.method() == http::verb::options ? SyntaxError{501, "OPTIONS is not served"}
+                                                : SyntaxError{400, "the target * is for OPTIONS only"};
   if (const auto absolute = absoluteForm(target)) {
     if (absolute->authority.empty() || !isAuthority(absolute->authority))
-      return Flaw{400, "the target names no valid host"};
+      return SyntaxError{400, "the target names no valid host"};
     target = absolute->rest;
   } else if (target.empty() || target.front() != '/') {
-    return Flaw{400, "the target is neither a path nor an http address"};
+    return SyntaxError{400, "the target is neither a path nor an http address"};
   }
-  if (!inUri(target, ":@/?")) return Flaw{400, "the target has a character that has to be encoded"};
+  if (!inUri(target, ":@/?")) return SyntaxError{400, "the target has a character that has to be encoded"};
   return std::nullopt;
 }
 
-std::optional<Flaw> flawOfFraming(const RequestHead& head) {
+std::optional<SyntaxError> findFramingError(const RequestHead& head) {
   const auto codings = head.count(http::field::transfer_encoding);
   if (codings > 0) {
-    if (head.version() < 11) return Flaw{400, "a transfer coding in HTTP/1.0"};
+    if (head.version() < 11) return SyntaxError{400, "a transfer coding in HTTP/1.0"};
     if (codings == 1 && head.count(http::field::content_length) == 0) {
       // Another coding that ends with chunked has an end, and is merely not understood (RFC 9112, 6.1).
       const std::string_view coding = view(head[http::field::transfer_encoding]);
@@ -115,41 +115,43 @@
         std::string_view last = coding.substr(comma + 1);
         last.remove_prefix(std::min(last.find_first_not_of(" \t"), last.size()));
         if (beast::iequals({last.data(), last.size()}, "chunked"))
-          return Flaw{501, "a transfer coding but chunked"};
+          return SyntaxError{501, "a transfer coding but chunked"};
       }
     }
   }
-  if (!plainFraming(head)) return Flaw{400, "framing that can be read in two ways"};
+  if (!plainFraming(head)) return SyntaxError{400, "framing that can be read in two ways"};
   if (head.count(http::field::content_length) > 0) {
     const std::string_view length = view(head[http::field::content_length]);
     if (length.empty() ||
         !std::all_of(length.begin(), length.end(), [](char c) { return c >= '0' && c <= '9'; }))
-      return Flaw{400, "Content-Length is no number"};
+      return SyntaxError{400, "Content-Length is no number"};
   }
   return std::nullopt;
 }
 
 }  // namespace
 
-std::optional<Flaw> flawOf(const RequestHead& head) {
-  if (const auto flaw = flawOfFraming(head)) return flaw;
+std::optional<SyntaxError> findSyntaxError(const RequestHead& head) {
+  if (const auto error = findFramingError(head)) return error;
   const auto hosts = head.count(http::field::host);
-  if (hosts > 1 || (hosts == 0 && head.version() >= 11)) return Flaw{400, "Host has to stand there once"};
-  if (hosts == 1 && !isAuthority(view(head[http::field::host]))) return Flaw{400, "Host names no valid host"};
-  if (const auto flaw = flawOfTarget(head)) return flaw;
+  if (hosts > 1 || (hosts == 0 && head.version() >= 11))
+    return SyntaxError{400, "Host has to stand there once"};
+  if (hosts == 1 && !isAuthority(view(head[http::field::host])))
+    return SyntaxError{400, "Host names no valid host"};
+  if (const auto error = findTargetError(head)) return error;
   for (const auto& field : head) {
     // RFC 9110, 5.5. The parser has unfolded lines already (RFC 9112, 5.2).
     const std::string_view value = view(field.value());
     if (std::any_of(value.begin(), value.end(),
                     [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; }))
-      return Flaw{400, "a control character in a header"};
+      return SyntaxError{400, "a control character in a header"};
   }
   if (head.count(http::field::expect) > 0 && !expectsContinue(head) && head.version() >= 11)
-    return Flaw{417, "Expect names what is not kept"};
+    return SyntaxError{417, "Expect names what is not kept"};
   for (const auto& option : http::token_list(head[http::field::connection])) {
     for (const char* const name : kEndToEnd) {
       if (beast::iequals(option, name))
-        return Flaw{400, "Connection names a header that belongs to the request"};
+        return SyntaxError{400, "Connection names a header that belongs to the request"};
     }
   }
   return std::nullopt;
@@ -178,7 +180,7 @@
   for (const http::field field : kHopByHop) head.erase(field);
 }
 
-unsigned statusOfBadStart(std::string_view text) {
+unsigned statusOfMalformedStartLine(std::string_view text) {
   const std::string_view line = text.substr(0, text.find("\r\n"));
   const std::size_t space = line.rfind(' ');
   if (space == std::string_view::npos || line.find(' ') == space) return 400;
--- a/src/sidecar/request_form.h
+++ b/src/sidecar/request_parser.h
@@ -3,8 +3,8 @@
 // What RFC 9110 (HTTP semantics) and RFC 9112 (HTTP/1.1) make a server refuse, or change before it goes on,
 // in a request whose head Boost.Beast 1.74 has taken. Guards the nodes: what two parsers can read in two ways
 // must not reach them. No I/O.
-#ifndef IVYPOST_REQUEST_FORM_H_
-#define IVYPOST_REQUEST_FORM_H_
+#ifndef IVYPOST_REQUEST_PARSER_H_
+#define IVYPOST_REQUEST_PARSER_H_
 
 #include <boost/beast/http/message.hpp>
 #include <optional>
@@ -14,13 +14,13 @@
 
 using RequestHead = boost::beast::http::request_header<>;
 
-struct Flaw {
+struct SyntaxError {
   unsigned status = 400;
-  const char* why = "";  // one line
+  const char* reason = "";  // one line
 };
 
 // The first that is found; none: the request may be read on. Only the head is looked at.
-std::optional<Flaw> flawOf(const RequestHead& head);
+std::optional<SyntaxError> findSyntaxError(const RequestHead& head);
 
 // Brings the target of a flawless head to origin-form, with the host that an absolute one names (RFC
 // 9112, 3.2.2).
@@ -35,8 +35,8 @@
 
 // The status for a start line that the parser refused: 505 for a well-formed one of another major version,
 // else 400 (RFC 9110, 15.6.6). `text`: what was received, as far as it goes.
-unsigned statusOfBadStart(std::string_view text);
+unsigned statusOfMalformedStartLine(std::string_view text);
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_REQUEST_FORM_H_
+#endif  // IVYPOST_REQUEST_PARSER_H_
--- a/src/sidecar/request_validator.h
+++ b/src/sidecar/request_validator.h
@@ -15,7 +15,7 @@
 #include "client_request.h"
 #include "clock.h"
 #include "config.h"
-#include "request_form.h"
+#include "request_parser.h"
 
 namespace ivypost {
 
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "admission/tcp_state.h"
-#include "request_form.h"
+#include "request_parser.h"
 
 namespace ivypost {
 namespace {
--- a/src/sidecar/upstream_request.cpp
+++ b/src/sidecar/upstream_request.cpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 
 #include "framing.h"
-#include "request_form.h"
+#include "request_parser.h"
 
 namespace ivypost {
 namespace {
--- a/tests/http_conformance_test.cpp
+++ b/tests/http_conformance_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "request_form.h"
+#include "request_parser.h"
 #include "sidecar_rig.h"
 
 namespace ivypost {
@@ -281,10 +281,10 @@
 }
 
 TEST(RequestForm, TellsBadStartLines) {
-  EXPECT_EQ(statusOfBadStart("GET / HTTP/3.0\r\n"), 505u);
-  EXPECT_EQ(statusOfBadStart("GET / HTTP/1.5x\r\n"), 400u);
-  EXPECT_EQ(statusOfBadStart("HTTP/2.0\r\n"), 400u);
-  EXPECT_EQ(statusOfBadStart(""), 400u);
+  EXPECT_EQ(statusOfMalformedStartLine("GET / HTTP/3.0\r\n"), 505u);
+  EXPECT_EQ(statusOfMalformedStartLine("GET / HTTP/1.5x\r\n"), 400u);
+  EXPECT_EQ(statusOfMalformedStartLine("HTTP/2.0\r\n"), 400u);
+  EXPECT_EQ(statusOfMalformedStartLine(""), 400u);
 }
 
 }  // namespace
