--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -19,16 +19,16 @@
 using std::chrono::milliseconds;
 
 // While the server drains or stops, its connections are gone through so often.
-constexpr milliseconds kTendEvery{20};
+constexpr milliseconds kSweepInterval{20};
 // Part of the pools' descriptors that clients' connections may hold.
-constexpr double kClientShare = 0.6112;
+constexpr double kClientFraction = 0.6112;
 
 admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config, const op::File& file) {
   admission::ConnectionLimiterSettings settings;
   settings.keepAnyFraction = file.door.keepAny;
   settings.keepReusedFraction = file.door.keepUsed;
   settings.activeFraction = file.door.work;
-  const double connections = kClientShare * config.poolSockets();
+  const double connections = kClientFraction * config.poolSockets();
   settings.maxConnections = std::max<std::size_t>(1, static_cast<std::size_t>(connections));
   return settings;
 }
@@ -42,18 +42,18 @@
       validator_(config.site),
       budget_(budget),
       callbacks_(std::move(callbacks)),
-      tendTimer_(io),
+      sweepTimer_(io),
       deadlines_(std::make_shared<Deadlines>(io)),
       connectionLimiter_(connectionLimiterSettings(config, file)),
       admissionController_(io, config, file,
-                           {[this](ClientRequest request) { callbacks_.taken(std::move(request)); },
+                           {[this](ClientRequest request) { callbacks_.onRequest(std::move(request)); },
                             [this](RequestId id, admission::Outcome why) {
                               answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
                             }}),
       listener_(
           io, config, connectionLimiter_,
           {[this] { return evictConnection(); }, [this](tcp::socket socket) { admit(std::move(socket)); }}),
-      statusOn_(file.status) {}
+      statusSettings_(file.status) {}
 
 Server::~Server() {
   deadlines_->stop();
@@ -98,7 +98,7 @@
 }
 
 void Server::openRequest(std::shared_ptr<ClientSession> session) {
-  traces_.open(session->trace(), now());
+  traceIds_.open(session->trace(), now());
   const RequestId id = session->request();
   open_.emplace(id, std::move(session));
 }
@@ -120,7 +120,7 @@
 
 bool Server::endRequest(const ClientSession& session) {
   if (open_.erase(session.request()) == 0) return false;
-  traces_.close(session.trace(), now());
+  traceIds_.close(session.trace(), now());
   return true;
 }
 
@@ -130,17 +130,17 @@
   return answer;
 }
 
-double Server::openShare() const {
+double Server::openRequestFraction() const {
   const std::uint32_t most = config_.site.settings.maxOpen;
   return most == 0 ? 0 : static_cast<double>(open_.size()) / most;
 }
 
 void Server::cancelRequest(RequestId id) {
-  if (!admissionController_.withdraw(id)) callbacks_.over(id);
+  if (!admissionController_.withdraw(id)) callbacks_.onRequestEnded(id);
 }
 
-void Server::adopt(const op::File& file) {
-  statusOn_ = file.status;
+void Server::apply(const op::File& file) {
+  statusSettings_ = file.status;
   connectionLimiter_.apply(connectionLimiterSettings(config_, file));
   admissionController_.apply(file);
 }
@@ -153,13 +153,13 @@
   return rejection("refused: too late");
 }
 
-bool Server::full() const {
+bool Server::isAtRequestLimit() const {
   const std::uint32_t most = config_.site.settings.maxOpen;
   return most > 0 && open_.size() >= most;
 }
 
 // What the sidecar itself answers, without an upstream.
-std::optional<Answer> Server::answersItself(const RequestHead& head) const {
+std::optional<Answer> Server::ownAnswerTo(const RequestHead& head) const {
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   const bool isGet = head.method() == http::verb::get;
@@ -167,20 +167,20 @@
     if (!isGet) return textAnswer(405, "GET only");
     return effects_.isReady ? textAnswer(200, "ready") : textAnswer(503, "not ready");
   }
-  const bool level = statusOn_.level && path == "/status/level";
-  if (!level && !(statusOn_.peers && path == "/status/peers")) return std::nullopt;
+  const bool level = statusSettings_.level && path == "/status/level";
+  if (!level && !(statusSettings_.peers && path == "/status/peers")) return std::nullopt;
   if (!isGet) return textAnswer(405, "GET only");
-  Answer answer = textAnswer(200, level ? callbacks_.status() : callbacks_.peers());
+  Answer answer = textAnswer(200, level ? callbacks_.levelStatus() : callbacks_.peerStatus());
   answer.contentType = "application/json";
   return answer;
 }
 
 std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
   toOriginForm(message);
-  if (auto answer = answersItself(message)) return std::move(*answer);
+  if (auto answer = ownAnswerTo(message)) return std::move(*answer);
   if (!effects_.acceptsRequests) return rejection("refused: clients are sent away");
   auto read = validator_.validate(message, unread, Clock::now(),
-                                  [this](std::uint64_t trace) { return traces_.isFree(trace, now()); });
+                                  [this](std::uint64_t trace) { return traceIds_.isFree(trace, now()); });
   if (const auto* error = std::get_if<RequestError>(&read)) {
     if (error->status == 503) return rejection(std::string(error->reason));
     return textAnswer(error->status, error->reason);
@@ -189,27 +189,27 @@
   if (admissionController_.rejectsBeforeBody() &&
       admissionController_.isTooLate(request.requestClass, request.expiresIn))
     return rejection("refused: too late");
-  if (full() || (!admissionController_.hasQueue() && !connectionLimiter_.admitsRequests()))
+  if (isAtRequestLimit() || (!admissionController_.hasQueue() && !connectionLimiter_.admitsRequests()))
     return rejection("refused: too many open requests");
   request.id = ++lastId_;
   request.message = std::make_shared<const Message>(std::move(message));
   return std::move(request);
 }
 
-void Server::follow(const lifecycle::Effects& effects) {
+void Server::apply(const lifecycle::Effects& effects) {
   const bool accepted = std::exchange(effects_, effects).acceptsConnections;
   if (effects.acceptsConnections) {
     if (!accepted) listener_.start();
   } else if (accepted) {
     listener_.stop();
   }
-  if (effects.closesIdleConnections && !tending_) tend();
+  if (effects.closesIdleConnections && !isSweeping_) sweep();
 }
 
 // Closes what is idle while the server drains or stops, and tells when nothing is left to answer.
-void Server::tend() {
-  tending_ = effects_.closesIdleConnections;
-  if (!tending_) return;
+void Server::sweep() {
+  isSweeping_ = effects_.closesIdleConnections;
+  if (!isSweeping_) return;
   const Micros time = now();
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
@@ -227,12 +227,12 @@
     if (allIdle || effects_.mustExit) {
       const auto left = sessions_;
       for (const auto& [id, session] : left) session->closeFinally();
-      return callbacks_.ended();
+      return callbacks_.onEnded();
     }
   }
-  tendTimer_.expires_after(kTendEvery);
-  tendTimer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) tend();
+  sweepTimer_.expires_after(kSweepInterval);
+  sweepTimer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) sweep();
   });
 }
 
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -36,17 +36,17 @@
 class Server : private ClientSessionHost {
  public:
   struct Callbacks {
-    std::function<void(ClientRequest)> taken;
+    std::function<void(ClientRequest)> onRequest;
     // The client has left, or the deadline passed with no answer and the server gave one itself.
-    std::function<void(balancer::RequestId)> over;
+    std::function<void(balancer::RequestId)> onRequestEnded;
     // What GET /status/level and /status/peers answer, as JSON; asked only where the operator has switched it
     // on.
-    std::function<std::string()> status, peers;
+    std::function<std::string()> levelStatus, peerStatus;
     // All that was taken is answered, or has to be left, and the lifecycle lets the process end.
-    std::function<void()> ended;
+    std::function<void()> onEnded;
   };
 
-  // Listens, and accepts when follow() says so. Throws boost::system::system_error when it cannot listen, and
+  // Listens, and accepts when apply() says so. Throws boost::system::system_error when it cannot listen, and
   // what AdmissionController throws.
   // `budget` is for requests whose bodies are large.
   Server(boost::asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
@@ -64,15 +64,15 @@
   bool isClientGone(balancer::RequestId id);
 
   // What holds from now on.
-  void follow(const lifecycle::Effects& effects);
+  void apply(const lifecycle::Effects& effects);
 
   // Takes the operator's file over; admissionController().validate() has to have passed.
-  void adopt(const op::File& file);
+  void apply(const op::File& file);
   AdmissionController& admissionController() { return admissionController_; }
   const AdmissionController& admissionController() const { return admissionController_; }
   const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
   // Requests that are open, of the most that may be; 0 without a limit.
-  double openShare() const;
+  double openRequestFraction() const;
 
   std::uint16_t port() const { return listener_.port(); }
 
@@ -90,29 +90,29 @@
   void cancelRequest(balancer::RequestId id) override;
   void onClosed(admission::ConnectionLimiter::Slot slot) override;
 
-  void tend();
+  void sweep();
 
-  std::optional<Answer> answersItself(const RequestHead& head) const;
-  bool full() const;
+  std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
+  bool isAtRequestLimit() const;
 
   boost::asio::io_context& io_;
   const Config& config_;
   const RequestValidator validator_;
   relay::Budget& budget_;
   Callbacks callbacks_;
-  boost::asio::steady_timer tendTimer_;
+  boost::asio::steady_timer sweepTimer_;
   const std::shared_ptr<Deadlines> deadlines_;  // of the sessions
   admission::ConnectionLimiter connectionLimiter_;
   AdmissionController admissionController_;
   Listener listener_;
-  op::File::Status statusOn_;
+  op::File::Status statusSettings_;
   lifecycle::Effects effects_;  // nothing yet
-  bool tending_ = false;
+  bool isSweeping_ = false;
   admission::ConnectionId lastConnection_ = 0;
   std::unordered_map<admission::ConnectionId, std::shared_ptr<ClientSession>> sessions_;
   balancer::RequestId lastId_ = 0;
   std::unordered_map<balancer::RequestId, std::shared_ptr<ClientSession>> open_;
-  admission::TraceIds traces_;
+  admission::TraceIds traceIds_;
 };
 
 }  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -149,7 +149,7 @@
     log(fleet_ ? "peers: on, as the operator's file has it now" : "peers: off");
   }
   membership_.platformMoved(config.discovery);
-  server_.adopt(file);
+  server_.apply(file);
   degradation_.apply(file.degradation);
 }
 
@@ -198,7 +198,7 @@
   for (const auto& action : actions) {
     std::visit([this](const auto& one) { carryOut(one); }, action);
   }
-  if (const char* line = shedding_.look(at)) log(line);
+  if (const char* line = shedding_.poll(at)) log(line);
 }
 
 void Sidecar::onTaken(ClientRequest client) {
@@ -355,7 +355,7 @@
   lifecycle_.handle(event, timePoint(now()));
   if (lifecycle_.state() != before)
     log(std::string("the sidecar is ") + lifecycle::nameOf(lifecycle_.state()));
-  server_.follow(lifecycle_.effects());
+  server_.apply(lifecycle_.effects());
   const auto next = lifecycle_.nextChange();
   if (!next) {
     lifecycleTimer_.cancel();
@@ -524,7 +524,7 @@
 degradation::Measurements Sidecar::gauges() {
   const auto& limiter = server_.connectionLimiter();
   degradation::Measurements measurements;
-  measurements.openRequestFraction = server_.openShare();
+  measurements.openRequestFraction = server_.openRequestFraction();
   const auto working = static_cast<double>(limiter.count(admission::ConnectionLimiter::State::Active));
   measurements.busyConnectionFraction =
       std::max(working / static_cast<double>(limiter.maxConnections()), upstreams_.busyShare());
@@ -585,7 +585,7 @@
 
 void Sidecar::noteUnsent(RequestId id) {
   if (!requests_.at(id).attempts.empty()) return;
-  if (const char* line = shedding_.turnedAway(now())) log(line);
+  if (const char* line = shedding_.onRejected(now())) log(line);
 }
 
 void Sidecar::carryOut(const balancer::Reject& refuse) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -24,10 +24,10 @@
 #include "exclusion/exclusion_file.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
+#include "load_shedding_log.h"
 #include "membership/membership.h"
 #include "membership/platform.h"
 #include "server.h"
-#include "shedding_note.h"
 #include "start_time_estimator.h"
 #include "upstreams.h"
 
@@ -165,7 +165,7 @@
   op::File::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
   DegradationManager degradation_;
-  SheddingNote shedding_;
+  LoadSheddingLog shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
--- a/tests/shedding_note_test.cpp
+++ b/tests/load_shedding_log_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "shedding_note.h"
+#include "load_shedding_log.h"
 
 #include <gtest/gtest.h>
 
@@ -9,23 +9,24 @@
 namespace ivypost {
 namespace {
 
-TEST(SheddingNote, IsOneLineWhenItBeginsAndOneWhenItEnds) {
-  SheddingNote note;
+TEST(LoadSheddingLog, IsOneLineWhenItBeginsAndOneWhenItEnds) {
+  LoadSheddingLog sheddingLog;
   std::vector<std::string> lines;
   const auto take = [&](const char* line) {
     if (line != nullptr) lines.emplace_back(line);
   };
   std::int64_t now = 0;
-  for (; now < 10 * SheddingNote::kOver; now += SheddingNote::kOver / 2) {
-    take(note.look(now));
-    take(note.turnedAway(now));
+  for (; now < 10 * LoadSheddingLog::kQuietTime; now += LoadSheddingLog::kQuietTime / 2) {
+    take(sheddingLog.poll(now));
+    take(sheddingLog.onRejected(now));
   }
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0].rfind("shedding load", 0), 0u);
-  for (const auto end = now + 3 * SheddingNote::kOver; now < end; now += 1000) take(note.look(now));
+  for (const auto end = now + 3 * LoadSheddingLog::kQuietTime; now < end; now += 1000)
+    take(sheddingLog.poll(now));
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[1], "shedding is over");
-  take(note.turnedAway(now));
+  take(sheddingLog.onRejected(now));
   EXPECT_EQ(lines.size(), 3u);
 }
 
