--- a/src/sidecar/load_shedding_log.h
+++ b/src/sidecar/load_shedding_log.h
@@ -1,6 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// What the log says of requests that are turned away unsent: one line when it begins, one when it is over.
 #ifndef IVYPOST_LOAD_SHEDDING_LOG_H_
 #define IVYPOST_LOAD_SHEDDING_LOG_H_
 
@@ -8,19 +6,22 @@
 
 namespace ivypost {
 
+/// What the log says of requests that are rejected since no endpoint can serve them in time: one line when
+/// that begins, one when it ends. No I/O and no clock.
 class LoadSheddingLog {
  public:
-  // It is over when nothing was turned away unsent for so long, in microseconds.
+  /// Load shedding has ended when nothing was rejected for so long, in microseconds.
   static constexpr std::int64_t kQuietTime = 5'000'000;
 
-  // Both give a line for the log, or null.
-  const char* onRejected(std::int64_t now) {
+  /// A request was rejected at `now`, in microseconds of a monotonic clock. A line for the log, or null.
+  [[nodiscard]] const char* onRejected(std::int64_t now) {
     const bool wasShedding = isShedding_;
     isShedding_ = true;
     lastRejection_ = now;
     return wasShedding ? nullptr : "shedding load: nobody is ready in time for all requests";
   }
-  const char* poll(std::int64_t now) {
+  /// Time has passed; called now and then. A line for the log, or null.
+  [[nodiscard]] const char* poll(std::int64_t now) {
     if (!isShedding_ || now - lastRejection_ <= kQuietTime) return nullptr;
     isShedding_ = false;
     return "shedding is over";
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -18,7 +18,7 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// While the server drains or stops, its connections are gone through so often.
+// While the server drains or stops, its connections are swept so often.
 constexpr milliseconds kSweepInterval{20};
 // Part of the pools' descriptors that clients' connections may hold.
 constexpr double kClientFraction = 0.6112;
@@ -158,7 +158,6 @@
   return most > 0 && open_.size() >= most;
 }
 
-// What the sidecar itself answers, without an upstream.
 std::optional<Answer> Server::ownAnswerTo(const RequestHead& head) const {
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
@@ -206,7 +205,6 @@
   if (effects.closesIdleConnections && !isSweeping_) sweep();
 }
 
-// Closes what is idle while the server drains or stops, and tells when nothing is left to answer.
 void Server::sweep() {
   isSweeping_ = effects_.closesIdleConnections;
   if (!isSweeping_) return;
@@ -220,20 +218,22 @@
       session->answerFinally();
     }
   }
-  if (effects_.mayExit) {
-    // One on which something has come by now is about to be read.
-    const bool allIdle =
-        std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
-    if (allIdle || effects_.mustExit) {
-      const auto left = sessions_;
-      for (const auto& [id, session] : left) session->closeFinally();
-      return callbacks_.onEnded();
-    }
-  }
+  if (closeFinally()) return callbacks_.onEnded();
   sweepTimer_.expires_after(kSweepInterval);
   sweepTimer_.async_wait([this](error_code cancelled) {
     if (!cancelled) sweep();
   });
 }
 
+bool Server::closeFinally() {
+  if (!effects_.mayExit) return false;
+  // One on which something has come by now is about to be read.
+  const bool allIdle =
+      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
+  if (!allIdle && !effects_.mustExit) return false;
+  const auto sessions = sessions_;
+  for (const auto& [id, session] : sessions) session->closeFinally();
+  return true;
+}
+
 }  // namespace ivypost
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -1,6 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// The client side: takes requests from the application, checks them, and gives each exactly one answer.
 #ifndef IVYPOST_SERVER_H_
 #define IVYPOST_SERVER_H_
 
@@ -33,67 +31,87 @@
 
 namespace ivypost {
 
+/// The client side: accepts connections of the application, reads and validates its requests, and gives each
+/// exactly one answer.
+///
+/// Invariant: a request is open from openRequest() until it has its answer or its client has left; nothing
+/// but an open one is answered. Connections are bounded by the connection limiter, open requests by the
+/// platform's settings and by one a connection.
 class Server : private ClientSessionHost {
  public:
+  /// What the server asks of its owner, from within the event loop.
   struct Callbacks {
+    /// Takes a request that passed all checks and was admitted.
     std::function<void(ClientRequest)> onRequest;
-    // The client has left, or the deadline passed with no answer and the server gave one itself.
+    /// Nobody waits for this request's answer any more: its client has left, or the deadline passed and the
+    /// server has answered.
     std::function<void(balancer::RequestId)> onRequestEnded;
-    // What GET /status/level and /status/peers answer, as JSON; asked only where the operator has switched it
-    // on.
-    std::function<std::string()> levelStatus, peerStatus;
-    // All that was taken is answered, or has to be left, and the lifecycle lets the process end.
+    /// The body of GET /status/level, as JSON. Called only where the operator has switched it on.
+    std::function<std::string()> levelStatus;
+    /// The body of GET /status/peers, likewise.
+    std::function<std::string()> peerStatus;
+    /// All requests are answered, or have to be left, and the lifecycle lets the process exit.
     std::function<void()> onEnded;
   };
 
-  // Listens, and accepts when apply() says so. Throws boost::system::system_error when it cannot listen, and
-  // what AdmissionController throws.
-  // `budget` is for requests whose bodies are large.
+  /// Listens; accepts when the lifecycle's effects say so. Throws boost::system::system_error when it cannot
+  /// listen, and what AdmissionController throws. `budget` bounds the bodies in transit. `io`, `config` and
+  /// `budget` have to outlive it.
   Server(boost::asio::io_context& io, const Config& config, const op::File& file, relay::Budget& budget,
          Callbacks callbacks);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
 
-  // Gives the request its final answer. Ignored when the request is over.
+  /// Gives an open request its final answer. Otherwise drops the answer, and abandons a body that it streams.
   void answer(balancer::RequestId id, Answer answer);
 
-  // Whether nobody waits for this request's answer any more: it is over, or the client has closed or reset
-  // its connection or ended its sending, as the kernel knows it now (one system call). A connection that was
-  // left is closed soon after, from the loop, which ends the request.
-  bool isClientGone(balancer::RequestId id);
+  /// Whether nobody waits for this request's answer any more: it is not open, or its client has closed or
+  /// reset the connection or ended its sending, as the kernel knows it now (one system call). Such a
+  /// connection is closed soon after, from the event loop, which ends the request.
+  [[nodiscard]] bool isClientGone(balancer::RequestId id);
 
-  // What holds from now on.
+  /// Goes by what the lifecycle allows from now on.
   void apply(const lifecycle::Effects& effects);
 
-  // Takes the operator's file over; admissionController().validate() has to have passed.
+  /// Goes by another operator's file; admissionController().validate() has to have passed it.
   void apply(const op::File& file);
-  AdmissionController& admissionController() { return admissionController_; }
-  const AdmissionController& admissionController() const { return admissionController_; }
-  const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
-  // Requests that are open, of the most that may be; 0 without a limit.
-  double openRequestFraction() const;
-
-  std::uint16_t port() const { return listener_.port(); }
+  /// Decides on requests that have been read.
+  [[nodiscard]] AdmissionController& admissionController() { return admissionController_; }
+  /// The same, to be read.
+  [[nodiscard]] const AdmissionController& admissionController() const { return admissionController_; }
+  /// Decides on connections.
+  [[nodiscard]] const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
+  /// Open requests as a fraction of the platform's maxOpen; 0 without that limit.
+  [[nodiscard]] double openRequestFraction() const;
+
+  /// The port of the listening address.
+  [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
 
  private:
   void admit(boost::asio::ip::tcp::socket socket);
   bool evictConnection();
-  const lifecycle::Effects& effects() const override { return effects_; }
-  std::optional<Answer> rejectionFromHead(const RequestHead& head,
-                                          std::chrono::milliseconds unread) const override;
-  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread) override;
-  Answer rejection(std::string reason) const override;
+  [[nodiscard]] const lifecycle::Effects& effects() const override { return effects_; }
+  [[nodiscard]] std::optional<Answer> rejectionFromHead(const RequestHead& head,
+                                                        std::chrono::milliseconds unread) const override;
+  [[nodiscard]] std::variant<ClientRequest, Answer> check(Message message,
+                                                          std::chrono::milliseconds unread) override;
+  [[nodiscard]] Answer rejection(std::string reason) const override;
   void openRequest(std::shared_ptr<ClientSession> session) override;
   void forward(ClientRequest request) override;
   bool endRequest(const ClientSession& session) override;
   void cancelRequest(balancer::RequestId id) override;
   void onClosed(admission::ConnectionLimiter::Slot slot) override;
 
+  // Closes what is idle while the server drains or stops, and tells its owner when nothing is left to answer.
   void sweep();
+  // Gives all clients their last bytes and closes their connections, if the lifecycle lets the process exit
+  // and nothing has come that is not read. False if the process goes on.
+  bool closeFinally();
 
-  std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
-  bool isAtRequestLimit() const;
+  // What the sidecar answers without an endpoint: /ready and the status pages.
+  [[nodiscard]] std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
+  [[nodiscard]] bool isAtRequestLimit() const;
 
   boost::asio::io_context& io_;
   const Config& config_;
