--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -24,24 +24,24 @@
 constexpr milliseconds kBackstop{10};
 // What a client still sends after its last answer is read and dropped for this long: closing at once would
 // reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
-constexpr milliseconds kLinger{200};
+constexpr milliseconds kLingerTime{200};
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
 // And of each connection so much while the whole server ends: what the kernel can hold unread of one.
 constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
 // A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
 // takes nothing must not hold its place, nor the end of the process.
-constexpr milliseconds kMaxLinger{1000};
+constexpr milliseconds kMaxLingerTime{1000};
 // What is read of what a client sends ahead while its request waits, whatever the budget says; up to
 // BodyBuffering::kMaxBuffered as far as that goes. With more unread its close may stand in its own machine's
 // queue, where nobody sees it: then no attempt is begun for it, and it is looked for so often.
 constexpr std::size_t kMaxAhead = 16UL * 1024;
-constexpr milliseconds kLookForLeaver{100};
+constexpr milliseconds kClosePollInterval{100};
 constexpr std::size_t kReadOnce = 4096;
 // A request that was expected or being read when its time was up may have come whole meanwhile; it is read
 // for so long.
-constexpr milliseconds kLastLook{10};
+constexpr milliseconds kLastReadTime{10};
 // A connection that has sent nothing since it came is not idle before this: its request is on the way.
-constexpr Micros kSettling = 300'000;
+constexpr Micros kSettlingTime = 300'000;
 
 }  // namespace
 
@@ -53,7 +53,7 @@
       connectionLimiter_(resources.connectionLimiter),
       socket_(std::move(socket)),
       deadline_(resources.deadlines),
-      leaver_(resources.deadlines),
+      closePoll_(resources.deadlines),
       buffering_(resources.budget, kMaxWhole),
       ahead_(resources.budget),
       slot_(slot) {}
@@ -62,17 +62,17 @@
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  limit(Clock::now() + kMaxRequest);
-  watch();
+  setDeadline(Clock::now() + kMaxRequestTime);
+  waitForInput();
 }
 
-bool ClientSession::quiet() {
+bool ClientSession::isQuiet() {
   if (state_ != State::Idle || buffer_.size() > 0) return false;
   return peek() == asio::error::would_block;
 }
 
-bool ClientSession::settled(Micros time) const {
-  return slot_->requests > 0 || time - slot_->since >= kSettling;
+bool ClientSession::hasSettled(Micros time) const {
+  return slot_->requests > 0 || time - slot_->since >= kSettlingTime;
 }
 
 bool ClientSession::mayBeEvicted() {
@@ -81,12 +81,13 @@
 }
 
 bool ClientSession::mayCloseIdle() {
-  return quiet() && !admission::hasUnacknowledgedData(socket_.native_handle());
+  return isQuiet() && !admission::hasUnacknowledgedData(socket_.native_handle());
 }
 
 bool ClientSession::isClientGone() {
-  const bool left = admission::hasPeerClosed(socket_.native_handle()) || (!uploading_ && !catchUp());
-  if (!left && (uploading_ || !behind_)) return false;
+  const bool left =
+      admission::hasPeerClosed(socket_.native_handle()) || (!isUploading_ && !continueReadAhead());
+  if (!left && (isUploading_ || !mayHaveUnread_)) return false;
   asio::post(io_, [self = shared_from_this(), id = request_, left] {
     if (self->state_ != State::Waiting || self->request_ != id) return;
     if (left) return self->close();
@@ -104,7 +105,7 @@
       return resume();
     case State::Reading: {
       keepAlive_ = false;
-      if (!busy_) return write(host_.rejection("refused: the sidecar stops"));
+      if (!isBufferInUse_) return write(host_.rejection("refused: the sidecar stops"));
       error_code ignored;
       socket_.cancel(ignored);  // onRead() answers
       return;
@@ -121,13 +122,13 @@
 }
 
 void ClientSession::closeFinally() {
-  const bool owes = state_ == State::Reading || (state_ == State::Idle && !quiet());
+  const bool owes = state_ == State::Reading || (state_ == State::Idle && !isQuiet());
   error_code ignored;
   if (owes) {
     const std::string text = formatLastResponse(host_.rejection("refused: the sidecar stops"));
     socket_.write_some(asio::buffer(text), ignored);
   }
-  if (stream_) {
+  if (responsePipe_) {
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     return close();
   }
@@ -143,10 +144,10 @@
 
 void ClientSession::detach() {
   state_ = State::Closed;
-  uploading_ = false;
+  isUploading_ = false;
   deadline_.cancel();
-  leaver_.cancel();
-  stream_.reset();
+  closePoll_.cancel();
+  responsePipe_.reset();
   error_code ignored;
   socket_.close(ignored);
 }
@@ -156,11 +157,11 @@
   const bool waiting = state_ == State::Waiting;
   state_ = State::Closed;
   deadline_.cancel();
-  leaver_.cancel();
+  closePoll_.cancel();
   error_code ignored;
   socket_.close(ignored);
   if (upload_) upload_->pipe.fail();
-  if (const auto stream = std::exchange(stream_, nullptr)) stream->abandon();
+  if (const auto stream = std::exchange(responsePipe_, nullptr)) stream->abandon();
   const auto self = shared_from_this();  // the server's may have been the last
   host_.onClosed(slot_);
   if (waiting && host_.endRequest(*this)) host_.cancelRequest(request_);
@@ -173,20 +174,20 @@
   return error;
 }
 
-void ClientSession::watch(error_code why) {
-  if (watching_) return;
-  watching_ = true;
+void ClientSession::waitForInput(error_code why) {
+  if (isWaitingForInput_) return;
+  isWaitingForInput_ = true;
   network::waitToRetry(socket_, tcp::socket::wait_read, why, [self = shared_from_this()](error_code) {
-    self->watching_ = false;
-    if (self->uploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
+    self->isWaitingForInput_ = false;
+    if (self->isUploading_ || (self->state_ != State::Idle && self->state_ != State::Waiting)) return;
     const error_code error = self->readAhead();
-    if (error && !network::isShortage(error)) self->behind_ = false;  // the kernel holds nothing more
-    if (network::isTransient(error)) return self->watch(error);
+    if (error && !network::isShortage(error)) self->mayHaveUnread_ = false;  // the kernel holds nothing more
+    if (network::isTransient(error)) return self->waitForInput(error);
     if (error) return self->close();
     if (self->state_ == State::Idle) return self->read();
-    if (self->mayReadAhead()) return self->watch();
-    self->behind_ = true;
-    self->lookForLeaver();
+    if (self->mayReadAhead()) return self->waitForInput();
+    self->mayHaveUnread_ = true;
+    self->pollForClose();
   });
 }
 
@@ -200,23 +201,23 @@
   return true;
 }
 
-bool ClientSession::catchUp() {
-  while (behind_ && mayReadAhead()) {
+bool ClientSession::continueReadAhead() {
+  while (mayHaveUnread_ && mayReadAhead()) {
     const error_code error = readAhead();
     if (network::isShortage(error)) return true;
-    if (error) behind_ = false;
+    if (error) mayHaveUnread_ = false;
     if (error && !network::isTransient(error)) return false;
   }
   return true;
 }
 
-void ClientSession::lookForLeaver() {
-  leaver_.set(Clock::now() + kLookForLeaver, [this] {
+void ClientSession::pollForClose() {
+  closePoll_.set(Clock::now() + kClosePollInterval, [this] {
     const auto self = shared_from_this();
     if (state_ != State::Waiting) return;
     if (admission::hasPeerClosed(socket_.native_handle())) return close();
-    if (!uploading_ && mayReadAhead()) return watch();
-    lookForLeaver();
+    if (!isUploading_ && mayReadAhead()) return waitForInput();
+    pollForClose();
   });
 }
 
@@ -230,24 +231,24 @@
 void ClientSession::resume() {
   if (state_ != State::Idle) return;
   if (buffer_.size() > 0) return read();
-  watch();
+  waitForInput();
 }
 
-void ClientSession::take(ClientRequest request) {
+void ClientSession::beginWaiting(ClientRequest request) {
   state_ = State::Waiting;
   request_ = request.id;
-  answerBy_ = request.deadline;
+  responseDeadline_ = request.deadline;
   arrivedAt_ = request.arrived;
   trace_ = request.trace;
   host_.openRequest(shared_from_this());
-  if (!uploading_) {
-    watch();
-    guard(request.deadline);
+  if (!isUploading_) {
+    waitForInput();
+    armBackstop(request.deadline);
   }
   host_.forward(std::move(request));
 }
 
-void ClientSession::guard(Clock::time_point deadline) {
+void ClientSession::armBackstop(Clock::time_point deadline) {
   deadline_.set(deadline + kBackstop, [this] {
     const auto self = shared_from_this();
     if (state_ != State::Waiting || !host_.endRequest(*this)) return;
@@ -256,12 +257,12 @@
   });
 }
 
-void ClientSession::limit(Clock::time_point until) {
+void ClientSession::setDeadline(Clock::time_point until) {
   deadline_.set(until, [this] {
     const auto self = shared_from_this();
-    const bool reads = state_ == State::Idle || state_ == State::Reading || uploading_;
+    const bool reads = state_ == State::Idle || state_ == State::Reading || isUploading_;
     if (!reads || peek() == asio::error::would_block) return close();
-    deadline_.set(Clock::now() + kLastLook, [this] { close(); });
+    deadline_.set(Clock::now() + kLastReadTime, [this] { close(); });
   });
 }
 
@@ -270,13 +271,13 @@
   connectionLimiter_.beginClosing(slot_, now());
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
-  linger(Clock::now() + kMaxLinger);
+  linger(Clock::now() + kMaxLingerTime);
   // Once the whole server ends there is nobody to take the core from.
   discard(host_.effects().sendsFinalResponses ? kMaxFinalDiscard : kMaxDiscard);
 }
 
 void ClientSession::linger(Clock::time_point atMost) {
-  deadline_.set(Clock::now() + kLinger, [this, atMost] {
+  deadline_.set(Clock::now() + kLingerTime, [this, atMost] {
     const auto self = shared_from_this();
     if (Clock::now() >= atMost || !admission::hasUnacknowledgedData(socket_.native_handle())) return close();
     linger(atMost);
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -53,9 +53,9 @@
   /// Begins to read. Called once, when the server lists the connection.
   void start();
   /// Whether nothing has come on an idle connection, so that closing it loses no request.
-  bool quiet();
+  bool isQuiet();
   /// Whether it has been here for long enough to count as idle when it sends nothing.
-  bool settled(Micros time) const;
+  bool hasSettled(Micros time) const;
   /// Whether closing it costs its client nothing.
   bool mayBeEvicted();
   /// Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
@@ -90,29 +90,29 @@
 
   // A connection's first request must be whole within this time of its accept, and each further one of its
   // first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
-  static constexpr std::chrono::milliseconds kMaxRequest{2500};
+  static constexpr std::chrono::milliseconds kMaxRequestTime{2500};
 
   boost::system::error_code peek();
   // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
   // nothing.
-  void watch(boost::system::error_code why = {});
+  void waitForInput(boost::system::error_code why = {});
   // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
   // reading stops only where memory ends.
   bool mayReadAhead();
   // Reads what has come since reading had to stop. False if the client has left.
-  bool catchUp();
+  bool continueReadAhead();
   // Looks now and then whether the client has left, while what it sends is not read: behind that its close
   // can't be seen by reading.
-  void lookForLeaver();
+  void pollForClose();
   // What has come. While a request waits, it guards against a client that sends more and then leaves
   // unnoticed.
   boost::system::error_code readAhead();
   void resume();
   // An answer is owed from here on.
-  void take(ClientRequest request);
+  void beginWaiting(ClientRequest request);
   // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
-  void guard(Clock::time_point deadline);
-  void limit(Clock::time_point until);
+  void armBackstop(Clock::time_point deadline);
+  void setDeadline(Clock::time_point until);
   void hangUp();
   // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
   void linger(Clock::time_point atMost);
@@ -126,7 +126,7 @@
   void readRestOfHead(bool mayBeEmptyLine);
   void onHead(boost::system::error_code error, bool mayBeEmptyLine);
   // The client waits for this before it sends the body.
-  void goOn();
+  void sendContinue();
   void readBody();
   // What has come of the body.
   void takeBody();
@@ -134,9 +134,9 @@
   void readMore(std::size_t most, boost::system::error_code why = {});
   // Hands the request on while its body is still coming in.
   void beginUpload();
-  void onPiece(boost::system::error_code error);
-  void nextOfUpload();
-  void roomMade();
+  void onUploadPiece(boost::system::error_code error);
+  void continueUpload();
+  void onPipeCapacity();
   void onBody(boost::system::error_code error);
   std::string_view received() const;
   void onRead(boost::system::error_code error);
@@ -147,12 +147,12 @@
   // client_session_writing.cpp
   // Whether something of a next request has come. What has been read is owed an answer, so the connection is
   // not ended by us ahead of that.
-  bool hasNext();
+  bool hasNextRequest();
   // Of the answer. `why`: the write before came to no end.
   void writeRest(boost::system::error_code why);
   void writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body);
-  void pump();
-  void pumpLater();
+  void writeStreamed();
+  void waitToWriteStreamed();
   void onWritten();
 
   ClientSessionHost& host_;
@@ -161,33 +161,34 @@
   admission::ConnectionLimiter& connectionLimiter_;
   boost::asio::ip::tcp::socket socket_;
   Deadlines::Deadline deadline_;
-  Deadlines::Deadline leaver_;  // the next look for one
+  Deadlines::Deadline closePoll_;  // the next look for one
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<relay::PiecesBody>> parser_;
-  std::optional<relay::Pace> pace_;      // of the body
-  relay::BodyBuffering buffering_;       // of bodies
-  relay::Budget::Share ahead_;           // of what is read ahead of an answer
-  std::shared_ptr<Upload> upload_;       // of one that is not
-  std::shared_ptr<relay::Pipe> stream_;  // of an answer that is not
-  Micros expiresIn_ = 0;                 // of a request whose body streams, from its last byte
-  std::optional<Micros> heldBackSince_;  // the client is not read, for want of room
-  unsigned version_ = 11;                // of the request's HTTP
-  bool uploading_ = false, readingBody_ = false;
-  StreamWriter writer_;                 // of an answer that streams
-  bool waitsToWrite_ = false;           // for the client to take more of it
-  std::optional<RequestHead> headers_;  // as they came, while a chunked body is read
-  std::string head_, body_;             // of the answer
-  bool last_ = false, wrong_ = false;   // the answer ends the connection; it says that the client erred
+  std::optional<relay::Pace> pace_;            // of the body
+  relay::BodyBuffering buffering_;             // of bodies
+  relay::Budget::Share ahead_;                 // of what is read ahead of an answer
+  std::shared_ptr<Upload> upload_;             // of one that is not
+  std::shared_ptr<relay::Pipe> responsePipe_;  // of an answer that is not
+  Micros expiresIn_ = 0;                       // of a request whose body streams, from its last byte
+  std::optional<Micros> heldBackSince_;        // the client is not read, for want of room
+  unsigned httpVersion_ = 11;                  // of the request's HTTP
+  bool isUploading_ = false, isReadingBody_ = false;
+  StreamWriter writer_;                            // of an answer that streams
+  bool waitsToWrite_ = false;                      // for the client to take more of it
+  std::optional<RequestHead> headersAheadOfBody_;  // as they came, while a chunked body is read
+  std::string responseHead_, responseBody_;        // of the answer
+  bool closesAfterResponse_ = false;               // the answer ends the connection
+  bool isClientError_ = false;                     // it says that the client erred
   balancer::RequestId request_ = 0;
   Clock::time_point arrivedAt_;
-  Clock::time_point answerBy_ = Clock::time_point::max();  // of the request that is answered
+  Clock::time_point responseDeadline_ = Clock::time_point::max();  // of the request that is answered
   std::uint64_t trace_ = 0;
   const admission::ConnectionLimiter::Slot slot_;
   State state_ = State::Idle;
   bool keepAlive_ = true;
-  bool watching_ = false;
-  bool busy_ = false;    // a head is read, or a 100 written, by an operation that has the buffer
-  bool behind_ = false;  // reading ahead has stopped: more may have come, and its close behind that
+  bool isWaitingForInput_ = false;
+  bool isBufferInUse_ = false;  // a head is read, or a 100 written, by an operation that has the buffer
+  bool mayHaveUnread_ = false;  // reading ahead has stopped: more may have come, and its close behind that
 };
 
 }  // namespace ivypost
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -21,10 +21,10 @@
 // The kernel tells times by its own tick, of 10 ms at the most; less may be none.
 constexpr milliseconds kKernelTick{10};
 // Who still comes when requests are refused for a drain gets so long for a head.
-constexpr milliseconds kMaxRefused{300};
+constexpr milliseconds kMaxHeadTimeInDrain{300};
 
 // Boost.Beast tells lengths in Boost's own type.
-std::optional<std::uint64_t> standard(const boost::optional<std::uint64_t>& length) {
+std::optional<std::uint64_t> toStd(const boost::optional<std::uint64_t>& length) {
   return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
 }
 
@@ -35,9 +35,9 @@
   state_ = State::Reading;
   // The first one's time began when it was let in, and its timer runs.
   if (!host_.effects().acceptsRequests) {
-    limit(Clock::now() + kMaxRefused);
+    setDeadline(Clock::now() + kMaxHeadTimeInDrain);
   } else if (!first) {
-    limit(Clock::now() + kMaxRequest);
+    setDeadline(Clock::now() + kMaxRequestTime);
   }
   connectionLimiter_.beginRequest(slot_, now());
   readHead(true);
@@ -56,10 +56,10 @@
 }
 
 void ClientSession::readRestOfHead(bool mayBeEmptyLine) {
-  busy_ = true;
+  isBufferInUse_ = true;
   http::async_read_header(socket_, buffer_, *parser_,
                           [self = shared_from_this(), mayBeEmptyLine](error_code failed, std::size_t) {
-                            self->busy_ = false;
+                            self->isBufferInUse_ = false;
                             if (self->state_ != State::Reading) return;
                             if (!network::isShortage(failed)) return self->onHead(failed, mayBeEmptyLine);
                             network::waitToRetry(self->socket_, tcp::socket::wait_read, failed,
@@ -77,7 +77,7 @@
     return readHead(false);
   }
   if (error) return onRead(error);
-  version_ = parser_->get().version();
+  httpVersion_ = parser_->get().version();
   if (const auto syntaxError = findSyntaxError(parser_->get())) {
     keepAlive_ = false;
     return write(textAnswer(syntaxError->status, syntaxError->reason));
@@ -91,15 +91,15 @@
       return write(std::move(*refused));
     }
   }
-  if (expectsContinue(parser_->get()) && buffer_.size() == 0) return goOn();
+  if (expectsContinue(parser_->get()) && buffer_.size() == 0) return sendContinue();
   readBody();
 }
 
-void ClientSession::goOn() {
+void ClientSession::sendContinue() {
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
-  busy_ = true;
+  isBufferInUse_ = true;
   network::writeAll(socket_, kContinue, [self = shared_from_this()](error_code error) {
-    self->busy_ = false;
+    self->isBufferInUse_ = false;
     if (self->state_ != State::Reading) return;
     if (error) return self->onRead(error);
     self->readBody();
@@ -108,7 +108,7 @@
 
 void ClientSession::readBody() {
   // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
-  if (parser_->chunked()) headers_ = parser_->get().base();
+  if (parser_->chunked()) headersAheadOfBody_ = parser_->get().base();
   parser_->eager(true);
   pace_.emplace(now());
   pace_->came(buffer_.size(), now());
@@ -122,22 +122,22 @@
   if (error == http::error::need_more) error = {};
   // A chunk's head without end.
   if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader) error = http::error::bad_chunk_extension;
-  if (uploading_) return onPiece(error);
+  if (isUploading_) return onUploadPiece(error);
   if (error || parser_->is_done()) return onBody(error);
   const auto capacity =
-      buffering_.capacityFor(parser_->get().body().size(), standard(parser_->content_length()));
+      buffering_.capacityFor(parser_->get().body().size(), toStd(parser_->content_length()));
   if (!capacity) return beginUpload();
   parser_->get().body().reserve(*capacity);
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  setDeadline(Clock::time_point(std::chrono::microseconds(pace_->due())));
   readMore(kReadOfStream);
 }
 
 void ClientSession::readMore(std::size_t most, error_code why) {
-  if (std::exchange(readingBody_, true)) return;
+  if (std::exchange(isReadingBody_, true)) return;
   network::waitToRetry(socket_, tcp::socket::wait_read, why,
                        [self = shared_from_this(), most](error_code failed) {
-                         self->readingBody_ = false;
-                         if (self->state_ != State::Reading && !self->uploading_) return;
+                         self->isReadingBody_ = false;
+                         if (self->state_ != State::Reading && !self->isUploading_) return;
                          error_code error = failed;
                          std::size_t size = 0;
                          if (!error)
@@ -153,7 +153,8 @@
 void ClientSession::beginUpload() {
   auto& read = parser_->get();
   // The parser goes on with its own, and a later request must not get these.
-  Message message(headers_ ? std::move(*std::exchange(headers_, std::nullopt)) : read.base());
+  Message message(headersAheadOfBody_ ? std::move(*std::exchange(headersAheadOfBody_, std::nullopt))
+                                      : read.base());
   keepAlive_ = parser_->keep_alive();
   auto upload = std::make_shared<Upload>(budget_);
   if (const auto length = parser_->content_length()) upload->length = *length;
@@ -164,26 +165,25 @@
   }
   auto& request = std::get<ClientRequest>(checked);
   upload_ = upload;
-  uploading_ = true;
+  isUploading_ = true;
   expiresIn_ = request.expiresIn;
   // The request's time counts from its last byte, which is not known yet.
-  request.expiresIn +=
-      relay::BodyBuffering::uploadTime(*pace_, standard(parser_->content_length_remaining()));
+  request.expiresIn += relay::BodyBuffering::uploadTime(*pace_, toStd(parser_->content_length_remaining()));
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
   upload->deadline = request.deadline;
   upload->clientGave = std::chrono::microseconds(expiresIn_);
   upload->pipe.onRoom = [weak = weak_from_this()] {
-    if (const auto self = weak.lock()) asio::post(self->io_, [self] { self->roomMade(); });
+    if (const auto self = weak.lock()) asio::post(self->io_, [self] { self->onPipeCapacity(); });
   };
   upload->pipe.push(read.body());
   read.body() = {};
   buffering_.release();
   request.upload = std::move(upload);
-  take(std::move(request));
-  if (uploading_) nextOfUpload();
+  beginWaiting(std::move(request));
+  if (isUploading_) continueUpload();
 }
 
-void ClientSession::onPiece(error_code error) {
+void ClientSession::onUploadPiece(error_code error) {
   if (error) {
     // The attempt ends without its last byte, so it never runs.
     const auto self = shared_from_this();
@@ -194,35 +194,36 @@
   }
   upload_->pipe.push(parser_->get().body());
   parser_->get().body().clear();
-  if (!parser_->is_done()) return nextOfUpload();
-  uploading_ = false;
+  if (!parser_->is_done()) return continueUpload();
+  isUploading_ = false;
   const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
-  upload_->deadline = answerBy_ = deadline;
-  guard(deadline);
-  watch();
+  upload_->deadline = responseDeadline_ = deadline;
+  armBackstop(deadline);
+  waitForInput();
   upload_->pipe.end();
 }
 
-void ClientSession::nextOfUpload() {
+void ClientSession::continueUpload() {
   const std::size_t room = upload_->pipe.room();
   if (room == 0) {
     // Held back by us: the client's pace does not count meanwhile.
     deadline_.cancel();
     if (!heldBackSince_) heldBackSince_ = now();
-    return lookForLeaver();
+    return pollForClose();
   }
-  leaver_.cancel();
+  closePoll_.cancel();
   if (heldBackSince_) pace_->heldBack(now() - *std::exchange(heldBackSince_, std::nullopt));
-  limit(Clock::time_point(std::chrono::microseconds(pace_->due())));
+  setDeadline(Clock::time_point(std::chrono::microseconds(pace_->due())));
   readMore(std::min(room, kReadOfStream));
 }
 
-void ClientSession::roomMade() {
-  if (uploading_ && heldBackSince_) nextOfUpload();
+void ClientSession::onPipeCapacity() {
+  if (isUploading_ && heldBackSince_) continueUpload();
 }
 
 void ClientSession::onBody(error_code error) {
-  if (headers_) parser_->get().base() = std::move(*std::exchange(headers_, std::nullopt));
+  if (headersAheadOfBody_)
+    parser_->get().base() = std::move(*std::exchange(headersAheadOfBody_, std::nullopt));
   onRead(error);
 }
 
@@ -250,10 +251,10 @@
   // Nobody waits for what stood unread until its client had left.
   if (unread > milliseconds(0) && admission::hasPeerClosed(socket_.native_handle())) return close();
   keepAlive_ = parser_->keep_alive();
-  auto whole = parser_->release();
-  auto checked = host_.check(Message(std::move(whole.base()), std::move(whole.body())), unread);
+  auto request = parser_->release();
+  auto checked = host_.check(Message(std::move(request.base()), std::move(request.body())), unread);
   if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
-  take(std::move(std::get<ClientRequest>(checked)));
+  beginWaiting(std::move(std::get<ClientRequest>(checked)));
 }
 
 milliseconds ClientSession::unreadFor() {
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -19,19 +19,19 @@
 
 // An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
 // then. One that is written late gets a little time all the same.
-constexpr milliseconds kAnswerTime{5000};
-constexpr milliseconds kLateAnswerTime{200};
+constexpr milliseconds kResponseTime{5000};
+constexpr milliseconds kLateResponseTime{200};
 // A client that has got an error is read again after this pause: one that sends the same at full speed must
 // not take the core from the others.
 constexpr milliseconds kErrorPause{100};
 // A buffer that was read empty is kept up to this size for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
 // A client that takes nothing more of an answer for so long has stopped.
-constexpr milliseconds kClientTakes{10'000};
+constexpr milliseconds kClientStallTime{10'000};
 
 }  // namespace
 
-bool ClientSession::hasNext() {
+bool ClientSession::hasNextRequest() {
   if (buffer_.size() == 0) readAhead();
   return buffer_.size() > 0;
 }
@@ -39,18 +39,19 @@
 void ClientSession::write(Answer answer) {
   state_ = State::Writing;
   // What is left of a body is not waited for; the client hears at once.
-  if (uploading_) keepAlive_ = false;
-  uploading_ = false;
-  last_ = !keepAlive_ ||
-          (!(host_.effects().keepsConnections && connectionLimiter_.keepsAlive(slot_)) && !hasNext());
-  wrong_ = answer.status / 100 == 4;
-  ResponseHead head = formatResponseHead(answer, version_, last_);
-  last_ = head.closesConnection;
+  if (isUploading_) keepAlive_ = false;
+  isUploading_ = false;
+  closesAfterResponse_ =
+      !keepAlive_ ||
+      (!(host_.effects().keepsConnections && connectionLimiter_.keepsAlive(slot_)) && !hasNextRequest());
+  isClientError_ = answer.status / 100 == 4;
+  ResponseHead head = formatResponseHead(answer, httpVersion_, closesAfterResponse_);
+  closesAfterResponse_ = head.closesConnection;
   if (answer.stream) return writeStream(std::move(head), std::move(answer.stream));
-  head_ = std::move(head.text);
-  body_ = std::move(answer.body);
+  responseHead_ = std::move(head.text);
+  responseBody_ = std::move(answer.body);
   // Nearly always the kernel takes all of it at once.
-  const std::array<asio::const_buffer, 2> parts = {asio::buffer(head_), asio::buffer(body_)};
+  const std::array<asio::const_buffer, 2> parts = {asio::buffer(responseHead_), asio::buffer(responseBody_)};
   error_code error;
   const std::size_t sent = network::writeSome(socket_, parts, error);
   if (!error) return onWritten();
@@ -59,9 +60,10 @@
     asio::post(io_, [self = shared_from_this()] { self->close(); });
     return;
   }
-  head_ += body_;
-  head_.erase(0, sent);
-  limit(std::min(Clock::now() + kAnswerTime, std::max(answerBy_, Clock::now() + kLateAnswerTime)));
+  responseHead_ += responseBody_;
+  responseHead_.erase(0, sent);
+  setDeadline(
+      std::min(Clock::now() + kResponseTime, std::max(responseDeadline_, Clock::now() + kLateResponseTime)));
   writeRest(error);
 }
 
@@ -69,7 +71,7 @@
   network::waitToRetry(socket_, tcp::socket::wait_write, why, [self = shared_from_this()](error_code failed) {
     if (self->state_ != State::Writing) return;
     if (failed) return self->close();
-    network::writeAll(self->socket_, self->head_, [self](error_code error) {
+    network::writeAll(self->socket_, self->responseHead_, [self](error_code error) {
       if (self->state_ != State::Writing) return;
       if (error) return self->close();
       self->onWritten();
@@ -78,25 +80,25 @@
 }
 
 void ClientSession::writeStream(ResponseHead head, std::shared_ptr<relay::Pipe> body) {
-  stream_ = std::move(body);
+  responsePipe_ = std::move(body);
   writer_.begin(std::move(head.text), head.isChunked);
-  stream_->onData = [weak = weak_from_this()] {
+  responsePipe_->onData = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       asio::post(self->io_, [self] {
-        if (self->stream_ && !self->waitsToWrite_) self->pump();
+        if (self->responsePipe_ && !self->waitsToWrite_) self->writeStreamed();
       });
     }
   };
   // Not from within the caller, who goes on with what it has read of the answer.
   asio::post(io_, [self = shared_from_this()] {
-    if (self->stream_ && !self->waitsToWrite_) self->pump();
+    if (self->responsePipe_ && !self->waitsToWrite_) self->writeStreamed();
   });
 }
 
-void ClientSession::pump() {
-  switch (writer_.step(socket_, *stream_)) {
+void ClientSession::writeStreamed() {
+  switch (writer_.step(socket_, *responsePipe_)) {
     case StreamWriter::Step::Blocked:
-      return pumpLater();
+      return waitToWriteStreamed();
     case StreamWriter::Step::Starved:
       return deadline_.cancel();  // the upstream's side has its own
     case StreamWriter::Step::Failed: {
@@ -108,41 +110,41 @@
     case StreamWriter::Step::Broken:
       return close();
     case StreamWriter::Step::Done:
-      stream_.reset();
+      responsePipe_.reset();
       return onWritten();
   }
 }
 
-void ClientSession::pumpLater() {
+void ClientSession::waitToWriteStreamed() {
   waitsToWrite_ = true;
-  limit(Clock::now() + kClientTakes);
+  setDeadline(Clock::now() + kClientStallTime);
   writer_.wait(socket_, [self = shared_from_this()](error_code error) {
     self->waitsToWrite_ = false;
-    if (!self->stream_ || self->state_ != State::Writing) return;
+    if (!self->responsePipe_ || self->state_ != State::Writing) return;
     if (error) return self->close();
-    self->pump();
+    self->writeStreamed();
   });
 }
 
 void ClientSession::onWritten() {
   deadline_.cancel();
-  leaver_.cancel();
+  closePoll_.cancel();
   parser_.reset();
-  body_ = {};
+  responseBody_ = {};
   upload_.reset();
   buffering_.release();
-  answerBy_ = Clock::time_point::max();
-  if (last_) return hangUp();
+  responseDeadline_ = Clock::time_point::max();
+  if (closesAfterResponse_) return hangUp();
   if (buffer_.size() == 0) {
     if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
     ahead_.release();
   }
   state_ = State::Idle;
   connectionLimiter_.beginIdle(slot_, now());
-  if (wrong_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
+  if (isClientError_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
   // One request of a connection a turn of the loop: whoever sends many at once has to let the others have
   // theirs.
-  if (buffer_.size() == 0) return watch();
+  if (buffer_.size() == 0) return waitForInput();
   asio::post(io_, [self = shared_from_this()] { self->resume(); });
 }
 
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -212,7 +212,7 @@
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->settled(time) && session->mayCloseIdle()) {
+    if (session->hasSettled(time) && session->mayCloseIdle()) {
       session->close();
     } else if (effects_.sendsFinalResponses) {
       session->answerFinally();
@@ -229,7 +229,7 @@
   if (!effects_.mayExit) return false;
   // One on which something has come by now is about to be read.
   const bool allIdle =
-      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
+      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isQuiet(); });
   if (!allIdle && !effects_.mustExit) return false;
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) session->closeFinally();
