--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -1,6 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// One connection of a client: its states, reading requests, answering them, closing.
 #ifndef IVYPOST_CLIENT_SESSION_H_
 #define IVYPOST_CLIENT_SESSION_H_
 
@@ -30,8 +28,8 @@
 
 namespace ivypost {
 
-/// One client connection. It lives as long as its host lists it or an operation on it is out: shared, since
-/// operations on the socket outlive its place in the list.
+/// One client connection: reading requests, answering them, closing. It lives as long as its host lists it or
+/// an operation on it is out: shared, since operations on the socket outlive its place in the list.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   /// What all connections of a server share. All of it has to outlive them.
@@ -53,17 +51,17 @@
   /// Begins to read. Called once, when the server lists the connection.
   void start();
   /// Whether nothing has come on an idle connection, so that closing it loses no request.
-  bool isQuiet();
+  [[nodiscard]] bool isQuiet();
   /// Whether it has been here for long enough to count as idle when it sends nothing.
-  bool hasSettled(Micros time) const;
+  [[nodiscard]] bool hasSettled(Micros time) const;
   /// Whether closing it costs its client nothing.
-  bool mayBeEvicted();
+  [[nodiscard]] bool mayBeEvicted();
   /// Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
   /// that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
-  bool mayCloseIdle();
+  [[nodiscard]] bool mayCloseIdle();
   /// Whether the client of the waiting request has left; closes the connection then, but not from within the
   /// caller, who may be in the middle of something of this request's.
-  bool isClientGone();
+  [[nodiscard]] bool isClientGone();
   /// The server stops: what is owed an answer gets its final one. Nothing of what is still being read has
   /// run.
   void answerFinally();
@@ -71,11 +69,11 @@
   /// cost the client its answer; and against an answer cut short that looks whole.
   void closeFinally();
   /// The request that was taken last; 0: none yet.
-  balancer::RequestId request() const { return request_; }
+  [[nodiscard]] balancer::RequestId request() const { return request_; }
   /// When that request had come.
-  Clock::time_point arrivedAt() const { return arrivedAt_; }
+  [[nodiscard]] Clock::time_point arrivedAt() const { return arrivedAt_; }
   /// That request's X-Trace-Id.
-  std::uint64_t trace() const { return trace_; }
+  [[nodiscard]] std::uint64_t trace() const { return trace_; }
   /// Answers what the client has sent, and goes on or hangs up.
   void write(Answer answer);
   /// Closes the connection at once; a request that waits is cancelled. Nothing when it is closed already.
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -1,7 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Writes a body from a pipe to a connection behind a head, with a stated length or in chunks (RFC 9112, 7.1),
-// as fast as the kernel takes it and the pipe has it. Of requests and answers alike.
 #ifndef IVYPOST_STREAM_WRITER_H_
 #define IVYPOST_STREAM_WRITER_H_
 
@@ -20,19 +17,26 @@
 
 namespace ivypost {
 
-// Read of a body at once while it streams.
+/// Bytes of a body that are read at once while it streams.
 constexpr std::size_t kReadOfStream = 16UL * 1024;
 
+/// Writes a message whose body comes in pieces: the head, then what a pipe holds, in chunks (RFC 9112, 7.1)
+/// or as it is. Copies one piece at a time, so that its memory is bounded. Doesn't wait; the caller does,
+/// between steps.
 class StreamWriter {
  public:
+  /// What a step came to.
   enum class Step {
-    Blocked,  // the socket takes no more now, or others are to have their turn: again when it can be written
-    Starved,  // the pipe is empty: again when it has more
-    Failed,   // the rest will not come; all that came before has been written
-    Broken,   // the connection is
-    Done,     // all of it has been written
+    Blocked,  ///< the socket takes no more now, or others are to have their turn: again when it can be
+              ///< written
+    Starved,  ///< the pipe is empty: again when it has more
+    Failed,   ///< the rest will not come; all that came before has been written
+    Broken,   ///< the connection is broken
+    Done,     ///< all of it has been written
   };
 
+  /// Begins a message with this head; `chunked`: its body goes in chunks. What was left of another is
+  /// dropped.
   void begin(std::string head, bool chunked) {
     text_ = std::move(head);
     at_ = 0;
@@ -40,8 +44,8 @@
     lastChunk_ = false;
   }
 
-  // The socket must not block.
-  Step step(boost::asio::ip::tcp::socket& socket, relay::Pipe& pipe) {
+  /// Writes as much as the socket takes and one turn of the event loop allows. The socket must not block.
+  [[nodiscard]] Step step(boost::asio::ip::tcp::socket& socket, relay::Pipe& pipe) {
     std::size_t inTurn = 0;
     for (;;) {
       if (at_ == text_.size()) {
@@ -61,7 +65,7 @@
     }
   }
 
-  // Calls back when a step that was Blocked may go on.
+  /// Calls `handler` back with an error code when a step that was Blocked may go on.
   template <class Handler>
   void wait(boost::asio::ip::tcp::socket& socket, Handler handler) {
     network::waitToRetry(socket, boost::asio::ip::tcp::socket::wait_write, blocked_, std::move(handler));
