--- a/src/configuration/operator_file.cpp
+++ b/src/configuration/operator_file.cpp
@@ -60,7 +60,7 @@
   }
   if (file.connectionLimit.keepUsed < file.connectionLimit.keepAny)
     sections.fail("door", "keep_used has to be no less than keep_any");
-  if (file.admission.queueSettings.interval < file.admission.queueSettings.target)
+  if (file.admission.queueSettings.interval < file.admission.queueSettings.targetDelay)
     sections.fail("admission", "interval has to be no less than target");
 }
 
--- a/src/configuration/operator_file.h
+++ b/src/configuration/operator_file.h
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "admission/door.h"
-#include "admission/queue.h"
+#include "admission/admission_queue.h"
+#include "admission/connection_limiter.h"
 #include "degradation/settings.h"
 #include "discovery/etcd/options.h"
 #include "gossip/options.h"
@@ -30,8 +30,9 @@
 
   /// [admission]: requests that wait for the core.
   struct Admission {
-    bool queue = false;                      ///< Whether requests wait in a queue at all.
-    admission::QueueSettings queueSettings;  ///< Their bounds; the interval is no less than the target.
+    bool queue = false;  ///< Whether requests wait in a queue at all.
+    admission::AdmissionQueueSettings
+        queueSettings;  ///< Their bounds; the interval is no less than the target.
     /// Names of classes, those first that are favoured under overload, each once. Those not named follow by
     /// the weight that the platform gives them.
     std::vector<std::string> order;
@@ -42,11 +43,11 @@
   /// [door]: client connections, as fractions of those allowed.
   struct ConnectionLimit {
     /// An answer ends its connection when more than this fraction is open ...
-    double keepAny = admission::DoorSettings{}.keepAny;
+    double keepAny = admission::ConnectionLimiterSettings{}.keepAnyFraction;
     /// ... and up to this one, not less, not if its client has used it again.
-    double keepUsed = admission::DoorSettings{}.keepUsed;
+    double keepUsed = admission::ConnectionLimiterSettings{}.keepReusedFraction;
     /// With more than this fraction at work, new requests are rejected; 0.05 to 1.
-    double work = admission::DoorSettings{}.work;
+    double work = admission::ConnectionLimiterSettings{}.activeFraction;
   } connectionLimit;  ///< [door]
 
   /// [status]: pages on the listening address, where clients may read them too.
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -5,9 +5,8 @@
 #include <utility>
 #include <vector>
 
-#include "admission/peer.h"
-#include "network/nonblocking_io.h"
-#include "request_form.h"
+#include "admission/tcp_state.h"
+#include "request_parser.h"
 
 namespace ivypost {
 namespace {
@@ -19,31 +18,22 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// While the server drains or stops, its connections are gone through so often.
-constexpr milliseconds kTendEvery{20};
-// When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
-// connections in a row ended while they stood in its queue.
-constexpr milliseconds kAcceptPause{10};
-constexpr int kMaxFailedAccepts = 16;
+// While the server drains or stops, its connections are swept so often.
+constexpr milliseconds kSweepInterval{20};
 // Part of the pools' descriptors that clients' connections may hold.
-constexpr double kClientShare = 0.6112;
-
-admission::DoorSettings doorSettings(const Config& config, const configuration::OperatorFile& file) {
-  admission::DoorSettings settings;
-  settings.keepAny = file.connectionLimit.keepAny;
-  settings.keepUsed = file.connectionLimit.keepUsed;
-  settings.work = file.connectionLimit.work;
-  const double places = kClientShare * config.poolSockets();
-  settings.places = std::max<std::size_t>(1, static_cast<std::size_t>(places));
+constexpr double kClientFraction = 0.6112;
+
+admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config,
+                                                               const configuration::OperatorFile& file) {
+  admission::ConnectionLimiterSettings settings;
+  settings.keepAnyFraction = file.connectionLimit.keepAny;
+  settings.keepReusedFraction = file.connectionLimit.keepUsed;
+  settings.activeFraction = file.connectionLimit.work;
+  const double connections = kClientFraction * config.poolSockets();
+  settings.maxConnections = std::max<std::size_t>(1, static_cast<std::size_t>(connections));
   return settings;
 }
 
-// accept() failed since the system is short of something, not since the connection had ended already.
-bool isOfTheSystem(const error_code& error) {
-  return error == asio::error::no_descriptors ||
-         error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
-}
-
 }  // namespace
 
 Server::Server(asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
@@ -53,30 +43,18 @@
       validator_(config.site),
       budget_(budget),
       callbacks_(std::move(callbacks)),
-      acceptor_(io),
-      timer_(io),
-      tendTimer_(io),
+      sweepTimer_(io),
       deadlines_(std::make_shared<Deadlines>(io)),
-      door_(doorSettings(config, file)),
-      gate_(io, config, file,
-            {[this](ClientRequest request) { callbacks_.taken(std::move(request)); },
-             [this](RequestId id, admission::Verdict why) {
-               answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
-             }}),
-      statusOn_(file.status) {
-  if (config.listener) {
-    acceptor_.assign(config.listen.protocol(), *config.listener);
-  } else {
-    acceptor_.open(config.listen.protocol());
-    acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    acceptor_.bind(config.listen);
-    acceptor_.listen();
-  }
-  acceptor_.non_blocking(true);
-  // Asio would pass over a connection that ended in the queue and wait for the next one to come, while others
-  // stand there already.
-  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
-}
+      connectionLimiter_(connectionLimiterSettings(config, file)),
+      admissionController_(io, config, file,
+                           {[this](ClientRequest request) { callbacks_.onRequest(std::move(request)); },
+                            [this](RequestId id, admission::Outcome why) {
+                              answer(id, rejection(std::string("refused: ") + admission::nameOf(why)));
+                            }}),
+      listener_(
+          io, config, connectionLimiter_,
+          {[this] { return evictConnection(); }, [this](tcp::socket socket) { admit(std::move(socket)); }}),
+      statusSettings_(file.status) {}
 
 Server::~Server() {
   deadlines_->stop();
@@ -84,66 +62,23 @@
   for (const auto& [id, session] : sessions_) session->detach();
 }
 
-void Server::accept() {
-  if (!effects_.acceptsConnections || !acceptor_.is_open()) return;
-  if (door_.full() && !makeRoom()) return acceptLater();
-  if (std::exchange(accepting_, true)) return;
-  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
-    accepting_ = false;
-    // What was accepted counts as taken, also when the acceptor has been closed since.
-    if (!error) admit(std::move(socket));
-    if (!acceptor_.is_open()) return;
-    failedAccepts_ = error ? failedAccepts_ + 1 : 0;
-    const bool isShort = isOfTheSystem(error);
-    if (isShort || failedAccepts_ >= kMaxFailedAccepts) {
-      // Guards against a loop that spins when descriptors have run out.
-      if (isShort) makeRoom();
-      failedAccepts_ = 0;
-      timer_.expires_after(kAcceptPause);
-      return waitForRoom();
-    }
-    accept();
-  });
-}
-
-// Until a connection closes, or one may give way by the time that it has been silent or idle.
-void Server::acceptLater() {
-  const Micros time = now();
-  timer_.expires_after(std::chrono::microseconds(door_.nextCandidateAt(time) - time));
-  waitForRoom();
-}
-
-void Server::waitForRoom() {
-  waitsForRoom_ = true;
-  timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled && std::exchange(waitsForRoom_, false)) accept();
-  });
-}
-
-void Server::roomMade() {
-  if (!waitsForRoom_ || door_.full()) return;
-  waitsForRoom_ = false;
-  timer_.cancel();
-  accept();
-}
-
 void Server::admit(tcp::socket socket) {
   // Guards the core against those that gave up while they stood in the kernel's queue: nobody reads an
   // answer.
-  if (admission::peerHasLeft(socket.native_handle())) return;
-  const auto place = door_.enter(++lastVisitor_, now());
+  if (admission::hasPeerClosed(socket.native_handle())) return;
+  const auto slot = connectionLimiter_.insert(++lastConnection_, now());
   const auto session = std::make_shared<ClientSession>(
-      static_cast<ClientSessionHost&>(*this), ClientSession::Resources{io_, deadlines_, budget_, door_},
-      std::move(socket), place);
-  sessions_.emplace(place->id, session);
+      static_cast<ClientSessionHost&>(*this),
+      ClientSession::Resources{io_, deadlines_, budget_, connectionLimiter_}, std::move(socket), slot);
+  sessions_.emplace(slot->id, session);
   session->start();
 }
 
 // Guards against clients that hold connections and don't use them.
-bool Server::makeRoom() {
-  for (const auto visitor : door_.candidates(now())) {
-    const auto session = sessions_.at(visitor);
-    if (!session->givesWay()) continue;
+bool Server::evictConnection() {
+  for (const auto connection : connectionLimiter_.evictionCandidates(now())) {
+    const auto session = sessions_.at(connection);
+    if (!session->mayBeEvicted()) continue;
     session->close();
     return true;
   }
@@ -158,24 +93,25 @@
   }
   const auto session = found->second;
   endRequest(*session);
-  if (gate_.queues() && answer.status == 200) gate_.served(now() - microsOf(session->arrivedAt()));
+  if (admissionController_.hasQueue() && answer.status == 200)
+    admissionController_.recordResponseTime(now() - microsOf(session->arrivedAt()));
   session->write(std::move(answer));
 }
 
 void Server::openRequest(std::shared_ptr<ClientSession> session) {
-  traces_.open(session->trace(), now());
+  traceIds_.open(session->trace(), now());
   const RequestId id = session->request();
   open_.emplace(id, std::move(session));
 }
 
 void Server::forward(ClientRequest request) {
-  gate_.offer(std::move(request), !door_.mayWork());
+  admissionController_.submit(std::move(request), !connectionLimiter_.admitsRequests());
 }
 
-void Server::onClosed(admission::Door::Place place) {
-  sessions_.erase(place->id);
-  door_.leave(place);
-  roomMade();
+void Server::onClosed(admission::ConnectionLimiter::Slot slot) {
+  sessions_.erase(slot->id);
+  connectionLimiter_.release(slot);
+  listener_.onCapacity();
 }
 
 bool Server::isClientGone(RequestId id) {
@@ -185,46 +121,45 @@
 
 bool Server::endRequest(const ClientSession& session) {
   if (open_.erase(session.request()) == 0) return false;
-  traces_.over(session.trace(), now());
+  traceIds_.close(session.trace(), now());
   return true;
 }
 
 Answer Server::rejection(std::string reason) const {
   Answer answer = textAnswer(503, reason);
-  answer.retryAfter = gate_.comeAgain();
+  answer.retryAfter = admissionController_.retryAfter();
   return answer;
 }
 
-double Server::openShare() const {
+double Server::openRequestFraction() const {
   const std::uint32_t most = config_.site.settings.maxOpen;
   return most == 0 ? 0 : static_cast<double>(open_.size()) / most;
 }
 
 void Server::cancelRequest(RequestId id) {
-  if (!gate_.withdraw(id)) callbacks_.over(id);
+  if (!admissionController_.withdraw(id)) callbacks_.onRequestEnded(id);
 }
 
-void Server::adopt(const configuration::OperatorFile& file) {
-  statusOn_ = file.status;
-  door_.adopt(doorSettings(config_, file));
-  gate_.adopt(file);
+void Server::apply(const configuration::OperatorFile& file) {
+  statusSettings_ = file.status;
+  connectionLimiter_.apply(connectionLimiterSettings(config_, file));
+  admissionController_.apply(file);
 }
 
 std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
-  if (!gate_.refusesFromHead()) return std::nullopt;
+  if (!admissionController_.rejectsBeforeBody()) return std::nullopt;
   // Whatever is wrong with it gets its answer when it has been read.
   const auto hint = validator_.hintOf(head, unread);
-  if (!hint || !gate_.hopeless(hint->requestClass, hint->remaining)) return std::nullopt;
+  if (!hint || !admissionController_.isTooLate(hint->requestClass, hint->remaining)) return std::nullopt;
   return rejection("refused: too late");
 }
 
-bool Server::full() const {
+bool Server::isAtRequestLimit() const {
   const std::uint32_t most = config_.site.settings.maxOpen;
   return most > 0 && open_.size() >= most;
 }
 
-// What the sidecar itself answers, without an upstream.
-std::optional<Answer> Server::answersItself(const RequestHead& head) const {
+std::optional<Answer> Server::ownAnswerTo(const RequestHead& head) const {
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   const bool isGet = head.method() == http::verb::get;
@@ -232,89 +167,74 @@
     if (!isGet) return textAnswer(405, "GET only");
     return effects_.isReady ? textAnswer(200, "ready") : textAnswer(503, "not ready");
   }
-  const bool level = statusOn_.level && path == "/status/level";
-  if (!level && !(statusOn_.peers && path == "/status/peers")) return std::nullopt;
+  const bool level = statusSettings_.level && path == "/status/level";
+  if (!level && !(statusSettings_.peers && path == "/status/peers")) return std::nullopt;
   if (!isGet) return textAnswer(405, "GET only");
-  Answer answer = textAnswer(200, level ? callbacks_.status() : callbacks_.peers());
+  Answer answer = textAnswer(200, level ? callbacks_.levelStatus() : callbacks_.peerStatus());
   answer.contentType = "application/json";
   return answer;
 }
 
 std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
   toOriginForm(message);
-  if (auto answer = answersItself(message)) return std::move(*answer);
+  if (auto answer = ownAnswerTo(message)) return std::move(*answer);
   if (!effects_.acceptsRequests) return rejection("refused: clients are sent away");
   auto read = validator_.validate(message, unread, Clock::now(),
-                                  [this](std::uint64_t trace) { return traces_.isFree(trace, now()); });
+                                  [this](std::uint64_t trace) { return traceIds_.isFree(trace, now()); });
   if (const auto* error = std::get_if<RequestError>(&read)) {
     if (error->status == 503) return rejection(std::string(error->reason));
     return textAnswer(error->status, error->reason);
   }
   auto& request = std::get<ClientRequest>(read);
-  if (gate_.refusesFromHead() && gate_.hopeless(request.requestClass, request.expiresIn))
+  if (admissionController_.rejectsBeforeBody() &&
+      admissionController_.isTooLate(request.requestClass, request.expiresIn))
     return rejection("refused: too late");
-  if (full() || (!gate_.queues() && !door_.mayWork())) return rejection("refused: too many open requests");
+  if (isAtRequestLimit() || (!admissionController_.hasQueue() && !connectionLimiter_.admitsRequests()))
+    return rejection("refused: too many open requests");
   request.id = ++lastId_;
   request.message = std::make_shared<const Message>(std::move(message));
   return std::move(request);
 }
 
-void Server::follow(const lifecycle::Effects& effects) {
+void Server::apply(const lifecycle::Effects& effects) {
   const bool accepted = std::exchange(effects_, effects).acceptsConnections;
   if (effects.acceptsConnections) {
-    if (!accepted) accept();
+    if (!accepted) listener_.start();
   } else if (accepted) {
-    closeAcceptor();
+    listener_.stop();
   }
-  if (effects.closesIdleConnections && !tending_) tend();
+  if (effects.closesIdleConnections && !isSweeping_) sweep();
 }
 
-// Closes what is idle while the server drains or stops, and tells when nothing is left to answer.
-void Server::tend() {
-  tending_ = effects_.closesIdleConnections;
-  if (!tending_) return;
+void Server::sweep() {
+  isSweeping_ = effects_.closesIdleConnections;
+  if (!isSweeping_) return;
   const Micros time = now();
   // A client whose request crosses this sends it once more on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->settled(time) && session->mayCloseIdle()) {
+    if (session->hasSettled(time) && session->mayCloseIdle()) {
       session->close();
     } else if (effects_.sendsFinalResponses) {
       session->answerFinally();
     }
   }
-  if (effects_.mayExit) {
-    // One on which something has come by now is about to be read.
-    const bool allIdle =
-        std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->quiet(); });
-    if (allIdle || effects_.mustExit) {
-      const auto left = sessions_;
-      for (const auto& [id, session] : left) session->closeFinally();
-      return callbacks_.ended();
-    }
-  }
-  tendTimer_.expires_after(kTendEvery);
-  tendTimer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) tend();
+  if (closeFinally()) return callbacks_.onEnded();
+  sweepTimer_.expires_after(kSweepInterval);
+  sweepTimer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) sweep();
   });
 }
 
-void Server::closeAcceptor() {
-  // Whatever stands in the queue counts as taken, unless another process reads it too.
-  // One that has ended there, or the want of a descriptor, says nothing of those behind.
-  for (int failed = 0; !config_.listener && failed < kMaxFailedAccepts;) {
-    error_code error;
-    tcp::socket socket(io_);
-    acceptor_.accept(socket, error);
-    if (error == asio::error::would_block) break;
-    failed = error ? failed + 1 : 0;
-    if (isOfTheSystem(error)) makeRoom();
-    if (!error) admit(std::move(socket));
-  }
-  // Closed, and never shut down: an inherited one stays open for the other process.
-  error_code ignored;
-  acceptor_.close(ignored);
-  waitsForRoom_ = false;
+bool Server::closeFinally() {
+  if (!effects_.mayExit) return false;
+  // One on which something has come by now is about to be read.
+  const bool allIdle =
+      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isQuiet(); });
+  if (!allIdle && !effects_.mustExit) return false;
+  const auto sessions = sessions_;
+  for (const auto& [id, session] : sessions) session->closeFinally();
+  return true;
 }
 
 }  // namespace ivypost
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -1,6 +1,4 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// The client side: takes requests from the application, checks them, and gives each exactly one answer.
 #ifndef IVYPOST_SERVER_H_
 #define IVYPOST_SERVER_H_
 
@@ -17,109 +15,122 @@
 #include <utility>
 #include <variant>
 
-#include "admission/door.h"
+#include "admission/connection_limiter.h"
 #include "admission/trace_ids.h"
+#include "admission_controller.h"
 #include "client_request.h"
 #include "client_session.h"
 #include "client_session_host.h"
 #include "clock.h"
 #include "config.h"
 #include "deadlines.h"
-#include "gate.h"
 #include "lifecycle/lifecycle.h"
+#include "listener.h"
 #include "request_validator.h"
 #include "response_writer.h"
 
 namespace ivypost {
 
+/// The client side: accepts connections of the application, reads and validates its requests, and gives each
+/// exactly one answer.
+///
+/// Invariant: a request is open from openRequest() until it has its answer or its client has left; nothing
+/// but an open one is answered. Connections are bounded by the connection limiter, open requests by the
+/// platform's settings and by one a connection.
 class Server : private ClientSessionHost {
  public:
+  /// What the server asks of its owner, from within the event loop.
   struct Callbacks {
-    std::function<void(ClientRequest)> taken;
-    // The client has left, or the deadline passed with no answer and the server gave one itself.
-    std::function<void(balancer::RequestId)> over;
-    // What GET /status/level and /status/peers answer, as JSON; asked only where the operator has switched it
-    // on.
-    std::function<std::string()> status, peers;
-    // All that was taken is answered, or has to be left, and the lifecycle lets the process end.
-    std::function<void()> ended;
+    /// Takes a request that passed all checks and was admitted.
+    std::function<void(ClientRequest)> onRequest;
+    /// Nobody waits for this request's answer any more: its client has left, or the deadline passed and the
+    /// server has answered.
+    std::function<void(balancer::RequestId)> onRequestEnded;
+    /// The body of GET /status/level, as JSON. Called only where the operator has switched it on.
+    std::function<std::string()> levelStatus;
+    /// The body of GET /status/peers, likewise.
+    std::function<std::string()> peerStatus;
+    /// All requests are answered, or have to be left, and the lifecycle lets the process exit.
+    std::function<void()> onEnded;
   };
 
-  // Listens, and accepts when follow() says so. Throws boost::system::system_error when it cannot listen, and
-  // what Gate throws.
-  // `budget` is for requests whose bodies are large.
+  /// Listens; accepts when the lifecycle's effects say so. Throws boost::system::system_error when it cannot
+  /// listen, and what AdmissionController throws. `budget` bounds the bodies in transit. `io`, `config` and
+  /// `budget` have to outlive it.
   Server(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
          streaming::ByteBudget& budget, Callbacks callbacks);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
 
-  // Gives the request its final answer. Ignored when the request is over.
+  /// Gives an open request its final answer. Otherwise drops the answer, and abandons a body that it streams.
   void answer(balancer::RequestId id, Answer answer);
 
-  // Whether nobody waits for this request's answer any more: it is over, or the client has closed or reset
-  // its connection or ended its sending, as the kernel knows it now (one system call). A connection that was
-  // left is closed soon after, from the loop, which ends the request.
-  bool isClientGone(balancer::RequestId id);
+  /// Whether nobody waits for this request's answer any more: it is not open, or its client has closed or
+  /// reset the connection or ended its sending, as the kernel knows it now (one system call). Such a
+  /// connection is closed soon after, from the event loop, which ends the request.
+  [[nodiscard]] bool isClientGone(balancer::RequestId id);
 
-  // What holds from now on.
-  void follow(const lifecycle::Effects& effects);
+  /// Goes by what the lifecycle allows from now on.
+  void apply(const lifecycle::Effects& effects);
 
-  // Takes the operator's file over; gate().check() has to have passed.
-  void adopt(const configuration::OperatorFile& file);
-  Gate& gate() { return gate_; }
-  const Gate& gate() const { return gate_; }
-  const admission::Door& door() const { return door_; }
-  // Requests that are open, of the most that may be; 0 without a limit.
-  double openShare() const;
+  /// Goes by another operator's file; admissionController().validate() has to have passed it.
+  void apply(const configuration::OperatorFile& file);
+  /// Decides on requests that have been read.
+  [[nodiscard]] AdmissionController& admissionController() { return admissionController_; }
+  /// The same, to be read.
+  [[nodiscard]] const AdmissionController& admissionController() const { return admissionController_; }
+  /// Decides on connections.
+  [[nodiscard]] const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
+  /// Open requests as a fraction of the platform's maxOpen; 0 without that limit.
+  [[nodiscard]] double openRequestFraction() const;
 
-  std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
+  /// The port of the listening address.
+  [[nodiscard]] std::uint16_t port() const { return listener_.port(); }
 
  private:
-  void accept();
   void admit(boost::asio::ip::tcp::socket socket);
-  bool makeRoom();
-  void acceptLater();
-  void waitForRoom();
-  void roomMade();
-  void closeAcceptor();
-  const lifecycle::Effects& effects() const override { return effects_; }
-  std::optional<Answer> rejectionFromHead(const RequestHead& head,
-                                          std::chrono::milliseconds unread) const override;
-  std::variant<ClientRequest, Answer> check(Message message, std::chrono::milliseconds unread) override;
-  Answer rejection(std::string reason) const override;
+  bool evictConnection();
+  [[nodiscard]] const lifecycle::Effects& effects() const override { return effects_; }
+  [[nodiscard]] std::optional<Answer> rejectionFromHead(const RequestHead& head,
+                                                        std::chrono::milliseconds unread) const override;
+  [[nodiscard]] std::variant<ClientRequest, Answer> check(Message message,
+                                                          std::chrono::milliseconds unread) override;
+  [[nodiscard]] Answer rejection(std::string reason) const override;
   void openRequest(std::shared_ptr<ClientSession> session) override;
   void forward(ClientRequest request) override;
   bool endRequest(const ClientSession& session) override;
   void cancelRequest(balancer::RequestId id) override;
-  void onClosed(admission::Door::Place place) override;
+  void onClosed(admission::ConnectionLimiter::Slot slot) override;
 
-  void tend();
+  // Closes what is idle while the server drains or stops, and tells its owner when nothing is left to answer.
+  void sweep();
+  // Gives all clients their last bytes and closes their connections, if the lifecycle lets the process exit
+  // and nothing has come that is not read. False if the process goes on.
+  bool closeFinally();
 
-  std::optional<Answer> answersItself(const RequestHead& head) const;
-  bool full() const;
+  // What the sidecar answers without an endpoint: /ready and the status pages.
+  [[nodiscard]] std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
+  [[nodiscard]] bool isAtRequestLimit() const;
 
   boost::asio::io_context& io_;
   const Config& config_;
   const RequestValidator validator_;
   streaming::ByteBudget& budget_;
   Callbacks callbacks_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer timer_, tendTimer_;
+  boost::asio::steady_timer sweepTimer_;
   const std::shared_ptr<Deadlines> deadlines_;  // of the sessions
-  admission::Door door_;
-  Gate gate_;
-  configuration::OperatorFile::Status statusOn_;
+  admission::ConnectionLimiter connectionLimiter_;
+  AdmissionController admissionController_;
+  Listener listener_;
+  configuration::OperatorFile::Status statusSettings_;
   lifecycle::Effects effects_;  // nothing yet
-  bool accepting_ = false;      // the next connection is waited for
-  int failedAccepts_ = 0;       // in a row
-  bool waitsForRoom_ = false;   // accepting does
-  bool tending_ = false;
-  admission::VisitorId lastVisitor_ = 0;
-  std::unordered_map<admission::VisitorId, std::shared_ptr<ClientSession>> sessions_;
+  bool isSweeping_ = false;
+  admission::ConnectionId lastConnection_ = 0;
+  std::unordered_map<admission::ConnectionId, std::shared_ptr<ClientSession>> sessions_;
   balancer::RequestId lastId_ = 0;
   std::unordered_map<balancer::RequestId, std::shared_ptr<ClientSession>> open_;
-  admission::TraceIds traces_;
+  admission::TraceIds traceIds_;
 };
 
 }  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -136,7 +136,7 @@
 }
 
 void Sidecar::reload(const Config& config, const configuration::OperatorFile& file) {
-  server_.gate().check(file);
+  server_.admissionController().validate(file);
   if (file.peers.on && !(file.peers == peersAs_)) GossipHealthView::identityOf(file.peers, config_);
   follow(file.membership, config.discovery);
   if (!(file.peers == peersAs_)) {
@@ -150,7 +150,7 @@
     log(fleet_ ? "peers: on, as the operator's file has it now" : "peers: off");
   }
   membership_.setPlatformAddress(config.discovery);
-  server_.adopt(file);
+  server_.apply(file);
   degradation_.apply(file.degradation);
 }
 
@@ -200,7 +200,7 @@
   for (const auto& action : actions) {
     std::visit([this](const auto& one) { carryOut(one); }, action);
   }
-  if (const char* line = shedding_.look(at)) log(line);
+  if (const char* line = shedding_.poll(at)) log(line);
 }
 
 void Sidecar::onTaken(ClientRequest client) {
@@ -359,7 +359,7 @@
   lifecycle_.handle(event, timePoint(now()));
   if (lifecycle_.state() != before)
     log(std::string("the sidecar is ") + lifecycle::nameOf(lifecycle_.state()));
-  server_.follow(lifecycle_.effects());
+  server_.apply(lifecycle_.effects());
   const auto next = lifecycle_.nextChange();
   if (!next) {
     lifecycleTimer_.cancel();
@@ -520,18 +520,18 @@
 
 void Sidecar::onLevel(degradation::Level level) {
   const degradation::Restrictions restrictions = degradation::restrictionsAt(level);
-  server_.gate().reduce(restrictions);
+  server_.admissionController().restrict(restrictions);
   handle(balancer::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
 }
 
 degradation::Measurements Sidecar::gauges() {
-  const auto& door = server_.door();
+  const auto& limiter = server_.connectionLimiter();
   degradation::Measurements measurements;
-  measurements.openRequestFraction = server_.openShare();
-  const auto working = static_cast<double>(door.count(admission::Door::State::Working));
+  measurements.openRequestFraction = server_.openRequestFraction();
+  const auto working = static_cast<double>(limiter.count(admission::ConnectionLimiter::State::Active));
   measurements.busyConnectionFraction =
-      std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
-  measurements.overQuotaFraction = server_.gate().beyondShare();
+      std::max(working / static_cast<double>(limiter.maxConnections()), upstreams_.busyShare());
+  measurements.overQuotaFraction = server_.admissionController().beyondQuotaFraction();
   measurements.endpointListAge = membership_.freshness().age;
   return measurements;
 }
@@ -539,16 +539,16 @@
 std::string Sidecar::status() const {
   nlohmann::json status = degradation_.status();
   status["name"] = config_.name;
-  status["waiting"] = server_.gate().waiting();
+  status["waiting"] = server_.admissionController().queueSize();
   const discovery::Freshness freshness = membership_.freshness();
   status["membership"] = {
       {"source",
        followed_.source == configuration::OperatorFile::Membership::Source::Etcd ? "etcd" : "platform"},
       {"age_ms", duration_cast<std::chrono::milliseconds>(freshness.age).count()},
       {"sure", freshness.isConfirmed}};
-  for (std::size_t n = 0; n < admission::kVerdicts; ++n) {
-    const auto verdict = static_cast<admission::Verdict>(n);
-    status["queue"][admission::nameOf(verdict)] = server_.gate().count(verdict);
+  for (std::size_t n = 0; n < admission::kOutcomes; ++n) {
+    const auto outcome = static_cast<admission::Outcome>(n);
+    status["queue"][admission::nameOf(outcome)] = server_.admissionController().count(outcome);
   }
   return status.dump();
 }
@@ -589,7 +589,7 @@
 
 void Sidecar::noteUnsent(RequestId id) {
   if (!requests_.at(id).attempts.empty()) return;
-  if (const char* line = shedding_.turnedAway(now())) log(line);
+  if (const char* line = shedding_.onRejected(now())) log(line);
 }
 
 void Sidecar::carryOut(const balancer::Reject& refuse) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -24,11 +24,10 @@
 #include "discovery/source_manager.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
-#include "fleet_view.h"
 #include "gossip_health_view.h"
 #include "lifecycle/lifecycle.h"
+#include "load_shedding_log.h"
 #include "server.h"
-#include "shedding_note.h"
 #include "start_time_estimator.h"
 #include "upstreams.h"
 
@@ -167,7 +166,7 @@
   configuration::OperatorFile::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
   DegradationManager degradation_;
-  SheddingNote shedding_;
+  LoadSheddingLog shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
--- a/tests/compatibility/operator_file_test.cpp
+++ b/tests/compatibility/operator_file_test.cpp
@@ -35,11 +35,11 @@
   put("door.work", file.connectionLimit.work);
   put("admission.queue", file.admission.queue);
   put("admission.order", joined(file.admission.order));
-  put("admission.most", file.admission.queueSettings.most);
-  put("admission.school_share", file.admission.queueSettings.schoolShare);
-  put("admission.target", file.admission.queueSettings.target);
+  put("admission.most", file.admission.queueSettings.maxRequests);
+  put("admission.school_share", file.admission.queueSettings.maxTenantFraction);
+  put("admission.target", file.admission.queueSettings.targetDelay);
   put("admission.interval", file.admission.queueSettings.interval);
-  put("admission.answer_time", file.admission.queueSettings.answerTime);
+  put("admission.answer_time", file.admission.queueSettings.minRemainingTime);
   put("admission.per_turn", file.admission.perTurn);
   const auto& degradation = file.degradation.settings;
   put("levels.on", file.degradation.on);
