--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -29,7 +29,7 @@
 #include "server.h"
 #include "shedding_note.h"
 #include "start_time_estimator.h"
-#include "upstreams.h"
+#include "upstream/connection_pool.h"
 
 namespace ivypost {
 
--- a/src/sidecar/upstreams.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "upstreams.h"
+#include "upstream/connection_pool.h"
 
 #include <algorithm>
 #include <array>
@@ -9,12 +9,12 @@
 #include <boost/beast/core/flat_buffer.hpp>
 
 #include "framing.h"
-#include "idle_choice.h"
-#include "load_report_parser.h"
 #include "network/nonblocking_io.h"
 #include "relay/pieces_body.h"
 #include "stream_writer.h"
-#include "upstream_request.h"
+#include "upstream/idle_connection_choice.h"
+#include "upstream/load_report_parser.h"
+#include "upstream/upstream_request.h"
 
 namespace ivypost {
 namespace {
--- a/src/sidecar/upstreams.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -3,8 +3,8 @@
 // The upstream side: a pool of connections, and attempts and probes over them. Each attempt ends in exactly
 // one outcome, each probe in one result, always by a callback from the event loop and never from within a
 // call. Nothing is sent twice by itself.
-#ifndef IVYPOST_UPSTREAMS_H_
-#define IVYPOST_UPSTREAMS_H_
+#ifndef IVYPOST_UPSTREAM_CONNECTION_POOL_H_
+#define IVYPOST_UPSTREAM_CONNECTION_POOL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/beast/http.hpp>
@@ -131,4 +131,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_UPSTREAMS_H_
+#endif  // IVYPOST_UPSTREAM_CONNECTION_POOL_H_
--- a/src/sidecar/idle_choice.h
+++ b/src/sidecar/upstream/idle_connection_choice.h
@@ -6,8 +6,8 @@
 // some upstreams close right behind an answer without having said so, and a request that crosses that close
 // fails, or for one that must not run twice fails for good. So one that has just answered is passed over for
 // the last used that has settled, where there is one.
-#ifndef IVYPOST_IDLE_CHOICE_H_
-#define IVYPOST_IDLE_CHOICE_H_
+#ifndef IVYPOST_UPSTREAM_IDLE_CONNECTION_CHOICE_H_
+#define IVYPOST_UPSTREAM_IDLE_CONNECTION_CHOICE_H_
 
 #include <cstddef>
 #include <vector>
@@ -31,4 +31,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_IDLE_CHOICE_H_
+#endif  // IVYPOST_UPSTREAM_IDLE_CONNECTION_CHOICE_H_
--- a/src/sidecar/load_report_parser.h
+++ b/src/sidecar/upstream/load_report_parser.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
 /// Reads the load reports of upstreams, which come in a header of their answers and as the answer to a probe.
-#ifndef IVYPOST_LOAD_REPORT_PARSER_H_
-#define IVYPOST_LOAD_REPORT_PARSER_H_
+#ifndef IVYPOST_UPSTREAM_LOAD_REPORT_PARSER_H_
+#define IVYPOST_UPSTREAM_LOAD_REPORT_PARSER_H_
 
 #include <optional>
 #include <string_view>
@@ -23,4 +23,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_LOAD_REPORT_PARSER_H_
+#endif  // IVYPOST_UPSTREAM_LOAD_REPORT_PARSER_H_
--- a/src/sidecar/upstream_request.h
+++ b/src/sidecar/upstream/upstream_request.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
 /// The bytes of a request's head as they go to an upstream. No I/O and no clock.
-#ifndef IVYPOST_UPSTREAM_REQUEST_H_
-#define IVYPOST_UPSTREAM_REQUEST_H_
+#ifndef IVYPOST_UPSTREAM_UPSTREAM_REQUEST_H_
+#define IVYPOST_UPSTREAM_UPSTREAM_REQUEST_H_
 
 #include <string>
 
@@ -37,4 +37,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_UPSTREAM_REQUEST_H_
+#endif  // IVYPOST_UPSTREAM_UPSTREAM_REQUEST_H_
--- a/tests/idle_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "idle_choice.h"
+#include "upstream/idle_connection_choice.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/load_report_parser_test.cpp
+++ b/tests/sidecar/upstream/load_report_parser_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "load_report_parser.h"
+#include "upstream/load_report_parser.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/upstream_request_test.cpp
+++ b/tests/sidecar/upstream/upstream_request_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "upstream_request.h"
+#include "upstream/upstream_request.h"
 
 #include <gtest/gtest.h>
 
