--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -72,12 +72,11 @@
       balancer_(config_.site.settings, config_.seed, now()),
       timer_(io),
       budget_(config_.relayBytes()),
-      upstreams_(
-          io, config_, budget_,
-          {[this](AttemptId id) { onWritten(id); }, [this](AttemptEnd end) { onEnded(std::move(end)); },
-           [this](StreamBegin begin) { onBegan(std::move(begin)); },
-           [this](const ProbeEnd& end) { onProbed(end); },
-           [this](RequestId id) { return server_.isClientGone(id); }}),
+      pool_(io, config_, budget_,
+            {[this](AttemptId id) { onWritten(id); }, [this](AttemptEnd end) { onEnded(std::move(end)); },
+             [this](StreamBegin begin) { onBegan(std::move(begin)); },
+             [this](const ProbeEnd& end) { onProbed(end); },
+             [this](RequestId id) { return server_.isClientGone(id); }}),
       makeEtcd_(std::move(makeEtcd)),
       membership_(io, config_.seed,
                   {[this](const InstanceList& list) {
@@ -222,7 +221,7 @@
   if (found == requests_.end()) return;
   found->second.over = true;
   handle(balancer::Withdrawn{id});
-  upstreams_.withdraw(id);
+  pool_.withdraw(id);
   forget(id);
 }
 
@@ -321,7 +320,7 @@
       known.listed = false;
       entry.state = balancer::EndpointState::Gone;
     }
-    if (known.listed) upstreams_.setAddress(entry.upstream, instance.address);
+    if (known.listed) pool_.setAddress(entry.upstream, instance.address);
     update.entries.push_back(entry);
   }
   // It is followed all the same: what drains or is gone gets nothing new, whatever is left.
@@ -332,12 +331,12 @@
   handle(update);
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Draining) continue;
-    upstreams_.takeBack(entry.upstream);
-    if (exclusions_.isExcluded(known_[entry.upstream].id)) upstreams_.closeIdle(entry.upstream);
+    pool_.withdrawComingUp(entry.upstream);
+    if (exclusions_.isExcluded(known_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
   }
   for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
     if (known_[upstream].listed || known_[upstream].id.empty()) continue;
-    upstreams_.remove(upstream);
+    pool_.remove(upstream);
     freeUnused(upstream);
   }
 }
@@ -527,7 +526,7 @@
   measurements.openRequestFraction = server_.openShare();
   const auto working = static_cast<double>(door.count(admission::Door::State::Working));
   measurements.busyConnectionFraction =
-      std::max(working / static_cast<double>(door.places()), upstreams_.busyShare());
+      std::max(working / static_cast<double>(door.places()), pool_.busyFraction());
   measurements.overQuotaFraction = server_.gate().beyondShare();
   measurements.endpointListAge = microseconds(membership_.freshness().age);
   return measurements;
@@ -576,11 +575,11 @@
   request.attempts.push_back(attempt);
   ++request.out;
   ++known_[send.upstream].uses;
-  upstreams_.send(std::move(order));
+  pool_.send(std::move(order));
 }
 
 void Sidecar::carryOut(const balancer::Cancel& cancel) {
-  upstreams_.cancel({cancel.request, cancel.attempt});
+  pool_.cancel({cancel.request, cancel.attempt});
 }
 
 void Sidecar::noteUnsent(RequestId id) {
@@ -619,11 +618,11 @@
 
 void Sidecar::carryOut(const balancer::Probe& probe) {
   ++known_[probe.upstream].uses;
-  upstreams_.probe(probe.upstream);
+  pool_.probe(probe.upstream);
 }
 
 void Sidecar::carryOut(const balancer::CloseIdle& close) {
-  upstreams_.closeIdle(close.upstream);
+  pool_.closeIdle(close.upstream);
 }
 
 void Sidecar::carryOut(const balancer::Subscribe& /*subscribe*/) {
@@ -643,7 +642,7 @@
 void Sidecar::finish(RequestId id, Answer answer) {
   Request& request = requests_.at(id);
   request.over = true;
-  if (request.out > 0) upstreams_.withdraw(id);
+  if (request.out > 0) pool_.withdraw(id);
   server_.answer(id, std::move(answer));
 }
 
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -62,7 +62,7 @@
   membership::Freshness freshness() const { return membership_.freshness(); }
   // For tests: the upstreams' numbers, in use and free; connections to them that are not up yet.
   std::size_t upstreamNumbers() const { return known_.size(); }
-  std::size_t comingUp() const { return upstreams_.comingUp(); }
+  std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
   struct Attempt {
@@ -158,7 +158,7 @@
   std::vector<EndpointId> spare_;           // free numbers
   relay::Budget budget_;                    // of bodies in transit
   std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
-  Upstreams upstreams_;
+  ConnectionPool pool_;
   const MakeEtcd makeEtcd_;
   membership::Membership membership_;
   op::File::Membership followed_;  // by the source that counts
--- a/src/sidecar/upstream/connection_pool.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -29,30 +29,30 @@
 using std::chrono::milliseconds;
 
 // Part of the pools' descriptors that connections to upstreams may hold.
-constexpr double kUpstreamShare = 0.389;
+constexpr double kUpstreamFraction = 0.389;
 // What the kernel may hold of a request that nobody reads, as SO_SNDBUF takes it (Linux doubles it). A small
 // buffer lets a large body's write stand still, so that the request is known never to have come whole.
 constexpr int kSendBuffer = 16 * 1024;
 // What is read of an answer at once.
 constexpr std::size_t kReadAtOnce = 8UL * 1024;
 // An upstream that takes nothing of a large body for so long does not read it.
-constexpr milliseconds kUpstreamTakes{2000};
+constexpr milliseconds kUploadStallTimeout{2000};
 // An answer that streams is given up when its upstream gives nothing more for so long.
-constexpr milliseconds kAnswerStall{10'000};
+constexpr milliseconds kAnswerStallTimeout{10'000};
 // So many informational answers may come ahead of one.
-constexpr int kMaxInterim = 8;
+constexpr int kMaxInformational = 8;
 // Without a connect timeout or an idle time in the settings.
 constexpr milliseconds kDefaultConnectTimeout{1000};
 constexpr milliseconds kDefaultIdleTime{5000};
 // An idle connection is dropped when this part of the upstream's own limit has passed.
-constexpr double kIdlePart = 0.9;
+constexpr double kIdleTimeFraction = 0.9;
 // A probe is given up after this long at the most: by then it tells nothing that is still true.
 constexpr milliseconds kProbeTimeout{300};
 
 }  // namespace
 
 // An attempt or a probe, until it has ended.
-struct Upstreams::Job {
+struct ConnectionPool::Job {
   std::optional<AttemptOrder> attempt;  // none: a probe
   EndpointId upstream = 0;
   Clock::time_point startedAt, deadline, writeBy;
@@ -66,9 +66,9 @@
 };
 
 // One connection to an upstream. It carries one job at a time, and is listed by the pool until it is closed.
-class Upstreams::Connection : public std::enable_shared_from_this<Connection> {
+class ConnectionPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Upstreams& pool, EndpointId upstream)
+  Connection(ConnectionPool& pool, EndpointId upstream)
       : pool_(pool), upstream_(upstream), socket_(pool.io_), deadline_(pool.deadlines_) {}
 
   EndpointId upstream() const { return upstream_; }
@@ -162,7 +162,7 @@
     // waits for an upstream that reads, which is part of coming up.
     auto until = std::min(job.deadline, job.writeBy);
     if (body.size() > kSendBuffer) until = std::min(until, now + pool_.connectTimeout_);
-    if (body.size() > kMaxWhole) until = std::min({job.deadline, job.writeBy, now + kUpstreamTakes});
+    if (body.size() > kMaxWhole) until = std::min({job.deadline, job.writeBy, now + kUploadStallTimeout});
     limit(until);
     writeRest(error);
   }
@@ -188,7 +188,7 @@
       self->dropSent(sent);
       // It reads on, if slowly.
       if (job->attempt && sent > 0 && job->attempt->message->body().size() > kMaxWhole)
-        self->limit(std::min({job->deadline, job->writeBy, Clock::now() + kUpstreamTakes}));
+        self->limit(std::min({job->deadline, job->writeBy, Clock::now() + kUploadStallTimeout}));
       self->writeRest(error);
     };
     network::waitToRetry(socket_, tcp::socket::wait_write, why, ready);
@@ -233,7 +233,7 @@
   void pumpLater() {
     waitsToWrite_ = true;
     // An upstream that takes nothing more is as one that does not come up.
-    limit(Clock::now() + kUpstreamTakes);
+    limit(Clock::now() + kUploadStallTimeout);
     writer_.wait(socket_, [self = shared_from_this()](error_code error) {
       self->waitsToWrite_ = false;
       if (!self->job_ || !self->uploading_) return;
@@ -256,7 +256,7 @@
   // body comes along with the header, so the header is read apart.
   void read() {
     newParser();
-    interim_ = 0;
+    informational_ = 0;
     watch();
   }
 
@@ -298,7 +298,7 @@
     if (answer_->abandoned()) return fail(Outcome::Cancelled);
     if (!paused_ || answer_->room() == 0) return;
     paused_ = false;
-    limit(Clock::now() + kAnswerStall);
+    limit(Clock::now() + kAnswerStallTimeout);
     watch();
   }
 
@@ -324,7 +324,7 @@
     if (!answer_) return;  // given up within
     answer_->push(body);
     body.clear();
-    limit(Clock::now() + kAnswerStall);
+    limit(Clock::now() + kAnswerStallTimeout);
   }
 
   void parse() {
@@ -337,8 +337,9 @@
       // By the number: Boost.Beast 1.74 has no name for 103.
       if (http::to_status_class(answer.result_int()) == http::status_class::informational) {
         // A switch of protocols was not asked for, and no answer comes after it.
-        if (answer.result() == http::status::switching_protocols || interim_ == kMaxInterim) return broke();
-        ++interim_;
+        if (answer.result() == http::status::switching_protocols || informational_ == kMaxInformational)
+          return broke();
+        ++informational_;
         newParser();
         continue;
       }
@@ -425,14 +426,14 @@
     });
   }
 
-  Upstreams& pool_;
+  ConnectionPool& pool_;
   const EndpointId upstream_;
   Endpoint address_;
   tcp::socket socket_;
   Deadlines::Deadline deadline_;
   beast::flat_buffer buffer_;
-  std::string text_;  // of the request, what is still to be written at the end
-  int interim_ = 0;   // informational answers to it so far
+  std::string text_;       // of the request, what is still to be written at the end
+  int informational_ = 0;  // informational answers to it so far
   std::optional<http::response_parser<relay::PiecesBody>> parser_;
   std::shared_ptr<relay::Pipe> answer_;  // that streams
   std::string_view rest_;                // of a body in the message, what is still to be written behind text_
@@ -446,49 +447,51 @@
   bool closed_ = false;
 };
 
-Upstreams::Upstreams(asio::io_context& io, const Config& config, relay::Budget& budget, Callbacks callbacks)
+ConnectionPool::ConnectionPool(asio::io_context& io, const Config& config, relay::Budget& budget,
+                               Callbacks callbacks)
     : io_(io),
       config_(config),
       budget_(budget),
       callbacks_(std::move(callbacks)),
       deadlines_(std::make_shared<Deadlines>(io)),
-      maxConnections_(static_cast<std::size_t>(kUpstreamShare * config.poolSockets())),
+      maxConnections_(static_cast<std::size_t>(kUpstreamFraction * config.poolSockets())),
       connectTimeout_(kDefaultConnectTimeout),
       idleTime_(kDefaultIdleTime) {
   const auto& settings = config.site.settings;
   if (settings.connectTimeout > 0) connectTimeout_ = microseconds(settings.connectTimeout);
   if (settings.idleTimeout > 0)
-    idleTime_ = microseconds(static_cast<Micros>(kIdlePart * static_cast<double>(settings.idleTimeout)));
+    idleTime_ =
+        microseconds(static_cast<Micros>(kIdleTimeFraction * static_cast<double>(settings.idleTimeout)));
 }
 
-Upstreams::~Upstreams() {
+ConnectionPool::~ConnectionPool() {
   deadlines_->stop();
 }
 
-void Upstreams::setAddress(EndpointId upstream, const Endpoint& address) {
+void ConnectionPool::setAddress(EndpointId upstream, const Endpoint& address) {
   if (upstream >= addresses_.size()) {
     addresses_.resize(upstream + 1);
     idle_.resize(upstream + 1);
   }
   if (addresses_[upstream] == address) return;
   closeIdle(upstream);  // they lead to where it was, and so do those that are coming up
-  takeBack(upstream);
+  withdrawComingUp(upstream);
   addresses_[upstream] = address;
 }
 
-void Upstreams::remove(EndpointId upstream) {
+void ConnectionPool::remove(EndpointId upstream) {
   if (upstream >= addresses_.size()) return;
   addresses_[upstream].reset();
   closeIdle(upstream);
-  takeBack(upstream);
+  withdrawComingUp(upstream);
 }
 
-std::size_t Upstreams::comingUp() const {
+std::size_t ConnectionPool::comingUp() const {
   return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
                                                 [](const auto& one) { return one.second->comingUp(); }));
 }
 
-void Upstreams::takeBack(EndpointId upstream) {
+void ConnectionPool::withdrawComingUp(EndpointId upstream) {
   std::vector<std::shared_ptr<Connection>> comingUp;
   for (const auto& [key, connection] : connections_) {
     if (connection->upstream() == upstream && connection->comingUp()) comingUp.push_back(connection);
@@ -496,7 +499,7 @@
   for (const auto& connection : comingUp) connection->fail(Outcome::ConnectFailed);
 }
 
-void Upstreams::send(AttemptOrder order) {
+void ConnectionPool::send(AttemptOrder order) {
   auto job = std::make_shared<Job>();
   job->upstream = order.upstream;
   job->deadline = order.deadline;
@@ -506,35 +509,35 @@
   start(std::move(job));
 }
 
-void Upstreams::probe(EndpointId upstream) {
+void ConnectionPool::probe(EndpointId upstream) {
   auto job = std::make_shared<Job>();
   job->upstream = upstream;
   job->deadline = job->writeBy = Clock::now() + kProbeTimeout;
   start(std::move(job));
 }
 
-void Upstreams::start(std::shared_ptr<Job> job) {
+void ConnectionPool::start(std::shared_ptr<Job> job) {
   job->startedAt = Clock::now();
   if (job->attempt && job->attempt->upload && job->attempt->upload->pipe.gone() > 0)
     return end(*job, Outcome::ConnectFailed);  // what has gone out can't go out again
   if (isClientGone(*job)) return end(*job, Outcome::Moot);
   if (const auto open = reuse(job->upstream)) return open->carry(std::move(job));
-  if (!addresses_.at(job->upstream) || !makeRoom()) return end(*job, Outcome::ConnectFailed);
+  if (!addresses_.at(job->upstream) || !ensureCapacity()) return end(*job, Outcome::ConnectFailed);
   const auto fresh = std::make_shared<Connection>(*this, job->upstream);
   connections_.emplace(fresh.get(), fresh);
   fresh->open(std::move(job));
 }
 
-bool Upstreams::isClientGone(const Job& job) const {
+bool ConnectionPool::isClientGone(const Job& job) const {
   return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
 }
 
-std::shared_ptr<Upstreams::Connection> Upstreams::reuse(EndpointId upstream) {
+std::shared_ptr<ConnectionPool::Connection> ConnectionPool::reuse(EndpointId upstream) {
   auto& idle = idle_[upstream];
   const auto since = [](const auto& one) { return one->idleSince(); };
   while (!idle.empty()) {
     const auto now = Clock::now();
-    const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdle(idle, now, since));
+    const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdleConnection(idle, now, since));
     auto chosen = *at;
     idle.erase(at);
     // Its time may be up, and the timer that says so stand behind this request.
@@ -545,7 +548,7 @@
 }
 
 // Guards against running out of descriptors: the connection that was idle longest gives way.
-bool Upstreams::makeRoom() {
+bool ConnectionPool::ensureCapacity() {
   if (connections_.size() < maxConnections_) return true;
   std::shared_ptr<Connection> oldest;
   for (const auto& idle : idle_) {
@@ -556,7 +559,7 @@
   return true;
 }
 
-double Upstreams::busyShare() const {
+double ConnectionPool::busyFraction() const {
   std::size_t idle = 0;
   for (const auto& one : idle_) idle += one.size();
   return maxConnections_ == 0
@@ -564,7 +567,7 @@
              : static_cast<double>(connections_.size() - idle) / static_cast<double>(maxConnections_);
 }
 
-void Upstreams::cancel(AttemptId id) {
+void ConnectionPool::cancel(AttemptId id) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const auto job = found->second;
@@ -574,7 +577,7 @@
   end(*job, outcome);
 }
 
-void Upstreams::withdraw(balancer::RequestId request) {
+void ConnectionPool::withdraw(balancer::RequestId request) {
   std::vector<std::shared_ptr<Job>> unsent;
   for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
        ++at)
@@ -584,12 +587,12 @@
   }
 }
 
-void Upstreams::closeIdle(EndpointId upstream) {
+void ConnectionPool::closeIdle(EndpointId upstream) {
   const auto idle = idle_[upstream];
   for (const auto& connection : idle) connection->close();
 }
 
-void Upstreams::end(Job& job, Outcome outcome) {
+void ConnectionPool::end(Job& job, Outcome outcome) {
   if (job.ended) return;
   job.ended = true;
   const auto lag = Clock::now() - job.startedAt;
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -66,7 +66,7 @@
   std::optional<balancer::LoadReport> report;
 };
 
-class Upstreams {
+class ConnectionPool {
  public:
   struct Callbacks {
     // Its last byte has gone out; the only one that may be called from within send().
@@ -81,10 +81,11 @@
   };
 
   // `budget` is for answers that stream.
-  Upstreams(boost::asio::io_context& io, const Config& config, relay::Budget& budget, Callbacks callbacks);
-  Upstreams(const Upstreams&) = delete;
-  Upstreams& operator=(const Upstreams&) = delete;
-  ~Upstreams();
+  ConnectionPool(boost::asio::io_context& io, const Config& config, relay::Budget& budget,
+                 Callbacks callbacks);
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
+  ~ConnectionPool();
 
   void setAddress(EndpointId upstream, const Endpoint& address);
   // It has gone: its idle connections are closed, the others when their attempts end; what waits for one that
@@ -92,7 +93,7 @@
   void remove(EndpointId upstream);
   // Ends, as never sent, what waits for a connection to it to come up. For an upstream that wants nothing
   // new: a connection that comes up late would carry a request there after the time in which that is allowed.
-  void takeBack(EndpointId upstream);
+  void withdrawComingUp(EndpointId upstream);
   void send(AttemptOrder order);
   void cancel(AttemptId id);  // closes its connection at once; ignored when it has ended
   // The request is over: its attempts of which the last byte has not gone out yet end as never sent, whether
@@ -104,7 +105,7 @@
   std::size_t connections() const { return connections_.size(); }
   std::size_t comingUp() const;  // of them, those that carry a job but are not up yet
   // Connections that carry something, of the most that there may be.
-  double busyShare() const;
+  double busyFraction() const;
 
  private:
   class Connection;
@@ -112,7 +113,7 @@
 
   void start(std::shared_ptr<Job> job);
   std::shared_ptr<Connection> reuse(EndpointId upstream);
-  bool makeRoom();
+  bool ensureCapacity();
   bool isClientGone(const Job& job) const;
   void end(Job& job, balancer::Outcome outcome);
 
--- a/src/sidecar/upstream/idle_connection_choice.h
+++ b/src/sidecar/upstream/idle_connection_choice.h
@@ -17,14 +17,14 @@
 namespace ivypost {
 
 // On corrib-quotes 651 of 794 such closes came within 25 ms of the answer.
-constexpr std::chrono::milliseconds kSettles{25};
+constexpr std::chrono::milliseconds kSettlingTime{25};
 
 // An index into `idle`, which must not be empty and is in the order in which they became idle, the longest
 // first. `since(one)` tells when one did.
 template <class Connection, class Since>
-std::size_t chooseIdle(const std::vector<Connection>& idle, Clock::time_point now, Since since) {
+std::size_t chooseIdleConnection(const std::vector<Connection>& idle, Clock::time_point now, Since since) {
   for (std::size_t n = idle.size(); n-- > 0;) {
-    if (now - since(idle[n]) >= kSettles) return n;
+    if (now - since(idle[n]) >= kSettlingTime) return n;
   }
   return idle.size() - 1;
 }
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -32,11 +32,11 @@
   void open(const json& patch) {
     config.emplace(configure(patch));
     pool.emplace(io, *config, budget,
-                 Upstreams::Callbacks{[](AttemptId) {},
-                                      [this](AttemptEnd end) { ends.push_back(std::move(end)); },
-                                      {},
-                                      {},
-                                      [this](balancer::RequestId id) { return gone.count(id) > 0; }});
+                 ConnectionPool::Callbacks{[](AttemptId) {},
+                                           [this](AttemptEnd end) { ends.push_back(std::move(end)); },
+                                           {},
+                                           {},
+                                           [this](balancer::RequestId id) { return gone.count(id) > 0; }});
   }
   void send(balancer::RequestId id, const std::string& body, const std::string& padding = "") {
     auto message = std::make_shared<Message>();
@@ -55,7 +55,7 @@
 
   relay::Budget budget{1'000'000};
   std::optional<Config> config;
-  std::optional<Upstreams> pool;
+  std::optional<ConnectionPool> pool;
   std::vector<AttemptEnd> ends;
   std::set<balancer::RequestId> gone;  // whose clients have left
 };
--- a/tests/e2e/matrix_test.cpp
+++ b/tests/e2e/matrix_test.cpp
@@ -347,14 +347,14 @@
     options.to = server.listen("s1");
     options.plan = plan;
     Proxy proxy(io, std::move(options));
-    Upstreams* pool = nullptr;
+    ConnectionPool* pool = nullptr;
     Config config;
     config.sockets = 64;
     std::optional<AttemptEnd> end;
     relay::Budget budget(1'000'000);
-    Upstreams upstreams(io, config, budget,
-                        {[](AttemptId) {}, [&](AttemptEnd one) { end = std::move(one); },
-                         [](const StreamBegin&) {}, [](const ProbeEnd&) {}});
+    ConnectionPool upstreams(io, config, budget,
+                             {[](AttemptId) {}, [&](AttemptEnd one) { end = std::move(one); },
+                              [](const StreamBegin&) {}, [](const ProbeEnd&) {}});
     pool = &upstreams;
     pool->setAddress(0, parseEndpoint(formatAddress(proxy.address())));
     AttemptOrder order;
--- a/tests/sidecar/upstream/idle_connection_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -6,7 +6,7 @@
 namespace ivypost {
 namespace {
 
-TEST(IdleChoice, TheLastUsedThatHasSettled) {
+TEST(IdleConnectionChoice, TakesTheLastUsedThatHasSettled) {
   using std::chrono::milliseconds;
   struct Row {
     std::vector<int> idleForMs;  // the longest first
@@ -24,7 +24,8 @@
   const Clock::time_point now{std::chrono::hours(1)};
   for (const Row& row : table) {
     const auto since = [&](int ms) { return now - milliseconds(ms); };
-    EXPECT_EQ(chooseIdle(row.idleForMs, now, since), row.chosen) << testing::PrintToString(row.idleForMs);
+    EXPECT_EQ(chooseIdleConnection(row.idleForMs, now, since), row.chosen)
+        << testing::PrintToString(row.idleForMs);
   }
 }
 
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -482,7 +482,7 @@
   Peer upstream(io);
   std::vector<ProbeEnd> ends;
   relay::Budget budget(1'000'000);
-  Upstreams pool(io, config, budget, {{}, {}, {}, [&](const ProbeEnd& end) { ends.push_back(end); }});
+  ConnectionPool pool(io, config, budget, {{}, {}, {}, [&](const ProbeEnd& end) { ends.push_back(end); }});
   pool.setAddress(0, parseEndpoint(upstream.address()));
   const std::vector<std::string> reports = {"TEXT inflight=7, qps=-1", "TEXT inflight=many", "{", "",
                                             "TEXT inflight=1e300, qps=2"};
@@ -545,8 +545,8 @@
   Peer upstream(io);
   std::vector<AttemptEnd> ends;
   relay::Budget budget(1'000'000);
-  Upstreams pool(io, config, budget,
-                 {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
+  ConnectionPool pool(io, config, budget,
+                      {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   pool.setAddress(0, parseEndpoint(upstream.address()));
   AttemptOrder order;
   order.message = std::make_shared<const Message>(http::verb::get, "/consulta", 11);
@@ -573,8 +573,8 @@
   std::vector<std::unique_ptr<Peer>> peers;
   std::vector<AttemptEnd> ends;
   relay::Budget budget(1'000'000);
-  Upstreams pool(io, config, budget,
-                 {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
+  ConnectionPool pool(io, config, budget,
+                      {[](AttemptId) {}, [&](AttemptEnd end) { ends.push_back(std::move(end)); }, {}, {}});
   AttemptOrder order;
   order.message = std::make_shared<const Message>(http::verb::get, "/consulta", 11);
   order.deadline = order.writeBy = Clock::now() + std::chrono::seconds(20);
