--- /dev/null
+++ b/src/sidecar/upstream/upstream_connection.cpp
@@ -0,0 +1,131 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "upstream/upstream_connection.h"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/error.hpp>
+#include <utility>
+
+#include "network/nonblocking_io.h"
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using balancer::Outcome;
+using boost::system::error_code;
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(const UpstreamContext& context, EndpointId upstream,
+                                       const Endpoint& address)
+    : context_(context),
+      upstream_(upstream),
+      address_(address),
+      socket_(context.io),
+      deadline_(context.deadlines),
+      exchange_(*this, context) {}
+
+void UpstreamConnection::open(std::shared_ptr<UpstreamJob> job) {
+  job->connection = weak_from_this();
+  const UpstreamJob& carried = *job;
+  exchange_.assign(std::move(job));
+  error_code error;
+  socket_.open(address_.protocol(), error);
+  if (error) return fail(Outcome::ConnectFailed);
+  socket_.set_option(tcp::no_delay(true), error);
+  socket_.set_option(asio::socket_base::send_buffer_size(UpstreamExchange::kSendBufferSize), error);
+  socket_.non_blocking(true, error);
+  setDeadline(std::min({carried.deadline, carried.writeBy, Clock::now() + context_.connectTimeout}));
+  isComingUp_ = true;
+  socket_.async_connect(address_,
+                        [self = shared_from_this()](const error_code& failed) { self->onConnected(failed); });
+}
+
+void UpstreamConnection::onConnected(const error_code& failed) {
+  isComingUp_ = false;
+  const UpstreamJob* const job = exchange_.job();
+  if (job == nullptr) return;
+  if (failed) return fail(Outcome::ConnectFailed);
+  // The client has had time to leave since the attempt was decided on.
+  if (context_.host.isClientGone(*job)) return fail(Outcome::Moot);
+  exchange_.start();
+}
+
+void UpstreamConnection::carry(std::shared_ptr<UpstreamJob> job) {
+  job->connection = weak_from_this();
+  exchange_.assign(std::move(job));
+  exchange_.start();
+}
+
+bool UpstreamConnection::isUsable() {
+  char byte = 0;
+  error_code error;
+  network::receiveSome(socket_, asio::buffer(&byte, 1), error, tcp::socket::message_peek);
+  return error == asio::error::would_block;
+}
+
+void UpstreamConnection::close() {
+  if (isClosed_) return;
+  isClosed_ = true;
+  deadline_.cancel();
+  error_code ignored;
+  socket_.close(ignored);
+  context_.host.onClosed(shared_from_this());  // the pool's may have been the last
+}
+
+void UpstreamConnection::fail(Outcome outcome) {
+  const auto job = exchange_.abandon();
+  close();
+  if (job) context_.host.onEnded(*job, outcome);
+}
+
+void UpstreamConnection::release(bool isReusable) {
+  if (isReusable) {
+    becomeIdle();
+  } else {
+    close();
+  }
+}
+
+// Goes back to the pool, and is watched for a close.
+void UpstreamConnection::becomeIdle() {
+  if (!context_.host.isCurrentAddress(upstream_, address_)) return close();
+  idleSince_ = Clock::now();
+  context_.host.onIdle(shared_from_this());
+  setDeadline(idleSince_ + context_.idleTime);
+  awaitReadable({});
+}
+
+void UpstreamConnection::awaitReadable(error_code why) {
+  if (isAwaitingReadable_) return;
+  isAwaitingReadable_ = true;
+  network::waitToRetry(socket_, tcp::socket::wait_read, why,
+                       [self = shared_from_this()](const error_code&) { self->onReadable(); });
+}
+
+void UpstreamConnection::onReadable() {
+  isAwaitingReadable_ = false;
+  if (isClosed_) return;
+  if (exchange_.job() != nullptr) {
+    // Set while it was idle, or for an answer; while a request is being written there is nothing to read yet.
+    if (exchange_.expectsBytes()) exchange_.onReadable();
+    return;
+  }
+  if (!isUsable()) return close();
+  awaitReadable({});
+}
+
+void UpstreamConnection::setDeadline(Clock::time_point at) {
+  deadline_.set(at, [this] { onDeadline(); });
+}
+
+void UpstreamConnection::onDeadline() {
+  if (isClosed_) return;
+  const auto kept = shared_from_this();
+  if (exchange_.job() == nullptr) return close();
+  fail(exchange_.timeoutOutcome());
+}
+
+}  // namespace ivypost
