--- a/src/sidecar/degradation_manager.cpp
+++ b/src/sidecar/control/degradation_manager.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "degradation_manager.h"
+#include "control/degradation_manager.h"
 
 #include <time.h>
 
--- a/src/sidecar/degradation_manager.h
+++ b/src/sidecar/control/degradation_manager.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#ifndef IVYPOST_DEGRADATION_MANAGER_H_
-#define IVYPOST_DEGRADATION_MANAGER_H_
+#ifndef IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
+#define IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -57,4 +57,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_DEGRADATION_MANAGER_H_
+#endif  // IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
--- a/src/sidecar/shedding_note.h
+++ b/src/sidecar/control/shedding_note.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
 // What the log says of requests that are turned away unsent: one line when it begins, one when it is over.
-#ifndef IVYPOST_SHEDDING_NOTE_H_
-#define IVYPOST_SHEDDING_NOTE_H_
+#ifndef IVYPOST_CONTROL_SHEDDING_NOTE_H_
+#define IVYPOST_CONTROL_SHEDDING_NOTE_H_
 
 #include <cstdint>
 
@@ -33,4 +33,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_SHEDDING_NOTE_H_
+#endif  // IVYPOST_CONTROL_SHEDDING_NOTE_H_
--- a/src/sidecar/start_time_estimator.cpp
+++ b/src/sidecar/control/start_time_estimator.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "start_time_estimator.h"
+#include "control/start_time_estimator.h"
 
 #include <algorithm>
 
--- a/src/sidecar/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -13,8 +13,8 @@
 //
 // A start never moves: the same upstream with the same time of start has the same estimate for as long as it
 // is remembered, also if lists leave it out meanwhile. It was not seen to start when it is back.
-#ifndef IVYPOST_START_TIME_ESTIMATOR_H_
-#define IVYPOST_START_TIME_ESTIMATOR_H_
+#ifndef IVYPOST_CONTROL_START_TIME_ESTIMATOR_H_
+#define IVYPOST_CONTROL_START_TIME_ESTIMATOR_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -70,4 +70,4 @@
 
 }  // namespace ivypost
 
-#endif  // IVYPOST_START_TIME_ESTIMATOR_H_
+#endif  // IVYPOST_CONTROL_START_TIME_ESTIMATOR_H_
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -19,7 +19,9 @@
 
 #include "config.h"
 #include "console/console_io.h"
-#include "degradation_manager.h"
+#include "control/degradation_manager.h"
+#include "control/shedding_note.h"
+#include "control/start_time_estimator.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
 #include "fleet_view.h"
@@ -27,8 +29,6 @@
 #include "membership/membership.h"
 #include "membership/platform.h"
 #include "server.h"
-#include "shedding_note.h"
-#include "start_time_estimator.h"
 #include "upstream/connection_pool.h"
 
 namespace ivypost {
--- a/tests/shedding_note_test.cpp
+++ b/tests/sidecar/control/shedding_note_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "shedding_note.h"
+#include "control/shedding_note.h"
 
 #include <gtest/gtest.h>
 
