--- a/src/sidecar/control/shedding_note.h
+++ b/src/sidecar/control/shedding_note.h
@@ -11,24 +11,24 @@
 class SheddingNote {
  public:
   // It is over when nothing was turned away unsent for so long, in microseconds.
-  static constexpr std::int64_t kOver = 5'000'000;
+  static constexpr std::int64_t kQuietTime = 5'000'000;
 
   // Both give a line for the log, or null.
-  const char* turnedAway(std::int64_t now) {
-    const bool before = sheds_;
-    sheds_ = true;
-    at_ = now;
+  const char* onRejected(std::int64_t now) {
+    const bool before = isShedding_;
+    isShedding_ = true;
+    rejectedAt_ = now;
     return before ? nullptr : "shedding load: nobody is ready in time for all requests";
   }
-  const char* look(std::int64_t now) {
-    if (!sheds_ || now - at_ <= kOver) return nullptr;
-    sheds_ = false;
+  const char* onEventHandled(std::int64_t now) {
+    if (!isShedding_ || now - rejectedAt_ <= kQuietTime) return nullptr;
+    isShedding_ = false;
     return "shedding is over";
   }
 
  private:
-  bool sheds_ = false;
-  std::int64_t at_ = 0;
+  bool isShedding_ = false;
+  std::int64_t rejectedAt_ = 0;
 };
 
 }  // namespace ivypost
--- a/src/sidecar/control/start_time_estimator.cpp
+++ b/src/sidecar/control/start_time_estimator.cpp
@@ -5,7 +5,7 @@
 
 namespace ivypost {
 
-void StartTimeEstimator::listCame(std::optional<Micros> previousUntil, Micros now) {
+void StartTimeEstimator::beginList(std::optional<Micros> previousUntil, Micros now) {
   now_ = now;
   earliestSeen_.reset();
   if (previousUntil) earliestSeen_ = std::min(*previousUntil, now) - kNoticeDelay;
@@ -19,7 +19,7 @@
   const bool contradicted = earliestSeen_ && at < *earliestSeen_;
   if (contradicted || at > now_) at = now_;
   at = std::max<Micros>(1, at);
-  if (order_.size() >= kMost) {
+  if (order_.size() >= kMaxStarts) {
     starts_.erase(order_.front());
     order_.pop_front();
   }
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -33,14 +33,14 @@
   static constexpr Micros kNoticeDelay = 2'500'000;
   // Starts remembered; beyond that the one that was first told longest ago is forgotten. Twice the upstreams
   // of the largest fleet.
-  static constexpr std::size_t kMost = 8192;
+  static constexpr std::size_t kMaxStarts = 8192;
 
   // `unixTime`: in microseconds, at `now`. Taken once: a later step of the wall clock changes nothing.
   StartTimeEstimator(Micros unixTime, Micros now) : unixToSteady_(now - unixTime) {}
 
   // A list has come, and its starts are asked for next. `previousUntil`: how long the list before it was
   // known to be current, by the monotonic clock; none: there was none, so no start was seen.
-  void listCame(std::optional<Micros> previousUntil, Micros now);
+  void beginList(std::optional<Micros> previousUntil, Micros now);
 
   // The time of the start, 1 or more; 0 for `startedAtMs` 0: long ago. `upstream`: the hash of its id.
   Micros startOf(std::uint64_t upstream, std::int64_t startedAtMs);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -197,7 +197,7 @@
   for (const auto& action : actions) {
     std::visit([this](const auto& one) { carryOut(one); }, action);
   }
-  if (const char* line = shedding_.look(at)) log(line);
+  if (const char* line = shedding_.onEventHandled(at)) log(line);
 }
 
 void Sidecar::onTaken(ClientRequest client) {
@@ -289,7 +289,7 @@
   MembershipUpdate update;
   update.kind = kind;
   const auto& site = config_.site;
-  starts_.listCame(list.previousUntil, now());
+  starts_.beginList(list.previousUntil, now());
   if (list.whole) {
     for (Known& known : known_) known.listed = false;  // whoever is missing has gone
   }
@@ -584,7 +584,7 @@
 
 void Sidecar::noteUnsent(RequestId id) {
   if (!requests_.at(id).attempts.empty()) return;
-  if (const char* line = shedding_.turnedAway(now())) log(line);
+  if (const char* line = shedding_.onRejected(now())) log(line);
 }
 
 void Sidecar::carryOut(const balancer::Reject& refuse) {
--- a/tests/sidecar/control/shedding_note_test.cpp
+++ b/tests/sidecar/control/shedding_note_test.cpp
@@ -16,16 +16,17 @@
     if (line != nullptr) lines.emplace_back(line);
   };
   std::int64_t now = 0;
-  for (; now < 10 * SheddingNote::kOver; now += SheddingNote::kOver / 2) {
-    take(note.look(now));
-    take(note.turnedAway(now));
+  for (; now < 10 * SheddingNote::kQuietTime; now += SheddingNote::kQuietTime / 2) {
+    take(note.onEventHandled(now));
+    take(note.onRejected(now));
   }
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0].rfind("shedding load", 0), 0u);
-  for (const auto end = now + 3 * SheddingNote::kOver; now < end; now += 1000) take(note.look(now));
+  for (const auto end = now + 3 * SheddingNote::kQuietTime; now < end; now += 1000)
+    take(note.onEventHandled(now));
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[1], "shedding is over");
-  take(note.turnedAway(now));
+  take(note.onRejected(now));
   EXPECT_EQ(lines.size(), 3u);
 }
 
--- a/tests/sidecar/control/start_time_estimator_test.cpp
+++ b/tests/sidecar/control/start_time_estimator_test.cpp
@@ -22,7 +22,7 @@
   Micros clockError;                  // of the wall clock, at the start of the process
   std::optional<Micros> previousAgo;  // the list before was current so long before this one; none: the first
   Micros startedAgo;                  // before this list
-  Micros toldError;                   // of the clock by which the list tells the start
+  Micros listedError;                 // of the clock by which the list tells the start
   Micros expectedAgo;                 // what the estimate is, before this list
 };
 std::ostream& operator<<(std::ostream& out, const Case& one) {
@@ -37,8 +37,8 @@
   const Micros listed = 600 * kSecond;  // since the process started
   const auto previous =
       one.previousAgo ? std::optional(kBoot + listed - *one.previousAgo) : std::optional<Micros>();
-  starts.listCame(previous, kBoot + listed);
-  const std::int64_t startedAtMs = (kUnix + listed - one.startedAgo + one.toldError) / 1000;
+  starts.beginList(previous, kBoot + listed);
+  const std::int64_t startedAtMs = (kUnix + listed - one.startedAgo + one.listedError) / 1000;
   EXPECT_EQ(kBoot + listed - starts.startOf(7, startedAtMs), one.expectedAgo);
 }
 
@@ -72,15 +72,15 @@
 TEST(StartTime, StaysWhereItIsWhateverListsComeLater) {
   for (const Micros error : {Micros{0}, kHour, -kHour, 5 * kSecond}) {
     StartTimeEstimator starts(kUnix + error, kBoot);
-    starts.listCame(std::nullopt, kBoot);
+    starts.beginList(std::nullopt, kBoot);
     const std::int64_t first = (kUnix - 100 * kSecond) / 1000;
     const Micros known = starts.startOf(1, first);
-    starts.listCame(kBoot + 10 * kSecond, kBoot + 10 * kSecond);
+    starts.beginList(kBoot + 10 * kSecond, kBoot + 10 * kSecond);
     const std::int64_t second = (kUnix + 10 * kSecond) / 1000;
     const Micros seen = starts.startOf(2, second);
     EXPECT_EQ(kBoot + 10 * kSecond - seen, 0) << error;
     for (Micros at = 20 * kSecond; at < 2 * kHour; at += 100 * kSecond) {
-      starts.listCame(kBoot + at - kSecond, kBoot + at);
+      starts.beginList(kBoot + at - kSecond, kBoot + at);
       EXPECT_EQ(starts.startOf(1, first), known);
       EXPECT_EQ(starts.startOf(2, second), seen);
     }
@@ -90,11 +90,11 @@
 // One that lists left out for a while and name again with the same start has not been seen to start.
 TEST(StartTime, OfOneThatIsBackIsTheOneItHad) {
   StartTimeEstimator starts(kUnix, kBoot);
-  starts.listCame(std::nullopt, kBoot);
+  starts.beginList(std::nullopt, kBoot);
   const std::int64_t startedAtMs = (kUnix - kHour) / 1000;
   const Micros before = starts.startOf(1, startedAtMs);
-  starts.listCame(kBoot, kBoot + 60 * kSecond);  // without it
-  starts.listCame(kBoot + 70 * kSecond, kBoot + 70 * kSecond);
+  starts.beginList(kBoot, kBoot + 60 * kSecond);  // without it
+  starts.beginList(kBoot + 70 * kSecond, kBoot + 70 * kSecond);
   EXPECT_EQ(starts.startOf(1, startedAtMs), before);
   // With a new start it is another matter.
   EXPECT_EQ(starts.startOf(1, startedAtMs + 1), kBoot + 70 * kSecond);
@@ -102,7 +102,7 @@
 
 TEST(StartTime, OfLongAgoIsNone) {
   StartTimeEstimator starts(kUnix, kBoot);
-  starts.listCame(kBoot, kBoot);
+  starts.beginList(kBoot, kBoot);
   EXPECT_EQ(starts.startOf(1, 0), 0);
   EXPECT_EQ(starts.remembered(), 0u);
 }
@@ -111,7 +111,7 @@
 TEST(StartTime, IsAPointInTimeForAnyFigure) {
   for (const Micros clock : {kUnix, Micros{-kUnix}, Micros{0}}) {
     StartTimeEstimator starts(clock, 5);
-    starts.listCame(std::nullopt, 10);
+    starts.beginList(std::nullopt, 10);
     EXPECT_GE(starts.startOf(1, 1), 1);
     EXPECT_LE(starts.startOf(2, (std::int64_t{1} << 53) / 1000), 10);
   }
@@ -119,13 +119,13 @@
 
 TEST(StartTime, RemembersABoundedNumberAndTheNewestOfThem) {
   StartTimeEstimator starts(kUnix, kBoot);
-  starts.listCame(std::nullopt, kBoot);
-  for (std::size_t n = 0; n < 2 * StartTimeEstimator::kMost; ++n)
+  starts.beginList(std::nullopt, kBoot);
+  for (std::size_t n = 0; n < 2 * StartTimeEstimator::kMaxStarts; ++n)
     starts.startOf(n, kUnix / 1000 - static_cast<std::int64_t>(n));
-  EXPECT_EQ(starts.remembered(), StartTimeEstimator::kMost);
-  const std::size_t last = 2 * StartTimeEstimator::kMost - 1;
+  EXPECT_EQ(starts.remembered(), StartTimeEstimator::kMaxStarts);
+  const std::size_t last = 2 * StartTimeEstimator::kMaxStarts - 1;
   const Micros before = kBoot - static_cast<Micros>(last) * 1000;
-  starts.listCame(kBoot + kHour, kBoot + kHour);
+  starts.beginList(kBoot + kHour, kBoot + kHour);
   EXPECT_EQ(starts.startOf(last, kUnix / 1000 - static_cast<std::int64_t>(last)), before);
 }
 
