--- /dev/null
+++ b/src/sidecar/control/endpoint_table.cpp
@@ -0,0 +1,149 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "control/endpoint_table.h"
+
+#include <chrono>
+#include <utility>
+
+namespace ivypost {
+namespace {
+
+using balancer::EndpointEntry;
+using balancer::EndpointState;
+using balancer::MembershipUpdate;
+
+// An entry as the module hears of it: out by hand is a drain, back by hand a start.
+Instance overlay(const Instance& received, const exclusion::ExclusionSet& exclusions) {
+  Instance overlaid = received;
+  if (overlaid.state == EndpointState::Serving && exclusions.isExcluded(overlaid.id))
+    overlaid.state = EndpointState::Draining;
+  const exclusion::WallTime listed{std::chrono::milliseconds(overlaid.startedAtMs)};
+  overlaid.startedAtMs = exclusions.effectiveStart(overlaid.id, listed).time_since_epoch().count();
+  return overlaid;
+}
+
+}  // namespace
+
+MembershipUpdate EndpointTable::apply(const InstanceList& list, MembershipUpdate::Kind kind,
+                                      const exclusion::ExclusionSet& exclusions, Micros now) {
+  MembershipUpdate update;
+  update.kind = kind;
+  startTimes_.beginList(list.previousUntil, now);
+  if (kind == MembershipUpdate::Kind::Full) {
+    for (EndpointRecord& record : records_) record.isListed = false;  // whoever is missing has gone
+  }
+  for (const Instance& received : list.instances) {
+    if (exclusions.isEmpty()) {
+      applyInstance(received, received, update);
+    } else {
+      applyInstance(overlay(received, exclusions), received, update);
+    }
+  }
+  return update;
+}
+
+void EndpointTable::applyInstance(const Instance& instance, const Instance& asReceived,
+                                  MembershipUpdate& update) {
+  if (instance.state == EndpointState::Gone && !numbers_.contains(instance.id)) return;
+  EndpointEntry entry;
+  entry.upstream = numberOf(instance.id);
+  // A zone or a kind that the settings don't name says nothing, but the endpoint can serve.
+  if (const auto zone = site_.zones.find(instance.zone); zone != site_.zones.end()) entry.zone = zone->second;
+  if (const auto kind = site_.kinds.find(instance.kind); kind != site_.kinds.end()) entry.kind = kind->second;
+  entry.cell = instance.cell;
+  entry.state = instance.state;
+  entry.size = instance.weight;
+  entry.identity = settings::identity(instance.id);
+  EndpointRecord& record = records_[entry.upstream];
+  if (record.startedAtMs != instance.startedAtMs)
+    record.launchedAt = startTimes_.startOf(entry.identity, instance.startedAtMs);
+  entry.launchedAt = record.launchedAt;
+  if (record.address != instance.address) releaseAddress(entry.upstream);
+  record.address = instance.address;
+  record.startedAtMs = instance.startedAtMs;
+  if (keepsReceived_) record.asReceived = asReceived;
+  record.isListed = instance.state != EndpointState::Gone;
+  if (record.isListed && !claimAddress(entry.upstream, update)) {
+    record.isListed = false;
+    entry.state = EndpointState::Gone;
+  }
+  update.entries.push_back(entry);
+}
+
+std::vector<Instance> EndpointTable::received(const std::vector<std::string>& ids) const {
+  std::vector<Instance> instances;
+  for (const std::string& id : ids) {
+    const auto number = find(id);
+    if (number && records_[*number].isListed) instances.push_back(records_[*number].asReceived);
+  }
+  return instances;
+}
+
+std::optional<EndpointId> EndpointTable::find(const std::string& id) const {
+  const auto found = numbers_.find(id);
+  return found == numbers_.end() ? std::nullopt : std::optional(found->second);
+}
+
+EndpointId EndpointTable::numberOf(const std::string& id) {
+  if (const auto known = find(id)) return *known;
+  if (freeNumbers_.empty()) {
+    freeNumbers_.push_back(static_cast<EndpointId>(records_.size()));
+    records_.emplace_back();
+  }
+  const EndpointId upstream = freeNumbers_.back();
+  freeNumbers_.pop_back();
+  records_[upstream] = EndpointRecord{};
+  records_[upstream].id = id;
+  numbers_.emplace(id, upstream);
+  return upstream;
+}
+
+// Guards against sending to a process under the id of the one that stood at its address before: the process
+// that started last has it, the other has gone whatever the list still says. False if that is this one.
+bool EndpointTable::claimAddress(EndpointId upstream, MembershipUpdate& update) {
+  const EndpointRecord& own = records_[upstream];
+  const auto holder = holders_.try_emplace(own.address, upstream).first;
+  const EndpointId before = std::exchange(holder->second, upstream);
+  EndpointRecord& other = records_[before];
+  if (before == upstream || !other.isListed) return true;
+  if (other.startedAtMs > own.startedAtMs) {
+    holder->second = before;
+    return false;
+  }
+  other.isListed = false;
+  EndpointEntry gone;
+  gone.upstream = before;
+  gone.state = EndpointState::Gone;
+  gone.launchedAt = other.launchedAt;
+  gone.identity = settings::identity(other.id);
+  update.entries.push_back(gone);
+  return true;
+}
+
+void EndpointTable::releaseAddress(EndpointId upstream) {
+  const auto holder = holders_.find(records_[upstream].address);
+  if (holder != holders_.end() && holder->second == upstream) holders_.erase(holder);
+}
+
+void EndpointTable::dropUse(EndpointId upstream) {
+  --records_[upstream].uses;
+  freeIfUnused(upstream);
+}
+
+std::vector<EndpointId> EndpointTable::unlisted() const {
+  std::vector<EndpointId> unlisted;
+  for (EndpointId upstream = 0; upstream < records_.size(); ++upstream) {
+    if (!records_[upstream].isListed && !records_[upstream].id.empty()) unlisted.push_back(upstream);
+  }
+  return unlisted;
+}
+
+void EndpointTable::freeIfUnused(EndpointId upstream) {
+  EndpointRecord& record = records_[upstream];
+  if (record.isListed || record.uses > 0 || record.id.empty()) return;
+  numbers_.erase(record.id);
+  releaseAddress(upstream);
+  record = EndpointRecord{};
+  freeNumbers_.push_back(upstream);
+}
+
+}  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -43,6 +43,12 @@
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
 
+// By what other sidecars call it, and its present life.
+health_reports::Incarnation incarnationOf(const EndpointRecord& endpoint) {
+  return {settings::identity(endpoint.id),
+          health_reports::WallTime(std::chrono::milliseconds(endpoint.startedAtMs))};
+}
+
 // None: the settings name no class.
 std::optional<microseconds> longestDeadline(const balancer::Settings& settings) {
   std::optional<microseconds> longest;
@@ -68,7 +74,7 @@
 Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
     : io_(io),
       config_(std::move(config)),
-      starts_(unixNow(), now()),
+      endpoints_(config_.site, unixNow(), now(), config_.console.has_value()),
       balancer_(config_.site.settings, config_.seed, now()),
       timer_(io),
       budget_(config_.relayBytes()),
@@ -237,8 +243,8 @@
   Attempt& attempt = request.attempts.at(end.id.number);
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
-  if (const Known& known = known_[attempt.upstream]; fleet_ && known.listed)
-    fleet_->attempted(incarnationOf(known), end.outcome, duration_cast<microseconds>(end.lag).count());
+  if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; fleet_ && endpoint.isListed)
+    fleet_->attempted(incarnationOf(endpoint), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   balancer::AttemptOutcome event;
@@ -282,46 +288,14 @@
   event.lag = duration_cast<microseconds>(end.lag).count();
   event.report = end.report;
   handle(event);
-  dropUse(end.upstream);
+  endpoints_.dropUse(end.upstream);
 }
 
 void Sidecar::onList(const InstanceList& list, MembershipUpdate::Kind kind) {
-  MembershipUpdate update;
-  update.kind = kind;
-  const auto& site = config_.site;
-  starts_.beginList(list.previousUntil, now());
-  if (list.whole) {
-    for (Known& known : known_) known.listed = false;  // whoever is missing has gone
-  }
-  for (const Instance& told : list.instances) {
-    Instance overlaid;
-    if (!exclusions_.isEmpty()) overlaid = overlay(told);
-    const Instance& instance = exclusions_.isEmpty() ? told : overlaid;
-    if (instance.state == balancer::EndpointState::Gone && ids_.count(instance.id) == 0) continue;
-    balancer::EndpointEntry entry;
-    entry.upstream = intern(instance.id);
-    // A zone or a kind that the settings don't name tells nothing, but the upstream can serve.
-    if (const auto zone = site.zones.find(instance.zone); zone != site.zones.end()) entry.zone = zone->second;
-    if (const auto sort = site.kinds.find(instance.kind); sort != site.kinds.end()) entry.kind = sort->second;
-    entry.cell = instance.cell;
-    entry.state = instance.state;
-    entry.size = instance.weight;
-    entry.identity = settings::identity(instance.id);
-    Known& known = known_[entry.upstream];
-    if (known.startedAtMs != instance.startedAtMs)
-      known.launchedAt = starts_.startOf(entry.identity, instance.startedAtMs);
-    entry.launchedAt = known.launchedAt;
-    if (known.address != instance.address) leaveAddress(entry.upstream);
-    known.address = instance.address;
-    known.startedAtMs = instance.startedAtMs;
-    if (config_.console) known.told = told;  // only operators' calls need it
-    known.listed = instance.state != balancer::EndpointState::Gone;
-    if (known.listed && !takesItsAddress(entry.upstream, update)) {
-      known.listed = false;
-      entry.state = balancer::EndpointState::Gone;
-    }
-    if (known.listed) pool_.setAddress(entry.upstream, instance.address);
-    update.entries.push_back(entry);
+  const MembershipUpdate update = endpoints_.apply(list, kind, exclusions_, now());
+  for (const auto& entry : update.entries) {
+    if (entry.state != balancer::EndpointState::Gone)
+      pool_.setAddress(entry.upstream, endpoints_[entry.upstream].address);
   }
   // It is followed all the same: what drains or is gone gets nothing new, whatever is left.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
@@ -332,12 +306,11 @@
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Draining) continue;
     pool_.withdrawComingUp(entry.upstream);
-    if (exclusions_.isExcluded(known_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
+    if (exclusions_.isExcluded(endpoints_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
   }
-  for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
-    if (known_[upstream].listed || known_[upstream].id.empty()) continue;
+  for (const EndpointId upstream : endpoints_.unlisted()) {
     pool_.remove(upstream);
-    freeUnused(upstream);
+    endpoints_.freeIfUnused(upstream);
   }
 }
 
@@ -366,25 +339,11 @@
   });
 }
 
-// An entry as the module hears of it: out by hand is a drain, back by hand a start.
-Instance Sidecar::overlay(const Instance& told) const {
-  Instance overlaid = told;
-  if (overlaid.state == balancer::EndpointState::Serving && exclusions_.isExcluded(overlaid.id))
-    overlaid.state = balancer::EndpointState::Draining;
-  const auto start = exclusions_.effectiveStart(overlaid.id, wallTime(overlaid.startedAtMs));
-  overlaid.startedAtMs = start.time_since_epoch().count();
-  return overlaid;
-}
-
 void Sidecar::applyExclusions(exclusion::ExclusionSet next) {
   const std::vector<std::string> ids = exclusions_.differingEndpoints(next);
   exclusions_ = std::move(next);
   InstanceList changed;
-  for (const std::string& id : ids) {
-    const auto found = ids_.find(id);
-    if (found != ids_.end() && known_[found->second].listed)
-      changed.instances.push_back(known_[found->second].told);
-  }
+  changed.instances = endpoints_.received(ids);
   changed.previousUntil = now();  // the operators' call has come since
   if (!changed.instances.empty()) onList(changed, MembershipUpdate::Kind::Changes);
 }
@@ -463,9 +422,9 @@
   change.kind = call.what == console::Call::What::Exclude ? Kind::Exclude : Kind::Include;
   change.endpoint = call.upstream;
   change.now = wallTime(unixNow() / 1000);
-  if (const auto named = ids_.find(call.upstream); named != ids_.end()) {
-    change.isListed = known_[named->second].listed;
-    change.listedStart = wallTime(known_[named->second].startedAtMs);
+  if (const auto number = endpoints_.find(call.upstream)) {
+    change.isListed = endpoints_[*number].isListed;
+    change.listedStart = wallTime(endpoints_[*number].startedAtMs);
   }
   exclusion::ExclusionSet next = exclusions_;
   const auto outcome = exclusionFile_.apply(next, change);
@@ -497,16 +456,12 @@
                            [this](const balancer::HealthReport& hearsay) { handle(hearsay); }, log});
 }
 
-health_reports::Incarnation Sidecar::incarnationOf(const Known& known) const {
-  return {settings::identity(known.id),
-          health_reports::WallTime(std::chrono::milliseconds(known.startedAtMs))};
-}
-
 std::vector<FleetView::Listed> Sidecar::listed() const {
   std::vector<FleetView::Listed> all;
-  for (EndpointId upstream = 0; upstream < known_.size(); ++upstream) {
-    const Known& known = known_[upstream];
-    if (known.listed) all.push_back({incarnationOf(known), upstream, known.launchedAt, known.id});
+  for (EndpointId upstream = 0; upstream < endpoints_.size(); ++upstream) {
+    const EndpointRecord& endpoint = endpoints_[upstream];
+    if (endpoint.isListed)
+      all.push_back({incarnationOf(endpoint), upstream, endpoint.launchedAt, endpoint.id});
   }
   return all;
 }
@@ -574,7 +529,7 @@
   attempt.upstream = send.upstream;
   request.attempts.push_back(attempt);
   ++request.out;
-  ++known_[send.upstream].uses;
+  endpoints_.addUse(send.upstream);
   pool_.send(std::move(order));
 }
 
@@ -617,7 +572,7 @@
 }
 
 void Sidecar::carryOut(const balancer::Probe& probe) {
-  ++known_[probe.upstream].uses;
+  endpoints_.addUse(probe.upstream);
   pool_.probe(probe.upstream);
 }
 
@@ -652,62 +607,7 @@
   if (found == requests_.end() || !found->second.over || found->second.out > 0) return;
   const auto attempts = std::move(found->second.attempts);
   requests_.erase(found);
-  for (const Attempt& attempt : attempts) dropUse(attempt.upstream);
-}
-
-EndpointId Sidecar::intern(const std::string& instanceId) {
-  if (const auto found = ids_.find(instanceId); found != ids_.end()) return found->second;
-  if (spare_.empty()) {
-    spare_.push_back(static_cast<EndpointId>(known_.size()));
-    known_.emplace_back();
-  }
-  const EndpointId upstream = spare_.back();
-  spare_.pop_back();
-  known_[upstream] = Known{};
-  known_[upstream].id = instanceId;
-  ids_.emplace(instanceId, upstream);
-  return upstream;
-}
-
-// Guards against sending to a process under the id of the one that stood at its address before: the process
-// that started last has it, the other has gone whatever the list still says. False if that is this one.
-bool Sidecar::takesItsAddress(EndpointId upstream, MembershipUpdate& update) {
-  const Known& own = known_[upstream];
-  const auto holder = holders_.try_emplace(own.address, upstream).first;
-  const EndpointId id = std::exchange(holder->second, upstream);
-  Known& other = known_[id];
-  if (id == upstream || !other.listed) return true;
-  if (other.startedAtMs > own.startedAtMs) {
-    holder->second = id;
-    return false;
-  }
-  other.listed = false;
-  balancer::EndpointEntry gone;
-  gone.upstream = id;
-  gone.state = balancer::EndpointState::Gone;
-  gone.launchedAt = other.launchedAt;
-  gone.identity = settings::identity(other.id);
-  update.entries.push_back(gone);
-  return true;
-}
-
-void Sidecar::leaveAddress(EndpointId upstream) {
-  const auto holder = holders_.find(known_[upstream].address);
-  if (holder != holders_.end() && holder->second == upstream) holders_.erase(holder);
-}
-
-void Sidecar::dropUse(EndpointId upstream) {
-  --known_[upstream].uses;
-  freeUnused(upstream);
-}
-
-void Sidecar::freeUnused(EndpointId upstream) {
-  Known& known = known_[upstream];
-  if (known.listed || known.uses > 0 || known.id.empty()) return;
-  ids_.erase(known.id);
-  leaveAddress(upstream);
-  known = Known{};
-  spare_.push_back(upstream);
+  for (const Attempt& attempt : attempts) endpoints_.dropUse(attempt.upstream);
 }
 
 }  // namespace ivypost
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -20,8 +20,8 @@
 #include "config.h"
 #include "console/console_io.h"
 #include "control/degradation_manager.h"
+#include "control/endpoint_table.h"
 #include "control/shedding_note.h"
-#include "control/start_time_estimator.h"
 #include "exclusion/error.h"
 #include "exclusion/exclusion_file.h"
 #include "fleet_view.h"
@@ -61,7 +61,7 @@
   const FleetView* fleet() const { return fleet_.get(); }
   membership::Freshness freshness() const { return membership_.freshness(); }
   // For tests: the upstreams' numbers, in use and free; connections to them that are not up yet.
-  std::size_t upstreamNumbers() const { return known_.size(); }
+  std::size_t upstreamNumbers() const { return endpoints_.size(); }
   std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
@@ -78,18 +78,6 @@
     bool over = false;
   };
 
-  // What an upstream's number stands for. The number is free again when no list names the upstream and
-  // nothing of ours refers to it, so that ever new ids need no ever new numbers.
-  struct Known {
-    std::string id;  // empty: the number is free
-    Endpoint address;
-    std::int64_t startedAtMs = 0;
-    Micros launchedAt = 0;  // by the monotonic clock, as the module was told; 0: long ago
-    Instance told;          // as the list has it, without the operators' exclusions
-    bool listed = false;
-    std::uint32_t uses = 0;  // attempts of requests not forgotten yet, and probes out
-  };
-
   // An operator's call that changes the exclusions, until it is answered.
   struct PendingChange {
     console::Call call;
@@ -138,26 +126,15 @@
   void noteUnsent(balancer::RequestId id);
   void finish(balancer::RequestId id, Answer answer);
   void forget(balancer::RequestId id);
-  EndpointId intern(const std::string& instanceId);
-  bool takesItsAddress(EndpointId upstream, balancer::MembershipUpdate& update);
-  void leaveAddress(EndpointId upstream);
-  void dropUse(EndpointId upstream);
-  void freeUnused(EndpointId upstream);
-  health_reports::Incarnation incarnationOf(const Known& known) const;
-  Instance overlay(const Instance& told) const;
 
   boost::asio::io_context& io_;
   const Config config_;
-  StartTimeEstimator starts_;
+  EndpointTable endpoints_;
   balancer::Balancer balancer_;
   boost::asio::steady_timer timer_;
   Clock::time_point armedFor_ = Clock::time_point::max();
   std::unordered_map<balancer::RequestId, Request> requests_;
-  std::unordered_map<std::string, EndpointId> ids_;
-  std::vector<Known> known_;                // by number
-  std::vector<EndpointId> spare_;           // free numbers
-  relay::Budget budget_;                    // of bodies in transit
-  std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
+  relay::Budget budget_;  // of bodies in transit
   ConnectionPool pool_;
   const MakeEtcd makeEtcd_;
   membership::Membership membership_;
