--- /dev/null
+++ b/src/sidecar/control/admin_handler.cpp
@@ -0,0 +1,147 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "control/admin_handler.h"
+
+#include <boost/system/system_error.hpp>
+#include <chrono>
+#include <utility>
+
+#include "control/exclusion_call.h"
+
+namespace ivypost {
+namespace {
+
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// How soon this process hears of what operators have told the other one, while one replaces the other.
+constexpr milliseconds kFilePollInterval{100};
+// The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
+// disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
+constexpr milliseconds kLockRetryInterval{5};
+constexpr milliseconds kLockTimeout{2000};
+// The console's address is tried again so often when it can't be bound.
+constexpr milliseconds kListenRetryInterval{1000};
+
+// HTTP's, as the operators' calls are answered.
+constexpr unsigned kOk = 200;
+constexpr unsigned kConflict = 409;
+constexpr unsigned kUnavailable = 503;
+
+exclusion::WallTime wallClockNow() {
+  constexpr std::int64_t kMicrosPerMilli = 1000;
+  return exclusion::WallTime(milliseconds(unixNow() / kMicrosPerMilli));
+}
+
+}  // namespace
+
+AdminHandler::AdminHandler(boost::asio::io_context& io, const Config& config, const EndpointTable& endpoints,
+                           const lifecycle::Lifecycle& lifecycle, Callbacks callbacks)
+    : io_(io),
+      config_(config),
+      endpoints_(endpoints),
+      lifecycle_(lifecycle),
+      callbacks_(std::move(callbacks)),
+      file_(config.console ? config.tempFolder : std::string(), callbacks_.log),
+      pollTimer_(io),
+      changeTimer_(io),
+      listenTimer_(io) {}
+
+void AdminHandler::loadExclusions() {
+  if (!config_.console) return;
+  if (auto kept = file_.readIfChanged()) exclusions_ = std::move(*kept);
+  pollFile();
+}
+
+// Either process may be called while one replaces the other.
+void AdminHandler::pollFile() {
+  pollTimer_.expires_after(kFilePollInterval);
+  pollTimer_.async_wait([this](const error_code& cancelled) {
+    if (cancelled) return;
+    if (auto next = file_.readIfChanged()) applyExclusions(std::move(*next));
+    pollFile();
+  });
+}
+
+void AdminHandler::listen() {
+  if (!config_.console) return;
+  try {
+    console_ = std::make_unique<console::Console>(
+        io_, *config_.console,
+        [this](const console::Call& call, const console::Console::Answer& answer) { onCall(call, answer); });
+    if (hasListenFailed_) callbacks_.log("the console listens now");
+  } catch (const boost::system::system_error& error) {
+    if (!std::exchange(hasListenFailed_, true))
+      callbacks_.log(std::string("the console can't listen, and is tried again: ") + error.what());
+    listenTimer_.expires_after(kListenRetryInterval);
+    listenTimer_.async_wait([this](const error_code& cancelled) {
+      if (!cancelled) listen();
+    });
+  }
+}
+
+std::optional<std::uint16_t> AdminHandler::port() const {
+  return console_ ? std::optional(console_->port()) : std::nullopt;
+}
+
+void AdminHandler::onCall(const console::Call& call, const console::Console::Answer& answer) {
+  using What = console::Call::What;
+  switch (call.what) {
+    case What::Ready:
+      return answer({lifecycle_.effects().isReady ? kOk : kUnavailable, nameOf(lifecycle_.state())});
+    case What::Evacuate:
+      return changeLifecycle(lifecycle::Event::DrainRequested, answer);
+    case What::Rejoin:
+      return changeLifecycle(lifecycle::Event::DrainCancelled, answer);
+    case What::Exclude:
+    case What::Include:
+      return queueChange({call, answer, Clock::now() + kLockTimeout});
+  }
+}
+
+void AdminHandler::changeLifecycle(lifecycle::Event event, const console::Console::Answer& answer) {
+  if (lifecycle_.state() == lifecycle::State::Stopping) return answer({kConflict, "the sidecar is stopping"});
+  callbacks_.lifecycleEvent(event);
+  answer({kOk, nameOf(lifecycle_.state())});
+}
+
+void AdminHandler::queueChange(PendingChange change) {
+  if (pendingChanges_.size() >= console::Console::kMost) return change.answer({kUnavailable, kFileIsLocked});
+  pendingChanges_.push_back(std::move(change));
+  if (pendingChanges_.size() == 1) tryNextChange();
+}
+
+// One change a turn: each waits for the disk.
+void AdminHandler::tryNextChange() {
+  const auto reply = changeExclusions(pendingChanges_.front().call);
+  if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryInterval);
+  const PendingChange done = std::move(pendingChanges_.front());
+  pendingChanges_.pop_front();
+  if (!pendingChanges_.empty()) scheduleNextChange(Clock::duration::zero());
+  done.answer(reply.value_or(console::Reply{kUnavailable, kFileIsLocked}));
+}
+
+void AdminHandler::scheduleNextChange(Clock::duration after) {
+  changeTimer_.expires_after(after);
+  changeTimer_.async_wait([this](const error_code& cancelled) {
+    if (!cancelled) tryNextChange();
+  });
+}
+
+// None: the other process holds the lock.
+std::optional<console::Reply> AdminHandler::changeExclusions(const console::Call& call) {
+  exclusion::ExclusionSet next = exclusions_;
+  const auto outcome = file_.apply(next, changeOf(call, endpoints_, wallClockNow()));
+  if (outcome) applyExclusions(std::move(next));
+  const bool isExcluded = exclusions_.isExcluded(call.upstream);
+  if (outcome && outcome.value() == exclusion::Outcome::Changed)
+    callbacks_.log((isExcluded ? "excluded by hand: " : "included by hand: ") + call.upstream);
+  return replyTo(outcome, isExcluded);
+}
+
+void AdminHandler::applyExclusions(exclusion::ExclusionSet next) {
+  const std::vector<std::string> ids = exclusions_.differingEndpoints(next);
+  exclusions_ = std::move(next);
+  callbacks_.exclusionsChanged(ids);
+}
+
+}  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -21,24 +21,10 @@
 
 // A repeat is written this long before its window ends at the latest: it has to arrive within it.
 constexpr microseconds kWindowMargin{10'000};
-// How soon this process hears of what operators have told the other one, while one replaces the other.
-constexpr std::chrono::milliseconds kExclusionFilePollInterval{100};
-// The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
-// disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
-constexpr std::chrono::milliseconds kLockRetryEvery{5};
-constexpr std::chrono::milliseconds kLockPatience{2000};
-constexpr const char* kLockHeld = "it can't be kept: the other process holds the file";
-// The console's address is tried again so often when it can't be bound.
-constexpr std::chrono::milliseconds kConsoleAgain{1000};
-
 void log(const std::string& line) {
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
-exclusion::WallTime wallTime(std::int64_t unixMs) {
-  return exclusion::WallTime(std::chrono::milliseconds(unixMs));
-}
-
 bool provesNeverRan(Outcome outcome) {
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
@@ -61,14 +47,6 @@
   return lifecycle::TimePoint(microseconds(now));
 }
 
-// To an operator's call that failed. None: it has to be tried again.
-std::optional<console::Reply> replyTo(const std::error_code& error) {
-  if (error == exclusion::Error::Locked) return std::nullopt;
-  if (error == exclusion::Error::NoFolder)
-    return console::Reply{503, "TMPDIR is not set, so it can't be kept"};
-  return console::Reply{503, "it can't be kept: " + error.message()};
-}
-
 }  // namespace
 
 Sidecar::Sidecar(asio::io_context& io, Config config, const op::File& file, MakeEtcd makeEtcd)
@@ -107,25 +85,21 @@
                   longestDeadline(config_.site.settings)},
                  timePoint(now())),
       lifecycleTimer_(io),
-      exclusionFile_(config_.console ? config_.tempFolder : std::string(), log),
-      exclusionFileTimer_(io),
-      changeTimer_(io),
-      consoleTimer_(io) {
+      admin_(io, config_, endpoints_, lifecycle_,
+             {[this](lifecycle::Event event) { onLifecycle(event); },
+              [this](const std::vector<std::string>& endpoints) { onExclusionsChanged(endpoints); }, log}) {
   if (unixNow() < 0)
     log("the wall clock is before 1970: starts that lists tell count as of when they are told");
   degradation_.apply(file.degradation);
   peersAs_ = file.peers;
   fleet_ = viewOf(peersAs_);
   follow(file.membership, config_.discovery);
-  if (config_.console) {
-    if (auto kept = exclusionFile_.readIfChanged()) exclusions_ = std::move(*kept);
-    pollExclusionFile();
-  }
+  admin_.loadExclusions();
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
     membership_.watch();
   onLifecycle(lifecycle::Event::TimerExpired);
-  if (config_.console) openConsole();
+  admin_.listen();
 }
 
 void Sidecar::stop(std::function<void()> stopped) {
@@ -135,10 +109,6 @@
   onLifecycle(lifecycle::Event::TerminationRequested);
 }
 
-std::optional<std::uint16_t> Sidecar::consolePort() const {
-  return console_ ? std::optional(console_->port()) : std::nullopt;
-}
-
 void Sidecar::reload(const Config& config, const op::File& file) {
   server_.gate().check(file);
   if (file.peers.on && !(file.peers == peersAs_)) FleetView::placeOf(file.peers, config_);
@@ -292,7 +262,7 @@
 }
 
 void Sidecar::onList(const InstanceList& list, MembershipUpdate::Kind kind) {
-  const MembershipUpdate update = endpoints_.apply(list, kind, exclusions_, now());
+  const MembershipUpdate update = endpoints_.apply(list, kind, admin_.exclusions(), now());
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Gone)
       pool_.setAddress(entry.upstream, endpoints_[entry.upstream].address);
@@ -306,7 +276,7 @@
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Draining) continue;
     pool_.withdrawComingUp(entry.upstream);
-    if (exclusions_.isExcluded(endpoints_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
+    if (admin_.exclusions().isExcluded(endpoints_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
   }
   for (const EndpointId upstream : endpoints_.unlisted()) {
     pool_.remove(upstream);
@@ -339,112 +309,13 @@
   });
 }
 
-void Sidecar::applyExclusions(exclusion::ExclusionSet next) {
-  const std::vector<std::string> ids = exclusions_.differingEndpoints(next);
-  exclusions_ = std::move(next);
+void Sidecar::onExclusionsChanged(const std::vector<std::string>& endpoints) {
   InstanceList changed;
-  changed.instances = endpoints_.received(ids);
+  changed.instances = endpoints_.received(endpoints);
   changed.previousUntil = now();  // the operators' call has come since
   if (!changed.instances.empty()) onList(changed, MembershipUpdate::Kind::Changes);
 }
 
-// Either process may be called while one replaces the other.
-void Sidecar::pollExclusionFile() {
-  exclusionFileTimer_.expires_after(kExclusionFilePollInterval);
-  exclusionFileTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (cancelled) return;
-    if (auto next = exclusionFile_.readIfChanged()) applyExclusions(std::move(*next));
-    pollExclusionFile();
-  });
-}
-
-void Sidecar::openConsole() {
-  try {
-    console_ = std::make_unique<console::Console>(
-        io_, *config_.console, [this](const console::Call& call, console::Console::Answer answer) {
-          onCall(call, std::move(answer));
-        });
-    if (consoleFailed_) log("the console listens now");
-  } catch (const boost::system::system_error& error) {
-    if (!std::exchange(consoleFailed_, true))
-      log(std::string("the console can't listen, and is tried again: ") + error.what());
-    consoleTimer_.expires_after(kConsoleAgain);
-    consoleTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-      if (!cancelled) openConsole();
-    });
-  }
-}
-
-void Sidecar::onCall(const console::Call& call, console::Console::Answer answer) {
-  using What = console::Call::What;
-  switch (call.what) {
-    case What::Ready:
-      return answer({lifecycle_.effects().isReady ? 200U : 503U, lifecycle::nameOf(lifecycle_.state())});
-    case What::Evacuate:
-    case What::Rejoin:
-      if (lifecycle_.state() == lifecycle::State::Stopping) return answer({409, "the sidecar is stopping"});
-      onLifecycle(call.what == What::Evacuate ? lifecycle::Event::DrainRequested
-                                              : lifecycle::Event::DrainCancelled);
-      return answer({200, lifecycle::nameOf(lifecycle_.state())});
-    case What::Exclude:
-    case What::Include:
-      return queueChange({call, std::move(answer), Clock::now() + kLockPatience});
-  }
-}
-
-void Sidecar::queueChange(PendingChange change) {
-  if (pendingChanges_.size() >= console::Console::kMost) return change.answer({503, kLockHeld});
-  pendingChanges_.push_back(std::move(change));
-  if (pendingChanges_.size() == 1) tryNextChange();
-}
-
-// One change a turn: each waits for the disk.
-void Sidecar::tryNextChange() {
-  const auto reply = changeExclusions(pendingChanges_.front().call);
-  if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryEvery);
-  const PendingChange done = std::move(pendingChanges_.front());
-  pendingChanges_.pop_front();
-  if (!pendingChanges_.empty()) scheduleNextChange(Clock::duration::zero());
-  done.answer(reply.value_or(console::Reply{503, kLockHeld}));
-}
-
-void Sidecar::scheduleNextChange(Clock::duration after) {
-  changeTimer_.expires_after(after);
-  changeTimer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) tryNextChange();
-  });
-}
-
-// None: the other process holds the lock.
-std::optional<console::Reply> Sidecar::changeExclusions(const console::Call& call) {
-  using Kind = exclusion::Change::Kind;
-  exclusion::Change change;
-  change.kind = call.what == console::Call::What::Exclude ? Kind::Exclude : Kind::Include;
-  change.endpoint = call.upstream;
-  change.now = wallTime(unixNow() / 1000);
-  if (const auto number = endpoints_.find(call.upstream)) {
-    change.isListed = endpoints_[*number].isListed;
-    change.listedStart = wallTime(endpoints_[*number].startedAtMs);
-  }
-  exclusion::ExclusionSet next = exclusions_;
-  const auto outcome = exclusionFile_.apply(next, change);
-  if (!outcome) return replyTo(outcome.error());
-  applyExclusions(std::move(next));
-  const bool isExcluded = exclusions_.isExcluded(call.upstream);
-  switch (outcome.value()) {
-    case exclusion::Outcome::UnknownEndpoint:
-      return console::Reply{404, "no upstream has this id"};
-    case exclusion::Outcome::Full:
-      return console::Reply{503, "too many upstreams are out, or the id is too long"};
-    case exclusion::Outcome::Unchanged:
-      return console::Reply{200, isExcluded ? "already excluded" : "already included"};
-    case exclusion::Outcome::Changed:
-      log((isExcluded ? "excluded by hand: " : "included by hand: ") + call.upstream);
-      return console::Reply{200, isExcluded ? "excluded" : "included"};
-  }
-  return std::nullopt;
-}
-
 // ---- Peers
 // ------------------------------------------------------------------------------------------------------
 
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -8,7 +8,6 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <map>
 #include <memory>
@@ -18,12 +17,10 @@
 #include <vector>
 
 #include "config.h"
-#include "console/console_io.h"
+#include "control/admin_handler.h"
 #include "control/degradation_manager.h"
 #include "control/endpoint_table.h"
 #include "control/shedding_note.h"
-#include "exclusion/error.h"
-#include "exclusion/exclusion_file.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
 #include "membership/membership.h"
@@ -56,7 +53,7 @@
   degradation::Level level() const { return degradation_.level(); }
   lifecycle::State state() const { return lifecycle_.state(); }
   // None: there is no console, or it could not be bound yet.
-  std::optional<std::uint16_t> consolePort() const;
+  std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
   // None: peers are off.
   const FleetView* fleet() const { return fleet_.get(); }
   membership::Freshness freshness() const { return membership_.freshness(); }
@@ -78,13 +75,6 @@
     bool over = false;
   };
 
-  // An operator's call that changes the exclusions, until it is answered.
-  struct PendingChange {
-    console::Call call;
-    console::Console::Answer answer;
-    Clock::time_point until;  // the lock is tried for
-  };
-
   void onTaken(ClientRequest client);
   void onOver(balancer::RequestId id);
   void onWritten(AttemptId id);
@@ -95,14 +85,7 @@
   void onTimer();
   void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
-  void applyExclusions(exclusion::ExclusionSet next);
-  void onCall(const console::Call& call, console::Console::Answer answer);
-  void queueChange(PendingChange change);
-  void tryNextChange();
-  void scheduleNextChange(Clock::duration after);
-  std::optional<console::Reply> changeExclusions(const console::Call& call);
-  void openConsole();
-  void pollExclusionFile();
+  void onExclusionsChanged(const std::vector<std::string>& endpoints);
   void onLevel(degradation::Level level);
   degradation::Measurements gauges();
   std::string status() const;
@@ -146,14 +129,9 @@
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
-  exclusion::ExclusionSet exclusions_;
-  exclusion::ExclusionFile exclusionFile_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
-  boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
   peers::Options peersAs_;            // as the operator has set them
   std::unique_ptr<FleetView> fleet_;  // none: off
-  bool consoleFailed_ = false;
-  std::unique_ptr<console::Console> console_;
+  AdminHandler admin_;
 };
 
 }  // namespace ivypost
