--- /dev/null
+++ b/src/sidecar/control/action_executor.cpp
@@ -0,0 +1,126 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "control/action_executor.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+#include <variant>
+
+namespace ivypost {
+namespace {
+
+using balancer::RequestId;
+using std::chrono::microseconds;
+
+// HTTP's, of a request without an answer from an upstream.
+constexpr unsigned kUnavailable = 503;
+constexpr unsigned kBadGateway = 502;
+
+}  // namespace
+
+void ActionExecutor::execute(const balancer::Action& action) {
+  std::visit([this](const auto& one) { perform(one); }, action);
+}
+
+void ActionExecutor::onEventHandled(Micros now) {
+  if (const char* const line = shedding_.onEventHandled(now)) callbacks_.log(line);
+}
+
+void ActionExecutor::perform(const balancer::Send& send) {
+  OpenRequest& request = targets_.requests.at(send.request);
+  AttemptOrder order;
+  order.id = {send.request, static_cast<std::uint32_t>(request.attempts.size())};
+  order.upstream = send.upstream;
+  order.message = request.client.message;
+  order.upload = request.client.upload;
+  order.deadline = request.client.deadline;
+  if (send.timeout > 0) order.deadline = std::min(order.deadline, Clock::now() + microseconds(send.timeout));
+  const auto& classes = targets_.config.site.settings.classes;
+  order.writeBy = writeDeadline(request, classes.at(request.client.requestClass), order.deadline);
+  AttemptRecord attempt;
+  attempt.upstream = send.upstream;
+  request.attempts.push_back(attempt);
+  ++request.out;
+  targets_.endpoints.addUse(send.upstream);
+  targets_.pool.send(std::move(order));
+}
+
+void ActionExecutor::perform(const balancer::Cancel& cancel) {
+  targets_.pool.cancel({cancel.request, cancel.attempt});
+}
+
+// Of a rejection or failure that the module has decided.
+void ActionExecutor::noteUnsent(RequestId id) {
+  if (!targets_.requests.at(id).attempts.empty()) return;
+  if (const char* const line = shedding_.onRejected(microsOf(Clock::now()))) callbacks_.log(line);
+}
+
+void ActionExecutor::perform(const balancer::Reject& rejection) {
+  noteUnsent(rejection.request);
+  Answer answer;
+  answer.status = kUnavailable;
+  answer.body = "refused\n";
+  answer.retryAfter = rejection.retryAfter;
+  finish(rejection.request, std::move(answer));
+  forget(rejection.request);
+}
+
+void ActionExecutor::perform(const balancer::Fail& failure) {
+  noteUnsent(failure.request);
+  Answer answer;
+  answer.status = kBadGateway;
+  answer.body = "failed\n";
+  finish(failure.request, std::move(answer));
+  forget(failure.request);
+}
+
+void ActionExecutor::perform(const balancer::SetTimer& timer) {
+  const auto at = Clock::now() + microseconds(timer.delay);
+  if (at >= armedFor_) return;  // the module asks again whenever it is woken
+  armedFor_ = at;
+  timer_.expires_at(at);
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (cancelled) return;
+    armedFor_ = Clock::time_point::max();
+    callbacks_.timerDue();
+  });
+}
+
+void ActionExecutor::perform(const balancer::Probe& probe) {
+  targets_.endpoints.addUse(probe.upstream);
+  targets_.pool.probe(probe.upstream);
+}
+
+void ActionExecutor::perform(const balancer::CloseIdle& close) {
+  targets_.pool.closeIdle(close.upstream);
+}
+
+void ActionExecutor::perform(const balancer::Subscribe& /*subscribe*/) {
+  targets_.membership.watch();
+}
+
+void ActionExecutor::perform(const balancer::Fetch& /*fetch*/) {
+  targets_.membership.fetch();
+}
+
+void ActionExecutor::perform(const balancer::Log& line) {
+  callbacks_.log(line.text);
+}
+
+void ActionExecutor::finish(RequestId id, Answer answer) {
+  OpenRequest& request = targets_.requests.at(id);
+  request.isFinished = true;
+  if (request.out > 0) targets_.pool.withdraw(id);
+  targets_.server.answer(id, std::move(answer));
+}
+
+// Guards against forgetting a request whose attempts still report their end.
+void ActionExecutor::forget(RequestId id) {
+  const auto found = targets_.requests.find(id);
+  if (found == targets_.requests.end() || !found->second.isFinished || found->second.out > 0) return;
+  const auto attempts = std::move(found->second.attempts);
+  targets_.requests.erase(found);
+  for (const AttemptRecord& attempt : attempts) targets_.endpoints.dropUse(attempt.upstream);
+}
+
+}  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -19,16 +19,10 @@
 using std::chrono::duration_cast;
 using std::chrono::microseconds;
 
-// A repeat is written this long before its window ends at the latest: it has to arrive within it.
-constexpr microseconds kWindowMargin{10'000};
 void log(const std::string& line) {
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
-bool provesNeverRan(Outcome outcome) {
-  return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
-}
-
 // By what other sidecars call it, and its present life.
 health_reports::Incarnation incarnationOf(const EndpointRecord& endpoint) {
   return {settings::identity(endpoint.id),
@@ -54,7 +48,6 @@
       config_(std::move(config)),
       endpoints_(config_.site, unixNow(), now(), config_.console.has_value()),
       balancer_(config_.site.settings, config_.seed, now()),
-      timer_(io),
       budget_(config_.relayBytes()),
       pool_(io, config_, budget_,
             {[this](AttemptId id) { onWritten(id); }, [this](AttemptEnd end) { onEnded(std::move(end)); },
@@ -79,6 +72,8 @@
                [this] {
                  if (stopped_) stopped_();
                }}),
+      executor_(io, {config_, requests_, endpoints_, pool_, membership_, server_},
+                {[this] { handle(balancer::TimerDue{}); }, log}),
       degradation_(io, config_.cores,
                    {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty(),
@@ -170,10 +165,8 @@
   std::vector<balancer::Action> actions;
   const Micros at = now();
   balancer_.handle(event, at, actions);
-  for (const auto& action : actions) {
-    std::visit([this](const auto& one) { carryOut(one); }, action);
-  }
-  if (const char* line = shedding_.onEventHandled(at)) log(line);
+  for (const auto& action : actions) executor_.execute(action);
+  executor_.onEventHandled(at);
 }
 
 void Sidecar::onTaken(ClientRequest client) {
@@ -195,10 +188,10 @@
 void Sidecar::onOver(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
-  found->second.over = true;
+  found->second.isFinished = true;
   handle(balancer::Withdrawn{id});
   pool_.withdraw(id);
-  forget(id);
+  executor_.forget(id);
 }
 
 void Sidecar::onWritten(AttemptId id) {
@@ -210,7 +203,7 @@
   const auto found = requests_.find(end.id.request);
   if (found == requests_.end()) return;
   Request& request = found->second;
-  Attempt& attempt = request.attempts.at(end.id.number);
+  AttemptRecord& attempt = request.attempts.at(end.id.number);
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
   if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; fleet_ && endpoint.isListed)
@@ -226,29 +219,29 @@
   event.report = end.report;
   event.transfer = duration_cast<microseconds>(end.transfer).count();
   event.spent = end.spent;
-  if (end.outcome == Outcome::Ok && !request.over) {
+  if (end.outcome == Outcome::Ok && !request.isFinished) {
     Answer answer;
     answer.status = 200;
     answer.body = std::move(end.body);
     if (!end.contentType.empty()) answer.contentType = std::move(end.contentType);
-    finish(end.id.request, std::move(answer));
+    executor_.finish(end.id.request, std::move(answer));
   }
-  event.last = request.over;
+  event.last = request.isFinished;
   handle(event);
-  forget(end.id.request);
+  executor_.forget(end.id.request);
 }
 
 // The answer is the client's from here on: whatever becomes of the rest, there is no other.
 void Sidecar::onBegan(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
-  if (found == requests_.end() || found->second.over) return begin.body->abandon();
+  if (found == requests_.end() || found->second.isFinished) return begin.body->abandon();
   handle(balancer::AttemptStarted{begin.id.request, begin.id.number});
   Answer answer;
   answer.status = 200;
   if (!begin.contentType.empty()) answer.contentType = std::move(begin.contentType);
   answer.length = begin.length;
   answer.stream = std::move(begin.body);
-  finish(begin.id.request, std::move(answer));
+  executor_.finish(begin.id.request, std::move(answer));
 }
 
 void Sidecar::onProbed(const ProbeEnd& end) {
@@ -284,11 +277,6 @@
   }
 }
 
-void Sidecar::onTimer() {
-  armedFor_ = Clock::time_point::max();
-  handle(balancer::TimerDue{});
-}
-
 // ---- Operators
 // ------------------------------------------------------------------------------------------------
 
@@ -374,111 +362,4 @@
   return status.dump();
 }
 
-// ---- Actions ----------------------------------------------------------------------------------------------
-
-void Sidecar::carryOut(const balancer::Send& send) {
-  Request& request = requests_.at(send.request);
-  AttemptOrder order;
-  order.id = {send.request, static_cast<std::uint32_t>(request.attempts.size())};
-  order.upstream = send.upstream;
-  order.message = request.client.message;
-  order.upload = request.client.upload;
-  order.deadline = request.client.deadline;
-  if (send.timeout > 0) order.deadline = std::min(order.deadline, Clock::now() + microseconds(send.timeout));
-  order.writeBy = order.deadline;
-  // Guards against a connection that comes up slowly and carries a repeat past its window. The window opens
-  // with the first attempt that may have run, which has been written if so.
-  const auto& cls = config_.site.settings.classes.at(request.client.requestClass);
-  if (cls.semantics == balancer::Semantics::Keyed) {
-    for (const Attempt& earlier : request.attempts) {
-      if (!earlier.mayHaveRun || earlier.writtenAt == Clock::time_point{}) continue;
-      order.writeBy =
-          std::min(order.writeBy, earlier.writtenAt + microseconds(cls.retryWindow) - kWindowMargin);
-    }
-  }
-  Attempt attempt;
-  attempt.upstream = send.upstream;
-  request.attempts.push_back(attempt);
-  ++request.out;
-  endpoints_.addUse(send.upstream);
-  pool_.send(std::move(order));
-}
-
-void Sidecar::carryOut(const balancer::Cancel& cancel) {
-  pool_.cancel({cancel.request, cancel.attempt});
-}
-
-void Sidecar::noteUnsent(RequestId id) {
-  if (!requests_.at(id).attempts.empty()) return;
-  if (const char* line = shedding_.onRejected(now())) log(line);
-}
-
-void Sidecar::carryOut(const balancer::Reject& refuse) {
-  noteUnsent(refuse.request);
-  Answer answer;
-  answer.status = 503;
-  answer.body = "refused\n";
-  answer.retryAfter = refuse.retryAfter;
-  finish(refuse.request, std::move(answer));
-  forget(refuse.request);
-}
-
-void Sidecar::carryOut(const balancer::Fail& fail) {
-  noteUnsent(fail.request);
-  Answer answer;
-  answer.status = 502;
-  answer.body = "failed\n";
-  finish(fail.request, std::move(answer));
-  forget(fail.request);
-}
-
-void Sidecar::carryOut(const balancer::SetTimer& timer) {
-  const auto at = Clock::now() + microseconds(timer.delay);
-  if (at >= armedFor_) return;  // the module asks again whenever it is woken
-  armedFor_ = at;
-  timer_.expires_at(at);
-  timer_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) onTimer();
-  });
-}
-
-void Sidecar::carryOut(const balancer::Probe& probe) {
-  endpoints_.addUse(probe.upstream);
-  pool_.probe(probe.upstream);
-}
-
-void Sidecar::carryOut(const balancer::CloseIdle& close) {
-  pool_.closeIdle(close.upstream);
-}
-
-void Sidecar::carryOut(const balancer::Subscribe& /*subscribe*/) {
-  membership_.watch();
-}
-
-void Sidecar::carryOut(const balancer::Fetch& /*fetch*/) {
-  membership_.fetch();
-}
-
-void Sidecar::carryOut(const balancer::Log& log) {
-  std::fprintf(stderr, "%s\n", log.text.c_str());
-}
-
-// ---- Requests and upstreams -------------------------------------------------------------------------------
-
-void Sidecar::finish(RequestId id, Answer answer) {
-  Request& request = requests_.at(id);
-  request.over = true;
-  if (request.out > 0) pool_.withdraw(id);
-  server_.answer(id, std::move(answer));
-}
-
-// Guards against forgetting a request whose attempts still report their end.
-void Sidecar::forget(RequestId id) {
-  const auto found = requests_.find(id);
-  if (found == requests_.end() || !found->second.over || found->second.out > 0) return;
-  const auto attempts = std::move(found->second.attempts);
-  requests_.erase(found);
-  for (const Attempt& attempt : attempts) endpoints_.dropUse(attempt.upstream);
-}
-
 }  // namespace ivypost
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -9,18 +9,17 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "config.h"
+#include "control/action_executor.h"
 #include "control/admin_handler.h"
 #include "control/degradation_manager.h"
 #include "control/endpoint_table.h"
-#include "control/shedding_note.h"
+#include "control/open_request.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
 #include "membership/membership.h"
@@ -62,18 +61,7 @@
   std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
-  struct Attempt {
-    EndpointId upstream = 0;
-    Clock::time_point writtenAt{};  // its last byte; none: not written
-    bool mayHaveRun = true;         // until its outcome proves otherwise
-  };
-  // From the time a request is taken until it is over and nothing of it is out.
-  struct Request {
-    ClientRequest client;
-    std::vector<Attempt> attempts;
-    std::uint32_t out = 0;
-    bool over = false;
-  };
+  using Request = OpenRequest;
 
   void onTaken(ClientRequest client);
   void onOver(balancer::RequestId id);
@@ -82,7 +70,6 @@
   void onBegan(StreamBegin begin);
   void onProbed(const ProbeEnd& end);
   void onList(const InstanceList& list, balancer::MembershipUpdate::Kind kind);
-  void onTimer();
   void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void onExclusionsChanged(const std::vector<std::string>& endpoints);
@@ -92,31 +79,14 @@
   std::unique_ptr<FleetView> viewOf(const peers::Options& options);
   std::vector<FleetView::Listed> listed() const;
 
-  // Gives the module one event and carries out what it answers.
+  // Gives the module one event and executes what it answers.
   void handle(const balancer::Event& event);
-  void carryOut(const balancer::Send& send);
-  void carryOut(const balancer::Cancel& cancel);
-  void carryOut(const balancer::Reject& refuse);
-  void carryOut(const balancer::Fail& fail);
-  void carryOut(const balancer::SetTimer& timer);
-  void carryOut(const balancer::Probe& probe);
-  void carryOut(const balancer::CloseIdle& close);
-  void carryOut(const balancer::Subscribe& subscribe);
-  void carryOut(const balancer::Fetch& fetch);
-  void carryOut(const balancer::Log& log);
-
-  // Of a refusal or failure that the module has decided.
-  void noteUnsent(balancer::RequestId id);
-  void finish(balancer::RequestId id, Answer answer);
-  void forget(balancer::RequestId id);
 
   boost::asio::io_context& io_;
   const Config config_;
   EndpointTable endpoints_;
   balancer::Balancer balancer_;
-  boost::asio::steady_timer timer_;
-  Clock::time_point armedFor_ = Clock::time_point::max();
-  std::unordered_map<balancer::RequestId, Request> requests_;
+  OpenRequests requests_;
   relay::Budget budget_;  // of bodies in transit
   ConnectionPool pool_;
   const MakeEtcd makeEtcd_;
@@ -124,8 +94,8 @@
   op::File::Membership followed_;  // by the source that counts
   op::File::Membership wanted_;    // by it, or by the one that is to take over
   Server server_;
+  ActionExecutor executor_;
   DegradationManager degradation_;
-  SheddingNote shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
