--- /dev/null
+++ b/src/sidecar/control/membership_selection.cpp
@@ -0,0 +1,70 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "control/membership_selection.h"
+
+#include <utility>
+
+#include "membership/platform.h"
+#include "settings/settings.h"
+
+namespace ivypost {
+namespace {
+
+using Options = op::File::Membership;
+
+// Of a source that is not used, the options make no difference.
+bool isSameSource(const Options& one, const Options& other) {
+  return one.source == other.source && (one.source == Options::Source::Platform || one.etcd == other.etcd);
+}
+
+}  // namespace
+
+MembershipSelection::MembershipSelection(boost::asio::io_context& io, const Config& config,
+                                         membership::Membership& membership, MakeEtcd makeEtcd,
+                                         std::function<void(const std::string&)> log)
+    : io_(io),
+      config_(config),
+      membership_(membership),
+      makeEtcd_(std::move(makeEtcd)),
+      log_(std::move(log)) {}
+
+void MembershipSelection::select(const Options& wanted, const Endpoint& discovery) {
+  const bool isFirst = !membership_.started();
+  if (!isFirst && isSameSource(wanted, wanted_)) return;
+  if (!isFirst && isSameSource(wanted, current_)) {
+    membership_.abandonNext();
+    wanted_ = wanted;
+    return log_("membership stays with its source");
+  }
+  membership_.begin(
+      [&](membership::Source::Callbacks callbacks) { return make(wanted, discovery, std::move(callbacks)); });
+  wanted_ = wanted;
+  if (isFirst) {
+    current_ = wanted;
+    return;
+  }
+  const bool isToBeEtcd = wanted.source == Options::Source::Etcd;
+  log_(std::string("membership is to come from ") + (isToBeEtcd ? "etcd" : "the platform"));
+}
+
+std::unique_ptr<membership::Source> MembershipSelection::make(const Options& wanted,
+                                                              const Endpoint& discovery,
+                                                              membership::Source::Callbacks callbacks) const {
+  if (wanted.source == Options::Source::Etcd) {
+    if (!makeEtcd_)
+      settings::bad("membership.source: this program is built without etcd, ivypost-etcd is with it:",
+                    "etcd");
+    return makeEtcd_(io_, wanted.etcd, config_.seed, std::move(callbacks));
+  }
+  membership::Platform::Settings settings;
+  settings.address = discovery;
+  if (!membership_.started() && config_.known) settings.generation = config_.known->generation;
+  settings.pushed = !config_.site.settings.mustSubscribe;
+  settings.times = settings.pushed ? membership::Platform::kPushed : membership::Platform::kAsked;
+  return std::make_unique<membership::Platform>(io_, settings, std::move(callbacks));
+}
+
+void MembershipSelection::onList() {
+  if (!membership_.takesOver()) current_ = wanted_;
+}
+
+}  // namespace ivypost
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -54,10 +54,9 @@
              [this](StreamBegin begin) { onBegan(std::move(begin)); },
              [this](const ProbeEnd& end) { onProbed(end); },
              [this](RequestId id) { return server_.isClientGone(id); }}),
-      makeEtcd_(std::move(makeEtcd)),
       membership_(io, config_.seed,
                   {[this](const InstanceList& list) {
-                     if (!membership_.takesOver()) followed_ = wanted_;
+                     selection_.onList();
                      onList(list,
                             list.whole ? MembershipUpdate::Kind::Full : MembershipUpdate::Kind::Changes);
                      onLifecycle(lifecycle::Event::EndpointListReceived);
@@ -65,6 +64,7 @@
                    [this] {
                      handle(MembershipUpdate{MembershipUpdate::Kind::Failed, {}});
                    }}),
+      selection_(io, config_, membership_, std::move(makeEtcd), log),
       server_(io, config_, file, budget_,
               {[this](ClientRequest client) { onTaken(std::move(client)); },
                [this](RequestId id) { onOver(id); }, [this] { return status(); },
@@ -88,11 +88,10 @@
   degradation_.apply(file.degradation);
   peersAs_ = file.peers;
   fleet_ = viewOf(peersAs_);
-  follow(file.membership, config_.discovery);
+  selection_.select(file.membership, config_.discovery);
   admin_.loadExclusions();
   onList(config_.known.value_or(InstanceList{}), MembershipUpdate::Kind::Saved);
-  if (!config_.site.settings.mustSubscribe || followed_.source == op::File::Membership::Source::Etcd)
-    membership_.watch();
+  if (!config_.site.settings.mustSubscribe || selection_.isEtcd()) membership_.watch();
   onLifecycle(lifecycle::Event::TimerExpired);
   admin_.listen();
 }
@@ -107,7 +106,7 @@
 void Sidecar::reload(const Config& config, const op::File& file) {
   server_.gate().check(file);
   if (file.peers.on && !(file.peers == peersAs_)) FleetView::placeOf(file.peers, config_);
-  follow(file.membership, config.discovery);
+  selection_.select(file.membership, config.discovery);
   if (!(file.peers == peersAs_)) {
     if (fleet_) {
       fleet_->leave();
@@ -123,42 +122,6 @@
   degradation_.apply(file.degradation);
 }
 
-// Begins with this source, or changes to it. Throws where it can't be made, and then nothing has changed.
-void Sidecar::follow(const op::File::Membership& wanted, const Endpoint& discovery) {
-  using From = op::File::Membership::Source;
-  const bool first = !membership_.started();
-  // Of a source that is not used, the figures make no difference.
-  const auto same = [&](const op::File::Membership& other) {
-    return wanted.source == other.source && (wanted.source == From::Platform || wanted.etcd == other.etcd);
-  };
-  if (!first && same(wanted_)) return;
-  if (!first && same(followed_)) {
-    membership_.abandonNext();
-    wanted_ = wanted;
-    return log("membership stays with its source");
-  }
-  membership_.begin([&](membership::Source::Callbacks callbacks) -> std::unique_ptr<membership::Source> {
-    if (wanted.source == From::Etcd) {
-      if (!makeEtcd_)
-        settings::bad("membership.source: this program is built without etcd, ivypost-etcd is with it:",
-                      "etcd");
-      return makeEtcd_(io_, wanted.etcd, config_.seed, std::move(callbacks));
-    }
-    membership::Platform::Settings settings;
-    settings.address = discovery;
-    if (first && config_.known) settings.generation = config_.known->generation;
-    settings.pushed = !config_.site.settings.mustSubscribe;
-    settings.times = settings.pushed ? membership::Platform::kPushed : membership::Platform::kAsked;
-    return std::make_unique<membership::Platform>(io_, settings, std::move(callbacks));
-  });
-  wanted_ = wanted;
-  if (first) {
-    followed_ = wanted;
-  } else {
-    log(std::string("membership is to come from ") + (wanted.source == From::Etcd ? "etcd" : "the platform"));
-  }
-}
-
 // ---- Events -----------------------------------------------------------------------------------------------
 
 void Sidecar::handle(const balancer::Event& event) {
@@ -351,10 +314,9 @@
   status["name"] = config_.name;
   status["waiting"] = server_.gate().waiting();
   const membership::Freshness freshness = membership_.freshness();
-  status["membership"] = {
-      {"source", followed_.source == op::File::Membership::Source::Etcd ? "etcd" : "platform"},
-      {"age_ms", freshness.age / 1000},
-      {"sure", freshness.sure}};
+  status["membership"] = {{"source", selection_.isEtcd() ? "etcd" : "platform"},
+                          {"age_ms", freshness.age / 1000},
+                          {"sure", freshness.sure}};
   for (std::size_t n = 0; n < admission::kVerdicts; ++n) {
     const auto verdict = static_cast<admission::Verdict>(n);
     status["queue"][admission::nameOf(verdict)] = server_.gate().count(verdict);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -19,6 +19,7 @@
 #include "control/admin_handler.h"
 #include "control/degradation_manager.h"
 #include "control/endpoint_table.h"
+#include "control/membership_selection.h"
 #include "control/open_request.h"
 #include "fleet_view.h"
 #include "lifecycle/lifecycle.h"
@@ -31,10 +32,7 @@
 
 class Sidecar {
  public:
-  // Makes the source that follows etcd; empty where this program is built without it. Throws
-  // settings::FormatError, one line, for options that can't be used.
-  using MakeEtcd = std::function<std::unique_ptr<membership::Source>(
-      boost::asio::io_context&, const etcd::Options&, std::uint64_t seed, membership::Source::Callbacks)>;
+  using MakeEtcd = MembershipSelection::MakeEtcd;
 
   // Throws settings::FormatError for an operator's file that does not fit the configuration or this
   // program, and what the server throws.
@@ -70,7 +68,6 @@
   void onBegan(StreamBegin begin);
   void onProbed(const ProbeEnd& end);
   void onList(const InstanceList& list, balancer::MembershipUpdate::Kind kind);
-  void follow(const op::File::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
   void onExclusionsChanged(const std::vector<std::string>& endpoints);
   void onLevel(degradation::Level level);
@@ -89,10 +86,8 @@
   OpenRequests requests_;
   relay::Budget budget_;  // of bodies in transit
   ConnectionPool pool_;
-  const MakeEtcd makeEtcd_;
   membership::Membership membership_;
-  op::File::Membership followed_;  // by the source that counts
-  op::File::Membership wanted_;    // by it, or by the one that is to take over
+  MembershipSelection selection_;
   Server server_;
   ActionExecutor executor_;
   DegradationManager degradation_;
