--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -33,14 +33,14 @@
 constexpr double kMostMemoryMb = 1e6;
 
 // Values stand in a line of name=value pairs, where a space would end them and a comma part them.
-std::string word(std::string text) {
+std::string sanitized(std::string text) {
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
   return text;
 }
 
 std::string scalar(const json& value) {
-  return value.is_string() ? word(value.get<std::string>()) : value.dump();
+  return value.is_string() ? sanitized(value.get<std::string>()) : value.dump();
 }
 
 // The form of the simulator's first message: nested names joined by dots, a list of plain values by commas, a
@@ -48,7 +48,7 @@
 void flatten(const json& value, const std::string& path, std::string& line) {
   const std::string below = path.empty() ? path : path + ".";
   if (value.is_object()) {
-    for (const auto& [key, item] : value.items()) flatten(item, below + word(key), line);
+    for (const auto& [key, item] : value.items()) flatten(item, below + sanitized(key), line);
   } else if (value.is_array() && !value.empty() && value.front().is_structured()) {
     line += " " + below + "count=" + std::to_string(value.size());
     for (std::size_t n = 0; n < value.size(); ++n) flatten(value[n], below + std::to_string(n), line);
@@ -105,7 +105,7 @@
 }
 
 // The file can be replaced while the program runs and the environment can't, so the file goes first.
-std::string told(const json& file, const char* key, const char* variable) {
+std::string textOf(const json& file, const char* key, const char* variable) {
   const char* const value = std::getenv(variable);
   if (!file.contains(key) && value != nullptr && *value != '\0') return value;
   return file.at(key).get<std::string>();
@@ -118,7 +118,7 @@
   if (text == nullptr || *text == '\0') return std::nullopt;
   const std::string_view digits(text);
   const auto wrong = [&](const char* why) {
-    remarks.push_back(std::string("GW_FD ") + word(std::string(digits)) + " " + why +
+    remarks.push_back(std::string("GW_FD ") + sanitized(std::string(digits)) + " " + why +
                       "; a socket of our own is listened on");
     return std::nullopt;
   };
@@ -156,12 +156,12 @@
   const json file = parseJson(text);
   Config config;
   try {
-    config.name = told(file, "name", "GW_NAME");
-    config.listen = parseEndpoint(told(file, "listen", "GW_LISTEN"));
-    config.discovery = parseEndpoint(told(file, "discovery", "GW_DISCOVERY"));
+    config.name = textOf(file, "name", "GW_NAME");
+    config.listen = parseEndpoint(textOf(file, "listen", "GW_LISTEN"));
+    config.discovery = parseEndpoint(textOf(file, "discovery", "GW_DISCOVERY"));
     const char* const console = std::getenv("GW_CONSOLE");
     if (file.contains("console") || (console != nullptr && *console != '\0'))
-      config.console = parseEndpoint(told(file, "console", "GW_CONSOLE"));
+      config.console = parseEndpoint(textOf(file, "console", "GW_CONSOLE"));
     if (const char* const folder = std::getenv("TMPDIR")) config.tempFolder = folder;
     config.seed = toSeed(file.at("seed").get<std::string>());
     if (file.contains("limits")) {
