--- a/src/sidecar/clock.h
+++ b/src/sidecar/clock.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// The clock of the data plane, and its time as the decisions take it; and the wall clock, for what is told to
-// others or outlasts the process.
+/// \file
+/// The clock of the data plane, and its time as the decisions take it; and the wall clock, for what others
+/// are notified of or what outlasts the process.
 #ifndef IVYPOST_CLOCK_H_
 #define IVYPOST_CLOCK_H_
 
@@ -10,19 +10,21 @@
 
 namespace ivypost {
 
+/// Monotonic: all spans are measured by it.
 using Clock = std::chrono::steady_clock;
 
-// Monotonic microseconds.
-inline std::int64_t microsOf(Clock::time_point time) {
+/// A time as the decisions take it: microseconds since the clock's epoch, which differs between machines.
+[[nodiscard]] inline std::int64_t microsOf(Clock::time_point time) {
   return std::chrono::duration_cast<std::chrono::microseconds>(time.time_since_epoch()).count();
 }
-inline std::int64_t now() {
+/// The monotonic time in microseconds, as microsOf().
+[[nodiscard]] inline std::int64_t now() {
   return microsOf(Clock::now());
 }
 
-// Unix time in microseconds by the wall clock, which may be wrong and may step: no span is measured by it.
-// Negative before 1970.
-inline std::int64_t unixNow() {
+/// Unix time in microseconds by the wall clock, which may be wrong and may step: no span is measured by it.
+/// Negative before 1970.
+[[nodiscard]] inline std::int64_t unixNow() {
   const auto since = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(since).count();
 }
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -32,7 +32,7 @@
 constexpr double kRelayShare = 0.35;
 constexpr double kMostMemoryMb = 1e6;
 
-// Values stand in a line of name=value pairs, where a space would end them and a comma part them.
+// Values are parts of a line of name=value pairs, where a space would end them and a comma part them.
 std::string sanitized(std::string text) {
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// What a sidecar is told at its start: environment and JSON file to a typed configuration.
+/// \file
+/// What the platform gives a sidecar at its start: environment and JSON file to a typed configuration.
 #ifndef IVYPOST_CONFIG_H_
 #define IVYPOST_CONFIG_H_
 
@@ -18,35 +18,41 @@
 using balancer::EndpointId;
 using balancer::Micros;
 
+/// The platform's configuration of one sidecar; it stays as it is but for discovery's address, which a reload
+/// changes. Read by readConfig() and parseConfig(), which check it.
 struct Config {
-  std::string name;
-  Endpoint listen, discovery;
-  std::optional<Endpoint> console;  // the operators' address; none: off
-  // Where this sidecar hears the others, and where each of them is reached, by number; none: the platform
-  // gives none.
+  std::string name;                 ///< the sidecar's
+  Endpoint listen;                  ///< where clients connect
+  Endpoint discovery;               ///< the platform's
+  std::optional<Endpoint> console;  ///< the operators' address; none: off
+  /// Where this sidecar hears the others; none: the platform gives none.
   std::optional<peers::Address> peerListen;
-  std::vector<peers::Address> peers;
-  // The platform's listening socket for clients; none: this process makes its own.
+  std::vector<peers::Address> peers;  ///< where each of them is reached, by number
+  /// The descriptor of the platform's listening socket for clients; none: this process makes its own.
   std::optional<int> listener;
-  std::string tempFolder;  // that outlives the process while it is replaced; empty: none
-  std::uint64_t seed = 0;
-  double cores = 1;                   // of processor that the process may use
-  double memoryMb = 192;              // that the process may use
-  std::size_t sockets = 1024;         // file descriptors that the process may hold
-  std::optional<InstanceList> known;  // none: there was none, or it could not be read
-  settings::Site site;
-  std::vector<std::string> classNames;  // by number
-
-  // Descriptors that connections of clients and to upstreams may hold. The rest is the process's own, and the
-  // console's.
-  double poolSockets() const;
-  // Bytes that bodies in transit may hold together.
-  std::size_t relayBytes() const;
+  std::string tempFolder;      ///< that outlives the process while it is replaced; empty: none
+  std::uint64_t seed = 0;      ///< of all random numbers
+  double cores = 1;            ///< of processor that the process may use; over 0
+  double memoryMb = 192;       ///< that the process may use, in 10^6 bytes; over 0
+  std::size_t sockets = 1024;  ///< file descriptors that the process may hold
+  std::optional<InstanceList>
+      known;            ///< the platform's last list; none: there was none, or it is not readable
+  settings::Site site;  ///< the settings, and what is remarked of the configuration
+  std::vector<std::string> classNames;  ///< by number
+
+  /// Descriptors that connections of clients and to upstreams may hold. The rest is the process's own, and
+  /// the console's. Where this process replaces another one, which has its descriptors until it ends, half of
+  /// it.
+  [[nodiscard]] double poolSockets() const;
+  /// Bytes that bodies in transit may hold together; halved likewise.
+  [[nodiscard]] std::size_t relayBytes() const;
 };
 
-// All of these throw settings::FormatError with a message for one line of the log.
-Config readConfig();  // from the environment and the file that it names
-Config parseConfig(const std::string& text);
+/// Reads the environment and the file that GW_CONFIG names. Throws settings::FormatError with a message for
+/// one line of the log.
+[[nodiscard]] Config readConfig();
+/// Reads the text of that file, and the rest from the environment. Throws as readConfig().
+[[nodiscard]] Config parseConfig(const std::string& text);
 
 }  // namespace ivypost
 
--- a/src/sidecar/control/degradation_manager.h
+++ b/src/sidecar/control/degradation_manager.h
@@ -1,4 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+/// \file
+/// The degradation module on the event loop.
 #ifndef IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
 #define IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
 
@@ -26,16 +28,16 @@
     std::function<void(degradation::Level)> levelChanged;
   };
 
-  /// Begins switched off.
-  /// @param cores of processor that the process may use; over 0.
+  /// Begins switched off. `cores`: of processor that the process may use; over 0.
   DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks);
 
   /// Switches on, goes on with other settings at the present level, or switches off, which ends at Normal.
-  /// @param options their settings are valid, as reading the file has made sure.
+  /// The settings are valid, as reading the file has made sure.
   void apply(const op::File::Degradation& options);
 
-  /// As degradation::LoadMonitor's, now; nothing while switched off.
+  /// As degradation::LoadMonitor::onRequest(), now; nothing while switched off.
   void onRequest(bool isRetry);
+  /// As degradation::LoadMonitor::onAttemptEnd(), now; nothing while switched off.
   void onAttemptEnd(bool failed);
 
   /// Normal while switched off.
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -1,8 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// All deadlines of the data plane behind one timer of the loop. Most are moved or dropped before they pass,
-// and later than the earliest one, so that the kernel's timer is hardly ever set: a timer a connection cost
-// two system calls a request.
+/// \file
+/// The deadlines of many connections behind one timer of the event loop.
 #ifndef IVYPOST_DEADLINES_H_
 #define IVYPOST_DEADLINES_H_
 
@@ -17,47 +15,53 @@
 
 namespace ivypost {
 
+/// All deadlines of one side of the data plane. Most are moved or dropped before they pass, and later than
+/// the earliest one, so that the kernel's timer is hardly ever set: a timer a connection cost two system
+/// calls a request. Shared by its deadlines. Not thread-safe: all calls are made on the loop.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
+  /// Has no deadline yet. `io` must outlive it.
   explicit Deadlines(boost::asio::io_context& io) : timer_(io) {}
   Deadlines(const Deadlines&) = delete;
   Deadlines& operator=(const Deadlines&) = delete;
 
-  // No more callbacks: whoever they would call is about to go.
+  /// No more callbacks: whoever they would call is about to go. Final.
   void stop() noexcept { stopped_ = true; }
 
-  // One deadline. Dropped when it is destroyed.
+  /// One deadline. Dropped when it is destroyed.
   class Deadline {
    public:
+    /// Not set yet.
     explicit Deadline(std::shared_ptr<Deadlines> all) : all_(std::move(all)) {}
     Deadline(const Deadline&) = delete;
     Deadline& operator=(const Deadline&) = delete;
     ~Deadline() { cancel(); }
 
-    // Calls back from the loop at this time or soon after, once; in place of what was set before. The
-    // callback may set it anew, and may destroy it.
+    /// Calls back from the loop at this time or soon after, once; in place of what was set before. The
+    /// callback may set it anew, and may destroy it.
     void set(Clock::time_point at, std::function<void()> passed) {
       passed_ = std::move(passed);
       if (node_.empty() && !set_) {
-        place_ = all_->set_.emplace(at, this);
+        position_ = all_->set_.emplace(at, this);
       } else {
-        // Without allocating: the place in the tree is moved.
-        if (set_) node_ = all_->set_.extract(place_);
+        // Without allocating: its position in the tree is moved.
+        if (set_) node_ = all_->set_.extract(position_);
         node_.key() = at;
-        place_ = all_->set_.insert(std::move(node_));
+        position_ = all_->set_.insert(std::move(node_));
       }
       set_ = true;
       all_->arm();
     }
+    /// Drops it; the callback is not made. Does nothing if it is not set.
     void cancel() {
-      if (std::exchange(set_, false)) node_ = all_->set_.extract(place_);
+      if (std::exchange(set_, false)) node_ = all_->set_.extract(position_);
     }
 
    private:
     friend class Deadlines;
     const std::shared_ptr<Deadlines> all_;
     std::function<void()> passed_;
-    std::multimap<Clock::time_point, Deadline*>::iterator place_;
+    std::multimap<Clock::time_point, Deadline*>::iterator position_;
     std::multimap<Clock::time_point, Deadline*>::node_type node_;  // while it is not set
     bool set_ = false;
   };
--- a/src/sidecar/framing.h
+++ b/src/sidecar/framing.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Whether a message's end can be told in one way only, and how large it may be.
+/// \file
+/// Whether a message's end can be read in one way only, and how large it may be.
 #ifndef IVYPOST_FRAMING_H_
 #define IVYPOST_FRAMING_H_
 
@@ -12,19 +12,24 @@
 
 namespace ivypost {
 
-// Bodies up to this are read whole before they go on; larger ones are relayed in pieces.
+/// Bytes. Bodies up to this are read whole before they go on; larger ones are relayed in pieces.
 constexpr std::size_t kMaxWhole = 64UL * 1024;
-// The protocol's limit on bodies, and ours on what stands ahead of them; of requests and answers alike.
+/// Bytes of a body, by the platform's protocol; of requests and answers alike.
 constexpr std::size_t kMaxBody = 32UL * 1024 * 1024;
+/// Bytes of the start line and headers, by our own choice; of requests and answers alike.
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 
-inline std::string_view view(boost::beast::string_view text) {
+/// The same bytes as the standard library has them.
+[[nodiscard]] inline std::string_view view(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
-// Guards against requests hidden in others and lengths that can be read in two ways: Boost.Beast 1.74 takes
-// equal lengths more than once, and any coding but chunked in front of a length.
-inline bool plainFraming(const boost::beast::http::fields& fields) {
+/// Whether a head states the length of its body in one way at the most: one Content-Length with one number,
+/// or `Transfer-Encoding: chunked` alone (RFC 9112, 6.1 and 6.3).
+///
+/// Guards against requests hidden in others and lengths that can be read in two ways: Boost.Beast 1.74 takes
+/// equal lengths more than once, and any coding but chunked in front of a length.
+[[nodiscard]] inline bool plainFraming(const boost::beast::http::fields& fields) {
   using boost::beast::http::field;
   const auto lengths = fields.count(field::content_length);
   const auto codings = fields.count(field::transfer_encoding);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,7 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// One sidecar: the only caller of the balancer. Turns what happens on the sockets into the module's events
-// and carries out its actions.
+/// \file
+/// One sidecar: the wiring of its parts, and the only caller of the balancer.
 #ifndef IVYPOST_SIDECAR_H_
 #define IVYPOST_SIDECAR_H_
 
@@ -30,33 +29,42 @@
 
 namespace ivypost {
 
+/// Turns what happens on the sockets into the module's events; ActionExecutor executes the module's actions.
+/// Listens from its construction on, and ends with its event loop. Not thread-safe: all calls are made on the
+/// loop.
 class Sidecar {
  public:
+  /// As MembershipSelection::MakeEtcd.
   using MakeEtcd = MembershipSelection::MakeEtcd;
 
-  // Throws settings::FormatError for an operator's file that does not fit the configuration or this
-  // program, and what the server throws.
+  /// `io` must outlive it. Throws settings::FormatError for an operator's file that does not fit the
+  /// configuration or this program, and what the server throws.
   explicit Sidecar(boost::asio::io_context& io, Config config, const op::File& file = {},
                    MakeEtcd makeEtcd = {});
 
-  // Takes over what may change while it runs: where discovery is, and the operator's file. The rest waits for
-  // the next start. Throws settings::FormatError, and then nothing has changed.
+  /// Applies what may change while it runs: where discovery is, and the operator's file. The rest waits for
+  /// the next start. Throws settings::FormatError, and then nothing has changed.
   void reload(const Config& config, const op::File& file);
 
-  // SIGTERM: answers all that was taken, then calls back once.
+  /// SIGTERM: answers all that was taken, then calls back once. Ignored the second time.
   void stop(std::function<void()> stopped);
 
-  std::uint16_t port() const { return server_.port(); }
-  degradation::Level level() const { return degradation_.level(); }
-  lifecycle::State state() const { return lifecycle_.state(); }
-  // None: there is no console, or it could not be bound yet.
-  std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
-  // None: peers are off.
-  const FleetView* fleet() const { return fleet_.get(); }
-  membership::Freshness freshness() const { return membership_.freshness(); }
-  // For tests: the upstreams' numbers, in use and free; connections to them that are not up yet.
-  std::size_t upstreamNumbers() const { return endpoints_.size(); }
-  std::size_t comingUp() const { return pool_.comingUp(); }
+  /// Where clients connect.
+  [[nodiscard]] std::uint16_t port() const { return server_.port(); }
+  /// Normal while the operator has the levels off.
+  [[nodiscard]] degradation::Level level() const { return degradation_.level(); }
+  /// Starting, ready, draining or stopping.
+  [[nodiscard]] lifecycle::State state() const { return lifecycle_.state(); }
+  /// None: there is no console, or it could not be bound yet.
+  [[nodiscard]] std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
+  /// Null: peers are off. Valid until the next reload().
+  [[nodiscard]] const FleetView* fleet() const { return fleet_.get(); }
+  /// How old the endpoint list may be.
+  [[nodiscard]] membership::Freshness freshness() const { return membership_.freshness(); }
+  /// For tests: the endpoints' numbers, in use and free.
+  [[nodiscard]] std::size_t upstreamNumbers() const { return endpoints_.size(); }
+  /// For tests: connections to endpoints that are not up yet.
+  [[nodiscard]] std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
   using Request = OpenRequest;
