--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -31,6 +31,12 @@
 // pipe holds at the least, the program and its tables need the rest.
 constexpr double kRelayShare = 0.35;
 constexpr double kMostMemoryMb = 1e6;
+constexpr double kBytesPerMb = 1e6;
+// Connections that are held whatever the limit says: one of a client, one to an upstream.
+constexpr double kFewestPoolSockets = 2;
+// While a process is replaced the old one and the new one share the limits, so each keeps to half of them.
+constexpr int kSharersWhileReplaced = 2;
+constexpr int kSeedBase = 16;
 
 // Values are parts of a line of name=value pairs, where a space would end them and a comma part them.
 std::string sanitized(std::string text) {
@@ -99,7 +105,7 @@
 
 std::uint64_t toSeed(const std::string& text) {
   std::uint64_t seed = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, kSeedBase);
   if (error != std::errc() || end != text.data() + text.size()) bad("seed is no hexadecimal number:", text);
   return seed;
 }
@@ -142,14 +148,14 @@
 }  // namespace
 
 double Config::poolSockets() const {
-  // While a process is replaced the old one and the new one share the limit, so each keeps to half of it.
-  const double all = static_cast<double>(sockets) / (listener ? 2 : 1);
+  const double all = static_cast<double>(sockets) / (listener ? kSharersWhileReplaced : 1);
   if (!console) return kPoolShare * all;
-  return std::max(2.0, std::min(kPoolShare * all, all - kOwnSockets - kConsoleSockets));
+  return std::max(kFewestPoolSockets, std::min(kPoolShare * all, all - kOwnSockets - kConsoleSockets));
 }
 
 std::size_t Config::relayBytes() const {
-  return static_cast<std::size_t>(kRelayShare * std::min(memoryMb, kMostMemoryMb) * 1e6 / (listener ? 2 : 1));
+  return static_cast<std::size_t>(kRelayShare * std::min(memoryMb, kMostMemoryMb) * kBytesPerMb /
+                                  (listener ? kSharersWhileReplaced : 1));
 }
 
 Config parseConfig(const std::string& text) {
--- a/src/sidecar/control/degradation_manager.cpp
+++ b/src/sidecar/control/degradation_manager.cpp
@@ -1,11 +1,10 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 #include "control/degradation_manager.h"
 
-#include <time.h>
-
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
+#include <ctime>
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -77,7 +76,7 @@
   const auto transition = monitor_->tick(measurements, monotonicNow());
   scheduleTick();
   if (!transition) return;
-  std::fprintf(stderr, "%s\n", degradation::describe(*transition).c_str());
+  std::fputs((degradation::describe(*transition) + "\n").c_str(), stderr);
   callbacks_.levelChanged(transition->to);
 }
 
--- a/src/sidecar/control/start_time_estimator.cpp
+++ b/src/sidecar/control/start_time_estimator.cpp
@@ -4,6 +4,11 @@
 #include <algorithm>
 
 namespace ivypost {
+namespace {
+
+constexpr std::int64_t kMicrosPerMilli = 1000;
+
+}  // namespace
 
 void StartTimeEstimator::beginList(std::optional<Micros> previousUntil, Micros now) {
   now_ = now;
@@ -15,7 +20,7 @@
   if (startedAtMs == 0) return 0;
   const Start start{upstream, startedAtMs};
   if (const auto found = starts_.find(start); found != starts_.end()) return found->second;
-  Micros at = startedAtMs * 1000 + unixToSteady_;
+  Micros at = startedAtMs * kMicrosPerMilli + unixToSteady_;
   const bool contradicted = earliestSeen_ && at < *earliestSeen_;
   if (contradicted || at > now_) at = now_;
   at = std::max<Micros>(1, at);
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -63,8 +63,9 @@
   struct Hash {
     std::size_t operator()(const Start& start) const {
       // Ids' hashes are mixed already; a multiplier of Fibonacci hashing spreads the time.
+      constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15U;
       return static_cast<std::size_t>(start.upstream ^
-                                      static_cast<std::uint64_t>(start.startedAtMs) * 0x9e3779b97f4a7c15U);
+                                      static_cast<std::uint64_t>(start.startedAtMs) * kMultiplier);
     }
   };
 
--- a/src/sidecar/upstream/attempt.h
+++ b/src/sidecar/upstream/attempt.h
@@ -21,6 +21,7 @@
   balancer::RequestId request = 0;  ///< the sidecar's own id
   std::uint32_t number = 0;         ///< of the request's attempts, from 0 on
   /// By request, and by number among one request's.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the checker mistakes the comparison with a literal 0.
   auto operator<=>(const AttemptId&) const = default;
 };
 
