--- a/src/configuration/error.cpp
+++ b/src/configuration/error.cpp
@@ -9,11 +9,11 @@
 std::string lineOf(const Location& location, const std::string& key, const std::string& problem,
                    const std::string& mend) {
   std::string line = location.file;
-  if (location.line) line += ":" + std::to_string(*location.line);
-  line += ": ";
-  if (!key.empty()) line += key + ": ";
-  line += problem;
-  if (!mend.empty()) line += "; " + mend;
+  if (location.line) line.append(":").append(std::to_string(*location.line));
+  line.append(": ");
+  if (!key.empty()) line.append(key).append(": ");
+  line.append(problem);
+  if (!mend.empty()) line.append("; ").append(mend);
   return line;
 }
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -7,6 +7,7 @@
 #include <set>
 
 #include "settings/format_error.h"
+#include "settings/line.h"
 
 namespace ivypost::discovery {
 namespace {
--- a/src/sidecar/start_time_estimator.cpp
+++ b/src/sidecar/control/start_time_estimator.cpp
@@ -1,11 +1,16 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "start_time_estimator.h"
+#include "control/start_time_estimator.h"
 
 #include <algorithm>
 
 namespace ivypost {
+namespace {
 
-void StartTimeEstimator::listCame(std::optional<Micros> previousUntil, Micros now) {
+constexpr std::int64_t kMicrosPerMilli = 1000;
+
+}  // namespace
+
+void StartTimeEstimator::beginList(std::optional<Micros> previousUntil, Micros now) {
   now_ = now;
   earliestSeen_.reset();
   if (previousUntil) earliestSeen_ = std::min(*previousUntil, now) - kNoticeDelay;
@@ -15,11 +20,11 @@
   if (startedAtMs == 0) return 0;
   const Start start{upstream, startedAtMs};
   if (const auto found = starts_.find(start); found != starts_.end()) return found->second;
-  Micros at = startedAtMs * 1000 + unixToSteady_;
+  Micros at = startedAtMs * kMicrosPerMilli + unixToSteady_;
   const bool contradicted = earliestSeen_ && at < *earliestSeen_;
   if (contradicted || at > now_) at = now_;
   at = std::max<Micros>(1, at);
-  if (order_.size() >= kMost) {
+  if (order_.size() >= kMaxStarts) {
     starts_.erase(order_.front());
     order_.pop_front();
   }
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -1,4 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+/// \file
+/// The deadlines of many connections behind one timer of the event loop.
 #ifndef IVYPOST_DEADLINES_H_
 #define IVYPOST_DEADLINES_H_
 
@@ -13,36 +15,36 @@
 
 namespace ivypost {
 
-/// All deadlines of the data plane behind one timer of the loop. Most are moved or dropped before they pass,
-/// and later than the earliest one, so that the kernel's timer is hardly ever set: a timer a connection cost
-/// two system calls a request. Shared by its deadlines, since a session may outlive the server.
+/// All deadlines of one side of the data plane. Most are moved or dropped before they pass, and later than
+/// the earliest one, so that the kernel's timer is hardly ever set: a timer a connection cost two system
+/// calls a request. Shared by its deadlines. Not thread-safe: all calls are made on the loop.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
-  /// `io` has to outlive it.
+  /// Has no deadline yet. `io` must outlive it.
   explicit Deadlines(boost::asio::io_context& io) : timer_(io) {}
   Deadlines(const Deadlines&) = delete;
   Deadlines& operator=(const Deadlines&) = delete;
 
-  /// No more callbacks: whoever they would call is about to go.
+  /// No more callbacks: whoever they would call is about to go. Final.
   void stop() noexcept { stopped_ = true; }
 
   /// One deadline. Dropped when it is destroyed.
   class Deadline {
    public:
-    /// Not set yet. `all`: what it belongs to.
+    /// Not set yet.
     explicit Deadline(std::shared_ptr<Deadlines> all) : all_(std::move(all)) {}
     Deadline(const Deadline&) = delete;
     Deadline& operator=(const Deadline&) = delete;
     ~Deadline() { cancel(); }
 
-    /// Calls `passed` back from the loop at this time or soon after, once; in place of what was set before.
-    /// The callback may set it anew, and may destroy it.
+    /// Calls back from the loop at this time or soon after, once; in place of what was set before. The
+    /// callback may set it anew, and may destroy it.
     void set(Clock::time_point at, std::function<void()> passed) {
       passed_ = std::move(passed);
       if (node_.empty() && !set_) {
         position_ = all_->set_.emplace(at, this);
       } else {
-        // Without allocating: the node of the tree is moved.
+        // Without allocating: its position in the tree is moved.
         if (set_) node_ = all_->set_.extract(position_);
         node_.key() = at;
         position_ = all_->set_.insert(std::move(node_));
@@ -50,7 +52,7 @@
       set_ = true;
       all_->arm();
     }
-    /// Drops it; nothing if it is not set.
+    /// Drops it; the callback is not made. Does nothing if it is not set.
     void cancel() {
       if (std::exchange(set_, false)) node_ = all_->set_.extract(position_);
     }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,102 +1,73 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// One sidecar: the only caller of the balancer. Turns what happens on the sockets into the module's events
-// and carries out its actions.
+/// \file
+/// One sidecar: the wiring of its parts, and the only caller of the balancer.
 #ifndef IVYPOST_SIDECAR_H_
 #define IVYPOST_SIDECAR_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
-#include "admin/admin_server.h"
 #include "config.h"
-#include "degradation_manager.h"
+#include "control/action_executor.h"
+#include "control/admin_handler.h"
+#include "control/degradation_manager.h"
+#include "control/endpoint_table.h"
+#include "control/membership_selection.h"
+#include "control/open_request.h"
 #include "discovery/platform_source.h"
 #include "discovery/source_manager.h"
-#include "exclusion/error.h"
-#include "exclusion/exclusion_file.h"
 #include "gossip_health_view.h"
 #include "lifecycle/lifecycle.h"
-#include "load_shedding_log.h"
 #include "server.h"
-#include "start_time_estimator.h"
-#include "upstreams.h"
+#include "upstream/connection_pool.h"
 
 namespace ivypost {
 
+/// Turns what happens on the sockets into the module's events; ActionExecutor executes the module's actions.
+/// Listens from its construction on, and ends with its event loop. Not thread-safe: all calls are made on the
+/// loop.
 class Sidecar {
  public:
-  // Makes the source that follows etcd; empty where this program is built without it. Throws
-  // settings::FormatError, one line, for options that can't be used.
-  using MakeEtcd = std::function<std::unique_ptr<discovery::Source>(
-      boost::asio::io_context&, const discovery::etcd::Options&, std::uint64_t seed,
-      discovery::Source::Callbacks)>;
+  /// As MembershipSelection::MakeEtcd.
+  using MakeEtcd = MembershipSelection::MakeEtcd;
 
-  // Throws settings::FormatError for an operator's file that does not fit the configuration or this
-  // program, and what the server throws.
+  /// `io` must outlive it. Throws settings::FormatError for an operator's file that does not fit the
+  /// configuration or this program, and what the server throws.
   explicit Sidecar(boost::asio::io_context& io, Config config, const configuration::OperatorFile& file = {},
                    MakeEtcd makeEtcd = {});
 
-  // Takes over what may change while it runs: where discovery is, and the operator's file. The rest waits for
-  // the next start. Throws settings::FormatError, and then nothing has changed.
+  /// Applies what may change while it runs: where discovery is, and the operator's file. The rest waits for
+  /// the next start. Throws settings::FormatError, and then nothing has changed.
   void reload(const Config& config, const configuration::OperatorFile& file);
 
-  // SIGTERM: answers all that was taken, then calls back once.
+  /// SIGTERM: answers all that was taken, then calls back once. Ignored the second time.
   void stop(std::function<void()> stopped);
 
-  std::uint16_t port() const { return server_.port(); }
-  degradation::Level level() const { return degradation_.level(); }
-  lifecycle::State state() const { return lifecycle_.state(); }
-  // None: there is no console, or it could not be bound yet.
-  std::optional<std::uint16_t> consolePort() const;
-  // None: peers are off.
-  const GossipHealthView* fleet() const { return fleet_.get(); }
-  discovery::Freshness freshness() const { return membership_.freshness(); }
-  // For tests: the upstreams' numbers, in use and free; connections to them that are not up yet.
-  std::size_t upstreamNumbers() const { return known_.size(); }
-  std::size_t comingUp() const { return upstreams_.comingUp(); }
+  /// Where clients connect.
+  [[nodiscard]] std::uint16_t port() const { return server_.port(); }
+  /// Normal while the operator has the levels off.
+  [[nodiscard]] degradation::Level level() const { return degradation_.level(); }
+  /// Starting, ready, draining or stopping.
+  [[nodiscard]] lifecycle::State state() const { return lifecycle_.state(); }
+  /// None: there is no console, or it could not be bound yet.
+  [[nodiscard]] std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
+  /// Null: peers are off. Valid until the next reload().
+  [[nodiscard]] const GossipHealthView* fleet() const { return fleet_.get(); }
+  /// How old the endpoint list may be.
+  [[nodiscard]] discovery::Freshness freshness() const { return membership_.freshness(); }
+  /// For tests: the endpoints' numbers, in use and free.
+  [[nodiscard]] std::size_t upstreamNumbers() const { return endpoints_.size(); }
+  /// For tests: connections to endpoints that are not up yet.
+  [[nodiscard]] std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
-  struct Attempt {
-    EndpointId upstream = 0;
-    Clock::time_point writtenAt{};  // its last byte; none: not written
-    bool mayHaveRun = true;         // until its outcome proves otherwise
-  };
-  // From the time a request is taken until it is over and nothing of it is out.
-  struct Request {
-    ClientRequest client;
-    std::vector<Attempt> attempts;
-    std::uint32_t out = 0;
-    bool over = false;
-  };
-
-  // What an upstream's number stands for. The number is free again when no list names the upstream and
-  // nothing of ours refers to it, so that ever new ids need no ever new numbers.
-  struct Known {
-    std::string id;  // empty: the number is free
-    Endpoint address;
-    std::int64_t startedAtMs = 0;
-    Micros launchedAt = 0;     // by the monotonic clock, as the module was told; 0: long ago
-    discovery::Instance told;  // as the list has it, without the operators' exclusions
-    bool listed = false;
-    std::uint32_t uses = 0;  // attempts of requests not forgotten yet, and probes out
-  };
-
-  // An operator's call that changes the exclusions, until it is answered.
-  struct PendingChange {
-    admin::Call call;
-    admin::AdminServer::Answer answer;
-    Clock::time_point until;  // the lock is tried for
-  };
+  using Request = OpenRequest;
 
   void onTaken(ClientRequest client);
   void onOver(balancer::RequestId id);
@@ -105,79 +76,35 @@
   void onBegan(StreamBegin begin);
   void onProbed(const ProbeEnd& end);
   void onList(const discovery::EndpointList& list, balancer::MembershipUpdate::Kind kind);
-  void onTimer();
-  void follow(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery);
   void onLifecycle(lifecycle::Event event);
-  void applyExclusions(exclusion::ExclusionSet next);
-  void onCall(const admin::Call& call, admin::AdminServer::Answer answer);
-  void queueChange(PendingChange change);
-  void tryNextChange();
-  void scheduleNextChange(Clock::duration after);
-  std::optional<admin::Reply> changeExclusions(const admin::Call& call);
-  void openConsole();
-  void pollExclusionFile();
+  void onExclusionsChanged(const std::vector<std::string>& endpoints);
   void onLevel(degradation::Level level);
   degradation::Measurements gauges();
   std::string status() const;
   std::unique_ptr<GossipHealthView> viewOf(const gossip::Options& options);
   std::vector<GossipHealthView::Listed> listed() const;
 
-  // Gives the module one event and carries out what it answers.
+  // Gives the module one event and executes what it answers.
   void handle(const balancer::Event& event);
-  void carryOut(const balancer::Send& send);
-  void carryOut(const balancer::Cancel& cancel);
-  void carryOut(const balancer::Reject& refuse);
-  void carryOut(const balancer::Fail& fail);
-  void carryOut(const balancer::SetTimer& timer);
-  void carryOut(const balancer::Probe& probe);
-  void carryOut(const balancer::CloseIdle& close);
-  void carryOut(const balancer::Subscribe& subscribe);
-  void carryOut(const balancer::Fetch& fetch);
-  void carryOut(const balancer::Log& log);
-
-  // Of a refusal or failure that the module has decided.
-  void noteUnsent(balancer::RequestId id);
-  void finish(balancer::RequestId id, Answer answer);
-  void forget(balancer::RequestId id);
-  EndpointId intern(const std::string& instanceId);
-  bool takesItsAddress(EndpointId upstream, balancer::MembershipUpdate& update);
-  void leaveAddress(EndpointId upstream);
-  void dropUse(EndpointId upstream);
-  void freeUnused(EndpointId upstream);
-  health_reports::Incarnation incarnationOf(const Known& known) const;
-  discovery::Instance overlay(const discovery::Instance& told) const;
 
   boost::asio::io_context& io_;
   const Config config_;
-  StartTimeEstimator starts_;
+  EndpointTable endpoints_;
   balancer::Balancer balancer_;
-  boost::asio::steady_timer timer_;
-  Clock::time_point armedFor_ = Clock::time_point::max();
-  std::unordered_map<balancer::RequestId, Request> requests_;
-  std::unordered_map<std::string, EndpointId> ids_;
-  std::vector<Known> known_;                // by number
-  std::vector<EndpointId> spare_;           // free numbers
-  streaming::ByteBudget budget_;            // of bodies in transit
-  std::map<Endpoint, EndpointId> holders_;  // of each address, the upstream that was listed there last
-  Upstreams upstreams_;
-  const MakeEtcd makeEtcd_;
+  OpenRequests requests_;
+  streaming::ByteBudget budget_;  // of bodies in transit
+  ConnectionPool pool_;
   discovery::SourceManager membership_;
-  configuration::OperatorFile::Membership followed_;  // by the source that counts
-  configuration::OperatorFile::Membership wanted_;    // by it, or by the one that is to take over
+  MembershipSelection selection_;
   Server server_;
+  ActionExecutor executor_;
   DegradationManager degradation_;
-  LoadSheddingLog shedding_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
-  exclusion::ExclusionSet exclusions_;
-  exclusion::ExclusionFile exclusionFile_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, AdminServer::kMaxConnections at most
-  boost::asio::steady_timer exclusionFileTimer_, changeTimer_, consoleTimer_;
   gossip::Options peersAs_;                  // as the operator has set them
   std::unique_ptr<GossipHealthView> fleet_;  // none: off
-  bool consoleFailed_ = false;
-  std::unique_ptr<admin::AdminServer> console_;
+  AdminHandler admin_;
 };
 
 }  // namespace ivypost
--- /dev/null
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -0,0 +1,245 @@
+// Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
+#include "upstream/connection_pool.h"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <string>
+#include <utility>
+
+#include "upstream/idle_connection_choice.h"
+#include "upstream/load_report_parser.h"
+
+namespace ivypost {
+namespace {
+
+namespace asio = boost::asio;
+using balancer::Outcome;
+using std::chrono::microseconds;
+using std::chrono::milliseconds;
+
+// Of the pools' descriptors, the fraction that connections to upstreams may hold.
+constexpr double kUpstreamFraction = 0.389;
+// Without a connect timeout or an idle time in the settings.
+constexpr milliseconds kDefaultConnectTimeout{1000};
+constexpr milliseconds kDefaultIdleTime{5000};
+// An idle connection is dropped when this fraction of the upstream's own limit has passed.
+constexpr double kIdleTimeFraction = 0.9;
+// A probe is given up after this long at the most: by then it tells nothing that is still true.
+constexpr milliseconds kProbeTimeout{300};
+
+Clock::duration connectTimeoutOf(const balancer::Settings& settings) {
+  if (settings.connectTimeout <= 0) return kDefaultConnectTimeout;
+  return microseconds(settings.connectTimeout);
+}
+
+Clock::duration idleTimeOf(const balancer::Settings& settings) {
+  if (settings.idleTimeout <= 0) return kDefaultIdleTime;
+  return microseconds(static_cast<Micros>(kIdleTimeFraction * static_cast<double>(settings.idleTimeout)));
+}
+
+// Of the body, some has gone out and can't go out again.
+bool isSpent(const UpstreamJob& job) {
+  return job.attempt && job.attempt->upload && job.attempt->upload->pipe.forwardedBytes() > 0;
+}
+
+}  // namespace
+
+ConnectionPool::ConnectionPool(asio::io_context& io, const Config& config, streaming::ByteBudget& budget,
+                               Callbacks callbacks)
+    : callbacks_(std::move(callbacks)),
+      maxConnections_(static_cast<std::size_t>(kUpstreamFraction * config.poolSockets())),
+      context_{io,
+               budget,
+               *this,
+               std::make_shared<Deadlines>(io),
+               connectTimeoutOf(config.site.settings),
+               idleTimeOf(config.site.settings)} {}
+
+ConnectionPool::~ConnectionPool() {
+  context_.deadlines->stop();
+}
+
+// ---- Endpoints --------------------------------------------------------------------------------------------
+
+void ConnectionPool::setAddress(EndpointId upstream, const Endpoint& address) {
+  if (upstream >= addresses_.size()) {
+    addresses_.resize(upstream + 1);
+    idle_.resize(upstream + 1);
+  }
+  if (addresses_[upstream] == address) return;
+  closeIdle(upstream);  // they lead to where it was, and so do those that are coming up
+  withdrawComingUp(upstream);
+  addresses_[upstream] = address;
+}
+
+void ConnectionPool::remove(EndpointId upstream) {
+  if (upstream >= addresses_.size()) return;
+  addresses_[upstream].reset();
+  closeIdle(upstream);
+  withdrawComingUp(upstream);
+}
+
+void ConnectionPool::withdrawComingUp(EndpointId upstream) {
+  std::vector<ConnectionPtr> comingUp;
+  for (const auto& [key, connection] : connections_) {
+    if (connection->upstream() == upstream && connection->isComingUp()) comingUp.push_back(connection);
+  }
+  for (const auto& connection : comingUp) connection->fail(Outcome::ConnectFailed);
+}
+
+void ConnectionPool::closeIdle(EndpointId upstream) {
+  const auto idle = idle_[upstream];
+  for (const auto& connection : idle) connection->close();
+}
+
+// ---- Attempts and probes ----------------------------------------------------------------------------------
+
+void ConnectionPool::send(AttemptOrder order) {
+  auto job = std::make_shared<UpstreamJob>();
+  job->upstream = order.upstream;
+  job->deadline = order.deadline;
+  job->writeBy = order.writeBy;
+  job->attempt = std::move(order);
+  attempts_.emplace(job->attempt->id, job);
+  start(std::move(job));
+}
+
+void ConnectionPool::probe(EndpointId upstream) {
+  auto job = std::make_shared<UpstreamJob>();
+  job->upstream = upstream;
+  job->deadline = job->writeBy = Clock::now() + kProbeTimeout;
+  start(std::move(job));
+}
+
+void ConnectionPool::start(std::shared_ptr<UpstreamJob> job) {
+  job->startedAt = Clock::now();
+  if (isSpent(*job)) return onEnded(*job, Outcome::ConnectFailed);
+  if (isClientGone(*job)) return onEnded(*job, Outcome::Moot);
+  if (const auto open = takeIdle(job->upstream)) return open->carry(std::move(job));
+  const auto& address = addresses_.at(job->upstream);
+  if (!address || !ensureCapacity()) return onEnded(*job, Outcome::ConnectFailed);
+  const auto fresh = std::make_shared<UpstreamConnection>(context_, job->upstream, *address);
+  connections_.emplace(fresh.get(), fresh);
+  fresh->open(std::move(job));
+}
+
+ConnectionPool::ConnectionPtr ConnectionPool::takeIdle(EndpointId upstream) {
+  auto& idle = idle_[upstream];
+  const auto since = [](const auto& one) { return one->idleSince(); };
+  while (!idle.empty()) {
+    const auto now = Clock::now();
+    const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdleConnection(idle, now, since));
+    auto chosen = *at;
+    idle.erase(at);
+    // Its time may be up, and the timer that says so stand behind this request.
+    if (now - chosen->idleSince() < context_.idleTime && chosen->isUsable()) return chosen;
+    chosen->close();
+  }
+  return nullptr;
+}
+
+// Guards against running out of descriptors: the connection that was idle longest gives way.
+bool ConnectionPool::ensureCapacity() {
+  if (connections_.size() < maxConnections_) return true;
+  ConnectionPtr oldest;
+  for (const auto& idle : idle_) {
+    if (!idle.empty() && (!oldest || idle.front()->idleSince() < oldest->idleSince())) oldest = idle.front();
+  }
+  if (!oldest) return false;
+  oldest->close();
+  return true;
+}
+
+void ConnectionPool::cancel(AttemptId id) {
+  const auto found = attempts_.find(id);
+  if (found == attempts_.end()) return;
+  const auto job = found->second;
+  // One whose time is up has timed out, however late the timer runs.
+  const Outcome outcome = Clock::now() >= job->deadline ? Outcome::Timeout : Outcome::Cancelled;
+  if (const auto connection = job->connection.lock()) return connection->fail(outcome);
+  onEnded(*job, outcome);
+}
+
+void ConnectionPool::withdraw(balancer::RequestId request) {
+  std::vector<std::shared_ptr<UpstreamJob>> unsent;
+  for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
+       ++at)
+    if (!at->second->isWritten) unsent.push_back(at->second);
+  for (const auto& job : unsent) {
+    if (const auto connection = job->connection.lock()) connection->fail(Outcome::Moot);
+  }
+}
+
+// ---- What connections say ---------------------------------------------------------------------------------
+
+bool ConnectionPool::isClientGone(const UpstreamJob& job) const {
+  return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
+}
+
+bool ConnectionPool::isCurrentAddress(EndpointId upstream, const Endpoint& address) const {
+  return addresses_[upstream] == address;
+}
+
+void ConnectionPool::onWritten(AttemptId id) {
+  callbacks_.written(id);
+}
+
+void ConnectionPool::onStreamBegin(StreamBegin begin) {
+  callbacks_.began(std::move(begin));
+}
+
+void ConnectionPool::onIdle(const ConnectionPtr& connection) {
+  idle_[connection->upstream()].push_back(connection);
+}
+
+void ConnectionPool::onClosed(const ConnectionPtr& connection) {
+  std::erase(idle_[connection->upstream()], connection);
+  connections_.erase(connection.get());
+}
+
+void ConnectionPool::onEnded(UpstreamJob& job, Outcome outcome) {
+  if (job.hasEnded) return;
+  job.hasEnded = true;
+  const auto lag = Clock::now() - job.startedAt;
+  if (job.attempt) return reportAttempt(job, outcome, lag);
+  reportProbe(job, outcome == Outcome::Ok, lag);
+}
+
+void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration lag) {
+  const std::string& text = job.load.empty() ? job.body : job.load;
+  asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, lag, parseLoadReport(text)}] {
+    callbacks_.probed(result);
+  });
+}
+
+void ConnectionPool::reportAttempt(UpstreamJob& job, Outcome outcome, Clock::duration lag) {
+  AttemptEnd result;
+  result.id = job.attempt->id;
+  result.outcome = outcome;
+  result.lag = lag;
+  result.body = std::move(job.body);
+  result.contentType = std::move(job.contentType);
+  result.spent = isSpent(job);
+  result.transfer = job.transfer;
+  result.report = parseLoadReport(job.load);
+  attempts_.erase(result.id);
+  asio::post(context_.io,
+             [this, result = std::move(result)]() mutable { callbacks_.ended(std::move(result)); });
+}
+
+// ---- Figures ----------------------------------------------------------------------------------------------
+
+std::size_t ConnectionPool::comingUp() const {
+  return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
+                                                [](const auto& one) { return one.second->isComingUp(); }));
+}
+
+double ConnectionPool::busyFraction() const {
+  if (maxConnections_ == 0) return 0;
+  std::size_t idle = 0;
+  for (const auto& one : idle_) idle += one.size();
+  return static_cast<double>(connections_.size() - idle) / static_cast<double>(maxConnections_);
+}
+
+}  // namespace ivypost
--- a/src/simulator/sheet.cpp
+++ b/src/simulator/sheet.cpp
@@ -4,6 +4,7 @@
 #include <string_view>
 
 #include "settings/format_error.h"
+#include "settings/line.h"
 
 namespace ivypost::simulator {
 namespace {
--- a/tests/e2e/matrix_test.cpp
+++ b/tests/e2e/matrix_test.cpp
@@ -262,7 +262,7 @@
 
 // A listener that refuses, and one whose backlog is full: nothing was ever written, so each class goes
 // elsewhere.
-class NoConnectionTest : public testing::TestWithParam<std::tuple<Listener, Effect>> {};
+class NoConnectionTest : public testing::TestWithParam<std::tuple<fault::Listener, Effect>> {};
 
 TEST_P(NoConnectionTest, GoesElsewhere) {
   const auto& [listener, effect] = GetParam();
@@ -278,7 +278,7 @@
   EXPECT_EQ(world.judged(), "");
 }
 INSTANTIATE_TEST_SUITE_P(Listeners, NoConnectionTest,
-                         testing::Combine(testing::Values(Listener::Reject, Listener::Full),
+                         testing::Combine(testing::Values(fault::Listener::Reject, fault::Listener::Full),
                                           testing::Values(Effect::Safe, Effect::Keyed, Effect::Unsafe)));
 
 // Guards drains and departures where a connection may take longer to come up than the grace: corrib-quotes
@@ -290,7 +290,7 @@
   const auto& [state, effect] = GetParam();
   World world(1, {{"settings", {{"limits", {{"connectTimeout", 25'000'000}}}}}});
   Plan full;
-  full.listener = Listener::Full;
+  full.listener = fault::Listener::Full;
   world.proxies[0]->apply(full);
   std::optional<Client::Result> answer;
   const std::string id =
@@ -347,14 +347,14 @@
     options.to = server.listen("s1");
     options.plan = plan;
     Proxy proxy(io, std::move(options));
-    Upstreams* pool = nullptr;
+    ConnectionPool* pool = nullptr;
     Config config;
     config.sockets = 64;
     std::optional<AttemptEnd> end;
     streaming::ByteBudget budget(1'000'000);
-    Upstreams upstreams(io, config, budget,
-                        {[](AttemptId) {}, [&](AttemptEnd one) { end = std::move(one); },
-                         [](const StreamBegin&) {}, [](const ProbeEnd&) {}});
+    ConnectionPool upstreams(io, config, budget,
+                             {[](AttemptId) {}, [&](AttemptEnd one) { end = std::move(one); },
+                              [](const StreamBegin&) {}, [](const ProbeEnd&) {}});
     pool = &upstreams;
     pool->setAddress(0, parseEndpoint(formatAddress(proxy.address())));
     AttemptOrder order;
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -15,7 +15,7 @@
   const Client late(io, server->port());
   ASSERT_TRUE(wait([&] { return inside() == 1; }));
   late.send(Request().text());
-  server->follow(stopping(false, true));
+  server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   EXPECT_FALSE(ended);
@@ -31,7 +31,7 @@
   wrong.send("GET /nowhere HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return wrong.answers() == 1; }));
   wrong.send(Request().text());
-  server->follow(stopping(false, true));
+  server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   answerAll();
@@ -48,7 +48,7 @@
   ahead.send(Request().text() + second.text());
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   pollAll(io);
-  server->follow(stopping(false, true));
+  server->apply(stopping(false, true));
   ahead.send(third.text());  // not read when the first answer is given
   answerAll();
   ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
@@ -106,7 +106,7 @@
   slow.send(text.substr(0, 30));
   ASSERT_TRUE(wait(
       [&] { return server->connectionLimiter().count(admission::ConnectionLimiter::State::Active) == 1; }));
-  server->follow(stopping(false, true));
+  server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
   slow.send(text.substr(30));
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
@@ -126,7 +126,7 @@
     io.run_one();
   }
   ASSERT_EQ(inside(), 1u);
-  server->follow(stopping(false, false));
+  server->apply(stopping(false, false));
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return second.answers() == 1; }));
@@ -421,7 +421,7 @@
   for (const Stopped& one : all) one.client.send(one.stop.sent);
   if (draining) {
     pollAll(io);
-    server->follow(stopping(true, false));
+    server->apply(stopping(true, false));
   }
   ASSERT_TRUE(wait([&] {
     bool done = true;
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -120,7 +120,7 @@
                                      [this] { ended = true; }});
     lifecycle::Effects ready;
     ready.isReady = ready.acceptsConnections = ready.keepsConnections = true;
-    server->follow(ready);
+    server->apply(ready);
   }
   std::size_t inside() const { return server->connectionLimiter().size(); }
   void answerAll() {
--- a/tests/load_shedding_log_test.cpp
+++ b/tests/sidecar/control/load_shedding_log_test.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-#include "load_shedding_log.h"
+#include "control/load_shedding_log.h"
 
 #include <gtest/gtest.h>
 
@@ -17,13 +17,13 @@
   };
   std::int64_t now = 0;
   for (; now < 10 * LoadSheddingLog::kQuietTime; now += LoadSheddingLog::kQuietTime / 2) {
-    take(sheddingLog.poll(now));
+    take(sheddingLog.onEventHandled(now));
     take(sheddingLog.onRejected(now));
   }
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_EQ(lines[0].rfind("shedding load", 0), 0u);
   for (const auto end = now + 3 * LoadSheddingLog::kQuietTime; now < end; now += 1000)
-    take(sheddingLog.poll(now));
+    take(sheddingLog.onEventHandled(now));
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_EQ(lines[1], "shedding is over");
   take(sheddingLog.onRejected(now));
