--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -207,7 +207,8 @@
   event.requestClass = client.requestClass;
   event.tenant = client.tenant;
   event.key = client.key;
-  event.expiresIn = client.expiresIn;
+  // Not what it had when it was read: it may have waited in the queue for the core since.
+  event.expiresIn = std::max<Micros>(0, duration_cast<microseconds>(client.deadline - Clock::now()).count());
   event.work = client.work;
   event.isRetry = client.isRetry;
   degradation_.onRequest(client.isRetry);
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -176,6 +176,87 @@
   EXPECT_LE(toldMs(busy().requests[1]), 4800);
 }
 
+// In the queue for the core, one a turn of the loop, which stands still when all of them have been read.
+class QueuedTest : public ToldTest {
+ protected:
+  static constexpr std::size_t kMany = 30;
+  static constexpr milliseconds kQueued{500};
+
+  void startWithQueue(int count) {
+    for (int n = 0; n < count; ++n) upstreams.push_back(std::make_unique<Peer>(io));
+    states.assign(upstreams.size(), "up");
+    op::File file;
+    file.admission.queue = true;
+    file.admission.perTurn = 1;
+    file.admission.figures.schoolShare = 1;
+    file.admission.figures.target = file.admission.figures.interval = 60'000'000;
+    sidecar = std::make_unique<Sidecar>(io, configure(json::object()), file);
+    ASSERT_TRUE(wait([this] { return watches() > 0; }));
+  }
+  // The last of them has `expiresInMs`, the others 20 s.
+  void sendAll(int expiresInMs) {
+    for (std::size_t n = 0; n < kMany; ++n) clients.push_back(client());
+    pollAll(io);
+    for (std::size_t n = 0; n < kMany; ++n) {
+      Request request = idempotent(traceNumber(n));
+      request.expiresInMs = n + 1 < kMany ? 20'000 : expiresInMs;
+      clients[n].send(request.text());
+    }
+    for (std::size_t n = 0; n < kMany + 2; ++n) {
+      io.restart();
+      io.run_one_for(milliseconds(50));
+    }
+    standStill(kQueued);
+  }
+  static int traceNumber(std::size_t n) { return 100 + static_cast<int>(n); }
+  static std::string lastTrace() { return traceOf(traceNumber(kMany - 1)); }
+  int open() const {
+    int count = 0;
+    for (const auto& upstream : upstreams) count += upstream->open();
+    return count;
+  }
+
+  std::deque<Client> clients;
+};
+
+// The module counts from its client's last byte too: when that time is over it sends no further attempt,
+// which could only fail on a connection that is good.
+TEST_F(QueuedTest, NoAttemptFollowsOneThatFailedAtTheDeadline) {
+  startWithQueue(3);
+  std::optional<Peer::Exchange> silent;
+  for (const auto& upstream : upstreams) {
+    upstream->onRequest = [&](Peer::Exchange& call) {
+      if (call.message["X-Trace-Id"] != lastTrace()) return call.reply(200, "");
+      silent = call;
+    };
+  }
+  sendAll(1000);
+  ASSERT_TRUE(wait([&] { return silent && arrived() == kMany; }));
+  ASSERT_LE(toldMs(*silent), 500) << "it has waited";
+  pollAll(io);
+  const int before = open();
+  ASSERT_GE(before, 3) << "two of them idle";
+  ASSERT_TRUE(wait([&] { return clients.back().answers() == 1; }));
+  EXPECT_GE(clients.back().answer(0).result_int(), 500u);
+  pollAll(io);
+  EXPECT_EQ(arrived(), kMany);
+  EXPECT_EQ(open(), before - 1) << "the one of the attempt that had no answer";
+}
+
+// Nor does it hold one for longer than its client waits: what has not run is refused.
+TEST_F(QueuedTest, WhatIsHeldUntilItsDeadlineIsRefused) {
+  startWithQueue(1);
+  const Client first = client();
+  Request request = idempotent(1);
+  request.expiresInMs = 20'000;
+  first.send(request.text());
+  ASSERT_TRUE(wait([&] { return arrived() == 1; }));
+  sendAll(1000);
+  ASSERT_TRUE(wait([&] { return clients.back().answers() == 1; }));
+  EXPECT_EQ(clients.back().answer(0).result_int(), 503u);
+  EXPECT_EQ(arrived(), 1u);
+}
+
 // With very little left: what could no longer be answered is not sent, and each has its answer in time.
 TEST_F(ToldTest, WithHardlyAnyTimeLeftEachIsAnswered) {
   start(1);
