--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -68,6 +68,24 @@
   EXPECT_EQ(describe(transitions[0]), "level thrifty, was normal: loop lag 1e+06 over 2e+04");
 }
 
+TEST_F(LevelControllerTest, EscalatesAtOnceWhenItBeginsUnderLoad) {
+  controller.observe(Signal::EventLoopLag, 30e3, at(0s));
+  const auto transition = controller.evaluate(at(0s));
+  ASSERT_TRUE(transition);
+  EXPECT_EQ(transition->to, Level::Thrifty);
+}
+
+TEST_F(LevelControllerTest, WaitsForTheLongerDelayWhenItsSettingsChange) {
+  run(0s, 5s, constantly(Signal::EventLoopLag, 30e3));
+  ASSERT_EQ(controller.level(), Level::Thrifty);
+  Settings slower = settings;
+  slower.recoveryDelay = 10s;
+  controller.apply(slower, at(5s));
+  const auto transitions = run(5s, 30s, constantly(Signal::EventLoopLag, 0));
+  ASSERT_EQ(transitions.size(), 1u);
+  EXPECT_GE(transitions[0].at, at(15s));
+}
+
 TEST_F(LevelControllerTest, RecoversStepByStepWhenSignalsAreCalm) {
   run(0s, 5s, constantly(Signal::EventLoopLag, 1e6));
   const auto transitions = run(5s, 60s, constantly(Signal::EventLoopLag, 0));
--- a/tests/degradation/restrictions_test.cpp
+++ b/tests/degradation/restrictions_test.cpp
@@ -22,5 +22,28 @@
   EXPECT_TRUE(restrictionsAt(Level::Normal).allowsHedging);
 }
 
+// As docs/operators/reduced-service.md has it.
+TEST(Restrictions, AreAsOperatorsKnowThem) {
+  struct Row {
+    Level level;
+    bool allowsHedging;
+    double healthCheckFraction;
+    bool admitsByPriority, rejectsBeforeBody;
+    double minPriorityWeight;
+  };
+  for (const Row& row :
+       {Row{Level::Normal, true, 1, false, false, 0}, Row{Level::Thrifty, false, 0.25, false, false, 0},
+        Row{Level::Protect, false, 0.25, true, false, 0}, Row{Level::Shed, false, 0, true, true, 0},
+        Row{Level::Cutoff, false, 0, true, true, 1}}) {
+    SCOPED_TRACE(nameOf(row.level));
+    const Restrictions restrictions = restrictionsAt(row.level);
+    EXPECT_EQ(restrictions.allowsHedging, row.allowsHedging);
+    EXPECT_EQ(restrictions.healthCheckFraction, row.healthCheckFraction);
+    EXPECT_EQ(restrictions.admitsByPriority, row.admitsByPriority);
+    EXPECT_EQ(restrictions.rejectsBeforeBody, row.rejectsBeforeBody);
+    EXPECT_EQ(restrictions.minPriorityWeight, row.minPriorityWeight);
+  }
+}
+
 }  // namespace
 }  // namespace ivypost::degradation
--- a/tests/degradation/settings_test.cpp
+++ b/tests/degradation/settings_test.cpp
@@ -33,6 +33,15 @@
   EXPECT_EQ(error(), "");
 }
 
+// It grows evenly by itself, and says nothing of whether the sidecar can carry its load.
+TEST_F(SettingsTest, HaveThresholdsForTheListsAgeAtThriftyAlone) {
+  const auto& thrifty = settings.thresholds.at(Level::Thrifty, Signal::EndpointListAge);
+  ASSERT_TRUE(thrifty);
+  EXPECT_EQ(thrifty->enter, 6e6);
+  EXPECT_EQ(thrifty->exit, 3e6);
+  EXPECT_FALSE(settings.thresholds.at(Level::Protect, Signal::EndpointListAge));
+}
+
 TEST_F(SettingsTest, AreInvalidWhenAnExitIsNotUnderTheEntry) {
   thriftyCpu().exit = thriftyCpu().enter;
   EXPECT_EQ(error(), kInvalidThreshold);
@@ -51,6 +60,17 @@
   EXPECT_EQ(error(), "protect, cpu share: lies under the threshold of the level below");
 }
 
+TEST_F(SettingsTest, AreInvalidWhenAnExitAloneLiesUnderTheNextMilderLevels) {
+  Threshold& protect = settings.thresholds.at(Level::Protect, Signal::CpuUtilization).value();
+  protect.exit = thriftyCpu().exit - 0.01;
+  EXPECT_EQ(error(), "protect, cpu share: lies under the threshold of the level below");
+}
+
+TEST_F(SettingsTest, AreValidWhenALevelHasTheThresholdOfTheNextMilderOne) {
+  settings.thresholds.at(Level::Protect, Signal::CpuUtilization) = thriftyCpu();
+  EXPECT_EQ(error(), "");
+}
+
 TEST_F(SettingsTest, AreInvalidWhenTheNextMilderLevelHasNoThreshold) {
   settings.thresholds.at(Level::Shed, Signal::EndpointListAge) = Threshold{9e6, 8e6};
   EXPECT_EQ(error(), "shed, list age: the level below has none for it");
--- a/tests/request_validator_test.cpp
+++ b/tests/request_validator_test.cpp
@@ -131,6 +131,14 @@
         BadHead{"SecondQos", "GET", "/read/1", with(validFields(), "X-Qos", "read"), 400, kTwice},
         BadHead{"SecondTraceId", "GET", "/read/1", with(validFields(), "X-Trace-Id", "1"), 400, kTwice},
         BadHead{"SecondCustomer", "GET", "/read/1", with(validFields(), "X-Customer", "north"), 400, kTwice},
+        BadHead{"SecondExpiry", "GET", "/read/1", with(validFields(), "X-Expires-In-Ms", "1500"), 400,
+                kTwice},
+        BadHead{"SecondKey", "POST", "/pay/1",
+                with(with(validFields("pay"), "Idempotency-Key", "k"), "Idempotency-Key", "k"), 400, kTwice},
+        BadHead{"SecondSizeHint", "GET", "/read/1",
+                with(with(validFields(), "X-Size-Hint", "1"), "X-Size-Hint", "1"), 400, kTwice},
+        BadHead{"SecondSecondTry", "GET", "/read/1",
+                with(with(validFields(), "X-Second-Try", "1"), "X-Second-Try", "1"), 400, kTwice},
         BadHead{"UnknownClassAheadOfUnknownPath", "GET", "/none/1", validFields("none"), 400,
                 "unknown class in X-Qos"},
         BadHead{"UnknownPath", "GET", "/none/1", validFields(), 404, "unknown path"},
@@ -143,6 +151,8 @@
         BadHead{"GetOfUnsafe", "GET", "/write/1", validFields("write"), 405, "POST only"},
         BadHead{"KeyedWithoutKey", "POST", "/pay/1", validFields("pay"), 400, "Idempotency-Key is missing"},
         BadHead{"ShortTraceId", "GET", "/read/1", changed(validFields(), "X-Trace-Id", "ff"), 400, kTraceId},
+        BadHead{"LongTraceId", "GET", "/read/1", changed(validFields(), "X-Trace-Id", "000000000000000ff"),
+                400, kTraceId},
         BadHead{"NoTraceId", "GET", "/read/1", without(validFields(), "X-Trace-Id"), 400, kTraceId},
         BadHead{"NoHexadecimal", "GET", "/read/1", changed(validFields(), "X-Trace-Id", "00000000000000fg"),
                 400, kTraceId},
@@ -169,6 +179,20 @@
   EXPECT_EQ(std::get<ClientRequest>(read).expiresIn, 0);
 }
 
+TEST(RequestValidator, TakesAnHourAsTheLongestTime) {
+  const auto read = validate(headOf("GET", "/read/1", changed(validFields(), "X-Expires-In-Ms", "3600000")));
+  ASSERT_TRUE(std::holds_alternative<ClientRequest>(read));
+  EXPECT_EQ(std::get<ClientRequest>(read).expiresIn, 3'600'000'000);
+}
+
+TEST(RequestValidator, TakesOnlyA1ForASecondTry) {
+  for (const char* value : {"", "0", "11", "true"}) {
+    const auto read = validate(headOf("GET", "/read/1", with(validFields(), "X-Second-Try", value)));
+    ASSERT_TRUE(std::holds_alternative<ClientRequest>(read)) << value;
+    EXPECT_FALSE(std::get<ClientRequest>(read).isRetry) << value;
+  }
+}
+
 TEST(RequestValidator, HintsAtClassAndTimeThatIsLeft) {
   const auto platform = site();
   const RequestValidator validator(platform);
--- a/tests/upstream_request_test.cpp
+++ b/tests/upstream_request_test.cpp
@@ -65,6 +65,19 @@
   EXPECT_EQ(attemptHead(post, &upload_, milliseconds(250)), start + "Content-Length: 70000\r\n\r\n");
 }
 
+// Framing is one connection's: what the client's head says of its body counts for nothing here.
+TEST_F(UploadTest, FramesNothingByTheClientsLength) {
+  Message get = message(http::verb::get);
+  get.set(http::field::content_length, "0");
+  EXPECT_EQ(attemptHead(get, nullptr, milliseconds(250)),
+            "GET /a?b=c HTTP/1.1\r\nHost: service.internal\r\nX-Expires-In-Ms: 250\r\n\r\n");
+  Message post = message(http::verb::post);
+  post.set(http::field::content_length, "5");
+  EXPECT_EQ(attemptHead(post, &upload_, milliseconds(250)),
+            "POST /a?b=c HTTP/1.1\r\nHost: service.internal\r\nX-Expires-In-Ms: 250\r\n"
+            "Transfer-Encoding: chunked\r\n\r\n");
+}
+
 TEST(UpstreamRequest, TellsWholeMillisecondsAndAtLeastOne) {
   const std::vector<std::pair<microseconds, std::string>> table = {
       {milliseconds(1000), "1000"}, {microseconds(250'999), "250"}, {microseconds(1999), "1"},
