--- a/tests/gossip/fleet_run.h
+++ b/tests/gossip/fleet_run.h
@@ -71,6 +71,16 @@
              line.at < to;
     }));
   }
+  // All lines that hold the text, with their times: what a failed test prints.
+  std::string linesWith(const std::string& text) const {
+    std::string all;
+    for (const Line& line : lines) {
+      if (line.text.find(text) == std::string::npos) continue;
+      all +=
+          "\n" + std::to_string(line.at / 1000) + " ms, s" + std::to_string(line.sidecar) + ": " + line.text;
+    }
+    return all;
+  }
   std::size_t everywhere(const std::string& text, Micros from = 0, Micros to = 3'600'000'000) const {
     std::size_t sum = 0;
     for (std::uint32_t n = 1; n <= result.sidecars.size(); ++n) sum += count(n, text, from, to);
