--- a/src/discovery/etcd/etcd_source.h
+++ b/src/discovery/etcd/etcd_source.h
@@ -34,7 +34,7 @@
   void execute(const ProgressRequest& request) { client_.requestProgress(request.stream); }
   void execute(const WatchClose& close) { client_.close(close.stream); }
   void execute(const Publish& publish);
-  void execute(const FetchFailure& /*failure*/) { callbacks_.onFailure(); }
+  void execute(const FetchFailure& /*failure*/) const { callbacks_.onFailure(); }
   void execute(const LogLine& line) const { log_(line.text); }
   void startTimer();
 
--- a/src/sidecar/control/action_executor.cpp
+++ b/src/sidecar/control/action_executor.cpp
@@ -103,7 +103,7 @@
   targets_.membership.fetch();
 }
 
-void ActionExecutor::perform(const balancer::Log& line) {
+void ActionExecutor::perform(const balancer::Log& line) const {
   callbacks_.log(line.text);
 }
 
--- a/src/sidecar/control/action_executor.h
+++ b/src/sidecar/control/action_executor.h
@@ -71,7 +71,7 @@
   void perform(const balancer::CloseIdle& close);
   void perform(const balancer::Subscribe& subscribe);
   void perform(const balancer::Fetch& fetch);
-  void perform(const balancer::Log& line);
+  void perform(const balancer::Log& line) const;
   void noteUnsent(balancer::RequestId id);
 
   const Targets targets_;
--- a/src/sidecar/control/membership_selection.h
+++ b/src/sidecar/control/membership_selection.h
@@ -45,9 +45,9 @@
   }
 
  private:
-  std::unique_ptr<discovery::Source> make(const configuration::OperatorFile::Membership& wanted,
-                                          const Endpoint& discovery,
-                                          discovery::Source::Callbacks callbacks) const;
+  [[nodiscard]] std::unique_ptr<discovery::Source> make(const configuration::OperatorFile::Membership& wanted,
+                                                        const Endpoint& discovery,
+                                                        discovery::Source::Callbacks callbacks) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -54,7 +54,7 @@
   ConnectionPool& operator=(const ConnectionPool&) = delete;
   ConnectionPool& operator=(ConnectionPool&&) = delete;
   /// Ends nothing: there are no callbacks any more.
-  ~ConnectionPool();
+  ~ConnectionPool() override;
 
   /// Where the endpoint is from now on. If it has moved, it is as with remove() for what leads to where it
   /// was.
@@ -89,8 +89,8 @@
  private:
   using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
-  bool isClientGone(const UpstreamJob& job) const override;
-  bool isCurrentAddress(EndpointId upstream, const Endpoint& address) const override;
+  [[nodiscard]] bool isClientGone(const UpstreamJob& job) const override;
+  [[nodiscard]] bool isCurrentAddress(EndpointId upstream, const Endpoint& address) const override;
   void onWritten(AttemptId id) override;
   void onStreamBegin(StreamBegin begin) override;
   void onIdle(const ConnectionPtr& connection) override;
--- a/src/sidecar/upstream/upstream_connection.cpp
+++ b/src/sidecar/upstream/upstream_connection.cpp
@@ -18,11 +18,10 @@
 
 }  // namespace
 
-UpstreamConnection::UpstreamConnection(const UpstreamContext& context, EndpointId upstream,
-                                       const Endpoint& address)
+UpstreamConnection::UpstreamConnection(const UpstreamContext& context, EndpointId upstream, Endpoint address)
     : context_(context),
       upstream_(upstream),
-      address_(address),
+      address_(std::move(address)),
       socket_(context.io),
       deadline_(context.deadlines),
       exchange_(*this, context) {}
--- a/src/sidecar/upstream/upstream_connection.h
+++ b/src/sidecar/upstream/upstream_connection.h
@@ -21,7 +21,7 @@
                                  public std::enable_shared_from_this<UpstreamConnection> {
  public:
   /// Not open yet. `context` must outlive it.
-  UpstreamConnection(const UpstreamContext& context, EndpointId upstream, const Endpoint& address);
+  UpstreamConnection(const UpstreamContext& context, EndpointId upstream, Endpoint address);
 
   /// Whose it is.
   [[nodiscard]] EndpointId upstream() const { return upstream_; }
--- a/src/sidecar/upstream/upstream_exchange.h
+++ b/src/sidecar/upstream/upstream_exchange.h
@@ -43,10 +43,10 @@
   ExchangeConnection(ExchangeConnection&&) = delete;
   ExchangeConnection& operator=(const ExchangeConnection&) = delete;
   ExchangeConnection& operator=(ExchangeConnection&&) = delete;
+  virtual ~ExchangeConnection() = default;
 
  protected:
   ExchangeConnection() = default;
-  ~ExchangeConnection() = default;
 };
 
 /// Carries one job at a time, from its first byte to the end of its answer. Nothing is sent twice.
--- a/src/sidecar/upstream/upstream_job.h
+++ b/src/sidecar/upstream/upstream_job.h
@@ -60,10 +60,10 @@
   UpstreamHost(UpstreamHost&&) = delete;
   UpstreamHost& operator=(const UpstreamHost&) = delete;
   UpstreamHost& operator=(UpstreamHost&&) = delete;
+  virtual ~UpstreamHost() = default;
 
  protected:
   UpstreamHost() = default;
-  ~UpstreamHost() = default;
 };
 
 /// What all connections of a pool share.
