--- a/src/sidecar/control/admin_handler.h
+++ b/src/sidecar/control/admin_handler.h
@@ -28,9 +28,9 @@
 /// excludes nothing.
 ///
 /// One change of the exclusions is made in a turn of the loop, since each waits for the disk; at most
-/// Console::kMost wait, and one more is answered as failed. The set that counts is this process's; what the
-/// other process of a replacement changes is read within 100 ms. Not thread-safe: all calls are made on the
-/// loop.
+/// AdminServer::kMaxConnections wait, and one more is answered as failed. The set that counts is this
+/// process's; what the other process of a replacement changes is read within 100 ms. Not thread-safe: all
+/// calls are made on the loop.
 class AdminHandler {
  public:
   /// Called on the event loop. They outlive the handler.
@@ -83,7 +83,7 @@
   Callbacks callbacks_;
   exclusion::ExclusionSet exclusions_;
   exclusion::ExclusionFile file_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, Console::kMost at most
+  std::deque<PendingChange> pendingChanges_;  // the oldest first, AdminServer::kMaxConnections at most
   boost::asio::steady_timer pollTimer_;       // of the file
   boost::asio::steady_timer changeTimer_;     // of the oldest pending change
   boost::asio::steady_timer listenTimer_;     // until it is tried again
