--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -473,6 +473,17 @@
 
 TEST_F(FinalAnswerTest, ComesWhenTheKernelHasNoDescriptors) {
   start(2);
+  // The first time that an object's type is checked, the sanitizer asks the kernel for a pipe, and takes the
+  // object for a bad one where there is none. So another sidecar goes the same ways ahead of this one.
+  connect(3);
+  ask(300);
+  expectAnswers(300);
+  asked.clear();
+  const std::size_t arrivedBefore = arrived();
+  const std::size_t watchesBefore = watches();
+  const auto first = std::move(sidecar);  // its handlers may still come
+  sidecar = std::make_unique<Sidecar>(io, configure(json::object()));
+  ASSERT_TRUE(wait([&] { return watches() > watchesBefore; }));
   for (const auto& upstream : upstreams) {
     upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
   }
@@ -487,7 +498,7 @@
   ask(600);
   expectAnswers(600, false);
   EXPECT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
-  EXPECT_EQ(arrived(), 0u) << "there was a descriptor left";
+  EXPECT_EQ(arrived(), arrivedBefore) << "there was a descriptor left";
   // And it serves again.
   const Client next = client();
   Request request;
