--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -277,7 +277,7 @@
   return std::make_unique<GossipHealthView>(
       io_, GossipHealthView::identityOf(options, config_), config_.seed,
       GossipHealthView::Callbacks{[this] { return listed(); },
-                                  [this](const balancer::HealthReport& hearsay) { handle(hearsay); }, log});
+                                  [this](const balancer::HealthReport& report) { handle(report); }, log});
 }
 
 std::vector<GossipHealthView::Listed> Sidecar::listed() const {
