--- /dev/null
+++ b/src/balancer/concurrency_limit.cpp
@@ -0,0 +1,62 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/concurrency_limit.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "balancer/endpoint_backoff.h"
+#include "balancer/load_information.h"
+#include "balancer/load_reports.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+// Of few sidecars. A limit starts low, since all sidecars start at once, and rises by one for each limit's
+// worth of timely answers.
+constexpr double kStartLimit = 1;
+constexpr double kMinLimit = 0.1;
+constexpr double kMaxLimit = 1e6;
+// Endpoints below the mean size get up to so many times longer before an answer is slow.
+constexpr double kMaxSlowStretch = 2;
+
+}  // namespace
+
+// A limit settles at about the root of its growth, and those of all sidecars add up, so for more than a few
+// of them growth falls with the square of their number. Limits bind only sidecars that are not blind, and of
+// these there can only be so many.
+ConcurrencyLimit::ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints)
+    : settings_(settings), endpoints_(endpoints) {
+  const double part = std::min(1.0, kFewSidecars / std::min(1 / kBlindCount, 1.0 * settings.sidecars));
+  startLimit_ = kStartLimit * part;
+  limitGrowth_ = std::pow(part, 2);
+}
+
+void ConcurrencyLimit::adjust(Upstream& upstream, const Request& request, const FinishedAttempt& attempt,
+                              const EventContext& context) const {
+  const bool answered = attempt.outcome == Outcome::Ok || attempt.outcome == Outcome::Error;
+  if (!answered && attempt.outcome != Outcome::Full && attempt.outcome != Outcome::Timeout) return;
+  if (answered && !isSlow(upstream, request, attempt.lag)) {
+    // Guards against limits that grow in quiet times and let the next burst crowd everybody.
+    if (upstream.inFlight + 2 > upstream.limit)
+      upstream.limit = std::min(kMaxLimit, upstream.limit + std::min(1.0, limitGrowth_ / upstream.limit));
+  } else if (answered && upstream.cpuShare && *upstream.cpuShare < kSpareCpu) {
+    return;  // slow, but not crowded
+  } else if (attempt.sentAt >= upstream.limitCutAt) {
+    upstream.limit = std::max(kMinLimit, upstream.limit * kLimitBackoff);
+    upstream.limitCutAt = context.now;
+  }
+  if (upstream.limit < 1 && !context.blind) {
+    // Guards against crowding by many sidecars at once, when one attempt from each is already too much.
+    const auto busy = static_cast<double>(std::max(attempt.lag, settings_.resolution));
+    rest(upstream, std::min(busy * (1 / upstream.limit - 1), 1.0 * kEjection), context);
+  }
+}
+
+// Half of what is allowed scales with the request's hint of work.
+bool ConcurrencyLimit::isSlow(const Upstream& upstream, const Request& request, Micros lag) const {
+  const double stretch = std::clamp(endpoints_.meanSize() / upstream.size, 1.0, kMaxSlowStretch);
+  const double line = kSlowPart * static_cast<double>(request.aim) * stretch * (1 + request.heaviness) / 2;
+  return static_cast<double>(lag - upstream.shortestLag) > line;
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/connection_subset.cpp
@@ -0,0 +1,94 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/connection_subset.h"
+
+#include <algorithm>
+
+#include "balancer/endpoint_readiness.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+// The home has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
+// least, so many a request out at most.
+constexpr double kUsesPerConnection = 4;
+constexpr double kMinHome = 4;
+constexpr double kHomePerInFlight = 4;
+
+}  // namespace
+
+// How many endpoints are worth a connection kept.
+double ConnectionSubset::homeSize(Micros now) const {
+  const double used = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
+  const double inFlight = sendRate_.usualInFlight(latency_.calmLag(), now);
+  return std::max(kMinHome, std::min(used, kHomePerInFlight * inFlight));
+}
+
+bool ConnectionSubset::hasHome(Micros now) const {
+  return settings_.idleClose > 0 && homeSize(now) < static_cast<double>(endpoints_.listed().size());
+}
+
+bool ConnectionSubset::isConnected(const Upstream& upstream, Micros now) const {
+  return upstream.connections > 0 && static_cast<double>(now - upstream.heardAt) < sendRate_.idleTime();
+}
+
+// Whether a send finds room on an open connection; where nothing is known of them it counts as found.
+bool ConnectionSubset::reuses(const Upstream& upstream, Micros now) const {
+  if (settings_.idleClose <= 0 || settings_.maxStreams == 0) return true;
+  return isConnected(upstream, now) && upstream.inFlight / settings_.maxStreams < upstream.connections;
+}
+
+bool ConnectionSubset::connect(Upstream& upstream, Micros now) const {
+  const bool connects = !reuses(upstream, now);
+  if (connects && upstream.inFlight == 0) upstream.connections = 0;  // what was open has idled out
+  return connects;
+}
+
+void ConnectionSubset::join(Upstream& upstream, Micros now) const {
+  if (settings_.idleClose > 0 && homeRoom(now) >= 1) upstream.home = true;
+}
+
+// Guards against what died with all its connections: a reset, or the second failed connect in a row.
+void ConnectionSubset::learnConnection(Upstream& upstream, const Attempt& attempt, Outcome outcome) {
+  const bool failed = outcome == Outcome::ConnectFailed;
+  if (outcome == Outcome::Reset || (failed && upstream.unreached)) upstream.connections = 0;
+  upstream.unreached = failed;
+  if (!attempt.connects || outcome == Outcome::Cancelled || outcome == Outcome::Timeout ||
+      outcome == Outcome::Moot)
+    return;
+  if (!failed) ++upstream.connections;
+}
+
+// How many more the home has room for.
+double ConnectionSubset::homeRoom(Micros now) const {
+  const auto& listed = endpoints_.listed();
+  return homeSize(now) -
+         static_cast<double>(std::count_if(listed.begin(), listed.end(),
+                                           [this](UpstreamId id) { return endpoints_[id].home; }));
+}
+
+void ConnectionSubset::settle(Upstream& upstream, const Request& request, Outcome outcome, Micros lag,
+                              Micros now) const {
+  if (settings_.idleClose <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
+  const double usual = latency_.typicalLag(request.requestClass) * request.heaviness;
+  const bool late = usual > 0 && static_cast<double>(lag) > kSilence * usual;
+  if (outcome != Outcome::Ok || late || !upstream.listed || homeRoom(now) < 0) upstream.home = false;
+}
+
+void ConnectionSubset::closeUnused(UpstreamId id, const EventContext& context) const {
+  if (endpoints_[id].inFlight > 0 || endpoints_[id].home || !hasHome(context.now)) return;
+  endpoints_[id].connections = 0;
+  context.act(CloseIdle{id});
+}
+
+void ConnectionSubset::hangUp(UpstreamId id, const EventContext& context) const {
+  if (settings_.hangUpWithin <= 0) return;
+  context.act(CloseIdle{id});
+  const Micros again = settings_.hangUpWithin - 2 * settings_.resolution;
+  if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::HangUp});
+}
+
+void ConnectionSubset::hangUpAgain(UpstreamId id, const EventContext& context) const {
+  if (!endpoints_[id].listed) context.act(CloseIdle{id});
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/connection_subset.h
@@ -0,0 +1,63 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
+#define ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
+
+#include "balancer/endpoint_registry.h"
+#include "balancer/event_context.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/request.h"
+#include "balancer/send_rate.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a subset, its
+/// home; connections to other endpoints, and to those that drain, are closed.
+///
+/// Where nothing is known of connections (Settings::idleClose 0) there is no home and only drains close.
+class ConnectionSubset {
+ public:
+  /// All must outlive it.
+  ConnectionSubset(const Settings& settings, EndpointRegistry& endpoints, const SendRate& sendRate,
+                   const LatencyStatistics& latency)
+      : settings_(settings), endpoints_(endpoints), sendRate_(sendRate), latency_(latency) {}
+
+  /// Whether traffic is too little to use every endpoint's connection: the home is smaller than the list.
+  [[nodiscard]] bool hasHome(Micros now) const;
+  /// Whether a connection to it stands open, as far as attempts have told.
+  [[nodiscard]] bool isConnected(const Upstream& upstream, Micros now) const;
+
+  /// An attempt is about to be sent, not yet in flight.
+  /// @return whether it needs a new connection; where nothing is known of them it does not
+  bool connect(Upstream& upstream, Micros now) const;
+  /// An attempt was sent: the endpoint joins the home while there is room.
+  void join(Upstream& upstream, Micros now) const;
+  /// Learns from the outcome of an attempt which connections are open.
+  static void learnConnection(Upstream& upstream, const Attempt& attempt, Outcome outcome);
+  /// An endpoint that did not answer well, after `lag` microseconds, leaves the home.
+  void settle(Upstream& upstream, const Request& request, Outcome outcome, Micros lag, Micros now) const;
+
+  /// Guards against connections that many sidecars with little traffic keep open to no use: they fill the
+  /// endpoints' tables. One that will idle out before its next use is closed at once.
+  void closeUnused(UpstreamId id, const EventContext& context) const;
+  /// Guards against idle connections that hold up a drain: they are closed at the notice, at each outcome
+  /// there, and once more shortly before the time is up (Settings::hangUpWithin): some become idle without an
+  /// outcome.
+  void hangUp(UpstreamId id, const EventContext& context) const;
+  /// That time is nearly up.
+  void hangUpAgain(UpstreamId id, const EventContext& context) const;
+
+ private:
+  [[nodiscard]] bool reuses(const Upstream& upstream, Micros now) const;
+  [[nodiscard]] double homeSize(Micros now) const;
+  [[nodiscard]] double homeRoom(Micros now) const;
+
+  const Settings& settings_;
+  EndpointRegistry& endpoints_;
+  const SendRate& sendRate_;
+  const LatencyStatistics& latency_;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_CONNECTION_SUBSET_H_
--- /dev/null
+++ b/src/balancer/endpoint_readiness.h
@@ -0,0 +1,57 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
+#define ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
+
+#include <algorithm>
+
+#include "balancer/endpoint_registry.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/slow_start.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// An endpoint with attempts out is silent after this many times the usual time to an answer.
+constexpr double kSilence = 4;
+
+/// Whether an endpoint may get an attempt now, by all that is known of it: listed and serving, not too cold,
+/// not ejected, not resting, not silent, and below its concurrency limit.
+class EndpointReadiness {
+ public:
+  /// Both must outlive it.
+  EndpointReadiness(const SlowStart& slowStart, const LatencyStatistics& latency)
+      : slowStart_(slowStart), latency_(latency) {}
+
+  [[nodiscard]] bool isReady(const Upstream& upstream, Micros now) const {
+    if (!upstream.listed || !slowStart_.hasColdCredit(upstream, now)) return false;
+    if (now < upstream.ejectedUntil || now < upstream.pausedUntil) return false;
+    if (upstream.halfOpen && (upstream.inFlight > 0 || !mayTry(upstream, now))) return false;
+    if (isSilent(upstream, now)) return false;
+    return upstream.inFlight == 0 || static_cast<double>(upstream.inFlight) + 1 <= upstream.limit;
+  }
+
+  /// It takes requests and answers none: no time-out has come yet, but the others would have answered by now.
+  [[nodiscard]] bool isSilent(const Upstream& upstream, Micros now) const {
+    return upstream.inFlight > 0 &&
+           static_cast<double>(now - upstream.heardAt) > kSilence * latency_.overallLag();
+  }
+
+  /// Whether one that is out may get a trial of this sidecar. Guards against trials by all sidecars at once:
+  /// where others say something of it, each trial is one sidecar's turn.
+  [[nodiscard]] static bool mayTry(const Upstream& upstream, Micros now) {
+    return now >= upstream.toldUntil || upstream.turn;
+  }
+
+  [[nodiscard]] bool anyReady(const EndpointRegistry& endpoints, Micros now) const {
+    return std::any_of(endpoints.listed().begin(), endpoints.listed().end(),
+                       [&](UpstreamId id) { return isReady(endpoints[id], now); });
+  }
+
+ private:
+  const SlowStart& slowStart_;
+  const LatencyStatistics& latency_;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_READINESS_H_
--- /dev/null
+++ b/src/balancer/endpoint_selection.cpp
@@ -0,0 +1,106 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/endpoint_selection.h"
+
+#include <algorithm>
+#include <cmath>
+#include <functional>
+
+namespace orchiddrum::internal {
+namespace {
+
+// Odds of a cold endpoint that has its credit, and of a trial that is this sidecar's turn, against all warm
+// ones together: its turn has come already.
+constexpr double kColdOdds = 0.125;
+// Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
+constexpr double kCrossZoneOdds = 0.25;
+// All endpoints away from home together keep this share of the draws, so that better ones are found.
+constexpr double kAwayShare = 0.02;
+
+}  // namespace
+
+const std::vector<UpstreamId>& EndpointSelection::eligible(const Request& request, const Permission& may,
+                                                           Micros now) {
+  eligible_.clear();
+  if (!may.send) return eligible_;
+  for (const UpstreamId id : endpoints_.listed()) {
+    const Upstream& upstream = endpoints_[id];
+    if (readiness_.isReady(upstream, now) && retryPolicy_.mayGoTo(id, upstream, request, may, now))
+      eligible_.push_back(id);
+  }
+  // A repeat goes to an endpoint that this request has not met, as long as there is one.
+  const auto met = [&](UpstreamId id) {
+    return std::any_of(request.attempts.begin(), request.attempts.end(),
+                       [id](const Attempt& attempt) { return attempt.upstream == id; });
+  };
+  const auto fresh = std::stable_partition(eligible_.begin(), eligible_.end(), std::not_fn(met));
+  if (fresh != eligible_.begin()) eligible_.erase(fresh, eligible_.end());
+  return eligible_;
+}
+
+const std::vector<UpstreamId>& EndpointSelection::lastResort(const Request& request, const Permission& may,
+                                                             Micros now) {
+  eligible_.clear();
+  for (const UpstreamId id : endpoints_.listed()) {
+    const Upstream& upstream = endpoints_[id];
+    const bool free = upstream.halfOpen && upstream.answers && upstream.inFlight == 0 &&
+                      EndpointReadiness::mayTry(upstream, now);
+    if (free && retryPolicy_.mayGoTo(id, upstream, request, may, now)) eligible_.push_back(id);
+  }
+  return eligible_;
+}
+
+// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
+// spare, the less it is preferred.
+double EndpointSelection::zoneOdds(const Upstream& upstream) const {
+  if (settings_.crossZonePrice <= 0 || upstream.zone == settings_.zone) return 1;
+  return std::pow(kCrossZoneOdds, std::min(1.0, (1 - loadReports_.ownZoneCpu()) / (1 - kSpareCpu)));
+}
+
+// How well an endpoint suits a request, around one. It follows the registered size: at zero counts the draw
+// decides alone, and a blind uniform draw overloads the small. Heavy requests bend it further and light
+// ones less: on a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
+double EndpointSelection::suits(const Request& request, const Upstream& upstream, Micros now) const {
+  const double speed = upstream.size / endpoints_.meanSize() / std::sqrt(slowness(upstream, now));
+  double bend = std::pow(speed, std::sqrt(request.heaviness));
+  bend = std::clamp(bend, 1 / kMaxBias, kMaxBias);
+  return bend * zoneOdds(upstream);
+}
+
+UpstreamId EndpointSelection::draw(const std::vector<UpstreamId>& eligible, const Request& request,
+                                   const EventContext& context) {
+  const Micros now = context.now;
+  odds_.clear();
+  double home = 0;
+  double away = 0;
+  for (const UpstreamId id : eligible) {
+    const Upstream& upstream = endpoints_[id];
+    odds_.push_back(suits(request, upstream, now));
+    if (slowStart_.warmth(upstream, now) >= 1) (upstream.home ? home : away) += odds_.back();
+  }
+  const bool apart = home > 0 && away > 0 && subset_.hasHome(now);
+  const double cut = apart ? std::min(1.0, kAwayShare / (1 - kAwayShare) * home / away) : 1;
+  const double cold = kColdOdds * (home + away * cut);
+  double sum = 0;
+  for (std::size_t n = 0; n < eligible.size(); ++n) {
+    const Upstream& upstream = endpoints_[eligible[n]];
+    const bool due = slowStart_.warmth(upstream, now) < 1 || (upstream.halfOpen && now < upstream.toldUntil);
+    sum += due ? std::max(odds_[n], cold * zoneOdds(upstream)) : odds_[n] * (upstream.home ? 1 : cut);
+    odds_[n] = sum;
+  }
+  const auto at =
+      std::upper_bound(odds_.begin(), odds_.end(), context.random.uniform() * sum) - odds_.begin();
+  return eligible[std::min<std::size_t>(static_cast<std::size_t>(at), eligible.size() - 1)];
+}
+
+UpstreamId EndpointSelection::pick(const std::vector<UpstreamId>& eligible, const Request& request,
+                                   const EventContext& context) {
+  const UpstreamId drawn = draw(eligible, request, context);
+  const bool comparable = std::find(eligible.begin(), eligible.end(), slot_) != eligible.end();
+  const bool slotLighter = comparable && endpoints_[slot_].inFlight < endpoints_[drawn].inFlight;
+  const bool drawnLighter = slot_ == kNone || endpoints_[drawn].inFlight < endpoints_[slot_].inFlight;
+  const UpstreamId picked = slotLighter ? slot_ : drawn;
+  if (drawnLighter) slot_ = drawn;
+  return picked;
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/endpoint_selection.h
@@ -0,0 +1,78 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
+#define ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
+
+#include <optional>
+#include <vector>
+
+#include "balancer/connection_subset.h"
+#include "balancer/endpoint_readiness.h"
+#include "balancer/endpoint_registry.h"
+#include "balancer/event_context.h"
+#include "balancer/load_reports.h"
+#include "balancer/request.h"
+#include "balancer/retry_policy.h"
+#include "balancer/slow_start.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// Which endpoint an attempt goes to: one random draw against one remembered endpoint, compared by this
+/// sidecar's own requests in flight. The remembered one wins only when it is strictly lighter; the memory
+/// moves to the draw only when that is strictly lighter or nothing is remembered (docs/DESIGN-ivypost.md).
+class EndpointSelection {
+ public:
+  /// All must outlive it.
+  EndpointSelection(const Settings& settings, const EndpointRegistry& endpoints, const SlowStart& slowStart,
+                    const EndpointReadiness& readiness, const RetryPolicy& retryPolicy,
+                    const LoadReports& loadReports, const ConnectionSubset& subset)
+      : settings_(settings),
+        endpoints_(endpoints),
+        slowStart_(slowStart),
+        readiness_(readiness),
+        retryPolicy_(retryPolicy),
+        loadReports_(loadReports),
+        subset_(subset) {}
+
+  /// The ready endpoints that the rules allow the request; those it has not met, as long as there is one.
+  /// @return a list that is valid until the next call of eligible() or lastResort()
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may, Micros now);
+
+  /// Ejected endpoints that answer at all, are free, and that the rules allow the request.
+  /// @return as eligible()
+  const std::vector<UpstreamId>& lastResort(const Request& request, const Permission& may, Micros now);
+
+  /// One of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
+  UpstreamId pick(const std::vector<UpstreamId>& eligible, const Request& request,
+                  const EventContext& context);
+
+  /// The remembered endpoint, if there is one.
+  [[nodiscard]] std::optional<UpstreamId> remembered() const {
+    return slot_ == kNone ? std::nullopt : std::optional<UpstreamId>(slot_);
+  }
+  /// The list has changed: one that left it is remembered no more.
+  void forgetUnlisted() {
+    if (slot_ != kNone && !endpoints_[slot_].listed) slot_ = kNone;
+  }
+
+ private:
+  [[nodiscard]] double zoneOdds(const Upstream& upstream) const;
+  [[nodiscard]] double suits(const Request& request, const Upstream& upstream, Micros now) const;
+  UpstreamId draw(const std::vector<UpstreamId>& eligible, const Request& request,
+                  const EventContext& context);
+
+  const Settings& settings_;
+  const EndpointRegistry& endpoints_;
+  const SlowStart& slowStart_;
+  const EndpointReadiness& readiness_;
+  const RetryPolicy& retryPolicy_;
+  const LoadReports& loadReports_;
+  const ConnectionSubset& subset_;
+  UpstreamId slot_ = kNone;  // the remembered endpoint
+  std::vector<UpstreamId> eligible_;
+  std::vector<double> odds_;  // running sums, for the draw
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_ENDPOINT_SELECTION_H_
--- /dev/null
+++ b/src/balancer/load_reports.cpp
@@ -0,0 +1,63 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#include "balancer/load_reports.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "figures.h"
+
+namespace orchiddrum::internal {
+namespace {
+
+// Crowded is one with more in hand than it works on at once and so many times the root of that, for chance.
+constexpr double kQueueing = 1;
+// Weights of a report that tells of fewer, and of more, requests worked on at once than thought: CPU shares
+// trail, so reports tell of far too many while load rises.
+constexpr double kAtOnceFalls = 0.1;
+constexpr double kAtOnceRises = 0.02;
+// A CPU busier than this tells how many requests would fill it.
+constexpr double kTellingCpu = 0.3;
+// Weight of one report in the own zone's CPU share.
+constexpr double kZoneCpuGain = 0.2;
+constexpr double kMicrosPerSecond = 1e6;
+
+}  // namespace
+
+// An endpoint works on as many requests at once as it has in hand less those waiting; or as it would have in
+// hand if its CPU had nothing to spare; or, when it has none, as the time to an answer leaves of them against
+// that of calm times (Little's law).
+void LoadReports::learn(Upstream& upstream, const LoadReport& report) {
+  if (report.cpuShare) {
+    upstream.cpuShare = within(*report.cpuShare, 0, 1);
+    if (upstream.zone == settings_.zone) smooth(ownZoneCpu_, *upstream.cpuShare, kZoneCpuGain);
+  }
+  if (!report.busyRequests) return;
+  upstream.reported = true;
+  double atOnce = 0;
+  if (report.queued && *report.queued >= 1) {
+    atOnce = *report.busyRequests - *report.queued;
+  } else if (report.cpuShare && *report.cpuShare >= kSpareCpu) {
+    atOnce =
+        std::min(*report.busyRequests * latency_.calmLag() / latency_.overallLag(), atOnce_ * upstream.size);
+  } else if (report.cpuShare && *report.cpuShare > kTellingCpu) {
+    atOnce = *report.busyRequests / *report.cpuShare;
+  }
+  atOnce /= upstream.size;
+  if (!(atOnce > 0)) return;  // nothing, or not a number
+  const double known = atOnce < atOnce_ ? kAtOnceFalls : kAtOnceRises;
+  smooth(atOnce_, atOnce, atOnce_ <= 0 ? 1 : known);
+}
+
+bool LoadReports::isCrowded(const Request& request, const Upstream& upstream,
+                            const LoadReport& report) const {
+  const double busy = *report.busyRequests;
+  // Little's law: what is in hand over what is served a second is the time that a request spends there.
+  if (report.servedPerSecond) {
+    return busy >= 2 &&
+           busy * kMicrosPerSecond > *report.servedPerSecond * kSlowPart * static_cast<double>(request.aim);
+  }
+  const double atOnce = atOnce_ * upstream.size;
+  return atOnce > 0 && busy + 1 > atOnce + kQueueing * std::sqrt(atOnce);
+}
+
+}  // namespace orchiddrum::internal
--- /dev/null
+++ b/src/balancer/load_shedding.h
@@ -0,0 +1,69 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
+#define ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
+
+#include <optional>
+#include <vector>
+
+#include "balancer/event_context.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/priority.h"
+#include "balancer/request.h"
+#include "balancer/sidecar_limit.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// Requests that are held because nobody is ready for them, and what a refused one is told.
+///
+/// Requests are only ever held when nobody is ready, so their order acts only in scarcity: by what they are
+/// worth, then the newest, since the oldest are the likeliest to be late whatever is done. Each is held for
+/// as long as it can still be served in time (Request::holdUntil); the caller bounds how many are open.
+class LoadShedding {
+ public:
+  /// All must outlive it.
+  LoadShedding(const Settings& settings, const Priority& priority, const LatencyStatistics& latency,
+               const SidecarLimit& sidecarLimit)
+      : settings_(settings), priority_(priority), latency_(latency), sidecarLimit_(sidecarLimit) {}
+
+  void hold(RequestId id, const Request& request, const EventContext& context);
+  /// The request is held no more, if it was.
+  void release(RequestId id) { std::erase(held_, id); }
+  [[nodiscard]] std::size_t size() const { return held_.size(); }
+
+  /// The sidecar rests: those held are looked at again when that ends for them.
+  void wakeAfterRest(const RequestTable& requests, const EventContext& context) const;
+
+  /// Takes off the worthiest of those held that `isServable(request)` says can go out now; none if none can.
+  template <class IsServable>
+  std::optional<RequestId> takeWorthiest(const RequestTable& requests, IsServable isServable) {
+    auto next = held_.end();
+    double bestWorth = -1;
+    for (auto at = held_.end(); at-- != held_.begin();) {
+      const Request& request = requests.at(*at);
+      const double worth = priority_.heldWorth(request);
+      if (worth <= bestWorth || !isServable(request)) continue;
+      next = at;
+      bestWorth = worth;
+    }
+    if (next == held_.end()) return std::nullopt;
+    const RequestId id = *next;
+    held_.erase(next);
+    return id;
+  }
+
+  /// When a refused client may come back, in microseconds, up to Settings::maxRetryAfter; 0: no advice. Draws
+  /// a random number where there is advice.
+  [[nodiscard]] Micros comeBack(const EventContext& context) const;
+
+ private:
+  const Settings& settings_;
+  const Priority& priority_;
+  const LatencyStatistics& latency_;
+  const SidecarLimit& sidecarLimit_;
+  std::vector<RequestId> held_;  // in the order they came to be held
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_LOAD_SHEDDING_H_
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -4,6 +4,7 @@
 
 #include <cstdint>
 #include <optional>
+#include <unordered_map>
 #include <vector>
 
 #include "balancer/endpoint_registry.h"
@@ -45,6 +46,10 @@
   bool earned = false;     ///< cold upstreams have had their credit for it
 };
 
+/// The requests that are open or have an attempt out, by id: looked up only, never iterated, so their order
+/// decides nothing.
+using RequestTable = std::unordered_map<RequestId, Request>;
+
 }  // namespace orchiddrum::internal
 
 #endif  // ORCHIDDRUM_BALANCER_REQUEST_H_
--- /dev/null
+++ b/src/balancer/request_lifecycle.h
@@ -0,0 +1,71 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
+#define ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
+
+#include <cstddef>
+#include <vector>
+
+#include "balancer/decisions.h"
+#include "balancer/event_context.h"
+#include "balancer/request.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// The way of every request from its arrival to its final answer: sent, held, looked for, sent again,
+/// answered.
+///
+/// Invariant: a request that was taken gets one final answer by its deadline, unless its client has left or
+/// an answer has begun to stream. Deadlines are by this sidecar's clock.
+class RequestLifecycle {
+ public:
+  /// `decisions` must outlive it.
+  explicit RequestLifecycle(Decisions& decisions) : d_(decisions) {}
+
+  /// @throws std::invalid_argument for an event that names what the settings or the open requests do not have
+  void validate(const NewRequest& event) const;
+  void validate(const AttemptOutcome& event) const;
+
+  void on(const NewRequest& event, const EventContext& context);
+  void on(const AttemptOutcome& event, const EventContext& context);
+  /// @throws std::invalid_argument for an attempt that was never sent
+  void on(const AttemptStarted& event, const EventContext& context);
+  void on(const Withdrawn& event, const EventContext& context);
+  void on(const ProbeResult& event, const EventContext& context);
+
+  /// Timers of a request: an overdue look, the end of its hold, and its deadline. Ignored where the request
+  /// is gone or the moment has moved.
+  void onDeadline(const Wake& wake, const EventContext& context);
+
+  /// Gives held requests another look, the worthiest first, for as long as somebody is ready for one of them.
+  void serveHeld(const EventContext& context);
+
+  /// Requests without a final answer.
+  [[nodiscard]] std::size_t open() const { return open_; }
+
+ private:
+  [[nodiscard]] Permission permission(const Request& request, const EventContext& context);
+  const std::vector<UpstreamId>& eligible(const Request& request, const Permission& may,
+                                          const EventContext& context);
+  void dispatch(RequestId id, Request& request, const EventContext& context);
+  void giveUp(RequestId id, Request& request, const EventContext& context);
+  void send(RequestId id, Request& request, UpstreamId to, const EventContext& context);
+  void endLook(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
+  void answer(RequestId id, Request& request, const EventContext& context);
+  void close(RequestId id, Request& request, const EventContext& context);
+  void cancelAllBut(std::uint32_t kept, RequestId id, const Request& request,
+                    const EventContext& context) const;
+  void leaveCount(Attempt& attempt);
+  void learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
+             const EventContext& context);
+  void learnConnections(const Request& request, const Attempt& attempt, const FinishedAttempt& finished,
+                        bool isOtherwiseConnected, const EventContext& context);
+
+  Decisions& d_;
+  RequestTable requests_;
+  std::size_t open_ = 0;
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_REQUEST_LIFECYCLE_H_
--- /dev/null
+++ b/src/balancer/sidecar_limit.h
@@ -0,0 +1,68 @@
+// Copyright 2026 The orchiddrum authors. SPDX-License-Identifier: Apache-2.0
+#ifndef ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
+#define ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
+
+#include "balancer/endpoint_readiness.h"
+#include "balancer/endpoint_registry.h"
+#include "balancer/event_context.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/priority.h"
+#include "balancer/request.h"
+#include "balancer/send_rate.h"
+#include "orchiddrum/balancer.h"
+
+namespace orchiddrum::internal {
+
+/// A limit and rests of the whole sidecar, which bind it while it is without load information. Guards against
+/// storms when everybody is full: pauses and limits of single endpoints do not bind such a sidecar, which
+/// always finds another.
+class SidecarLimit {
+ public:
+  /// All must outlive it.
+  SidecarLimit(const EndpointRegistry& endpoints, const EndpointReadiness& readiness,
+               const LatencyStatistics& latency, const SendRate& sendRate, const Priority& priority)
+      : endpoints_(endpoints),
+        readiness_(readiness),
+        latency_(latency),
+        sendRate_(sendRate),
+        priority_(priority) {}
+
+  /// An attempt went out.
+  void countSend() { ++out_; }
+  /// An attempt is no longer in flight.
+  void countEnd() { --out_; }
+  /// How many are.
+  [[nodiscard]] double out() const { return out_; }
+
+  /// Takes an outcome (after `lag` microseconds) into the limit.
+  /// @return whether the whole sidecar rests from now on
+  bool restIfCrowded(const Request& request, Outcome outcome, Micros lag, const EventContext& context);
+
+  /// Until when a rest of the sidecar lasts for the request: the less it is worth against the worthiest, the
+  /// longer.
+  [[nodiscard]] Micros restEnd(const Request& request) const;
+
+  /// Whether no endpoint would get the request now, however many are ready.
+  [[nodiscard]] bool isHeldUp(const Request& request, const EventContext& context) const {
+    return (restFor_ > 0 && context.now < restEnd(request)) || isWholeOut(context);
+  }
+
+  /// Whether a sidecar without load information has all out that it may.
+  [[nodiscard]] bool isWholeOut(const EventContext& context) const;
+
+ private:
+  const EndpointRegistry& endpoints_;
+  const EndpointReadiness& readiness_;
+  const LatencyStatistics& latency_;
+  const SendRate& sendRate_;
+  const Priority& priority_;
+  double wholeLimit_ = 1;  // of out_
+  double out_ = 0;         // attempts without an outcome
+  int crowdedInRow_ = 0;   // outcomes that tell of crowding, of any endpoints
+  Micros restFrom_ = 0;    // the whole sidecar rests ...
+  double restFor_ = 0;     // ... for this long, in microseconds, a request of half the greatest worth
+};
+
+}  // namespace orchiddrum::internal
+
+#endif  // ORCHIDDRUM_BALANCER_SIDECAR_LIMIT_H_
