--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -24,9 +24,9 @@
 // Probes. Probe asks for one ProbeResult, whatever comes of it; a result that never comes is given up.
 //
 // Not decided on yet. Some settings are part of the interface, but no decision reads them: kinds (checked
-// only), hasKeyAffinity and with it key, maxOpen, reports, wastePrice, answerSlack, drainGrace, fallWindow,
-// quotaPerSecond. The module is stricter than the last ones ask: it answers by the deadline, stops sending at
-// once, and keeps slow start over any window.
+// only), hasKeyAffinity and with it key, maxOpen, reportSource, wasteCost, answerSlack, drainGrace,
+// fallWindow, quotaPerSecond. The module is stricter than the last ones ask: it answers by the deadline,
+// stops sending at once, and keeps slow start over any window.
 //
 // Misuse. handle() throws std::invalid_argument, and changes nothing, for a class, zone or tenant index
 // outside the settings, a request id that is already open, a negative or infinite size (zero: unknown, taken
@@ -69,7 +69,7 @@
   RetryGroup group = RetryGroup::All;
   Micros retryWindow = 0;
   double lateWeight = 0;
-  double value = 1;
+  double weight = 1;
   bool stream = false;
 };
 
@@ -105,11 +105,11 @@
   bool hasKeyAffinity = false;  // serving a key again soon costs an upstream less
   bool weightByWork = false;
   double overShareWeight = 1;  // worth of traffic beyond a tenant's share, as part of its class's worth
-  double crossZonePrice = 0;
-  double probePrice = 0;
-  double wastePrice = 0;
-  ReportSource reports = ReportSource::None;
-  bool reportsBusy = false;  // reports tell the requests that an upstream has in hand
+  double crossZoneCost = 0;
+  double probeCost = 0;
+  double wasteCost = 0;
+  ReportSource reportSource = ReportSource::None;
+  bool reportsBusyRequests = false;  // reports tell the requests that an upstream has in hand
 
   Micros answerSlack = 0;
   Micros pollWithin = 0;
@@ -171,13 +171,13 @@
   std::uint32_t attempt = 0;
   EndpointId upstream = 0;
   Outcome outcome = Outcome::Ok;
-  Micros lag = 0;     // since it was sent
-  bool last = false;  // the request is over
+  Micros latency = 0;        // since it was sent
+  bool endsRequest = false;  // the request is over
   std::optional<LoadReport> report;
   // Part of the time since then in which the client's own pace held the transfer up: the upstream is not slow
   // for it.
-  Micros transfer = 0;
-  bool spent = false;  // the request's body is no longer at hand, so it can't be sent again
+  Micros clientLimitedTime = 0;
+  bool isBodyConsumed = false;  // the request's body is no longer at hand, so it can't be sent again
 };
 
 struct AttemptStarted {  // a streamed answer has begun; the attempt is now the client's
@@ -192,7 +192,7 @@
 struct ProbeResult {
   EndpointId upstream = 0;
   bool ok = false;
-  Micros lag = 0;
+  Micros latency = 0;
   std::optional<LoadReport> report;
 };
 
@@ -201,21 +201,22 @@
 // Takes away from what the settings allow, until the next such event; the default takes nothing. For a
 // sidecar that is itself short of something.
 struct ReducedService {
-  bool mayHedge = true;  // a second attempt beside one that is out
-  double probes = 1;     // the part of the usual probes; 0 to 1, others are brought into range
+  bool mayHedge = true;      // a second attempt beside one that is out
+  double probeFraction = 1;  // the part of the usual probes; 0 to 1, others are brought into range
 };
 
-// What the other sidecars that this one hears say of an upstream. It counts for `holds` and is told anew for
-// as long as there is something to say; who never tells it has the module as it is without. It can take an
-// upstream out or permit a trial of one that is out, and never lets anything go to one that the rules forbid.
+// What the other sidecars that this one hears say of an upstream. It counts for `validFor` and is told anew
+// for as long as there is something to say; who never tells it has the module as it is without. It can take
+// an upstream out or permit a trial of one that is out, and never lets anything go to one that the rules
+// forbid.
 struct HealthReport {
   EndpointId upstream = 0;
-  Micros launchedAt = 0;        // the life it is said of, as the list has it; of another it counts nothing
-  std::uint32_t sidecars = 0;   // that are heard, this one among them
-  std::uint32_t witnesses = 0;  // others that find it bad, each by attempts of its own
-  bool well = false;            // one of them was served by it since
-  bool turn = true;             // if it is out, its next trial is this sidecar's
-  Micros holds = 0;             // 0 to 2 s; others are brought into range
+  Micros launchedAt = 0;  // the life it is said of, as the list has it; of another it counts nothing
+  std::uint32_t reachableSidecars = 0;  // that are heard, this one among them
+  std::uint32_t unhealthyReports = 0;   // others that find it bad, each by attempts of its own
+  bool hasHealthyReport = false;        // one of them was served by it since
+  bool ownsNextTrial = true;            // if it is out, its next trial is this sidecar's
+  Micros validFor = 0;                  // 0 to 2 s; others are brought into range
 };
 
 using Event = std::variant<MembershipUpdate, NewRequest, AttemptStarted, AttemptOutcome, Withdrawn,
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -82,7 +82,7 @@
 
   void on(const ReducedService& event, const EventContext&) {
     decisions_.reduced = event;
-    decisions_.reduced.probes = util::within(event.probes, 0, 1);
+    decisions_.reduced.probeFraction = util::within(event.probeFraction, 0, 1);
   }
 
   void on(const HealthReport& event, const EventContext& context) {
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -59,7 +59,7 @@
   /// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
   /// spare, the less it is preferred.
   [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
-    return settings_.crossZonePrice <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
+    return settings_.crossZoneCost <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
   }
   [[nodiscard]] double crossZoneOdds() const;
   EndpointId draw(const std::vector<EndpointId>& eligible, const Request& request,
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -32,17 +32,17 @@
       endpoints_(endpoints),
       loadReports_(loadReports),
       priority_(priority),
-      isEnabled_(settings.mayProbe && settings.reportsBusy && settings.probePrice <= kMaxProbePrice),
+      isEnabled_(settings.mayProbe && settings.reportsBusyRequests && settings.probeCost <= kMaxProbePrice),
       probeLatency_(std::max<std::uint32_t>(1, settings.zones)) {}
 
 bool HealthCheck::shouldProbe(const Request& request, const ReducedService& reduced,
                               const EventContext& context) {
   if (!isEnabled_ || !context.lacksLoadInformation ||
-      request.probes >= maxProbes(request, settings_.probePrice))
+      request.probes >= maxProbes(request, settings_.probeCost))
     return false;
-  probeCredit_ = std::min(1.0, probeCredit_ + reduced.probes);
+  probeCredit_ = std::min(1.0, probeCredit_ + reduced.probeFraction);
   if (probeCredit_ < 1) return false;
-  probeCredit_ -= reduced.probes < 1 ? 1 : 0;
+  probeCredit_ -= reduced.probeFraction < 1 ? 1 : 0;
   return true;
 }
 
@@ -67,7 +67,7 @@
 void HealthCheck::learn(const ProbeResult& event) {
   Endpoint& endpoint = endpoints_[event.upstream];
   double& probeLatency = probeLatency_[endpoint.zone];
-  util::smooth(probeLatency, static_cast<double>(event.lag), probeLatency > 0 ? kLatencyGain : 1);
+  util::smooth(probeLatency, static_cast<double>(event.latency), probeLatency > 0 ? kLatencyGain : 1);
   if (event.report) loadReports_.learn(endpoint, *event.report);
   previousUsualInHand_ = usualInHand_;
   const double inHand = requestsInHand(event, endpoint);
@@ -87,7 +87,7 @@
 
 bool HealthCheck::acceptsPick(const Request& request, Verdict verdict) const {
   if (verdict == Verdict::HasCapacity) return true;
-  return verdict == Verdict::BusierThanUsual && request.probes >= maxProbes(request, settings_.probePrice);
+  return verdict == Verdict::BusierThanUsual && request.probes >= maxProbes(request, settings_.probeCost);
 }
 
 // Guards against rejecting for one overloaded endpoint a request whose other probes have met capacity. One
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -58,12 +58,14 @@
   if (!endpoints_.contains(event.upstream)) return;
   Endpoint& endpoint = endpoints_[event.upstream];
   if (!endpoint.isListed || event.launchedAt != endpoint.launchedAt) return;
-  endpoint.notifiedUntil = context.now + std::clamp<Micros>(event.holds, 0, kMaxReportValidity);
-  endpoint.isOwnTurn = event.turn || event.well;
-  if (event.well && endpoint.isHalfOpen) endpoint.ejectedUntil = std::min(endpoint.ejectedUntil, context.now);
-  const std::uint32_t enough = event.sidecars < kFewReachable ? kRequiredWitnesses - 1 : kRequiredWitnesses;
-  if (event.well || endpoint.isHalfOpen || context.now - endpoint.lastServedAt < kOwnEvidenceLasts ||
-      event.witnesses < enough)
+  endpoint.notifiedUntil = context.now + std::clamp<Micros>(event.validFor, 0, kMaxReportValidity);
+  endpoint.isOwnTurn = event.ownsNextTrial || event.hasHealthyReport;
+  if (event.hasHealthyReport && endpoint.isHalfOpen)
+    endpoint.ejectedUntil = std::min(endpoint.ejectedUntil, context.now);
+  const std::uint32_t enough =
+      event.reachableSidecars < kFewReachable ? kRequiredWitnesses - 1 : kRequiredWitnesses;
+  if (event.hasHealthyReport || endpoint.isHalfOpen ||
+      context.now - endpoint.lastServedAt < kOwnEvidenceLasts || event.unhealthyReports < enough)
     return;
   const auto another = [&](EndpointId id) {
     return id != event.upstream && readiness_.isReady(endpoints_[id], context.now);
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -36,7 +36,7 @@
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
   const double latency = typical > 0 ? typical : latency_.overallLatency();
-  return settings_.classes[cls].value / (settings_.weightByWork ? 1 : std::max(1.0, latency));
+  return settings_.classes[cls].weight / (settings_.weightByWork ? 1 : std::max(1.0, latency));
 }
 
 void Priority::countUsage(const Request& request, Micros now) {
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -22,7 +22,7 @@
   /// An attempt of the request is sent.
   void countUsage(const Request& request, Micros now);
 
-  /// In the unit of RequestClass::value, or that by microsecond of work (Settings::weightByWork).
+  /// In the unit of RequestClass::weight, or that by microsecond of work (Settings::weightByWork).
   [[nodiscard]] double weight(const Request& request) const;
   /// Against the class of the greatest weight, from kMinRelativeWeight to 1.
   [[nodiscard]] double relativeWeight(const Request& request) const;
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -155,11 +155,11 @@
   attempt.mayHaveRun = !provesNeverRan(event.outcome);
   --request.pendingAttempts;
   leaveCount(attempt);
-  request.isBodySpent = request.isBodySpent || event.spent;
+  request.isBodySpent = request.isBodySpent || event.isBodyConsumed;
   learn(event, request, attempt, context);
   if (request.isFinished) {
     if (request.pendingAttempts == 0) requests_.erase(found);
-  } else if (event.last) {
+  } else if (event.endsRequest) {
     close(event.request, request, context);
   } else if (request.pendingAttempts == 0) {
     dispatch(event.request, request, context);  // nothing of it is out any more
@@ -171,7 +171,7 @@
                              const EventContext& context) {
   Endpoint& endpoint = decisions_.endpoints[attempt.endpoint];
   endpoint.lastOutcomeAt = context.now;
-  const FinishedAttempt finished{attempt.sentAt, context.now - attempt.sentAt - event.transfer,
+  const FinishedAttempt finished{attempt.sentAt, context.now - attempt.sentAt - event.clientLimitedTime,
                                  event.outcome};
   ConnectionSubset::learnConnection(endpoint, attempt, event.outcome);
   // A connect that failed where other connections stand says nothing of the endpoint.
--- a/src/settings/site.cpp
+++ b/src/settings/site.cpp
@@ -62,7 +62,7 @@
   c.group = toGroup(line.find(prefix + "group").value_or("all"));
   c.retryWindow = toTime(line, prefix + "repeatWindow");
   c.lateWeight = line.number(prefix + "lateWorth", 0);
-  c.value = line.number(prefix + "value", 1);
+  c.weight = line.number(prefix + "value", 1);
   c.stream = line.flag(prefix + "stream");
   return c;
 }
@@ -128,16 +128,16 @@
 void readPrices(const Line& line, balancer::Settings& settings) {
   settings.weightByWork = line.find("worthBy").value_or("request") == "work";
   settings.overShareWeight = line.number("overShareWorth", 1);
-  settings.crossZonePrice = line.number("prices.crossZone", 0);
-  settings.probePrice = line.number("prices.probe", 0);
-  settings.wastePrice = line.number("prices.waste", 0);
+  settings.crossZoneCost = line.number("prices.crossZone", 0);
+  settings.probeCost = line.number("prices.probe", 0);
+  settings.wasteCost = line.number("prices.waste", 0);
 }
 
 void readReports(const Line& line, Site& site) {
-  site.settings.reports = toReportSource(line.find("report.how").value_or("none"));
+  site.settings.reportSource = toReportSource(line.find("report.how").value_or("none"));
   for (const std::string_view column : split(line.find("report.columns").value_or(""), ',')) {
     site.columns.push_back(toColumn(column));
-    site.settings.reportsBusy |= site.columns.back() == balancer::ReportColumn::BusyRequests;
+    site.settings.reportsBusyRequests |= site.columns.back() == balancer::ReportColumn::BusyRequests;
   }
 }
 
--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -44,8 +44,8 @@
   std::vector<double> weights;
   double greatest = 0;
   for (const auto& requestClass : classes) {
-    weights.push_back(requestClass.value);
-    greatest = std::max(greatest, requestClass.value);
+    weights.push_back(requestClass.weight);
+    greatest = std::max(greatest, requestClass.weight);
   }
   const auto& order = file.admission.order;
   for (std::size_t n = 0; n < order.size(); ++n) {
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -198,11 +198,11 @@
     balancer::HealthReport report;
     report.upstream = one.upstream;
     report.launchedAt = one.launchedAt;
-    report.sidecars = static_cast<std::uint32_t>(members.reachableCount());
-    report.witnesses = summary.unhealthy;
-    report.well = summary.healthy > 0;
-    report.turn = members.ownerOf(one.incarnation.endpoint) == members.settings().self;
-    report.holds = kReportValidity;
+    report.reachableSidecars = static_cast<std::uint32_t>(members.reachableCount());
+    report.unhealthyReports = summary.unhealthy;
+    report.hasHealthyReport = summary.healthy > 0;
+    report.ownsNextTrial = members.ownerOf(one.incarnation.endpoint) == members.settings().self;
+    report.validFor = kReportValidity;
     callbacks_.report(report);
   }
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -180,10 +180,10 @@
   event.attempt = end.id.number;
   event.upstream = attempt.upstream;
   event.outcome = end.outcome;
-  event.lag = duration_cast<microseconds>(end.lag).count();
+  event.latency = duration_cast<microseconds>(end.lag).count();
   event.report = end.report;
-  event.transfer = duration_cast<microseconds>(end.transfer).count();
-  event.spent = end.spent;
+  event.clientLimitedTime = duration_cast<microseconds>(end.transfer).count();
+  event.isBodyConsumed = end.spent;
   if (end.outcome == Outcome::Ok && !request.isFinished) {
     Answer answer;
     answer.status = 200;
@@ -191,7 +191,7 @@
     if (!end.contentType.empty()) answer.contentType = std::move(end.contentType);
     executor_.finish(end.id.request, std::move(answer));
   }
-  event.last = request.isFinished;
+  event.endsRequest = request.isFinished;
   handle(event);
   executor_.forget(end.id.request);
 }
@@ -213,7 +213,7 @@
   balancer::ProbeResult event;
   event.upstream = end.upstream;
   event.ok = end.ok;
-  event.lag = duration_cast<microseconds>(end.lag).count();
+  event.latency = duration_cast<microseconds>(end.lag).count();
   event.report = end.report;
   handle(event);
   endpoints_.dropUse(end.upstream);
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -170,8 +170,8 @@
   event.attempt = attemptOf(line);
   event.upstream = knownUpstream(line);
   event.outcome = toOutcome(line.text("status"));
-  event.lag = line.integer("lag", 0, settings::kMaxTime, 0);
-  event.last = line.flag("last");
+  event.latency = line.integer("lag", 0, settings::kMaxTime, 0);
+  event.endsRequest = line.flag("last");
   event.report = parseReport(line);
   return event;
 }
@@ -180,7 +180,7 @@
   balancer::ProbeResult event;
   event.upstream = knownUpstream(line);
   event.ok = line.text("status") == "ok";
-  event.lag = line.integer("lag", 0, settings::kMaxTime, 0);
+  event.latency = line.integer("lag", 0, settings::kMaxTime, 0);
   event.report = parseReport(line);
   return event;
 }
--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -70,7 +70,7 @@
   cls.group = static_cast<RetryGroup>(dice.below(3));
   cls.retryWindow = static_cast<Micros>(1 + dice.below(3000)) * kMillisecond;
   cls.lateWeight = dice.unit() / 2;
-  cls.value = 0.2 + 5 * dice.unit();
+  cls.weight = 0.2 + 5 * dice.unit();
   cls.stream = dice.oneIn(4);
   return cls;
 }
@@ -99,10 +99,10 @@
   s.mayHedge = dice.oneIn(2);
   s.weightByWork = dice.oneIn(2);
   s.overShareWeight = dice.unit();
-  s.crossZonePrice = dice.oneIn(2) ? 0 : 0.1;
-  s.probePrice = dice.oneIn(3) ? 0 : 0.02 * dice.unit();
-  s.reports = static_cast<ReportSource>(dice.below(3));
-  s.reportsBusy = !dice.oneIn(3);
+  s.crossZoneCost = dice.oneIn(2) ? 0 : 0.1;
+  s.probeCost = dice.oneIn(3) ? 0 : 0.02 * dice.unit();
+  s.reportSource = static_cast<ReportSource>(dice.below(3));
+  s.reportsBusyRequests = !dice.oneIn(3);
   s.pollWithin = static_cast<Micros>(1 + dice.below(20)) * kSecond;
   s.startCapacity = 0.1 + 0.5 * dice.unit();
   s.slowStartWindow = dice.oneIn(5) ? 0 : static_cast<Micros>(2 + dice.below(20)) * kSecond;
@@ -112,9 +112,9 @@
   s.retryBudgetRatio = 0.3 * dice.unit();
   if (dice.oneIn(3)) {  // one of many sidecars, with little traffic, that probes before it sends
     s.sidecars = dice.oneIn(2) ? 40 : 300;
-    s.mayProbe = s.reportsBusy = true;
-    s.reports = ReportSource::Probes;
-    s.probePrice = dice.oneIn(2) ? 0 : 0.016 * dice.unit();
+    s.mayProbe = s.reportsBusyRequests = true;
+    s.reportSource = ReportSource::Probes;
+    s.probeCost = dice.oneIn(2) ? 0 : 0.016 * dice.unit();
   }
   s.closeDrainingWithin = dice.oneIn(3) ? 0 : static_cast<Micros>(dice.below(3000)) * kMillisecond;
   return s;
@@ -307,11 +307,11 @@
       HealthReport healthReport;
       healthReport.upstream = dice_.oneIn(10) ? 999 : id;
       healthReport.launchedAt = dice_.oneIn(6) ? 77 : upstream.launchedAt;
-      healthReport.sidecars = static_cast<std::uint32_t>(1 + dice_.below(12));
-      healthReport.witnesses = static_cast<std::uint32_t>(dice_.below(6));
-      healthReport.well = dice_.oneIn(3);
-      healthReport.turn = dice_.oneIn(2);
-      healthReport.holds = static_cast<Micros>(dice_.below(3000)) * kMillisecond;
+      healthReport.reachableSidecars = static_cast<std::uint32_t>(1 + dice_.below(12));
+      healthReport.unhealthyReports = static_cast<std::uint32_t>(dice_.below(6));
+      healthReport.hasHealthyReport = dice_.oneIn(3);
+      healthReport.ownsNextTrial = dice_.oneIn(2);
+      healthReport.validFor = static_cast<Micros>(dice_.below(3000)) * kMillisecond;
       feed(healthReport);
     } else if (what < 19) {
       feed(ReducedService{dice_.oneIn(2), 1.5 * dice_.unit()});
@@ -332,11 +332,11 @@
   }
 
   std::optional<LoadReport> report(const Upstream& upstream, ReportSource by) {
-    if (settings_.reports != by || dice_.oneIn(8)) return std::nullopt;
+    if (settings_.reportSource != by || dice_.oneIn(8)) return std::nullopt;
     LoadReport load;
     const auto busy = static_cast<double>(upstream.atWork + upstream.others);
     const auto workers = static_cast<double>(upstream.workers);
-    if (settings_.reportsBusy) load.busyRequests = busy;
+    if (settings_.reportsBusyRequests) load.busyRequests = busy;
     if (seed_ % 3 == 0) load.queued = std::max(0.0, busy - workers);
     if (seed_ % 2 == 0) load.cpuShare = std::min(1.2, busy / workers);
     if (seed_ % 5 == 0) load.servedPerSecond = 1e6 * workers / static_cast<double>(upstream.service);
@@ -348,7 +348,7 @@
     ProbeResult result;
     result.upstream = id;
     result.ok = upstream.mood != Upstream::Mood::Failing && upstream.mood != Upstream::Mood::Unreachable;
-    result.lag = static_cast<Micros>(1 + dice_.below(4)) * kMillisecond;
+    result.latency = static_cast<Micros>(1 + dice_.below(4)) * kMillisecond;
     if (result.ok) result.report = report(upstream, ReportSource::Probes);
     feed(result);
   }
@@ -394,11 +394,12 @@
     done.attempt = due.attempt;
     done.upstream = due.upstream;
     done.outcome = outcomeOf(upstream, client);
-    done.last = client.finished || client.streaming || done.outcome == Outcome::Ok || now_ >= client.deadline;
-    done.transfer = dice_.oneIn(10) ? static_cast<Micros>(dice_.below(20)) * kMillisecond : 0;
-    done.spent = dice_.oneIn(20);
+    done.endsRequest =
+        client.finished || client.streaming || done.outcome == Outcome::Ok || now_ >= client.deadline;
+    done.clientLimitedTime = dice_.oneIn(10) ? static_cast<Micros>(dice_.below(20)) * kMillisecond : 0;
+    done.isBodyConsumed = dice_.oneIn(20);
     done.report = report(upstream, ReportSource::Answers);
-    if (done.last) client.finished = true;
+    if (done.endsRequest) client.finished = true;
     --upstream.atWork;
     feed(done);
     if (dice_.oneIn(50)) feed(done);  // reported twice, or late: no effect
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -167,7 +167,7 @@
 TEST(Pick, OwnZoneIsPreferredOnlyWhereCrossingHasAPrice) {
   for (const double price : {0.0, 0.03}) {
     Settings s = plainSettings();
-    s.crossZonePrice = price;
+    s.crossZoneCost = price;
     s.zone = 0;
     Rig rig(s);
     rig.start(4);
@@ -921,7 +921,7 @@
 
 TEST(Admission, TheWorthierClassGoesFirstThenTheNewest) {
   Settings s = plainSettings();
-  s.classes[kUnsafe].value = 5;
+  s.classes[kUnsafe].weight = 5;
   s.weightByWork = true;
   Rig rig(s);
   rig.start(1);
@@ -1350,7 +1350,7 @@
   EXPECT_EQ(rig.balancer.inFlight(at), 1u);
   rig.wait(5 * kSecond);
   AttemptOutcome end{1, 0, at, Outcome::Ok, 5 * kSecond, true, std::nullopt};
-  end.transfer = 5 * kSecond;
+  end.clientLimitedTime = 5 * kSecond;
   rig.feed(end);
   EXPECT_EQ(rig.balancer.inFlight(at), 1u) << "the end of the first must not be counted twice";
 }
@@ -1376,7 +1376,7 @@
     rig.start(3);
     const EndpointId at = rig.sent(1, one.cls);
     AttemptOutcome end{1, 0, at, one.outcome, 0, false, std::nullopt};
-    end.spent = true;
+    end.isBodyConsumed = true;
     rig.feed(end);
     EXPECT_EQ(rig.count<Send>(), 0u);
     EXPECT_EQ(rig.count<Reject>(), one.refused ? 1u : 0u);
@@ -1401,7 +1401,7 @@
       if (rig.count<Send>() == 0) break;
       rig.now += 900 * kMs;
       AttemptOutcome end{id, 0, 0, Outcome::Ok, 900 * kMs, true, std::nullopt};
-      end.transfer = transfer;
+      end.clientLimitedTime = transfer;
       rig.feed(end);
       ++served;
     }
--- a/tests/compatibility/platform_settings_test.cpp
+++ b/tests/compatibility/platform_settings_test.cpp
@@ -65,7 +65,7 @@
     to.put(at + "group", static_cast<int>(one.group));
     to.put(at + "repeatWindow", one.retryWindow);
     to.put(at + "lateWorth", one.lateWeight);
-    to.put(at + "value", one.value);
+    to.put(at + "value", one.weight);
     to.put(at + "stream", one.stream);
   }
   for (std::size_t n = 0; n < settings.tenants.size(); ++n) {
@@ -92,11 +92,11 @@
   to.put("familyInfo.warmKeys", settings.hasKeyAffinity);
   to.put("worthBy", settings.weightByWork);
   to.put("overShareWorth", settings.overShareWeight);
-  to.put("prices.crossZone", settings.crossZonePrice);
-  to.put("prices.probe", settings.probePrice);
-  to.put("prices.waste", settings.wastePrice);
-  to.put("report.how", static_cast<int>(settings.reports));
-  to.put("report.columns holds busy_reqs", settings.reportsBusy);
+  to.put("prices.crossZone", settings.crossZoneCost);
+  to.put("prices.probe", settings.probeCost);
+  to.put("prices.waste", settings.wasteCost);
+  to.put("report.how", static_cast<int>(settings.reportSource));
+  to.put("report.columns holds busy_reqs", settings.reportsBusyRequests);
   to.put("contract.answerSlack", settings.answerSlack);
   to.put("contract.askWithin", settings.pollWithin);
   to.put("contract.startCapacity", settings.startCapacity);
--- a/tests/fleet/scenario_test.cpp
+++ b/tests/fleet/scenario_test.cpp
@@ -197,7 +197,7 @@
   EXPECT_EQ(site.settings.classes[0].semantics, balancer::Semantics::Keyed);
   EXPECT_EQ(site.settings.classes[0].group, balancer::RetryGroup::Cell);
   EXPECT_EQ(site.settings.classes[0].retryWindow, 600'000);
-  EXPECT_EQ(site.settings.classes[0].value, 5);
+  EXPECT_EQ(site.settings.classes[0].weight, 5);
   EXPECT_EQ(site.settings.classes[1].semantics, balancer::Semantics::Unsafe);
   EXPECT_EQ(site.settings.startCapacity, 0.25);
   EXPECT_EQ(site.settings.slowStartWindow, 6'000'000);
@@ -206,7 +206,7 @@
   EXPECT_TRUE(site.settings.mayProbe);
   EXPECT_TRUE(site.settings.mayCancel);
   EXPECT_EQ(site.settings.maxAttempts, 3u);
-  EXPECT_EQ(site.settings.reports, balancer::ReportSource::Probes);
+  EXPECT_EQ(site.settings.reportSource, balancer::ReportSource::Probes);
 }
 
 }  // namespace
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -294,7 +294,7 @@
     const auto& open = sidecar.requests.at(request);
     AttemptOutcome event{request, number, upstream, outcome, 0, open.over, std::nullopt};
     if (outcome == Outcome::Ok && !open.over) {
-      event.last = true;
+      event.endsRequest = true;
       close(n, request,
             now - open.came <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
                                                                                 : &Count::late);
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -15,10 +15,10 @@
 HealthReport bad(EndpointId upstream, std::uint32_t witnesses, bool turn = false) {
   HealthReport hearsay;
   hearsay.upstream = upstream;
-  hearsay.sidecars = 12;
-  hearsay.witnesses = witnesses;
-  hearsay.turn = turn;
-  hearsay.holds = kHolds;
+  hearsay.reachableSidecars = 12;
+  hearsay.unhealthyReports = witnesses;
+  hearsay.ownsNextTrial = turn;
+  hearsay.validFor = kHolds;
   return hearsay;
 }
 
@@ -44,7 +44,7 @@
     Rig rig;
     rig.start(10);
     HealthReport hearsay = bad(4, row.witnesses);
-    hearsay.sidecars = row.sidecars;
+    hearsay.reachableSidecars = row.sidecars;
     rig.feed(hearsay);
     EXPECT_EQ(rig.balancer.ready(4, rig.now), !row.out) << row.sidecars << " " << row.witnesses;
   }
@@ -116,7 +116,7 @@
   rig.feed(bad(4, 3));
   ASSERT_FALSE(rig.balancer.ready(4, rig.now));
   HealthReport well = bad(4, 3);
-  well.well = true;
+  well.hasHealthyReport = true;
   rig.feed(well);
   EXPECT_TRUE(rig.balancer.ready(4, rig.now));
   // One trial at a time, until it has proved itself.
@@ -142,7 +142,7 @@
   EXPECT_FALSE(rig.balancer.ready(4, rig.now));
   EXPECT_TRUE(rig.balancer.ready(4, rig.now + kHolds));
   HealthReport forever = bad(4, 3);
-  forever.holds = 3600 * kSecond;
+  forever.validFor = 3600 * kSecond;
   rig.feed(forever);
   EXPECT_FALSE(rig.balancer.ready(4, rig.now + kSecond));
   EXPECT_TRUE(rig.balancer.ready(4, rig.now + 2 * kSecond)) << "the longest that it may count";
@@ -154,7 +154,7 @@
   rig.start(4);
   rig.list(MembershipUpdate::Kind::Changes, {leaving(2, EndpointState::Draining)});
   HealthReport well = bad(2, 0, true);
-  well.well = true;
+  well.hasHealthyReport = true;
   rig.feed(well);
   EXPECT_FALSE(rig.balancer.ready(2, rig.now));
   Rig cold;
@@ -165,7 +165,7 @@
   for (int n = 0; n < 50; ++n) {
     HealthReport one = bad(0, 0, true);
     one.launchedAt = cold.now;
-    one.well = true;
+    one.hasHealthyReport = true;
     cold.feed(one);
     cold.request(++id);
     sent += cold.count<Send>();
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -216,9 +216,9 @@
 Settings lookingSettings() {
   Settings s = manySettings();
   s.mayProbe = true;
-  s.reports = ReportSource::Probes;
-  s.reportsBusy = true;
-  s.probePrice = 0.004;
+  s.reportSource = ReportSource::Probes;
+  s.reportsBusyRequests = true;
+  s.probeCost = 0.004;
   return s;
 }
 
@@ -226,7 +226,7 @@
   ProbeResult r;
   r.upstream = id;
   r.ok = true;
-  r.lag = kMs;
+  r.latency = kMs;
   r.report.emplace().busyRequests = busy;
   r.report->servedPerSecond = served;
   return rig.feed(r);
@@ -310,7 +310,7 @@
   ProbeResult r;
   r.upstream = id;
   r.ok = true;
-  r.lag = kMs;
+  r.latency = kMs;
   r.report = LoadReport{};
   r.report->busyRequests = busy;
   r.report->cpuShare = cpu;
@@ -383,8 +383,8 @@
 
 TEST(Rest, AnAnswerThatReportsCrowdingRestsItsUpstream) {
   Settings s = manySettings();
-  s.reports = ReportSource::Answers;
-  s.reportsBusy = true;
+  s.reportSource = ReportSource::Answers;
+  s.reportsBusyRequests = true;
   for (const double busy : {6.0, 20.0}) {
     Rig rig(s);
     rig.start(10);
@@ -473,8 +473,8 @@
   for (const double price : {0.004, 0.008, 0.01, 0.016}) {
     Settings s = lookingSettings();
     s.weightByWork = true;
-    s.probePrice = price;
-    s.classes[kUnsafe].value = 0.1;
+    s.probeCost = price;
+    s.classes[kUnsafe].weight = 0.1;
     const std::size_t affordable = price < 0.005 ? 4 : price < 0.009 ? 2 : 1;
     for (const std::uint32_t cls : {kSafe, kUnsafe}) {
       Rig rig(s);
@@ -519,8 +519,8 @@
   for (int off = 0; off < 3; ++off) {
     Settings s = lookingSettings();
     if (off == 0) s.mayProbe = false;
-    if (off == 1) s.reportsBusy = false;
-    if (off == 2) s.probePrice = 0.03;
+    if (off == 1) s.reportsBusyRequests = false;
+    if (off == 2) s.probeCost = 0.03;
     Rig rig(s);
     rig.start(10);
     rig.request(1);
@@ -615,7 +615,7 @@
   Settings s = manySettings();
   s.maxAttempts = 6;
   s.weightByWork = true;
-  s.classes[kUnsafe].value = 0.1;
+  s.classes[kUnsafe].weight = 0.1;
   const auto heldFor = [&](std::uint32_t cls) {
     Rig rig(s);
     rig.start(60);
@@ -643,7 +643,7 @@
 TEST(Looks, AreFewerForARequestOfLittleWorth) {
   Settings s = lookingSettings();
   s.weightByWork = true;
-  s.classes[kUnsafe].value = 0.25;
+  s.classes[kUnsafe].weight = 0.25;
   const auto looks = [&](std::uint32_t cls) {
     Rig rig(s);
     rig.start(10);
@@ -688,7 +688,7 @@
 TEST(Pick, TheZonePreferenceYieldsAsTheOwnZoneReportsItsCpuBusy) {
   const auto farShare = [](double ownCpu) {
     Settings s = plainSettings();
-    s.crossZonePrice = 0.02;
+    s.crossZoneCost = 0.02;
     Rig rig(s);
     rig.start(10);
     int far = 0;
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -61,7 +61,7 @@
       Known& k = requests_.at(o->request);
       k.attempts.at(o->attempt).outcome = o->outcome;
       if (allowed_.count(o->upstream) == 0) idleSince_[o->upstream] = now;
-      if (o->last) k.over = true;
+      if (o->endsRequest) k.over = true;
     } else if (const auto* w = std::get_if<Withdrawn>(&event)) {
       requests_.at(w->request).over = true;
     } else if (const auto* a = std::get_if<AttemptStarted>(&event)) {
@@ -274,7 +274,7 @@
     const bool ends = isOpen && (outcome == Outcome::Ok || streaming.count(done.request) != 0);
     if (ends) open.erase(done.request);
     std::optional<LoadReport> report;
-    if (settings.reports == ReportSource::Answers && roll(2) == 0)
+    if (settings.reportSource == ReportSource::Answers && roll(2) == 0)
       report.emplace().cpuShare = roll(110) / 100.0;
     feed(
         AttemptOutcome{done.request, done.attempt, done.upstream, outcome, 5 * kMs, !isOpen || ends, report});
@@ -417,11 +417,11 @@
   s.retryAfter = n & 8;
   s.mustSubscribe = n & 16;
   s.hasKeyAffinity = n & 32;
-  s.reports = n & 64 ? ReportSource::Answers : n & 4 ? ReportSource::Probes : ReportSource::None;
+  s.reportSource = n & 64 ? ReportSource::Answers : n & 4 ? ReportSource::Probes : ReportSource::None;
   s.classes[kKeyed].group = static_cast<RetryGroup>(n % 3);
   s.classes[0].stream = n % 5 == 0;
   s.maxAttempts = 1 + n % 6;
-  s.reportsBusy = s.mayProbe && n % 7 < 4;
+  s.reportsBusyRequests = s.mayProbe && n % 7 < 4;
   s.maxStreamsPerConnection = n % 4;
   s.idleTimeout = n % 3 == 0 ? 0 : 10 * kSecond;
   s.sidecars = n % 2 == 0 ? 1 : 1000;
@@ -480,12 +480,12 @@
       case 8:
         s.classes[0].objectiveStretch = kNone;
         s.classes[1].objectiveStretch = std::numeric_limits<double>::infinity();
-        s.classes[1].lateWeight = s.classes[2].value = kNone;
-        s.overShareWeight = s.crossZonePrice = kNone;
+        s.classes[1].lateWeight = s.classes[2].weight = kNone;
+        s.overShareWeight = s.crossZoneCost = kNone;
         break;
       case 9:
         s.classes[0].latencyObjective = s.classes[1].latencyObjective = s.classes[1].deadline = -kEver;
-        s.classes[0].value = -1;
+        s.classes[0].weight = -1;
         s.pollWithin = -kEver;
         break;
       case 10:
--- a/tests/settings/site_test.cpp
+++ b/tests/settings/site_test.cpp
@@ -28,7 +28,7 @@
   EXPECT_EQ(site.settings.kinds, 1U);
   EXPECT_EQ(site.settings.sidecars, 1U);
   EXPECT_EQ(site.settings.maxAttempts, 1U);
-  EXPECT_EQ(site.settings.reports, balancer::ReportSource::None);
+  EXPECT_EQ(site.settings.reportSource, balancer::ReportSource::None);
   EXPECT_TRUE(site.remarks.empty());
   EXPECT_THROW(static_cast<void>(readSite(Line("create"))), FormatError);
 }
@@ -62,7 +62,7 @@
   EXPECT_EQ(site.columns[0], balancer::ReportColumn::CpuShare);
   EXPECT_EQ(site.columns[1], std::nullopt);
   EXPECT_EQ(site.columns[2], balancer::ReportColumn::BusyRequests);
-  EXPECT_TRUE(site.settings.reportsBusy);
+  EXPECT_TRUE(site.settings.reportsBusyRequests);
 }
 
 TEST(LoadReportColumnTest, BothNamesOfAColumnSetItsValue) {
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_TRUE(s.mustSubscribe);
   EXPECT_TRUE(s.mayCancel);
   EXPECT_FALSE(s.mayProbe);
-  EXPECT_EQ(s.reports, ReportSource::Answers);
+  EXPECT_EQ(s.reportSource, ReportSource::Answers);
   EXPECT_DOUBLE_EQ(s.fallMultiple, 4);
   EXPECT_EQ(s.retryBudgetWindow, 2'000'000);
   EXPECT_EQ(s.maxStreamsPerConnection, 100u);
@@ -111,7 +111,7 @@
       nullptr));
   EXPECT_EQ(outcome.outcome, Outcome::Reset);
   EXPECT_EQ(outcome.attempt, 1u);
-  EXPECT_TRUE(outcome.last);
+  EXPECT_TRUE(outcome.endsRequest);
   ASSERT_TRUE(outcome.report.has_value());
   EXPECT_EQ(outcome.report->cpuShare, 0.5);
   EXPECT_EQ(outcome.report->busyRequests, 7);
