--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -1,37 +1,40 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The interface of ivypost: settings, events, actions and the Balancer that turns one into the other.
+// The interface of ivypost: settings, events, actions and the Balancer that turns events into actions.
 //
 // Life cycle. Construct one Balancer for each sidecar process (or simulated instance). The first event must
-// be a MembershipUpdate of kind Saved (an empty list is fine); then feed every event in the order it
-// happened. Destroying the object abandons all that it held.
+// be a MembershipUpdate of kind Saved (an empty list is fine); then pass every event in the order in which it
+// happened. Destroying the object drops its state; it emits no further actions.
 //
-// Time. All times and durations are microseconds. `now` must never go backwards; a smaller value is taken as
-// the last one seen. The balancer reads no clock: it asks to be woken with SetTimer and hears TimerDue.
+// Time. All times and durations are microseconds. `now` must never go backwards; a smaller value is replaced
+// by the last one. The balancer reads no clock: it requests a wake-up with SetTimer and receives TimerDue.
 //
 // Threads. A Balancer is not synchronised: call it from one thread at a time. Separate objects share nothing.
 //
 // Ownership. handle() copies what it needs from the event and appends actions to the caller's buffer in the
-// order in which they have to be carried out. It never clears the buffer.
+// order in which they have to be executed. It never clears the buffer.
 //
-// Memory. Grows with the requests that are open or have an attempt out, and by about 200 bytes for each
-// number that the caller has given to an upstream; the retry budget keeps a time for each request of the last
-// retryBudgetWindow.
+// Memory. Grows with the requests that are open or have an attempt in flight, and by about 200 bytes for each
+// EndpointId that the caller has assigned; the retry budget keeps the arrival time of each request of the
+// last retryBudgetWindow.
 //
-// Connections. The caller opens them as needed; CloseIdle asks to close those to an upstream that are not in
-// use. Where nothing is known of them (idleTimeout 0) the balancer keeps no home and closes on drains only.
+// Connections. The caller opens them as needed; CloseIdle asks it to close the idle connections to an
+// upstream. If the idle time-out is unknown (idleTimeout 0), the balancer keeps no connection subset and
+// closes connections only to draining upstreams.
 //
-// Probes. Probe asks for one ProbeResult, whatever comes of it; a result that never comes is given up.
+// Probes. Each Probe action asks for one ProbeResult, whatever the outcome; a probe without a result times
+// out.
 //
-// Not decided on yet. Some settings are part of the interface, but no decision reads them: kinds (checked
-// only), hasKeyAffinity and with it key, maxOpen, reportSource, wasteCost, answerSlack, drainGrace,
-// fallWindow, quotaPerSecond. The module is stricter than the last ones ask: it answers by the deadline,
-// stops sending at once, and keeps slow start over any window.
+// Settings without effect. Some settings are part of the interface but are not read by any decision: kinds
+// (only validated), hasKeyAffinity and with it key, maxOpen, reportSource, wasteCost, answerSlack,
+// drainGrace, fallWindow, quotaPerSecond. Of these, answerSlack, drainGrace and fallWindow would only relax
+// rules that the module keeps more strictly: it answers by the deadline, stops sending to a draining upstream
+// at once, and limits the load of an upstream in slow start over windows of any length.
 //
-// Misuse. handle() throws std::invalid_argument, and changes nothing, for a class, zone or tenant index
+// Errors. handle() throws std::invalid_argument, and changes nothing, for a class, zone or tenant index
 // outside the settings, a request id that is already open, a negative or infinite size (zero: unknown, taken
-// as one), an attempt that was never sent, and for any event before the first list. Outcomes and withdrawals
-// of requests that are over are legal and are ignored.
+// as 1), an attempt that was never sent, and for any event before the first list. Outcomes and withdrawals
+// of finished requests are legal and ignored.
 #ifndef IVYPOST_BALANCER_H_
 #define IVYPOST_BALANCER_H_
 
@@ -44,237 +47,284 @@
 
 namespace ivypost::balancer {
 
+/// A time or duration in microseconds.
 using Micros = std::int64_t;
+/// Chosen by the caller; unique among the open requests.
 using RequestId = std::uint64_t;
-// A small number the caller gives to each upstream: 0, 1, 2 ... in the order this sidecar first heard of
-// them. It stays with the upstream when its process restarts. One that has left the list, with no attempt,
-// probe or open request that refers to it, may pass to an upstream of another identity.
+/// A small number that the caller assigns to each upstream: 0, 1, 2 ... in the order in which this sidecar
+/// first sees them. An upstream keeps it when its process restarts. Once an upstream has left the list and no
+/// attempt, probe or open request refers to it, its number may be reused for an upstream of another identity.
 using EndpointId = std::uint32_t;
 
 // ---- Settings -------------------------------------------------------------------------------------------
 
+/// Whether a request may run more than once.
 enum class Semantics {
-  Idempotent,  // may run any number of times
-  Keyed,       // upstreams of one group drop a repeat for retryWindow after the first send
-  Unsafe,      // must never run twice
+  Idempotent,  ///< may run any number of times
+  Keyed,       ///< upstreams of one RetryGroup drop a duplicate for retryWindow after the first send
+  Unsafe,      ///< must never run twice
 };
+/// The upstreams among which a duplicate of a Keyed request is recognised: all of them, those of the first
+/// attempt's zone, or those of its cell.
 enum class RetryGroup { All, Zone, Cell };
 
+/// A class of requests with the same objective and retry rules.
 struct RequestClass {
-  Micros latencyObjective = 0;  // an answer inside this time earns the full worth
-  double objectiveStretch =
-      0;  // the latencyObjective grows by this many times the request's own work, up to the deadline
-  Micros deadline = 0;  // the client's patience over all its tries
-  Semantics semantics = Semantics::Unsafe;
-  RetryGroup group = RetryGroup::All;
-  Micros retryWindow = 0;
-  double lateWeight = 0;
-  double weight = 1;
-  bool stream = false;
+  Micros latencyObjective = 0;  ///< an answer within this time has the full weight
+  /// latencyObjective grows by this multiple of the request's own expected work, up to the deadline.
+  double objectiveStretch = 0;
+  Micros deadline = 0;                      ///< how long the client waits, over all its tries
+  Semantics semantics = Semantics::Unsafe;  ///< whether an attempt that may have run may be repeated
+  RetryGroup group = RetryGroup::All;       ///< of Keyed requests: where they may be retried
+  Micros retryWindow = 0;  ///< of Keyed requests: how long after the first attempt they may be retried
+  double lateWeight = 0;   ///< weight of an answer after latencyObjective, as a fraction of `weight`
+  double weight = 1;       ///< relative priority when not all requests can be served
+  bool stream = false;     ///< answers are streamed
 };
 
+/// A tenant, whose requests share a quota.
 struct Tenant {
-  double quotaPerSecond = 0;  // over all sidecars; 0 means no quota
-  double share = 0;
+  double quotaPerSecond = 0;  ///< requests, over all sidecars; 0: no quota
+  double share = 0;           ///< fraction of the traffic that it is entitled to
 };
 
+/// A column of the load reports of upstreams.
 enum class ReportColumn { BusyRequests, Queued, CpuShare, ServiceMillis, ServedPerSecond, FailedPerSecond };
+/// Which messages of upstreams carry load reports.
 enum class ReportSource { None, Probes, Answers };
 
+/// What the balancer knows of its environment; fixed for its lifetime.
 struct Settings {
-  std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;
-  std::uint32_t zones = 1;
-  std::uint32_t zone = 0;  // this sidecar's own
-  std::uint32_t kinds = 1;
-  std::uint32_t sidecars = 1;
-  std::uint32_t sidecar = 0;   // this one's own number, under `sidecars`; a larger one wraps round
-  bool mustSubscribe = false;  // membership changes arrive only after Subscribe or Fetch
-  Micros resolution = 1000;    // the shortest gap between two calls with a later `now`
-
-  Micros connectTimeout = 0;
-  Micros idleTimeout = 0;  // an idle connection closes by itself after this long; 0: unknown
-  std::uint32_t maxStreamsPerConnection = 0;  // attempts that one connection carries at once; 0: unknown
-  std::uint32_t maxAttempts = 1;
-  std::uint32_t maxOpen = 0;  // requests held open at once; 0 means no limit
-  Micros maxRetryAfter = 0;
-  bool retryAfter = false;
-  bool mayCancel = false;
-  bool mayProbe = false;
-  bool mayHedge = false;
-  bool hasKeyAffinity = false;  // serving a key again soon costs an upstream less
-  bool weightByWork = false;
-  double overShareWeight = 1;  // worth of traffic beyond a tenant's share, as part of its class's worth
-  double crossZoneCost = 0;
-  double probeCost = 0;
-  double wasteCost = 0;
-  ReportSource reportSource = ReportSource::None;
-  bool reportsBusyRequests = false;  // reports tell the requests that an upstream has in hand
-
-  Micros answerSlack = 0;
-  Micros pollWithin = 0;
-  double startCapacity = 1;    // part of its capacity that a cold upstream has at least
-  Micros slowStartWindow = 0;  // and it is warm after this long
-  Micros drainGrace = 0;
-  double fallMultiple = 0;  // 0: a cold upstream cannot be pushed over
-  Micros fallWindow = 0;
-  // In any span of retryBudgetWindow, attempts beyond each request's first number at most retryBudgetFloor +
-  // retryBudgetRatio x the requests taken in it. retryBudgetWindow 0: no such rule; the module then keeps a
-  // budget of its own.
+  std::vector<RequestClass> classes;  ///< at least one; requests name them by their index
+  std::vector<Tenant> tenants;        ///< requests name them by their index
+  std::uint32_t zones = 1;            ///< number of zones
+  std::uint32_t zone = 0;             ///< this sidecar's zone
+  std::uint32_t kinds = 1;            ///< number of hardware kinds
+  std::uint32_t sidecars = 1;         ///< number of sidecars
+  std::uint32_t sidecar = 0;   ///< this sidecar's index, below `sidecars`; a larger one is taken modulo it
+  bool mustSubscribe = false;  ///< membership changes arrive only after Subscribe or Fetch
+  Micros resolution = 1000;    ///< the shortest gap between two calls with a later `now`
+
+  Micros connectTimeout = 0;                  ///< of a new connection
+  Micros idleTimeout = 0;                     ///< after which an idle connection closes; 0: unknown
+  std::uint32_t maxStreamsPerConnection = 0;  ///< concurrent attempts on one connection; 0: unknown
+  std::uint32_t maxAttempts = 1;              ///< for each request
+  std::uint32_t maxOpen = 0;                  ///< open requests; 0: no limit
+  Micros maxRetryAfter = 0;                   ///< upper bound of Reject::retryAfter
+  bool retryAfter = false;                    ///< whether Reject may carry a retryAfter
+  bool mayCancel = false;                     ///< whether Cancel is permitted
+  bool mayProbe = false;                      ///< whether Probe is permitted
+  bool mayHedge = false;                      ///< whether hedged requests are permitted
+  bool hasKeyAffinity = false;  ///< an upstream serves a key at lower cost soon after serving it before
+  bool weightByWork = false;    ///< RequestClass::weight is for a unit of work, not for a request
+  double overShareWeight = 1;   ///< weight of traffic beyond a tenant's share, as a fraction of its class's
+  double crossZoneCost = 0;     ///< of an attempt in another zone; above 0, the own zone is preferred
+  double probeCost = 0;         ///< of one probe, as a fraction of a request's weight
+  double wasteCost = 0;         ///< of wasted work
+  ReportSource reportSource = ReportSource::None;  ///< what carries load reports
+  bool reportsBusyRequests = false;                ///< load reports have the column BusyRequests
+
+  Micros answerSlack = 0;      ///< after the deadline, in which the final answer may still come
+  Micros pollWithin = 0;       ///< upper bound of the time until discovery is polled at the start or again
+  double startCapacity = 1;    ///< minimum fraction of its capacity that an upstream has in slow start
+  Micros slowStartWindow = 0;  ///< time from its launch until an upstream has its full capacity
+  Micros drainGrace = 0;       ///< time in which a draining upstream may still be sent to
+  /// An upstream in slow start collapses at a load of this multiple of its capacity; 0: it can't collapse.
+  double fallMultiple = 0;
+  Micros fallWindow = 0;  ///< the window over which that load is measured
+  /// In any window of retryBudgetWindow, the attempts beyond each request's first number at most
+  /// retryBudgetFloor + retryBudgetRatio x the requests that arrived in it. 0: no such rule; the module then
+  /// applies a default budget.
   Micros retryBudgetWindow = 0;
-  double retryBudgetFloor = 0;
-  double retryBudgetRatio = 0;
-  Micros closeDrainingWithin =
-      0;  // idle connections to a draining upstream are closed within it; 0: no such rule
+  double retryBudgetFloor = 0;  ///< retries allowed in a window without any request
+  double retryBudgetRatio = 0;  ///< retries allowed for each request
+  /// Idle connections to a draining upstream are closed within this time; 0: no such rule.
+  Micros closeDrainingWithin = 0;
 };
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
+/// The state of an upstream in the endpoint list. Only a serving one may be sent to.
 enum class EndpointState { Serving, Draining, Gone };
 
+/// An upstream as the endpoint list has it.
 struct EndpointEntry {
-  EndpointId upstream = 0;
-  std::uint32_t zone = 0;
-  std::uint32_t kind = 0;
-  std::optional<std::uint32_t> cell;
-  EndpointState state = EndpointState::Serving;
-  double size = 1;
-  Micros launchedAt = 0;       // 0: long ago
-  std::uint64_t identity = 0;  // the same at every sidecar, such as a hash of its address
+  EndpointId upstream = 0;                       ///< assigned by the caller
+  std::uint32_t zone = 0;                        ///< below Settings::zones
+  std::uint32_t kind = 0;                        ///< below Settings::kinds
+  std::optional<std::uint32_t> cell;             ///< none: the upstream is a cell by itself
+  EndpointState state = EndpointState::Serving;  ///< as listed
+  double size = 1;                               ///< relative capacity; 0: unknown, taken as 1
+  Micros launchedAt = 0;                         ///< when its process started; 0: long ago
+  std::uint64_t identity = 0;                    ///< equal at every sidecar, such as a hash of its address
 };
 
+/// A list of upstreams, changes of the list, or a failed call of discovery.
 struct MembershipUpdate {
+  /// Changes updates the entries it has; Full replaces the list; Saved is a list stored earlier, which may be
+  /// stale; Failed is a failed Subscribe or Fetch.
   enum class Kind { Changes, Full, Saved, Failed };
-  Kind kind = Kind::Full;
-  std::vector<EndpointEntry> entries;  // none for Failed
+  Kind kind = Kind::Full;              ///< how `entries` change the list
+  std::vector<EndpointEntry> entries;  ///< empty for Failed
 };
 
+/// A client's request has arrived.
 struct NewRequest {
-  RequestId request = 0;
-  std::uint32_t requestClass = 0;
-  std::optional<std::uint32_t> tenant;
-  std::optional<std::uint64_t> key;
-  Micros expiresIn = 0;
-  std::optional<Micros> work;  // expected work, rough
-  bool isRetry = false;        // the client says that it repeats itself
+  RequestId request = 0;                ///< not open yet
+  std::uint32_t requestClass = 0;       ///< index into Settings::classes
+  std::optional<std::uint32_t> tenant;  ///< index into Settings::tenants; none: unknown
+  std::optional<std::uint64_t> key;     ///< of the data that it concerns, for key affinity
+  Micros expiresIn = 0;                 ///< time until its deadline
+  std::optional<Micros> work;           ///< rough estimate of its service time
+  bool isRetry = false;                 ///< the client marks it as a repetition of an earlier request
 };
 
-// Only full, connect failure and moot prove that the attempt never ran.
+/// The outcome of an attempt: Full is a rejection by the upstream, Moot an attempt that was dropped before it
+/// was sent. Only Full, ConnectFailed and Moot prove that the attempt never ran.
 enum class Outcome { Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot };
 
+/// The load of an upstream as it reports it; columns that it does not report are empty.
 struct LoadReport {
   std::optional<double> busyRequests, queued, cpuShare, serviceMillis, servedPerSecond, failedPerSecond;
 };
 
+/// An attempt has ended.
 struct AttemptOutcome {
-  RequestId request = 0;
-  std::uint32_t attempt = 0;
-  EndpointId upstream = 0;
-  Outcome outcome = Outcome::Ok;
-  Micros latency = 0;        // since it was sent
-  bool endsRequest = false;  // the request is over
-  std::optional<LoadReport> report;
-  // Part of the time since then in which the client's own pace held the transfer up: the upstream is not slow
-  // for it.
+  RequestId request = 0;             ///< as in its Send
+  std::uint32_t attempt = 0;         ///< index in the order of the request's Sends
+  EndpointId upstream = 0;           ///< as in its Send
+  Outcome outcome = Outcome::Ok;     ///< how it ended
+  Micros latency = 0;                ///< since it was sent; for information, not read by any decision
+  bool endsRequest = false;          ///< the request has its final answer
+  std::optional<LoadReport> report;  ///< if the answer carried one
+  /// The part of the time since the Send in which the transfer waited for the client; it is not counted
+  /// towards the upstream's latency.
   Micros clientLimitedTime = 0;
-  bool isBodyConsumed = false;  // the request's body is no longer at hand, so it can't be sent again
+  bool isBodyConsumed = false;  ///< the request's body is no longer available, so it can't be sent again
 };
 
-struct AttemptStarted {  // a streamed answer has begun; the attempt is now the client's
-  RequestId request = 0;
-  std::uint32_t attempt = 0;
+/// A streamed answer has begun: it is being passed on to the client, so no other attempt can replace it.
+struct AttemptStarted {
+  RequestId request = 0;      ///< as in its Send
+  std::uint32_t attempt = 0;  ///< the one whose answer is streamed
 };
 
-struct Withdrawn {  // the client left; nothing is owed any more
-  RequestId request = 0;
+/// The client has disconnected; the request needs no answer any more.
+struct Withdrawn {
+  RequestId request = 0;  ///< may be finished already
 };
 
+/// The result of a Probe.
 struct ProbeResult {
-  EndpointId upstream = 0;
-  bool ok = false;
-  Micros latency = 0;
-  std::optional<LoadReport> report;
+  EndpointId upstream = 0;           ///< as in the Probe
+  bool ok = false;                   ///< the upstream answered and is healthy
+  Micros latency = 0;                ///< since the Probe
+  std::optional<LoadReport> report;  ///< if the answer carried one
 };
 
+/// The time of the last SetTimer has come.
 struct TimerDue {};
 
-// Takes away from what the settings allow, until the next such event; the default takes nothing. For a
-// sidecar that is itself short of something.
+/// Restricts what the settings permit, until the next ReducedService; the default restricts nothing. For a
+/// sidecar that is itself short of resources.
 struct ReducedService {
-  bool mayHedge = true;      // a second attempt beside one that is out
-  double probeFraction = 1;  // the part of the usual probes; 0 to 1, others are brought into range
+  bool mayHedge = true;      ///< false: no hedged requests
+  double probeFraction = 1;  ///< fraction of the usual probes, 0 to 1; other values are brought into range
 };
 
-// What the other sidecars that this one hears say of an upstream. It counts for `validFor` and is told anew
-// for as long as there is something to say; who never tells it has the module as it is without. It can take
-// an upstream out or permit a trial of one that is out, and never lets anything go to one that the rules
-// forbid.
+/// What the other sidecars that this one can reach report of an upstream. It is valid for `validFor`, so it
+/// has to be repeated for as long as the reports last. Without such events the balancer decides by its own
+/// attempts alone. A report can eject an upstream or permit a trial attempt at an ejected one; it never
+/// permits an attempt that the rules forbid.
 struct HealthReport {
-  EndpointId upstream = 0;
-  Micros launchedAt = 0;  // the life it is said of, as the list has it; of another it counts nothing
-  std::uint32_t reachableSidecars = 0;  // that are heard, this one among them
-  std::uint32_t unhealthyReports = 0;   // others that find it bad, each by attempts of its own
-  bool hasHealthyReport = false;        // one of them was served by it since
-  bool ownsNextTrial = true;            // if it is out, its next trial is this sidecar's
-  Micros validFor = 0;                  // 0 to 2 s; others are brought into range
+  EndpointId upstream = 0;              ///< ignored if no list has named it
+  Micros launchedAt = 0;                ///< of the reported incarnation; ignored if the list has another one
+  std::uint32_t reachableSidecars = 0;  ///< including this one
+  std::uint32_t unhealthyReports = 0;   ///< other sidecars whose own attempts find it unhealthy
+  bool hasHealthyReport = false;        ///< another sidecar finds it healthy by a later attempt than those
+  bool ownsNextTrial = true;            ///< if it is ejected, this sidecar makes the next trial attempt
+  Micros validFor = 0;                  ///< 0 to 2 s; other values are brought into range
 };
 
+/// Everything that the balancer reacts to.
 using Event = std::variant<MembershipUpdate, NewRequest, AttemptStarted, AttemptOutcome, Withdrawn,
                            ProbeResult, TimerDue, ReducedService, HealthReport>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
 
-struct Send {  // the attempts of a request are numbered 0, 1, 2 ... in the order of their Send
-  RequestId request = 0;
-  EndpointId upstream = 0;
-  Micros timeout = 0;  // 0: until the client gives up
+/// Send an attempt of the request. The attempts of a request are numbered 0, 1, 2 ... in the order of their
+/// Send.
+struct Send {
+  RequestId request = 0;    ///< an open one
+  EndpointId upstream = 0;  ///< a serving one
+  Micros timeout = 0;       ///< 0: until the request's deadline
 };
+/// Cancel an attempt in flight.
 struct Cancel {
-  RequestId request = 0;
-  std::uint32_t attempt = 0;
+  RequestId request = 0;      ///< may be finished already
+  std::uint32_t attempt = 0;  ///< index in the order of the request's Sends
 };
-struct Reject {  // final answer: trying again is harmless
-  RequestId request = 0;
-  Micros retryAfter = 0;  // 0: no advice
+/// Final answer: the request did not run, or may safely run again, so the client may retry it.
+struct Reject {
+  RequestId request = 0;  ///< finished by it
+  Micros retryAfter = 0;  ///< when the client should retry; 0: no advice
 };
-struct Fail {  // final answer that promises nothing
-  RequestId request = 0;
+/// Final answer: the request failed and may have run.
+struct Fail {
+  RequestId request = 0;  ///< finished by it
 };
+/// Pass TimerDue after the delay. It replaces the timer that was set before.
 struct SetTimer {
-  Micros delay = 0;
+  Micros delay = 0;  ///< above 0
 };
+/// Probe the upstream and pass the ProbeResult.
 struct Probe {
-  EndpointId upstream = 0;
+  EndpointId upstream = 0;  ///< a serving one
 };
-struct CloseIdle {  // close this sidecar's idle connections to the upstream
-  EndpointId upstream = 0;
+/// Close this sidecar's idle connections to the upstream.
+struct CloseIdle {
+  EndpointId upstream = 0;  ///< in any state
 };
+/// Subscribe to changes of the endpoint list.
 struct Subscribe {};
+/// Fetch the endpoint list once.
 struct Fetch {};
+/// Write a line to the log.
 struct Log {
-  std::string text;
+  std::string text;  ///< without a line break
 };
 
+/// Everything that the balancer asks of the caller.
 using Action = std::variant<Send, Cancel, Reject, Fail, SetTimer, Probe, CloseIdle, Subscribe, Fetch, Log>;
 
 // ---- The balancer ---------------------------------------------------------------------------------------
 
+/// Decides for one sidecar which upstream each request goes to, and when it is held, retried or rejected.
 class Balancer {
  public:
-  // Throws std::invalid_argument for settings without classes or with this sidecar's zone out of range. Other
-  // contradictory or extreme figures are brought into range.
+  /// The same settings, seed and events give the same actions. Inconsistent or extreme values of the settings
+  /// are brought into range.
+  /// @throws std::invalid_argument for settings without classes or with this sidecar's zone out of range
   Balancer(const Settings& settings, std::uint64_t seed, Micros now);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
+  /// Handles one event and appends the resulting actions to `actions`.
+  /// @throws std::invalid_argument for an event that breaks the contract above; the state is unchanged then
   void handle(const Event& event, Micros now, std::vector<Action>& actions);
 
-  // For tests and dashboards; nothing decides by them from outside.
+  // For tests and dashboards; callers must not base decisions on these figures.
+
+  /// This sidecar's attempts in flight at the upstream; 0 for an unknown one.
   std::uint32_t inFlight(EndpointId upstream) const;
+  /// Whether the upstream may get an attempt at `now`; false for an unknown one.
   bool ready(EndpointId upstream, Micros now) const;
+  /// The upstream that the next random draw is compared with, if there is one.
   std::optional<EndpointId> remembered() const;
+  /// Requests without a final answer.
   std::size_t openRequests() const;
+  /// Requests that are held because no upstream is ready for them.
   std::size_t heldRequests() const;
 
  private:
