--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -55,7 +55,7 @@
  private:
   void validate(const Event& event) const {
     if (const auto* update = std::get_if<MembershipUpdate>(&event)) return validate(*update);
-    if (!started_) throw std::invalid_argument("event before the first list");
+    if (!hasReceivedList_) throw std::invalid_argument("event before the first list");
     if (const auto* request = std::get_if<NewRequest>(&event)) lifecycle_.validate(*request);
     if (const auto* outcome = std::get_if<AttemptOutcome>(&event)) lifecycle_.validate(*outcome);
   }
@@ -69,8 +69,8 @@
   }
 
   void on(const MembershipUpdate& update, const EventContext& context) {
-    const bool first = !started_;
-    started_ = true;
+    const bool first = !hasReceivedList_;
+    hasReceivedList_ = true;
     if (update.kind == MembershipUpdate::Kind::Failed) return discovery_.callFailed(context);
     discovery_.listReceived(context);
     for (const EndpointId id :
@@ -81,8 +81,8 @@
   }
 
   void on(const ReducedService& event, const EventContext&) {
-    decisions_.reduced = event;
-    decisions_.reduced.probeFraction = util::within(event.probeFraction, 0, 1);
+    decisions_.reducedService = event;
+    decisions_.reducedService.probeFraction = util::within(event.probeFraction, 0, 1);
   }
 
   void on(const HealthReport& event, const EventContext& context) {
@@ -92,18 +92,18 @@
   void on(const TimerDue&, const EventContext& context) {
     deadlines_.timerFired(now_);
     while (const auto wake = deadlines_.popDue(now_)) {
-      switch (wake->what) {
-        case Wake::What::Discovery:
+      switch (wake->kind) {
+        case Wake::Kind::Discovery:
           discovery_.poll(context);
           break;
-        case Wake::What::CloseDraining:
+        case Wake::Kind::CloseDraining:
           decisions_.subset.closeDrainingAgain(static_cast<EndpointId>(wake->request), context);
           break;
-        case Wake::What::Ready:
+        case Wake::Kind::Ready:
           break;  // held requests are tried again after every event
-        case Wake::What::ProbeTimeout:
-        case Wake::What::Hold:
-        case Wake::What::Deadline:
+        case Wake::Kind::ProbeTimeout:
+        case Wake::Kind::Hold:
+        case Wake::Kind::Deadline:
           lifecycle_.onDeadline(*wake, context);
           break;
       }
@@ -122,7 +122,7 @@
   internal::DiscoveryPolling discovery_{decisions_.settings};
   internal::RequestLifecycle lifecycle_{decisions_};
   Micros now_;
-  bool started_ = false;  // a list has come
+  bool hasReceivedList_ = false;  // a list has come
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now)
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -26,10 +26,10 @@
 // and of these there can only be so many.
 ConcurrencyLimit::ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints)
     : settings_(settings), endpoints_(endpoints) {
-  const double part =
-      std::min(1.0, kSmallFleet / std::min(1 / kMinInFlightPerEndpoint, 1.0 * settings.sidecars));
-  startLimit_ = kStartLimit * part;
-  limitGrowth_ = std::pow(part, 2);
+  const double fleetFactor =
+      std::min(1.0, kSmallFleetSidecars / std::min(1 / kMinInFlightPerEndpoint, 1.0 * settings.sidecars));
+  startLimit_ = kStartLimit * fleetFactor;
+  limitGrowth_ = std::pow(fleetFactor, 2);
 }
 
 void ConcurrencyLimit::adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
@@ -56,10 +56,10 @@
 // Half of what is allowed scales with the request's hint of work.
 bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const {
   const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
-  const double line = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
-                      (1 + request.relativeWork) / 2;
+  const double threshold = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
+                           (1 + request.relativeWork) / 2;
   // As numbers without a bound: before the first answer the least latency is the largest time there is.
-  return static_cast<double>(latency) - static_cast<double>(endpoint.minLatency) > line;
+  return static_cast<double>(latency) - static_cast<double>(endpoint.minLatency) > threshold;
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -20,7 +20,7 @@
 };
 
 /// How many attempts of this sidecar an endpoint may have in flight. Guards against overload: each sidecar
-/// sees only its own part of an endpoint's queue, but rejectionsInRow and slow answers reach them all, and
+/// sees only its own part of an endpoint's queue, but rejections and slow answers reach them all, and
 /// all give way (additive increase, multiplicative decrease).
 class ConcurrencyLimit {
  public:
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -18,9 +18,9 @@
 
 // How many endpoints are worth a connection kept.
 double ConnectionSubset::targetSize(Micros now) const {
-  const double used = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
+  const double byUse = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
   const double inFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), now);
-  return std::max(kMinSubsetSize, std::min(used, kSubsetSizePerInFlight * inFlight));
+  return std::max(kMinSubsetSize, std::min(byUse, kSubsetSizePerInFlight * inFlight));
 }
 
 bool ConnectionSubset::isPartial(Micros now) const {
@@ -32,14 +32,14 @@
 }
 
 // Whether a send finds a free stream on an open connection; where nothing is known of them it does.
-bool ConnectionSubset::reuses(const Endpoint& endpoint, Micros now) const {
+bool ConnectionSubset::canReuseConnection(const Endpoint& endpoint, Micros now) const {
   if (settings_.idleTimeout <= 0 || settings_.maxStreamsPerConnection == 0) return true;
   return isConnected(endpoint, now) &&
          endpoint.inFlight / settings_.maxStreamsPerConnection < endpoint.connections;
 }
 
 bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
-  const bool needsConnection = !reuses(endpoint, now);
+  const bool needsConnection = !canReuseConnection(endpoint, now);
   if (needsConnection && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
   return needsConnection;
 }
@@ -70,9 +70,10 @@
 void ConnectionSubset::leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome,
                                     Micros latency, Micros now) const {
   if (settings_.idleTimeout <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
-  const double usual = latency_.typicalLatency(request.requestClass) * request.relativeWork;
-  const bool late = usual > 0 && static_cast<double>(latency) > kSilenceMultiple * usual;
-  if (outcome != Outcome::Ok || late || !endpoint.isListed || freeSlots(now) < 0) endpoint.isInSubset = false;
+  const double typicalLatency = latency_.typicalLatency(request.requestClass) * request.relativeWork;
+  const bool isLate = typicalLatency > 0 && static_cast<double>(latency) > kSilenceMultiple * typicalLatency;
+  if (outcome != Outcome::Ok || isLate || !endpoint.isListed || freeSlots(now) < 0)
+    endpoint.isInSubset = false;
 }
 
 void ConnectionSubset::closeUnused(EndpointId id, const EventContext& context) const {
@@ -84,8 +85,8 @@
 void ConnectionSubset::closeDraining(EndpointId id, const EventContext& context) const {
   if (settings_.closeDrainingWithin <= 0) return;
   context.act(CloseIdle{id});
-  const Micros again = settings_.closeDrainingWithin - 2 * settings_.resolution;
-  if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::CloseDraining});
+  const Micros delay = settings_.closeDrainingWithin - 2 * settings_.resolution;
+  if (delay > 0) context.deadlines.push({context.now + delay, id, Wake::Kind::CloseDraining});
 }
 
 void ConnectionSubset::closeDrainingAgain(EndpointId id, const EventContext& context) const {
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -49,7 +49,7 @@
   void closeDrainingAgain(EndpointId id, const EventContext& context) const;
 
  private:
-  [[nodiscard]] bool reuses(const Endpoint& endpoint, Micros now) const;
+  [[nodiscard]] bool canReuseConnection(const Endpoint& endpoint, Micros now) const;
   [[nodiscard]] double targetSize(Micros now) const;
   [[nodiscard]] double freeSlots(Micros now) const;
 
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -14,7 +14,7 @@
 /// A moment at which the balancer has something to do without an event from outside.
 struct Wake {
   /// Which part of the balancer acts at the moment, and on what.
-  enum class What {
+  enum class Kind {
     Deadline,       ///< a request's deadline passes
     Hold,           ///< a request is no longer worth holding
     ProbeTimeout,   ///< the answer of a health check is overdue
@@ -24,7 +24,7 @@
   };
   Micros at = 0;               ///< microseconds by the clock of the events; due from then on
   RequestId request = 0;       ///< or the endpoint's id, for CloseDraining; 0 where there is none
-  What what = What::Deadline;  ///< set by the part that pushed it
+  Kind kind = Kind::Deadline;  ///< set by the part that pushed it
   /// Orders by time alone, so that a heap with std::greater has the earliest on top.
   bool operator>(const Wake& other) const { return at > other.at; }
 };
--- a/src/balancer/decisions.h
+++ b/src/balancer/decisions.h
@@ -38,7 +38,7 @@
   /// What the caller gave, brought into range by boundedSettings(); fixed for the balancer's life.
   const Settings settings;
   /// The last such event, with its part of the usual probes in 0 to 1; full service before the first.
-  ReducedService reduced;
+  ReducedService reducedService;
   /// What is known of each endpoint; the other parts keep their figures of an endpoint in it.
   EndpointRegistry endpoints;
   /// Counts each attempt that is sent, for the usual number in flight and the size of the subset.
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -45,13 +45,13 @@
 }
 
 double DiscoveryPolling::spread() const {
-  if (!settings_.mustSubscribe || settings_.sidecars <= kSmallFleet) return 0;
+  if (!settings_.mustSubscribe || settings_.sidecars <= kSmallFleetSidecars) return 0;
   return std::min(kDiscoverySpread * static_cast<double>(settings_.pollWithin),
                   kFleetCallGap * settings_.sidecars);
 }
 
 void DiscoveryPolling::pollLater(double delay, const EventContext& context) {
-  context.deadlines.push({context.now + static_cast<Micros>(delay), 0, Wake::What::Discovery});
+  context.deadlines.push({context.now + static_cast<Micros>(delay), 0, Wake::Kind::Discovery});
 }
 
 void DiscoveryPolling::poll(const EventContext& context) const {
--- a/src/balancer/endpoint_backoff.cpp
+++ b/src/balancer/endpoint_backoff.cpp
@@ -8,13 +8,13 @@
 
 void backOff(Endpoint& endpoint, double span, const EventContext& context) {
   endpoint.backoffUntil = std::max(endpoint.backoffUntil, context.now + static_cast<Micros>(span));
-  context.deadlines.push({endpoint.backoffUntil, 0, Wake::What::Ready});
+  context.deadlines.push({endpoint.backoffUntil, 0, Wake::Kind::Ready});
 }
 
 void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
                           const EventContext& context) {
   const double wait = static_cast<double>(std::max(serviceTime, resolution)) *
-                      std::exp2(std::min(endpoint.rejectionsInRow++, kMaxEjectionDoublings));
+                      std::exp2(std::min(endpoint.consecutiveRejections++, kMaxEjectionDoublings));
   backOff(endpoint, std::min(wait * (0.5 + context.random.uniform()), 1.0 * kBaseEjection), context);
 }
 
--- a/src/balancer/endpoint_readiness.h
+++ b/src/balancer/endpoint_readiness.h
@@ -27,7 +27,7 @@
   [[nodiscard]] bool isReady(const Endpoint& endpoint, Micros now) const {
     if (!endpoint.isListed || !slowStart_.hasCredit(endpoint, now)) return false;
     if (now < endpoint.ejectedUntil || now < endpoint.backoffUntil) return false;
-    if (endpoint.isHalfOpen && (endpoint.inFlight > 0 || !mayBeTried(endpoint, now))) return false;
+    if (endpoint.isHalfOpen && (endpoint.inFlight > 0 || !mayGetTrial(endpoint, now))) return false;
     if (isSilent(endpoint, now)) return false;
     return endpoint.inFlight == 0 || static_cast<double>(endpoint.inFlight) + 1 <= endpoint.limit;
   }
@@ -40,8 +40,8 @@
 
   /// Whether one that is out may get a trial of this sidecar. Guards against trials by all sidecars at once:
   /// where others say something of it, each trial is one sidecar's turn.
-  [[nodiscard]] static bool mayBeTried(const Endpoint& endpoint, Micros now) {
-    return now >= endpoint.notifiedUntil || endpoint.isOwnTurn;
+  [[nodiscard]] static bool mayGetTrial(const Endpoint& endpoint, Micros now) {
+    return now >= endpoint.reportsValidUntil || endpoint.isTrialOwner;
   }
 
   /// Whether at least one listed endpoint is ready, so that trying held requests again can be of use.
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -21,7 +21,7 @@
 void EndpointRegistry::apply(const EndpointEntry& entry, double startLimit, RandomSource& random) {
   if (!contains(entry.upstream)) endpoints_.resize(entry.upstream + 1);
   Endpoint& endpoint = endpoints_[entry.upstream];
-  const bool was = endpoint.isListed;
+  const bool wasListed = endpoint.isListed;
   const bool restarted = entry.launchedAt != endpoint.launchedAt || entry.identity != endpoint.identity;
   if (!endpoint.isKnown || restarted) {
     const std::uint32_t inFlight = endpoint.inFlight;
@@ -37,8 +37,8 @@
   endpoint.cell = entry.cell;
   endpoint.size = entry.size > 0 ? entry.size : 1;
   endpoint.isListed = entry.state == EndpointState::Serving;
-  if (endpoint.isListed && !was) listed_.push_back(entry.upstream);
-  if (!endpoint.isListed && was) std::erase(listed_, entry.upstream);
+  if (endpoint.isListed && !wasListed) listed_.push_back(entry.upstream);
+  if (!endpoint.isListed && wasListed) std::erase(listed_, entry.upstream);
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -17,7 +17,7 @@
 
 /// An answer of this sidecar's own counts for more than what others say of an endpoint for so long, in
 /// microseconds: about as long as it takes others to meet the endpoint too.
-constexpr Micros kOwnEvidenceLasts = 1'000'000;
+constexpr Micros kOwnEvidenceValidity = 1'000'000;
 
 /// All that is known of an endpoint. Each group of fields is written by the part that is named above it.
 /// Times are microseconds.
@@ -48,20 +48,20 @@
   std::optional<double> cpuShare;  ///< as it last reported, 0 to 1
 
   // ConcurrencyLimit and endpoint_backoff.h
-  double limit = 1;         ///< of inFlight
-  Micros limitCutAt = 0;    ///< attempts sent before this do not cut the limit again
-  Micros backoffUntil = 0;  ///< in backoff, by a rejection or a limit under one
-  int rejectionsInRow = 0;  ///< in a row
+  double limit = 1;               ///< of inFlight
+  Micros limitCutAt = 0;          ///< attempts sent before this do not cut the limit again
+  Micros backoffUntil = 0;        ///< in backoff, by a rejection or a limit under one
+  int consecutiveRejections = 0;  ///< in a row
 
   // OutlierDetection
-  double failureRate = 0;                    ///< smoothed, of answers and failures, 0 to 1
-  Micros ejectedUntil = 0;                   ///< no ordinary attempt before this; 0 or past: none in force
-  int ejections = 0;                         ///< in a row
-  bool isHalfOpen = false;                   ///< ejected, or back on trial: one attempt at a time
-  bool isAnswering = true;                   ///< the last outcome was an answer, good or bad
-  Micros lastServedAt = -kOwnEvidenceLasts;  ///< its last own answer
-  Micros notifiedUntil = 0;  ///< others have said something of it: a trial is one sidecar's turn ...
-  bool isOwnTurn = false;    ///< ... this one's
+  double failureRate = 0;                       ///< smoothed, of answers and failures, 0 to 1
+  Micros ejectedUntil = 0;                      ///< no ordinary attempt before this; 0 or past: none in force
+  int consecutiveEjections = 0;                 ///< in a row
+  bool isHalfOpen = false;                      ///< ejected, or back on trial: one attempt at a time
+  bool isAnswering = true;                      ///< the last outcome was an answer, good or bad
+  Micros lastServedAt = -kOwnEvidenceValidity;  ///< its last own answer
+  Micros reportsValidUntil = 0;  ///< others have said something of it: a trial is one sidecar's turn ...
+  bool isTrialOwner = false;     ///< ... this one's
 
   // ConnectionSubset
   std::uint32_t connections = 0;  ///< that stand open, as far as attempts have shown
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -14,7 +14,7 @@
 // Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
 constexpr double kCrossZoneOdds = 0.25;
 // All endpoints outside the subset together keep this share of the draws, so that better ones are found.
-constexpr double kOutsideShare = 0.02;
+constexpr double kOutsideSubsetShare = 0.02;
 
 // How well an endpoint suits a request, around one, within kMaxBias either way. It follows the size against
 // the mean: at zero counts the draw decides alone, and a uniform draw without load information overloads the
@@ -32,7 +32,7 @@
 const std::vector<EndpointId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
                                                            Micros now) {
   eligible_.clear();
-  if (!allowed.send) return eligible_;
+  if (!allowed.maySend) return eligible_;
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     // A ready one is listed and has its credit: of the rules only the repeat group is left.
@@ -56,7 +56,7 @@
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
-                      EndpointReadiness::mayBeTried(endpoint, now);
+                      EndpointReadiness::mayGetTrial(endpoint, now);
     if (free && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now)) eligible_.push_back(id);
   }
   return eligible_;
@@ -83,13 +83,13 @@
   }
   const bool isDivided = inside > 0 && outside > 0 && subset_.isPartial(now);
   const double outsideFactor =
-      isDivided ? std::min(1.0, kOutsideShare / (1 - kOutsideShare) * inside / outside) : 1;
+      isDivided ? std::min(1.0, kOutsideSubsetShare / (1 - kOutsideSubsetShare) * inside / outside) : 1;
   const double warming = kWarmingOdds * (inside + outside * outsideFactor);
   double sum = 0;
   for (std::size_t n = 0; n < eligible.size(); ++n) {
     const Endpoint& endpoint = endpoints_[eligible[n]];
     const bool isDue = slowStart_.capacityFraction(endpoint, now) < 1 ||
-                       (endpoint.isHalfOpen && now < endpoint.notifiedUntil);
+                       (endpoint.isHalfOpen && now < endpoint.reportsValidUntil);
     sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint))
                  : odds_[n] * (endpoint.isInSubset ? 1 : outsideFactor);
     odds_[n] = sum;
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -13,14 +13,14 @@
 
 // So many probes a request at most, none beyond what costs this part of its weight, and one is given up after
 // so many times the usual time of a probe.
-constexpr double kMaxProbePrice = 0.016;
+constexpr double kMaxProbeCost = 0.016;
 constexpr double kMaxProbes = 4;
 constexpr double kProbeTimeoutMultiple = 4;
 // A price below it counts as this much.
-constexpr double kMinPrice = 1e-9;
+constexpr double kMinCost = 1e-9;
 
 // Requests in hand for the endpoint's size; -1 where the result tells none.
-double requestsInHand(const ProbeResult& event, const Endpoint& endpoint) {
+double busyRequestsForSize(const ProbeResult& event, const Endpoint& endpoint) {
   return event.report ? event.report->busyRequests.value_or(-1) / endpoint.size : -1;
 }
 
@@ -32,7 +32,7 @@
       endpoints_(endpoints),
       loadReports_(loadReports),
       priority_(priority),
-      isEnabled_(settings.mayProbe && settings.reportsBusyRequests && settings.probeCost <= kMaxProbePrice),
+      isEnabled_(settings.mayProbe && settings.reportsBusyRequests && settings.probeCost <= kMaxProbeCost),
       probeLatency_(std::max<std::uint32_t>(1, settings.zones)) {}
 
 bool HealthCheck::shouldProbe(const Request& request, const ReducedService& reduced,
@@ -50,16 +50,16 @@
 // centre is far. Before one was answered from there it is what a connection may take.
 Micros HealthCheck::probeTimeout(const Endpoint& endpoint) const {
   const double usual = probeLatency_[endpoint.zone];
-  const auto patience =
+  const auto timeout =
       usual > 0 ? static_cast<Micros>(kProbeTimeoutMultiple * usual) : settings_.connectTimeout;
-  return std::max(patience, 2 * settings_.resolution);
+  return std::max(timeout, 2 * settings_.resolution);
 }
 
 void HealthCheck::startProbe(RequestId id, Request& request, EndpointId to, const EventContext& context) {
-  if (request.probes++ == 0) context.deadlines.push({request.holdUntil, id, Wake::What::Hold});
+  if (request.probes++ == 0) context.deadlines.push({request.holdUntil, id, Wake::Kind::Hold});
   request.probedEndpoint = to;
   request.probeDeadline = context.now + probeTimeout(endpoints_[to]);
-  context.deadlines.push({request.probeDeadline, id, Wake::What::ProbeTimeout});
+  context.deadlines.push({request.probeDeadline, id, Wake::Kind::ProbeTimeout});
   waiting_.push_back(id);
   context.act(Probe{to});
 }
@@ -69,20 +69,22 @@
   double& probeLatency = probeLatency_[endpoint.zone];
   util::smooth(probeLatency, static_cast<double>(event.latency), probeLatency > 0 ? kLatencyGain : 1);
   if (event.report) loadReports_.learn(endpoint, *event.report);
-  previousUsualInHand_ = usualInHand_;
-  const double inHand = requestsInHand(event, endpoint);
-  if (inHand >= 0) util::smooth(usualInHand_, inHand, usualInHand_ < 0 ? 1 : kLatencyGain);
+  previousTypicalBusyRequests_ = typicalBusyRequests_;
+  const double busyForSize = busyRequestsForSize(event, endpoint);
+  if (busyForSize >= 0)
+    util::smooth(typicalBusyRequests_, busyForSize, typicalBusyRequests_ < 0 ? 1 : kLatencyGain);
 }
 
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
   const Endpoint& endpoint = endpoints_[event.upstream];
-  const double inHand = requestsInHand(event, endpoint);
+  const double busyForSize = busyRequestsForSize(event, endpoint);
   // One that has no figures yet is not overloaded for that: reports may be far between.
   if (event.ok && !endpoint.hasReported) return Verdict::HasCapacity;
-  if (!event.ok || inHand < 0 || loadReports_.isOverloaded(request, endpoint, *event.report))
+  if (!event.ok || busyForSize < 0 || loadReports_.isOverloaded(request, endpoint, *event.report))
     return Verdict::Overloaded;
-  return previousUsualInHand_ >= 0 && inHand > previousUsualInHand_ ? Verdict::BusierThanUsual
-                                                                    : Verdict::HasCapacity;
+  return previousTypicalBusyRequests_ >= 0 && busyForSize > previousTypicalBusyRequests_
+             ? Verdict::BusierThanUsual
+             : Verdict::HasCapacity;
 }
 
 bool HealthCheck::acceptsPick(const Request& request, Verdict verdict) const {
@@ -92,8 +94,8 @@
 
 // Guards against rejecting for one overloaded endpoint a request whose other probes have met capacity. One
 // that is only busier than usual is left out of this request's other probes.
-bool HealthCheck::passOver(Request& request, Verdict verdict, double typicalLatency,
-                           const EventContext& context) {
+bool HealthCheck::rejectPick(Request& request, Verdict verdict, double typicalLatency,
+                             const EventContext& context) {
   Endpoint& endpoint = endpoints_[request.probedEndpoint];
   if (verdict == Verdict::BusierThanUsual)
     backOff(endpoint, kMaxProbes * probeLatency_[endpoint.zone], context);
@@ -106,8 +108,8 @@
 
 // The less a request weighs against the greatest weight, the fewer probes at this price. When as many as are
 // for nothing find overload, it gives way: fewer, where they are dear, prove nothing of the others.
-int HealthCheck::maxProbes(const Request& request, double price) const {
-  const double probes = std::min(kMaxProbes, kMaxProbePrice / std::max(kMinPrice, price));
+int HealthCheck::maxProbes(const Request& request, double cost) const {
+  const double probes = std::min(kMaxProbes, kMaxProbeCost / std::max(kMinCost, cost));
   return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
 }
 
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -49,10 +49,10 @@
   [[nodiscard]] bool acceptsPick(const Request& request, Verdict verdict) const;
   /// The pick does not stand: the endpoint is in backoff, `typicalLatency` microseconds if it is overloaded.
   /// @return whether as many probes as cost nothing have found overload, so that the request gives way
-  bool passOver(Request& request, Verdict verdict, double typicalLatency, const EventContext& context);
+  bool rejectPick(Request& request, Verdict verdict, double typicalLatency, const EventContext& context);
 
  private:
-  [[nodiscard]] int maxProbes(const Request& request, double price) const;
+  [[nodiscard]] int maxProbes(const Request& request, double cost) const;
   [[nodiscard]] Micros probeTimeout(const Endpoint& endpoint) const;
 
   const Settings& settings_;
@@ -63,9 +63,9 @@
   double probeCredit_ = 0;          // of one probe, under reduced service
   std::vector<RequestId> waiting_;  // wait for a probe
   std::vector<double>
-      probeLatency_;         // smoothed time of a probe, by zone, microseconds; 0: none was answered yet
-  double usualInHand_ = -1;  // smoothed, of requests in hand for the size, as reported; -1: unknown
-  double previousUsualInHand_ = -1;  // what it was before the last result
+      probeLatency_;  // smoothed time of a probe, by zone, microseconds; 0: none was answered yet
+  double typicalBusyRequests_ = -1;  // smoothed, of requests in hand for the size, as reported; -1: unknown
+  double previousTypicalBusyRequests_ = -1;  // what it was before the last result
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -48,12 +48,12 @@
   [[nodiscard]] double answers() const { return answers_; }
 
  private:
-  static constexpr double kFirstGuess =
+  static constexpr double kInitialLatency =
       1e6;  // microseconds: before anything is known patience does less harm
 
   std::vector<double> typicalLatency_, classAnswers_;  // by class
-  double overallLatency_ = kFirstGuess;
-  double baselineLatency_ = kFirstGuess;
+  double overallLatency_ = kInitialLatency;
+  double baselineLatency_ = kInitialLatency;
   double answers_ = 0;
 };
 
--- a/src/balancer/load_information.h
+++ b/src/balancer/load_information.h
@@ -12,7 +12,7 @@
 
 /// For so many sidecars or fewer each sees enough of the load: own requests in flight tell of the endpoints,
 /// a limit grows by one, and nobody needs to spread calls to discovery.
-constexpr double kSmallFleet = 4;
+constexpr double kSmallFleetSidecars = 4;
 
 /// A sidecar with fewer own requests in flight than this for each endpoint is without load information.
 constexpr double kMinInFlightPerEndpoint = 0.1;
@@ -21,7 +21,7 @@
 /// Those that a jam keeps there do not count: they tell no more of the others.
 [[nodiscard]] inline bool lacksLoadInformation(const Settings& settings, const LatencyStatistics& latency,
                                                const SendRate& sendRate, std::size_t listed, Micros now) {
-  if (settings.sidecars <= kSmallFleet) return false;
+  if (settings.sidecars <= kSmallFleetSidecars) return false;
   if (latency.answers() == 0) return true;
   return sendRate.typicalInFlight(latency.baselineLatency(), now) <
          kMinInFlightPerEndpoint * static_cast<double>(listed);
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -45,8 +45,8 @@
   }
   parallelism /= endpoint.size;
   if (!(parallelism > 0)) return;  // nothing, or not a number
-  const double known = parallelism < parallelism_ ? kParallelismFallGain : kParallelismRiseGain;
-  util::smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : known);
+  const double gain = parallelism < parallelism_ ? kParallelismFallGain : kParallelismRiseGain;
+  util::smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : gain);
 }
 
 bool LoadReports::isOverloaded(const Request& request, const Endpoint& endpoint,
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -40,7 +40,7 @@
   /// Takes off that of the greatest weight of those held that `isServable(request)` says can go out now; none
   /// if none can.
   template <class IsServable>
-  std::optional<RequestId> takeWeightiest(const RequestTable& requests, IsServable isServable) {
+  std::optional<RequestId> takeHighestWeight(const RequestTable& requests, IsServable isServable) {
     auto next = held_.end();
     double bestWeight = -1;
     for (auto at = held_.end(); at-- != held_.begin();) {
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -20,8 +20,8 @@
 // are heard.
 constexpr double kMaxEjected = 0.5;
 constexpr double kMaxEjectedByReports = 0.25;
-constexpr std::uint32_t kRequiredWitnesses = 3;
-constexpr std::uint32_t kFewReachable = 6;
+constexpr std::uint32_t kRequiredUnhealthyReports = 3;
+constexpr std::uint32_t kFewReachableSidecars = 6;
 constexpr Micros kMaxReportValidity = 2'000'000;
 // Jitter of an ejection's length, from this part of it to as much above it.
 constexpr double kShortestEjection = 0.75;
@@ -37,12 +37,12 @@
   util::smooth(fleetFailureRate_, failed, kFailureGain / listed);
   util::smooth(endpoint.failureRate, failed, kFailureGain);
   if (failed == 0) {
-    endpoint.rejectionsInRow = 0;
+    endpoint.consecutiveRejections = 0;
     endpoint.lastServedAt = context.now;
   }
   if (endpoint.isHalfOpen && endpoint.failureRate < kFailureExcess / 2) {
     endpoint.isHalfOpen = false;
-    endpoint.ejections = 0;
+    endpoint.consecutiveEjections = 0;
     endpoint.ejectedUntil = context.now;
     context.act(Log{"upstream readmitted: " + std::to_string(id)});
   }
@@ -58,39 +58,40 @@
   if (!endpoints_.contains(event.upstream)) return;
   Endpoint& endpoint = endpoints_[event.upstream];
   if (!endpoint.isListed || event.launchedAt != endpoint.launchedAt) return;
-  endpoint.notifiedUntil = context.now + std::clamp<Micros>(event.validFor, 0, kMaxReportValidity);
-  endpoint.isOwnTurn = event.ownsNextTrial || event.hasHealthyReport;
+  endpoint.reportsValidUntil = context.now + std::clamp<Micros>(event.validFor, 0, kMaxReportValidity);
+  endpoint.isTrialOwner = event.ownsNextTrial || event.hasHealthyReport;
   if (event.hasHealthyReport && endpoint.isHalfOpen)
     endpoint.ejectedUntil = std::min(endpoint.ejectedUntil, context.now);
-  const std::uint32_t enough =
-      event.reachableSidecars < kFewReachable ? kRequiredWitnesses - 1 : kRequiredWitnesses;
+  const std::uint32_t required = event.reachableSidecars < kFewReachableSidecars
+                                     ? kRequiredUnhealthyReports - 1
+                                     : kRequiredUnhealthyReports;
   if (event.hasHealthyReport || endpoint.isHalfOpen ||
-      context.now - endpoint.lastServedAt < kOwnEvidenceLasts || event.unhealthyReports < enough)
+      context.now - endpoint.lastServedAt < kOwnEvidenceValidity || event.unhealthyReports < required)
     return;
-  const auto another = [&](EndpointId id) {
+  const auto isReadyAlternative = [&](EndpointId id) {
     return id != event.upstream && readiness_.isReady(endpoints_[id], context.now);
   };
-  if (std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(), another))
+  if (std::any_of(endpoints_.listed().begin(), endpoints_.listed().end(), isReadyAlternative))
     eject(event.upstream, kMaxEjectedByReports, context);
 }
 
-// False if so many are out already, of `most` of the listed, that this one has to stay.
-bool OutlierDetection::eject(EndpointId id, double most, const EventContext& context) {
+// False if so many are out already, of `maxFraction` of the listed, that this one has to stay.
+bool OutlierDetection::eject(EndpointId id, double maxFraction, const EventContext& context) {
   const auto& listed = endpoints_.listed();
-  const auto out = std::count_if(listed.begin(), listed.end(), [&](EndpointId other) {
+  const auto ejected = std::count_if(listed.begin(), listed.end(), [&](EndpointId other) {
     return endpoints_[other].isHalfOpen || context.now < endpoints_[other].ejectedUntil;
   });
   Endpoint& endpoint = endpoints_[id];
-  const double others = static_cast<double>(out) - (endpoint.isHalfOpen ? 1 : 0);
-  if (others + 1 > most * static_cast<double>(listed.size())) return false;
-  const double wait =
-      static_cast<double>(kBaseEjection) * std::exp2(std::min(endpoint.ejections, kMaxEjectionDoublings));
+  const double others = static_cast<double>(ejected) - (endpoint.isHalfOpen ? 1 : 0);
+  if (others + 1 > maxFraction * static_cast<double>(listed.size())) return false;
+  const double duration = static_cast<double>(kBaseEjection) *
+                          std::exp2(std::min(endpoint.consecutiveEjections, kMaxEjectionDoublings));
   // Jittered, so that sidecars which saw the same failure do not come back together.
   endpoint.ejectedUntil =
-      context.now + static_cast<Micros>(wait * (kShortestEjection + context.random.uniform() / 2));
-  context.deadlines.push({endpoint.ejectedUntil, 0, Wake::What::Ready});
+      context.now + static_cast<Micros>(duration * (kShortestEjection + context.random.uniform() / 2));
+  context.deadlines.push({endpoint.ejectedUntil, 0, Wake::Kind::Ready});
   if (!endpoint.isHalfOpen) context.act(Log{"upstream ejected: " + std::to_string(id)});
-  ++endpoint.ejections;
+  ++endpoint.consecutiveEjections;
   endpoint.isHalfOpen = true;
   endpoint.failureRate = kFailureExcess;
   return true;
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -32,7 +32,7 @@
   void apply(const HealthReport& event, const EventContext& context);
 
  private:
-  bool eject(EndpointId id, double most, const EventContext& context);
+  bool eject(EndpointId id, double maxFraction, const EventContext& context);
 
   const Settings& settings_;
   EndpointRegistry& endpoints_;
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -26,9 +26,10 @@
 }
 
 double Priority::relativeWeight(const Request& request) const {
-  double most = 0;
-  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWeight(cls));
-  return util::within(weight(request) / most, kMinRelativeWeight, 1);
+  double greatest = 0;
+  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls)
+    greatest = std::max(greatest, classWeight(cls));
+  return util::within(weight(request) / greatest, kMinRelativeWeight, 1);
 }
 
 // By the request, or by its time to an answer where weight does not go by work; a class not answered yet
@@ -40,10 +41,10 @@
 }
 
 void Priority::countUsage(const Request& request, Micros now) {
-  const double fade = retainedFraction(usageAt_, kUsageMemory, now);
+  const double retained = retainedFraction(usageAt_, kUsageMemory, now);
   usageAt_ = now;
-  totalUsage_ *= fade;
-  for (double& usage : tenantUsage_) usage *= fade;
+  totalUsage_ *= retained;
+  for (double& usage : tenantUsage_) usage *= retained;
   if (!request.tenant) return;
   tenantUsage_[*request.tenant] += 1;
   totalUsage_ += 1;
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -19,7 +19,7 @@
   std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
   Micros sentAt = 0;                  ///< the time of the event that led to it; repeat windows begin here
   bool isPending = true;              ///< until its first outcome; further ones are ignored
-  bool isCounted = true;              ///< among those in flight
+  bool countsAsInFlight = true;       ///< among those in flight
   bool needsConnection = false;       ///< needs a new connection
   bool mayHaveRun = true;             ///< until an outcome proves otherwise
 };
@@ -42,7 +42,7 @@
   std::uint32_t pendingAttempts = 0;  ///< attempts without an outcome
   bool isFinished = false;            ///< it has its final answer, or the client has left
   bool isStreaming = false;           ///< an attempt is the client's now
-  bool isBodySpent = false;           ///< the body can't be sent again
+  bool isBodyConsumed = false;        ///< the body can't be sent again
   bool hasEarnedCredit = false;       ///< endpoints that are warming up have had their credit for it
 };
 
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Request RequestEstimates::arrive(const NewRequest& event, Micros now) {
+Request RequestEstimates::makeRequest(const NewRequest& event, Micros now) {
   Request request;
   request.requestClass = event.requestClass;
   request.tenant = event.tenant;
@@ -39,9 +39,9 @@
 double RequestEstimates::relativeWork(const NewRequest& event) {
   if (!event.work || *event.work <= 0) return 1;
   const auto work = static_cast<double>(*event.work);
-  double& usual = typicalWork_[event.requestClass];
-  util::smooth(usual, work, usual > 0 ? kLatencyGain : 1);
-  return std::clamp(work / usual, 1 / kMaxRelativeWork, kMaxRelativeWork);
+  double& typical = typicalWork_[event.requestClass];
+  util::smooth(typical, work, typical > 0 ? kLatencyGain : 1);
+  return std::clamp(work / typical, 1 / kMaxRelativeWork, kMaxRelativeWork);
 }
 
 // Guards against repeats of clients that take the place of fresh requests though their latency objective is
@@ -50,10 +50,10 @@
 double RequestEstimates::timeliness(const NewRequest& event, Micros latencyObjective) {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const auto span = static_cast<double>(event.expiresIn);
-  double& usual = typicalPatience_[event.requestClass];
-  util::smooth(usual, span, kLatencyGain);
-  usual = std::max(span, usual);
-  const bool isShortened = span < kShortenedAttempt * usual;
+  double& typical = typicalTimeout_[event.requestClass];
+  util::smooth(typical, span, kLatencyGain);
+  typical = std::max(span, typical);
+  const bool isShortened = span < kShortenedAttempt * typical;
   if (isShortened && cls.deadline - event.expiresIn >= latencyObjective) return cls.lateWeight;
   return isShortened || event.isRetry ? (1 + cls.lateWeight) / 2 : 1;
 }
--- a/src/balancer/request_estimates.h
+++ b/src/balancer/request_estimates.h
@@ -15,11 +15,11 @@
   /// `settings` must outlive it.
   explicit RequestEstimates(const Settings& settings)
       : settings_(settings),
-        typicalPatience_(settings.classes.size()),
+        typicalTimeout_(settings.classes.size()),
         typicalWork_(settings.classes.size()) {}
 
   /// The record of a request that arrives at `now`, with its deadline, and learns from it.
-  Request arrive(const NewRequest& event, Micros now);
+  Request makeRequest(const NewRequest& event, Micros now);
 
  private:
   [[nodiscard]] Micros latencyObjectiveOf(const NewRequest& event) const;
@@ -28,7 +28,7 @@
 
   const Settings& settings_;
   std::vector<double>
-      typicalPatience_;              // time that clients give a try, by class: the longest, slowly forgotten
+      typicalTimeout_;               // time that clients give a try, by class: the longest, slowly forgotten
   std::vector<double> typicalWork_;  // smoothed hint of work, by class
 };
 
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -29,21 +29,21 @@
 }
 
 Permission RequestLifecycle::permission(const Request& request, const EventContext& context) {
-  return decisions_.retryPolicy.permission(request, decisions_.reduced, context.now);
+  return decisions_.retryPolicy.permission(request, decisions_.reducedService, context.now);
 }
 
 const std::vector<EndpointId>& RequestLifecycle::eligible(const Request& request, const Permission& allowed,
                                                           const EventContext& context) {
-  const bool mustWait = allowed.send && decisions_.sidecarLimit.mustWait(request, context);
+  const bool mustWait = allowed.maySend && decisions_.sidecarLimit.mustWait(request, context);
   return decisions_.selection.eligible(request, mustWait ? Permission{} : allowed, context.now);
 }
 
 void RequestLifecycle::on(const NewRequest& event, const EventContext& context) {
   Request& request =
-      requests_.emplace(event.request, decisions_.estimates.arrive(event, context.now)).first->second;
+      requests_.emplace(event.request, decisions_.estimates.makeRequest(event, context.now)).first->second;
   ++open_;
   decisions_.retryPolicy.countRequest(context.now);
-  context.deadlines.push({request.deadline, event.request, Wake::What::Deadline});
+  context.deadlines.push({request.deadline, event.request, Wake::Kind::Deadline});
   // Held no longer than leaves time to be served: work for a client that has gone is wasted.
   request.holdUntil = std::min(request.deadline, context.now + request.latencyObjective) -
                       static_cast<Micros>(decisions_.latency.typicalLatency(event.requestClass));
@@ -59,7 +59,7 @@
   const std::vector<EndpointId>& choice = eligible(request, allowed, context);
   if (!choice.empty()) {
     const EndpointId to = decisions_.selection.pick(choice, request, context);
-    if (decisions_.healthCheck.shouldProbe(request, decisions_.reduced, context)) {
+    if (decisions_.healthCheck.shouldProbe(request, decisions_.reducedService, context)) {
       decisions_.healthCheck.startProbe(id, request, to, context);
     } else {
       send(id, request, to, context);
@@ -67,16 +67,16 @@
     return;
   }
   if (request.pendingAttempts > 0) return;
-  if (allowed.send && context.now < request.holdUntil) {
+  if (allowed.maySend && context.now < request.holdUntil) {
     decisions_.loadShedding.hold(id, request, context);
   } else {
-    attemptLastResort(id, request, context);
+    sendAsLastResort(id, request, context);
   }
 }
 
 // Guards against rejecting what an ejected endpoint might still serve: one that answers at all answers some.
 // That is its trial. One that is silent gets nothing: a rejection lets the client try again.
-void RequestLifecycle::attemptLastResort(RequestId id, Request& request, const EventContext& context) {
+void RequestLifecycle::sendAsLastResort(RequestId id, Request& request, const EventContext& context) {
   const std::vector<EndpointId>& choice =
       decisions_.selection.lastResort(request, permission(request, context), context.now);
   if (choice.empty()) return answer(id, request, context);
@@ -109,8 +109,8 @@
 // The final answer. A rejection, where the rules allow it, since it lets the client try again.
 void RequestLifecycle::answer(RequestId id, Request& request, const EventContext& context) {
   const Permission allowed = permission(request, context);
-  if (!allowed.refuse && !allowed.fail) return;
-  if (allowed.refuse) {
+  if (!allowed.mayReject && !allowed.mayFail) return;
+  if (allowed.mayReject) {
     context.act(Reject{id, decisions_.loadShedding.retryAfter(context)});
   } else {
     context.act(Fail{id});
@@ -137,12 +137,12 @@
 }
 
 // Any outcome leaves the count; so does an answer that begins to stream: the rest is its client's pace.
-void RequestLifecycle::leaveCount(Attempt& attempt) {
-  if (attempt.isCounted) {
+void RequestLifecycle::releaseInFlight(Attempt& attempt) {
+  if (attempt.countsAsInFlight) {
     decisions_.sidecarLimit.countEnd();
     --decisions_.endpoints[attempt.endpoint].inFlight;
   }
-  attempt.isCounted = false;
+  attempt.countsAsInFlight = false;
 }
 
 void RequestLifecycle::on(const AttemptOutcome& event, const EventContext& context) {
@@ -154,8 +154,8 @@
   attempt.isPending = false;
   attempt.mayHaveRun = !provesNeverRan(event.outcome);
   --request.pendingAttempts;
-  leaveCount(attempt);
-  request.isBodySpent = request.isBodySpent || event.isBodyConsumed;
+  releaseInFlight(attempt);
+  request.isBodyConsumed = request.isBodyConsumed || event.isBodyConsumed;
   learn(event, request, attempt, context);
   if (request.isFinished) {
     if (request.pendingAttempts == 0) requests_.erase(found);
@@ -175,9 +175,9 @@
                                  event.outcome};
   ConnectionSubset::learnConnection(endpoint, attempt, event.outcome);
   // A connect that failed where other connections stand says nothing of the endpoint.
-  const bool isOtherwiseConnected =
+  const bool hasOtherConnection =
       event.outcome == Outcome::ConnectFailed && decisions_.subset.isConnected(endpoint, context.now);
-  learnConnections(request, attempt, finished, isOtherwiseConnected, context);
+  updateSubset(request, attempt, finished, hasOtherConnection, context);
   const double typicalLatency = decisions_.latency.typicalLatency(request.requestClass);
   if (event.report) {
     decisions_.loadReports.learn(endpoint, *event.report);
@@ -187,21 +187,21 @@
   }
   if (event.outcome == Outcome::Ok)
     decisions_.latency.learn(endpoint, request, finished.latency, context.now);
-  if (event.outcome == Outcome::Full || (event.outcome == Outcome::ConnectFailed && !isOtherwiseConnected)) {
+  if (event.outcome == Outcome::Full || (event.outcome == Outcome::ConnectFailed && !hasOtherConnection)) {
     backOffExponentially(endpoint, static_cast<Micros>(typicalLatency), decisions_.settings.resolution,
                          context);
   }
   if (decisions_.sidecarLimit.backOffIfOverloaded(request, event.outcome, finished.latency, context))
     decisions_.loadShedding.wakeAfterBackoff(requests_, context);
-  if (!isOtherwiseConnected) decisions_.outlierDetection.observe(attempt.endpoint, event.outcome, context);
+  if (!hasOtherConnection) decisions_.outlierDetection.observe(attempt.endpoint, event.outcome, context);
   decisions_.concurrencyLimit.adjust(endpoint, request, finished, context);
 }
 
-void RequestLifecycle::learnConnections(const Request& request, const Attempt& attempt,
-                                        const FinishedAttempt& finished, bool isOtherwiseConnected,
-                                        const EventContext& context) {
+void RequestLifecycle::updateSubset(const Request& request, const Attempt& attempt,
+                                    const FinishedAttempt& finished, bool hasOtherConnection,
+                                    const EventContext& context) {
   Endpoint& endpoint = decisions_.endpoints[attempt.endpoint];
-  if (!isOtherwiseConnected)
+  if (!hasOtherConnection)
     decisions_.subset.leaveIfUnfit(endpoint, request, finished.outcome, finished.latency, context.now);
   if (endpoint.isListed) {
     decisions_.subset.closeUnused(attempt.endpoint, context);
@@ -215,7 +215,7 @@
   if (found == requests_.end() || found->second.isFinished) return;
   if (event.attempt >= found->second.attempts.size()) throw std::invalid_argument("never sent");
   found->second.isStreaming = true;
-  leaveCount(found->second.attempts[event.attempt]);
+  releaseInFlight(found->second.attempts[event.attempt]);
   cancelAllBut(event.attempt, event.request, found->second, context);
 }
 
@@ -242,8 +242,8 @@
   const bool stillReady = std::find(choice.begin(), choice.end(), request.probedEndpoint) != choice.end();
   if (stillReady && decisions_.healthCheck.acceptsPick(request, verdict))
     return send(id, request, request.probedEndpoint, context);
-  if (decisions_.healthCheck.passOver(request, verdict,
-                                      decisions_.latency.typicalLatency(request.requestClass), context)) {
+  if (decisions_.healthCheck.rejectPick(request, verdict,
+                                        decisions_.latency.typicalLatency(request.requestClass), context)) {
     answer(id, request, context);
   } else {
     dispatch(id, request, context);
@@ -254,20 +254,20 @@
   const auto found = requests_.find(wake.request);
   if (found == requests_.end()) return;
   Request& request = found->second;
-  switch (wake.what) {
-    case Wake::What::ProbeTimeout: {
+  switch (wake.kind) {
+    case Wake::Kind::ProbeTimeout: {
       const auto& waiting = decisions_.healthCheck.waiting();
       const bool waits = std::find(waiting.begin(), waiting.end(), wake.request) != waiting.end();
       if (waits && request.probeDeadline <= context.now)
         finishProbe(wake.request, HealthCheck::Verdict::Overloaded, context);
       return;
     }
-    case Wake::What::Hold:
+    case Wake::Kind::Hold:
       // Guards against holding what can no longer be served in time: better the client hears at once.
       if (!request.isFinished && request.pendingAttempts == 0 && request.holdUntil <= context.now)
-        attemptLastResort(wake.request, request, context);
+        sendAsLastResort(wake.request, request, context);
       return;
-    case Wake::What::Deadline:
+    case Wake::Kind::Deadline:
       // Guards the last answer: nothing of a request that has not begun to stream outlives its deadline.
       if (!request.isFinished && !request.isStreaming && request.deadline <= context.now)
         answer(wake.request, request, context);
@@ -280,7 +280,7 @@
 void RequestLifecycle::serveHeld(const EventContext& context) {
   while (decisions_.loadShedding.size() > 0 && !decisions_.sidecarLimit.isAtLimit(context) &&
          decisions_.readiness.anyReady(decisions_.endpoints, context.now)) {
-    const auto next = decisions_.loadShedding.takeWeightiest(requests_, [&](const Request& request) {
+    const auto next = decisions_.loadShedding.takeHighestWeight(requests_, [&](const Request& request) {
       return !eligible(request, permission(request, context), context).empty();
     });
     if (!next) return;
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -56,18 +56,18 @@
   const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed,
                                           const EventContext& context);
   void dispatch(RequestId id, Request& request, const EventContext& context);
-  void attemptLastResort(RequestId id, Request& request, const EventContext& context);
+  void sendAsLastResort(RequestId id, Request& request, const EventContext& context);
   void send(RequestId id, Request& request, EndpointId to, const EventContext& context);
   void finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context);
   void answer(RequestId id, Request& request, const EventContext& context);
   void close(RequestId id, Request& request, const EventContext& context);
   void cancelAllBut(std::uint32_t survivor, RequestId id, const Request& request,
                     const EventContext& context) const;
-  void leaveCount(Attempt& attempt);
+  void releaseInFlight(Attempt& attempt);
   void learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
              const EventContext& context);
-  void learnConnections(const Request& request, const Attempt& attempt, const FinishedAttempt& finished,
-                        bool isOtherwiseConnected, const EventContext& context);
+  void updateSubset(const Request& request, const Attempt& attempt, const FinishedAttempt& finished,
+                    bool hasOtherConnection, const EventContext& context);
 
   Decisions& decisions_;
   RequestTable requests_;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -18,25 +18,26 @@
 }  // namespace
 
 RetryBudget::RetryBudget(const Settings& settings)
-    : stated_(settings.retryBudgetWindow > 0),
-      retryBudgetWindow_(stated_ ? settings.retryBudgetWindow : kDefaultRetryBudgetWindow),
-      extraFloor_(stated_ ? util::within(settings.retryBudgetFloor, 0, kMaxBudget) : kRetryFloor),
-      furtherRatio_(stated_ ? util::within(settings.retryBudgetRatio, 0, kMaxBudget) : kRetryRatio) {}
+    : isConfigured_(settings.retryBudgetWindow > 0),
+      window_(isConfigured_ ? settings.retryBudgetWindow : kDefaultRetryBudgetWindow),
+      minRetries_(isConfigured_ ? util::within(settings.retryBudgetFloor, 0, kMaxBudget) : kRetryFloor),
+      retriesPerRequest_(isConfigured_ ? util::within(settings.retryBudgetRatio, 0, kMaxBudget)
+                                       : kRetryRatio) {}
 
-void RetryBudget::forgetTaken(Micros now) {
-  while (!taken_.empty() && taken_.front() <= now - retryBudgetWindow_) taken_.pop_front();
+void RetryBudget::dropExpiredRequests(Micros now) {
+  while (!requestsAt_.empty() && requestsAt_.front() <= now - window_) requestsAt_.pop_front();
 }
 
-void RetryBudget::take(Micros now) {
-  forgetTaken(now);
-  taken_.push_back(now);
+void RetryBudget::countRequest(Micros now) {
+  dropExpiredRequests(now);
+  requestsAt_.push_back(now);
 }
 
-bool RetryBudget::left(Micros now) {
-  forgetTaken(now);
-  while (!further_.empty() && further_.front() < now - retryBudgetWindow_) further_.pop_front();
-  const auto taken = static_cast<double>(taken_.size());
-  return static_cast<double>(further_.size()) + 1 <= extraFloor_ + furtherRatio_ * taken;
+bool RetryBudget::allowsRetry(Micros now) {
+  dropExpiredRequests(now);
+  while (!retriesAt_.empty() && retriesAt_.front() < now - window_) retriesAt_.pop_front();
+  const auto taken = static_cast<double>(requestsAt_.size());
+  return static_cast<double>(retriesAt_.size()) + 1 <= minRetries_ + retriesPerRequest_ * taken;
 }
 
 Permission RetryPolicy::permission(const Request& request, const ReducedService& reduced, Micros now) {
@@ -45,22 +46,22 @@
   const RequestClass& cls = settings_.classes[request.requestClass];
   const auto first = std::find_if(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.mayHaveRun; });
-  allowed.fail = true;
-  allowed.send = now < request.deadline && !request.isBodySpent &&
-                 request.attempts.size() < settings_.maxAttempts &&
-                 (request.pendingAttempts == 0 || (settings_.mayHedge && reduced.mayHedge)) &&
-                 (!isCharged(request) || budget_.left(now));
+  allowed.mayFail = true;
+  allowed.maySend = now < request.deadline && !request.isBodyConsumed &&
+                    request.attempts.size() < settings_.maxAttempts &&
+                    (request.pendingAttempts == 0 || (settings_.mayHedge && reduced.mayHedge)) &&
+                    (!isCharged(request) || budget_.allowsRetry(now));
   if (first == request.attempts.end() || cls.semantics == Semantics::Idempotent) {
-    allowed.refuse = true;
+    allowed.mayReject = true;
   } else if (cls.semantics == Semantics::Unsafe) {
-    allowed.send = false;
+    allowed.maySend = false;
   } else {
     // Strictly inside the window, one step of the clock early: the endpoint's clock starts with our send.
     const bool inWindow = now + settings_.resolution < first->sentAt + cls.retryWindow;
-    allowed.send = allowed.send && inWindow;
+    allowed.maySend = allowed.maySend && inWindow;
     allowed.anchor = &*first;
     // A rejection invites the client to send again to any endpoint, so it needs the widest group, and time.
-    allowed.refuse = cls.group == RetryGroup::All && inWindow;
+    allowed.mayReject = cls.group == RetryGroup::All && inWindow;
   }
   return allowed;
 }
@@ -68,9 +69,9 @@
 // Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
 // lets those go freely that follow attempts which never ran, since rejections cost little.
 bool RetryPolicy::isCharged(const Request& request) const {
-  return budget_.isStated() ? !request.attempts.empty()
-                            : std::any_of(request.attempts.begin(), request.attempts.end(),
-                                          [](const Attempt& attempt) { return attempt.mayHaveRun; });
+  return budget_.isConfigured() ? !request.attempts.empty()
+                                : std::any_of(request.attempts.begin(), request.attempts.end(),
+                                              [](const Attempt& attempt) { return attempt.mayHaveRun; });
 }
 
 bool RetryPolicy::inGroup(RetryGroup group, const Attempt& anchor, const Endpoint& endpoint, EndpointId id) {
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -26,30 +26,30 @@
   explicit RetryBudget(const Settings& settings);
 
   /// Whether the settings state it. A stated one counts every attempt beyond a request's first.
-  [[nodiscard]] bool isStated() const { return stated_; }
+  [[nodiscard]] bool isConfigured() const { return isConfigured_; }
   /// A request was taken.
-  void take(Micros now);
+  void countRequest(Micros now);
   /// A further attempt was sent.
-  void spend(Micros now) { further_.push_back(now); }
+  void countRetry(Micros now) { retriesAt_.push_back(now); }
   /// Whether a further attempt may be sent now.
-  bool left(Micros now);
+  bool allowsRetry(Micros now);
 
  private:
-  void forgetTaken(Micros now);
+  void dropExpiredRequests(Micros now);
 
-  bool stated_;
-  Micros retryBudgetWindow_;  // microseconds, above 0
-  double extraFloor_;         // attempts that are always allowed in a window
-  double furtherRatio_;       // and so many for each request taken in it
-  std::deque<Micros> taken_, further_;
+  bool isConfigured_;
+  Micros window_;             // microseconds, above 0
+  double minRetries_;         // attempts that are always allowed in a window
+  double retriesPerRequest_;  // and so many for each request taken in it
+  std::deque<Micros> requestsAt_, retriesAt_;
 };
 
 /// What the rules still allow for a request.
 struct Permission {
-  bool send = false;                ///< another attempt may be sent now
+  bool maySend = false;             ///< another attempt may be sent now
   const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's repeat group
-  bool refuse = false;              ///< it may be rejected: for the client to send it again is harmless
-  bool fail = false;                ///< it may be failed; false once it has its answer or is streaming
+  bool mayReject = false;           ///< it may be rejected: for the client to send it again is harmless
+  bool mayFail = false;             ///< it may be failed; false once it has its answer or is streaming
 };
 
 /// The rules on attempts and final answers. Every Send, Reject and Fail asks here first: the rules have the
@@ -72,7 +72,7 @@
   /// no other repeat group.
   [[nodiscard]] bool mayGoTo(EndpointId id, const Endpoint& endpoint, const Request& request,
                              const Permission& allowed, Micros now) const {
-    return allowed.send && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
+    return allowed.maySend && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
            isInGroup(id, endpoint, request, allowed);
   }
 
@@ -84,10 +84,10 @@
   }
 
   /// A request was taken.
-  void countRequest(Micros now) { budget_.take(now); }
+  void countRequest(Micros now) { budget_.countRequest(now); }
   /// The request's next attempt is about to be sent.
   void countAttempt(const Request& request, Micros now) {
-    if (isCharged(request)) budget_.spend(now);
+    if (isCharged(request)) budget_.countRetry(now);
   }
 
  private:
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -13,7 +13,7 @@
 // So many attempts in a row that meet overload (a rejection, a time-out, or an answer that took more than
 // this part of its latency objective), at whatever endpoints, are chance; more make the whole sidecar back
 // off.
-constexpr int kOverloadedBeforeBackoff = 2;
+constexpr int kOverloadsBeforeBackoff = 2;
 constexpr double kOverloadedObjectiveFraction = 0.3;
 // Such a sidecar has so many times what it usually has in flight in calm times, and so many more, out at the
 // most: room for chance alone. What all have beyond that waits at the endpoints and slows them down for long.
@@ -28,28 +28,28 @@
 
 bool SidecarLimit::backOffIfOverloaded(const Request& request, Outcome outcome, Micros latency,
                                        const EventContext& context) {
-  const double line = kOverloadedObjectiveFraction * static_cast<double>(request.latencyObjective) *
-                      (1 + request.relativeWork) / 2;
+  const double threshold = kOverloadedObjectiveFraction * static_cast<double>(request.latencyObjective) *
+                           (1 + request.relativeWork) / 2;
   const bool overloaded = outcome == Outcome::Full || outcome == Outcome::Timeout ||
-                          (outcome == Outcome::Ok && static_cast<double>(latency) > line);
+                          (outcome == Outcome::Ok && static_cast<double>(latency) > threshold);
   if (outcome == Outcome::Ok && !overloaded) {
-    overloadedInRow_ = 0;
+    consecutiveOverloads_ = 0;
     if (inFlight_ + 2 > limit_) limit_ += 1 / limit_;
-    const double usual = sendRate_.typicalInFlight(latency_.baselineLatency(), context.now);
-    limit_ = std::clamp(kTypicalMultiple * usual + kAttemptHeadroom, 1.0, limit_);
+    const double typicalInFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), context.now);
+    limit_ = std::clamp(kTypicalMultiple * typicalInFlight + kAttemptHeadroom, 1.0, limit_);
   }
-  if (!overloaded || ++overloadedInRow_ <= kOverloadedBeforeBackoff || !context.lacksLoadInformation)
+  if (!overloaded || ++consecutiveOverloads_ <= kOverloadsBeforeBackoff || !context.lacksLoadInformation)
     return false;
   limit_ = std::max(1.0, limit_ * kLimitBackoff);
   const int doublings =
-      std::min(overloadedInRow_ - kOverloadedBeforeBackoff, kMaxBackoffDoublings) - kFirstBackoffHalvings;
-  backoffFrom_ = context.now;
-  backoffFor_ = latency_.overallLatency() * std::exp2(doublings) * (0.5 + context.random.uniform());
+      std::min(consecutiveOverloads_ - kOverloadsBeforeBackoff, kMaxBackoffDoublings) - kFirstBackoffHalvings;
+  backoffStart_ = context.now;
+  backoffDuration_ = latency_.overallLatency() * std::exp2(doublings) * (0.5 + context.random.uniform());
   return true;
 }
 
 Micros SidecarLimit::backoffEnd(const Request& request) const {
-  return backoffFrom_ + static_cast<Micros>(backoffFor_ / (2 * priority_.relativeWeight(request)));
+  return backoffStart_ + static_cast<Micros>(backoffDuration_ / (2 * priority_.relativeWeight(request)));
 }
 
 // What is out at silent endpoints tells nothing of the others.
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -45,7 +45,7 @@
 
   /// Whether no endpoint would get the request now, however many are ready.
   [[nodiscard]] bool mustWait(const Request& request, const EventContext& context) const {
-    return (backoffFor_ > 0 && context.now < backoffEnd(request)) || isAtLimit(context);
+    return (backoffDuration_ > 0 && context.now < backoffEnd(request)) || isAtLimit(context);
   }
 
   /// Whether a sidecar without load information has all out that it may.
@@ -57,11 +57,11 @@
   const LatencyStatistics& latency_;
   const SendRate& sendRate_;
   const Priority& priority_;
-  double limit_ = 1;         // of inFlight_
-  double inFlight_ = 0;      // attempts without an outcome
-  int overloadedInRow_ = 0;  // outcomes that tell of overload, of any endpoints
-  Micros backoffFrom_ = 0;   // the whole sidecar is in backoff ...
-  double backoffFor_ = 0;    // ... for this long, in microseconds, a request of half the greatest weight
+  double limit_ = 1;              // of inFlight_
+  double inFlight_ = 0;           // attempts without an outcome
+  int consecutiveOverloads_ = 0;  // outcomes that tell of overload, of any endpoints
+  Micros backoffStart_ = 0;       // the whole sidecar is in backoff ...
+  double backoffDuration_ = 0;    // ... for this long, in microseconds, a request of half the greatest weight
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -11,7 +11,7 @@
 // And at most this part of Settings::fallMultiple of it. What all clients ask may exceed what all warm
 // ones can do; this leaves room for an overload of 1 / 0.6, so 1.67 times, before the endpoint's load
 // reaches the multiple.
-constexpr double kMaxPartOfMultiple = 0.6;
+constexpr double kMaxFallMultipleFraction = 0.6;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
     total += endpoint.size;
   }
   if (present == total) return;  // the usual case: all are warm
-  const double maxLoadShare = std::min(kMaxLoadShare, kMaxPartOfMultiple * settings_.fallMultiple);
+  const double maxLoadShare = std::min(kMaxLoadShare, kMaxFallMultipleFraction * settings_.fallMultiple);
   const double share = std::min(1 / present, maxLoadShare / total);
   for (const EndpointId id : endpoints.listed()) {
     Endpoint& endpoint = endpoints[id];
