--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -8,19 +8,20 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// The subset has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
-// least, so many a request out at most.
+// The subset has as many endpoints as the sidecar can send to kUsesPerConnection times each within the time
+// that an idle connection is kept; at least kMinSubsetSize, and at most kSubsetSizePerInFlight for each
+// request that is usually in flight.
 constexpr double kUsesPerConnection = 4;
 constexpr double kMinSubsetSize = 4;
 constexpr double kSubsetSizePerInFlight = 4;
 
 }  // namespace
 
-// How many endpoints are worth a connection kept.
+// The number of endpoints to which connections should be kept.
 double ConnectionSubset::targetSize(Micros now) const {
-  const double used = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
+  const double byUse = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
   const double inFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), now);
-  return std::max(kMinSubsetSize, std::min(used, kSubsetSizePerInFlight * inFlight));
+  return std::max(kMinSubsetSize, std::min(byUse, kSubsetSizePerInFlight * inFlight));
 }
 
 bool ConnectionSubset::isPartial(Micros now) const {
@@ -31,16 +32,17 @@
   return endpoint.connections > 0 && static_cast<double>(now - endpoint.lastOutcomeAt) < sendRate_.idleTime();
 }
 
-// Whether a send finds a free stream on an open connection; where nothing is known of them it does.
-bool ConnectionSubset::reuses(const Endpoint& endpoint, Micros now) const {
+// Whether a send finds a free stream on an open connection; true if the connections' limits are unknown.
+bool ConnectionSubset::canReuseConnection(const Endpoint& endpoint, Micros now) const {
   if (settings_.idleTimeout <= 0 || settings_.maxStreamsPerConnection == 0) return true;
   return isConnected(endpoint, now) &&
          endpoint.inFlight / settings_.maxStreamsPerConnection < endpoint.connections;
 }
 
 bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
-  const bool needsConnection = !reuses(endpoint, now);
-  if (needsConnection && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
+  const bool needsConnection = !canReuseConnection(endpoint, now);
+  if (needsConnection && endpoint.inFlight == 0)
+    endpoint.connections = 0;  // open connections have closed by their idle time-out
   return needsConnection;
 }
 
@@ -48,7 +50,7 @@
   if (settings_.idleTimeout > 0 && freeSlots(now) >= 1) endpoint.isInSubset = true;
 }
 
-// Guards against what died with all its connections: a reset, or the second failed connect in a row.
+// A reset, or the second failed connect in a row, is taken as the loss of all connections to the endpoint.
 void ConnectionSubset::learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome) {
   const bool failed = outcome == Outcome::ConnectFailed;
   if (outcome == Outcome::Reset || (failed && endpoint.hasConnectFailed)) endpoint.connections = 0;
@@ -59,7 +61,7 @@
   if (!failed) ++endpoint.connections;
 }
 
-// How many more the subset takes.
+// How many more endpoints fit into the subset; below 0 when it has too many.
 double ConnectionSubset::freeSlots(Micros now) const {
   const auto& listed = endpoints_.listed();
   return targetSize(now) -
@@ -70,9 +72,10 @@
 void ConnectionSubset::leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome,
                                     Micros latency, Micros now) const {
   if (settings_.idleTimeout <= 0 || outcome == Outcome::Cancelled || outcome == Outcome::Moot) return;
-  const double usual = latency_.typicalLatency(request.requestClass) * request.relativeWork;
-  const bool late = usual > 0 && static_cast<double>(latency) > kSilenceMultiple * usual;
-  if (outcome != Outcome::Ok || late || !endpoint.isListed || freeSlots(now) < 0) endpoint.isInSubset = false;
+  const double typicalLatency = latency_.typicalLatency(request.requestClass) * request.relativeWork;
+  const bool isLate = typicalLatency > 0 && static_cast<double>(latency) > kSilenceMultiple * typicalLatency;
+  if (outcome != Outcome::Ok || isLate || !endpoint.isListed || freeSlots(now) < 0)
+    endpoint.isInSubset = false;
 }
 
 void ConnectionSubset::closeUnused(EndpointId id, const EventContext& context) const {
@@ -84,8 +87,8 @@
 void ConnectionSubset::closeDraining(EndpointId id, const EventContext& context) const {
   if (settings_.closeDrainingWithin <= 0) return;
   context.act(CloseIdle{id});
-  const Micros again = settings_.closeDrainingWithin - 2 * settings_.resolution;
-  if (again > 0) context.deadlines.push({context.now + again, id, Wake::What::CloseDraining});
+  const Micros delay = settings_.closeDrainingWithin - 2 * settings_.resolution;
+  if (delay > 0) context.deadlines.push({context.now + delay, id, Wake::Kind::CloseDraining});
 }
 
 void ConnectionSubset::closeDrainingAgain(EndpointId id, const EventContext& context) const {
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -7,7 +7,7 @@
                                                 RandomSource& random) {
   std::vector<EndpointId> before = listed_;
   if (update.kind != MembershipUpdate::Kind::Changes) {
-    // Whoever is missing from a full list is gone.
+    // Endpoints missing from a full list are gone.
     for (const EndpointId id : listed_) endpoints_[id].isListed = false;
     listed_.clear();
   }
@@ -21,11 +21,11 @@
 void EndpointRegistry::apply(const EndpointEntry& entry, double startLimit, RandomSource& random) {
   if (!contains(entry.upstream)) endpoints_.resize(entry.upstream + 1);
   Endpoint& endpoint = endpoints_[entry.upstream];
-  const bool was = endpoint.isListed;
+  const bool wasListed = endpoint.isListed;
   const bool restarted = entry.launchedAt != endpoint.launchedAt || entry.identity != endpoint.identity;
   if (!endpoint.isKnown || restarted) {
     const std::uint32_t inFlight = endpoint.inFlight;
-    endpoint = Endpoint{};  // a restarted process, or another one, has no history
+    endpoint = Endpoint{};  // a restarted or different process has no history
     endpoint.inFlight = inFlight;
     endpoint.launchedAt = entry.launchedAt;
     endpoint.identity = entry.identity;
@@ -37,8 +37,8 @@
   endpoint.cell = entry.cell;
   endpoint.size = entry.size > 0 ? entry.size : 1;
   endpoint.isListed = entry.state == EndpointState::Serving;
-  if (endpoint.isListed && !was) listed_.push_back(entry.upstream);
-  if (!endpoint.isListed && was) std::erase(listed_, entry.upstream);
+  if (endpoint.isListed && !wasListed) listed_.push_back(entry.upstream);
+  if (!endpoint.isListed && wasListed) std::erase(listed_, entry.upstream);
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -8,21 +8,22 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Odds of an endpoint that is warming up and has its credit, and of a trial that is this sidecar's turn,
-// against all warm ones together: its turn has come already.
+// Odds of an endpoint that is warming up and has a credit, or that this sidecar has to try after an ejection,
+// relative to all warm endpoints together. High, since the credit or trial has already been granted.
 constexpr double kWarmingOdds = 0.125;
-// Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
+// If attempts in another zone have a cost, the odds of endpoints there are multiplied by this factor.
 constexpr double kCrossZoneOdds = 0.25;
-// All endpoints outside the subset together keep this share of the draws, so that better ones are found.
-constexpr double kOutsideShare = 0.02;
+// All endpoints outside the subset together keep this share of the draws, so that better ones can be found.
+constexpr double kOutsideSubsetShare = 0.02;
 
-// How well an endpoint suits a request, around one, within kMaxBias either way. It follows the size against
-// the mean: at zero counts the draw decides alone, and a uniform draw without load information overloads the
-// small. Heavy requests (`exponent`: the root of their relative work) bend it further and light ones less: on
-// a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
+// The draw weight of an endpoint for a request: 1 on average, within a factor of kMaxBias. It is proportional
+// to the endpoint's size: while all in-flight counts are zero the draw alone decides, and a uniform draw
+// would overload small endpoints. `exponent` (the square root of the request's relative work) strengthens the
+// preference for heavy requests, which a slow endpoint can't serve in time, and weakens it for light ones. It
+// is bounded so that every endpoint can be drawn.
 double suitability(const Endpoint& endpoint, double meanSize, double exponent, Micros now) {
   const double speed = endpoint.size / meanSize / std::sqrt(slowness(endpoint, now));
-  // Most requests have no hint of their work, and a power of one costs as much as any.
+  // Most requests have no hint of their work; std::pow with an exponent of 1 costs as much as any other.
   const double odds = exponent == 1 ? speed : std::pow(speed, exponent);
   return std::clamp(odds, 1 / kMaxBias, kMaxBias);
 }
@@ -32,15 +33,15 @@
 const std::vector<EndpointId>& EndpointSelection::eligible(const Request& request, const Permission& allowed,
                                                            Micros now) {
   eligible_.clear();
-  if (!allowed.send) return eligible_;
+  if (!allowed.maySend) return eligible_;
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    // A ready one is listed and has its credit: of the rules only the repeat group is left.
+    // A ready endpoint is listed and has its credit, so only the retry group remains to be checked.
     if (readiness_.isReady(endpoint, now) && retryPolicy_.isInGroup(id, endpoint, request, allowed))
       eligible_.push_back(id);
   }
   if (request.attempts.empty()) return eligible_;
-  // A repeat goes to an endpoint that this request has not met, as long as there is one.
+  // A retry goes to an endpoint that this request has not been sent to, if there is one.
   const auto met = [&](EndpointId id) {
     return std::any_of(request.attempts.begin(), request.attempts.end(),
                        [id](const Attempt& attempt) { return attempt.endpoint == id; });
@@ -56,7 +57,7 @@
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
     const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
-                      EndpointReadiness::mayBeTried(endpoint, now);
+                      EndpointReadiness::mayGetTrial(endpoint, now);
     if (free && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now)) eligible_.push_back(id);
   }
   return eligible_;
@@ -83,13 +84,13 @@
   }
   const bool isDivided = inside > 0 && outside > 0 && subset_.isPartial(now);
   const double outsideFactor =
-      isDivided ? std::min(1.0, kOutsideShare / (1 - kOutsideShare) * inside / outside) : 1;
+      isDivided ? std::min(1.0, kOutsideSubsetShare / (1 - kOutsideSubsetShare) * inside / outside) : 1;
   const double warming = kWarmingOdds * (inside + outside * outsideFactor);
   double sum = 0;
   for (std::size_t n = 0; n < eligible.size(); ++n) {
     const Endpoint& endpoint = endpoints_[eligible[n]];
     const bool isDue = slowStart_.capacityFraction(endpoint, now) < 1 ||
-                       (endpoint.isHalfOpen && now < endpoint.notifiedUntil);
+                       (endpoint.isHalfOpen && now < endpoint.reportsValidUntil);
     sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint))
                  : odds_[n] * (endpoint.isInSubset ? 1 : outsideFactor);
     odds_[n] = sum;
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -8,9 +8,9 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// A request is never given less than this part of the greatest weight.
+// Lower bound of a request's weight, as a fraction of the greatest class weight.
 constexpr double kMinRelativeWeight = 0.01;
-// What a tenant has sent is remembered about this long, in microseconds.
+// Time constant with which a tenant's usage decays, in microseconds.
 constexpr double kUsageMemory = 5e6;
 
 }  // namespace
@@ -26,24 +26,25 @@
 }
 
 double Priority::relativeWeight(const Request& request) const {
-  double most = 0;
-  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls) most = std::max(most, classWeight(cls));
-  return util::within(weight(request) / most, kMinRelativeWeight, 1);
+  double greatest = 0;
+  for (std::uint32_t cls = 0; cls < settings_.classes.size(); ++cls)
+    greatest = std::max(greatest, classWeight(cls));
+  return util::within(weight(request) / greatest, kMinRelativeWeight, 1);
 }
 
-// By the request, or by its time to an answer where weight does not go by work; a class not answered yet
-// takes the usual time.
+// The weight for a unit of work. Without Settings::weightByWork, RequestClass::weight is for a request and is
+// divided by the class's typical latency, or the overall latency before the class's first answer.
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
   const double latency = typical > 0 ? typical : latency_.overallLatency();
-  return settings_.classes[cls].value / (settings_.weightByWork ? 1 : std::max(1.0, latency));
+  return settings_.classes[cls].weight / (settings_.weightByWork ? 1 : std::max(1.0, latency));
 }
 
 void Priority::countUsage(const Request& request, Micros now) {
-  const double fade = retainedFraction(usageAt_, kUsageMemory, now);
+  const double retained = retainedFraction(usageAt_, kUsageMemory, now);
   usageAt_ = now;
-  totalUsage_ *= fade;
-  for (double& usage : tenantUsage_) usage *= fade;
+  totalUsage_ *= retained;
+  for (double& usage : tenantUsage_) usage *= retained;
   if (!request.tenant) return;
   tenantUsage_[*request.tenant] += 1;
   totalUsage_ += 1;
