--- a/src/sidecar/control/membership_selection.cpp
+++ b/src/sidecar/control/membership_selection.cpp
@@ -11,7 +11,7 @@
 
 using Options = configuration::OperatorFile::Membership;
 
-// Of a source that is not used, the options make no difference.
+// The etcd options are compared only if etcd is the source.
 bool isSameSource(const Options& one, const Options& other) {
   return one.source == other.source && (one.source == Options::Source::Platform || one.etcd == other.etcd);
 }
@@ -42,8 +42,8 @@
     current_ = wanted;
     return;
   }
-  const bool isToBeEtcd = wanted.source == Options::Source::Etcd;
-  log_(std::string("membership is to come from ") + (isToBeEtcd ? "etcd" : "the platform"));
+  const bool usesEtcd = wanted.source == Options::Source::Etcd;
+  log_(std::string("membership is to come from ") + (usesEtcd ? "etcd" : "the platform"));
 }
 
 std::unique_ptr<discovery::Source> MembershipSelection::make(const Options& wanted, const Endpoint& discovery,
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Reduced service in a whole sidecar, over loopback sockets.
+// Tests degradation in a complete sidecar over loopback sockets.
 #include "sidecar_rig.h"
 
 namespace ivypost {
@@ -10,8 +10,9 @@
 
 class DegradationManagerTest : public SidecarTest {
  protected:
-  // A file that leads to this level and stays there: the core is always busier than nothing.
-  static configuration::OperatorFile leadingTo(Level level) {
+  // A file with which the sidecar reaches this level and stays there, since CPU utilization is always above
+  // 0.
+  static configuration::OperatorFile fileForLevel(Level level) {
     configuration::OperatorFile file;
     file.degradation.on = file.admission.queue = file.status.level = true;
     file.degradation.settings.escalationInterval = std::chrono::milliseconds(1);
@@ -56,8 +57,8 @@
   Config config;
 };
 
-// Without the operator's word nothing of it is there.
-TEST_F(DegradationManagerTest, IsOffWhenTheFileDoesNotSayOtherwise) {
+// Unless the operator's file switches degradation on, the level is Normal and its status is not served.
+TEST_F(DegradationManagerTest, IsOffByDefault) {
   start(configuration::OperatorFile{});
   const Client asking = client();
   asking.send("GET /status/level HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -66,26 +67,27 @@
   EXPECT_EQ(sidecar->level(), Level::Normal);
 }
 
-// A reread that fails changes nothing, at each level; one that succeeds takes effect, and its end is normal.
-TEST_F(DegradationManagerTest, KeepsItsLevelWhenARereadFails) {
-  start(leadingTo(Level::Normal));
+// At each level, a failed reload of the operator's file changes nothing. A reload that switches degradation
+// off resets the level to Normal.
+TEST_F(DegradationManagerTest, KeepsItsLevelWhenAReloadFails) {
+  start(fileForLevel(Level::Normal));
   for (std::size_t n = 0; n < degradation::kLevelCount; ++n) {
     const auto level = static_cast<Level>(n);
-    sidecar->reload(config, leadingTo(level));
+    sidecar->reload(config, fileForLevel(level));
     ASSERT_TRUE(wait([&] { return sidecar->level() == level; })) << n;
-    configuration::OperatorFile bad = leadingTo(Level::Normal);
+    configuration::OperatorFile bad = fileForLevel(Level::Normal);
     bad.degradation.on = bad.status.level = false;
     bad.admission.order = {"cambio", "nosuch"};
     try {
       sidecar->reload(config, bad);
-      ADD_FAILURE() << "taken over";
+      ADD_FAILURE() << "an invalid file was applied";
     } catch (const settings::FormatError& error) {
       EXPECT_STREQ(error.what(), "admission.order names a class that the platform doesn't have: 'nosuch'");
     }
     EXPECT_EQ(sidecar->level(), level);
     EXPECT_EQ(status()["level"], degradation::nameOf(level));
   }
-  configuration::OperatorFile off = leadingTo(Level::Cutoff);
+  configuration::OperatorFile off = fileForLevel(Level::Cutoff);
   off.degradation.on = false;
   sidecar->reload(config, off);
   EXPECT_EQ(sidecar->level(), Level::Normal);
@@ -93,7 +95,7 @@
 }
 
 TEST_F(DegradationManagerTest, ShowsItsStatusWhenTheFileAsksForIt) {
-  start(leadingTo(Level::Protect));
+  start(fileForLevel(Level::Protect));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Protect; }));
   serveOne("00000000000000a3", "X-Second-Try: 1\r\n");
   const json seen = status();
@@ -105,13 +107,13 @@
   EXPECT_EQ(seen["waiting"], 0);
 }
 
-// At shed, what can't be served in time is refused from its head: its body is never read. One that can is
-// read.
+// At Shed, a request that can't be served in time is rejected after its header, without reading its body. A
+// request that can be served in time is read.
 TEST_F(DegradationManagerTest, RejectsAtShedBeforeTheBodyIsRead) {
-  start(leadingTo(Level::Shed));
+  start(fileForLevel(Level::Shed));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Shed; }));
   serveOne("00000000000000a4");
-  serveOne("00000000000000b4");  // by what the first one has taken
+  serveOne("00000000000000b4");  // admitted, by the answer time of the first request
   Request late;
   late.trace = "00000000000000a5";
   late.expiresInMs = 0;
@@ -125,10 +127,10 @@
   EXPECT_EQ(arrived(), 2u);
 }
 
-// At cutoff only the class is taken that the operator put first; the others are told when to come again,
-// where the platform allows that.
+// At Cutoff only the class that is first in the operator's order is admitted. The others are rejected with
+// Retry-After, if the platform allows it.
 TEST_F(DegradationManagerTest, AdmitsAtCutoffTheClassOfTheGreatestWeightOnly) {
-  configuration::OperatorFile file = leadingTo(Level::Cutoff);
+  configuration::OperatorFile file = fileForLevel(Level::Cutoff);
   file.admission.order = {"cambio"};
   start(file, {{"settings", {{"limits", {{"retryAfter", true}, {"maxRetryAfter", 60'000}}}}}});
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Cutoff; }));
@@ -145,10 +147,10 @@
   EXPECT_EQ(refused.answer(0)["Retry-After"], "0.060");
 }
 
-// A client that leaves while its request waits for the core costs no node anything, and a reread that ends
-// the queue hands on what waits.
+// Clients that leave while their requests are queued do not block the others, and a reload that switches the
+// queue off forwards the queued requests.
 TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
-  configuration::OperatorFile file = leadingTo(Level::Protect);
+  configuration::OperatorFile file = fileForLevel(Level::Protect);
   file.admission.perTurn = 1;
   start(file);
   upstreams[0]->onRequest = [](Peer::Exchange& exchange) { exchange.reply(200, "served"); };
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -16,10 +16,10 @@
 
 using namespace std::chrono_literals;
 
-// Sets what a tick measures, and counts events ahead of it.
+// Sets the measurements of a tick and counts the events before it.
 using Load = std::function<void(LoadMonitor&, Measurements&, TimePoint)>;
 
-// Ticks on a simulated clock, the end included, and returns the level.
+// Ticks from `from` to `to` inclusive on a simulated clock; returns the level.
 Level run(LoadMonitor& monitor, Duration from, Duration to, const Load& load) {
   forEachEvaluation(from, to + 1us, [&](TimePoint now) {
     Measurements measurements;
@@ -47,7 +47,7 @@
   return [=](LoadMonitor&, Measurements& measurements, TimePoint) { measurements.*field = value; };
 }
 
-Load coresBusy(int cores) {
+Load busyCores(int cores) {
   return [=](LoadMonitor&, Measurements& measurements, TimePoint now) {
     measurements.cpuTime = cores * now.time_since_epoch();
   };
@@ -65,7 +65,7 @@
 
 class LoadMonitorLevel : public testing::TestWithParam<LoadCase> {};
 
-// As far as its signal's thresholds lead, and no further.
+// The level rises to the strictest one whose threshold is reached, and not beyond.
 TEST_P(LoadMonitorLevel, IsWhatTheMeasurementLeadsToAndNormalAgainAfterwards) {
   LoadMonitor monitor(defaultSettings(), 2, at(0s));
   EXPECT_EQ(run(monitor, 0s, 20s, GetParam().load), GetParam().level);
@@ -75,8 +75,8 @@
 INSTANTIATE_TEST_SUITE_P(
     EachMeasurement, LoadMonitorLevel,
     testing::Values(
-        LoadCase{"HalfOfTwoCores", Level::Normal, coresBusy(1)},
-        LoadCase{"AllOfTwoCores", Level::Shed, coresBusy(2)},
+        LoadCase{"HalfOfTwoCores", Level::Normal, busyCores(1)},
+        LoadCase{"AllOfTwoCores", Level::Shed, busyCores(2)},
         LoadCase{"LateTicks", Level::Cutoff, measured(&Measurements::eventLoopLag, 1s)},
         LoadCase{"OpenRequests", Level::Protect, measured(&Measurements::openRequestFraction, 0.8)},
         LoadCase{"BusyConnections", Level::Cutoff, measured(&Measurements::busyConnectionFraction, 1)},
@@ -88,7 +88,7 @@
         LoadCase{"Retries", Level::Protect, ofTenEvents(4, &LoadMonitor::onRequest)}),
     [](const testing::TestParamInfo<LoadCase>& instance) { return instance.param.name; });
 
-TEST(LoadMonitor, KeepsTheProcessorsShareWhenTheClockJumps) {
+TEST(LoadMonitor, HasNoPeakOfCpuUtilizationWhenTheClockJumps) {
   LoadMonitor monitor(defaultSettings(), 1, at(0s));
   Duration used{};
   const auto aFifthOfACore = [&](LoadMonitor&, Measurements& measurements, TimePoint) {
@@ -100,7 +100,7 @@
   EXPECT_LT(monitor.controller().smoothedValue(Signal::CpuUtilization), 0.3);
 }
 
-// The level stays, and what the new settings request decides from then on.
+// New settings keep the level at first; the following evaluations use them.
 TEST(LoadMonitor, AppliesOtherSettingsAtEachLevel) {
   constexpr std::array kBusyFractions = {0.0, 0.8, 0.9, 0.96, 1.0};
   for (const Level level : kLevels) {
--- a/tests/degradation/restrictions_test.cpp
+++ b/tests/degradation/restrictions_test.cpp
@@ -22,8 +22,8 @@
   EXPECT_TRUE(restrictionsAt(Level::Normal).allowsHedging);
 }
 
-// As docs/operators/reduced-service.md has it.
-TEST(Restrictions, AreAsOperatorsKnowThem) {
+// The restrictions that docs/operators/reduced-service.md lists.
+TEST(Restrictions, AreTheDocumentedOnes) {
   struct Row {
     Level level;
     bool allowsHedging;
--- a/tests/degradation/settings_test.cpp
+++ b/tests/degradation/settings_test.cpp
@@ -33,8 +33,8 @@
   EXPECT_EQ(error(), "");
 }
 
-// It grows evenly by itself, and says nothing of whether the sidecar can carry its load.
-TEST_F(SettingsTest, HaveThresholdsForTheListsAgeAtThriftyAlone) {
+// The age grows steadily and does not show whether the sidecar is overloaded.
+TEST_F(SettingsTest, HaveAThresholdForEndpointListAgeAtThriftyOnly) {
   const auto& thrifty = settings.thresholds.at(Level::Thrifty, Signal::EndpointListAge);
   ASSERT_TRUE(thrifty);
   EXPECT_EQ(thrifty->enter, 6e6);
--- a/tests/degradation/transition_test.cpp
+++ b/tests/degradation/transition_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The log lines that docs/operators/reduced-service.md shows.
+// Checks the log lines that docs/operators/reduced-service.md shows.
 #include "degradation/transition.h"
 
 #include <gtest/gtest.h>
@@ -16,12 +16,12 @@
   EXPECT_EQ(describe(transition), "level protect, was thrifty: cpu share 0.9012 over 0.88");
 }
 
-TEST(Transition, TellsARecoveryAsCalm) {
+TEST(Transition, DescribesARecoveryAsCalm) {
   const Transition transition{Level::Protect, Level::Thrifty, at(Duration::zero()), std::nullopt};
   EXPECT_EQ(describe(transition), "level thrifty, was protect: calm");
 }
 
-// As printf's %.4g, which wrote these lines first.
+// The format of printf's %.4g, on which operators' searches rely.
 TEST(Transition, ShowsFourSignificantDigits) {
   const auto shown = [](double value, double threshold) {
     return describe({Level::Normal, Level::Thrifty, at(Duration::zero()),
--- a/tests/exclusion/exclusion_set_test.cpp
+++ b/tests/exclusion/exclusion_set_test.cpp
@@ -15,7 +15,7 @@
   return WallTime(std::chrono::milliseconds(milliseconds));
 }
 
-// Of an endpoint that lists name.
+// Excludes an endpoint that lists name.
 Outcome exclude(ExclusionSet& set, const std::string& endpoint) {
   return set.apply({Change::Kind::Exclude, endpoint, true, {}, at(1)});
 }
@@ -24,7 +24,7 @@
   return set.apply({Change::Kind::Include, endpoint, true, {}, at(now)});
 }
 
-TEST(ExclusionSet, TwoExcludesNeedOneInclude) {
+TEST(ExclusionSet, OneIncludeEndsRepeatedExcludes) {
   ExclusionSet set;
   EXPECT_EQ(exclude(set, "a"), Outcome::Changed);
   EXPECT_EQ(exclude(set, "a"), Outcome::Unchanged);
@@ -33,10 +33,10 @@
   EXPECT_FALSE(set.isExcluded("a"));
   EXPECT_EQ(include(set, "a", 9), Outcome::Unchanged);
   EXPECT_EQ(set.effectiveStart("a", at(0)), at(5))
-      << "a call that changes nothing must not make it cold anew";
+      << "a call that changes nothing must not restart the slow start";
 }
 
-TEST(ExclusionSet, RejectsWhatIsNeitherListedNorExcluded) {
+TEST(ExclusionSet, RejectsAnEndpointThatIsNeitherListedNorExcluded) {
   ExclusionSet set;
   for (const auto kind : {Change::Kind::Exclude, Change::Kind::Include})
     EXPECT_EQ(set.apply({kind, "a", false, {}, at(1)}), Outcome::UnknownEndpoint);
@@ -44,11 +44,11 @@
   exclude(set, "a");
   EXPECT_EQ(set.apply({Change::Kind::Exclude, "a", false, {}, at(1)}), Outcome::Unchanged);
   EXPECT_EQ(set.apply({Change::Kind::Include, "a", false, {}, at(2)}), Outcome::Changed)
-      << "lists left it out";
+      << "it is excluded, though not listed";
   EXPECT_EQ(set.apply({Change::Kind::Include, "a", false, {}, at(3)}), Outcome::UnknownEndpoint);
 }
 
-TEST(ExclusionSet, AnIncludedEndpointStartsThenOrAtALaterStart) {
+TEST(ExclusionSet, AnIncludedEndpointStartsAtTheIncludeOrAtALaterListedStart) {
   ExclusionSet set;
   EXPECT_EQ(set.effectiveStart("a", at(7)), at(7));
   exclude(set, "a");
@@ -60,7 +60,7 @@
   EXPECT_EQ(set.effectiveStart("b", at(3)), at(3));
 }
 
-// The wall clock of the process is behind that of whoever writes the lists, or before 1970.
+// The wall clock of this process may be behind that of the process that makes the lists, or before 1970.
 TEST(ExclusionSet, AnIncludedEndpointStartsLaterThanListedWhateverTheClock) {
   for (const std::int64_t now : {std::int64_t{-5000}, std::int64_t{0}, std::int64_t{6999}}) {
     ExclusionSet set;
@@ -80,7 +80,7 @@
     ASSERT_EQ(exclude(set, "s" + std::to_string(n)), Outcome::Changed);
   EXPECT_EQ(exclude(set, "one more"), Outcome::Full);
   EXPECT_FALSE(set.isExcluded("one more"));
-  // Those that were included first are forgotten first.
+  // The earliest inclusions are evicted first.
   for (std::size_t n = 0; n < ExclusionSet::kMaxEntries; ++n)
     ASSERT_EQ(include(set, "s" + std::to_string(n), 100 + static_cast<int>(n)), Outcome::Changed);
   exclude(set, "late");
@@ -106,8 +106,8 @@
   EXPECT_TRUE(a.differingEndpoints(a).empty());
 }
 
-// What lies in the folders of running sidecars.
-TEST(ExclusionSet, TheStoredFormIsFixed) {
+// Guards the format of the files that deployed sidecars have stored.
+TEST(ExclusionSet, HasAFixedStoredFormat) {
   ExclusionSet set;
   exclude(set, "b");
   exclude(set, "a");
@@ -121,7 +121,7 @@
   EXPECT_EQ(stored.value(), set);
 }
 
-TEST(ExclusionSet, BadTextsAreErrorsOfOneLine) {
+TEST(ExclusionSet, InvalidTextsGiveErrorsOfOneLine) {
   const std::string tooMany = [] {
     std::string ids = "\"0\"";
     for (std::size_t n = 1; n <= ExclusionSet::kMaxEntries; ++n) ids += ",\"" + std::to_string(n) + "\"";
@@ -154,8 +154,8 @@
   }
 }
 
-// They must not run over when they are taken as microseconds.
-TEST(ExclusionSet, StoredTimesOutOfRangeAreTakenAsTheNearest) {
+// Stored times must not overflow when converted to microseconds.
+TEST(ExclusionSet, ClampsStoredTimesThatAreOutOfRange) {
   const auto startOf = [](const std::string& number) {
     const auto set = ExclusionSet::parse("{\"version\":1,\"out\":[],\"back\":{\"a\":" + number + "}}");
     return set ? set.value().effectiveStart("a", at(0)) : at(-1);
@@ -165,7 +165,7 @@
   EXPECT_EQ(startOf("18446744073709551615"), ExclusionSet::kMaxTime);
 }
 
-RC_GTEST_PROP(ExclusionSetText, CutAnywhereIsAnError, ()) {
+RC_GTEST_PROP(ExclusionSetText, IsInvalidWhenTruncatedAnywhere, ()) {
   ExclusionSet set;
   const auto ids =
       *rc::gen::container<std::vector<std::string>>(rc::gen::nonEmpty(rc::gen::string<std::string>()));
@@ -179,7 +179,7 @@
   const auto complete = ExclusionSet::parse(text);
   RC_ASSERT(complete.hasValue());
   RC_ASSERT(complete.value() == set);
-  // Without its last brace; a missing line end is all the same.
+  // Cuts at least the last brace, since a text that lacks only the line end is valid.
   const auto length = *rc::gen::inRange<std::size_t>(0, text.size() - 1);
   RC_ASSERT(ExclusionSet::parse(text.substr(0, length)).error() == Error::NotJson);
 }
--- a/tests/sidecar/control/endpoint_table_test.cpp
+++ b/tests/sidecar/control/endpoint_table_test.cpp
@@ -42,7 +42,7 @@
   EndpointTable table_{site_, kUnixTime, kNow, true};
 };
 
-TEST_F(EndpointTableTest, GivesTheModuleWhatTheListSays) {
+TEST_F(EndpointTableTest, ConvertsAListIntoAnUpdate) {
   site_.zones["z"] = 3;
   site_.kinds["k"] = 4;
   discovery::Instance listed = instance("a", "10.0.0.1:80", EndpointState::Draining);
@@ -65,12 +65,12 @@
   EXPECT_EQ(table_[entry.upstream].address, listed.address);
 }
 
-TEST_F(EndpointTableTest, PassesOverAnUnknownEndpointThatHasGone) {
+TEST_F(EndpointTableTest, IgnoresAnUnknownEndpointThatIsGone) {
   EXPECT_TRUE(apply({instance("a", "10.0.0.1:80", EndpointState::Gone)}).entries.empty());
   EXPECT_EQ(table_.size(), 0u);
 }
 
-TEST_F(EndpointTableTest, TakesAnEndpointThatACompleteListLeavesOutForGone) {
+TEST_F(EndpointTableTest, UnlistsAnEndpointMissingFromACompleteList) {
   apply({instance("a", "10.0.0.1:80"), instance("b", "10.0.0.2:80")});
   const EndpointId b = *table_.find("b");
   apply({instance("a", "10.0.0.1:80")}, Kind::Full);
@@ -84,7 +84,7 @@
   table_.addUse(a);
   apply({}, Kind::Full);
   table_.freeIfUnused(a);
-  EXPECT_EQ(table_.find("a"), std::optional(a)) << "an attempt is out";
+  EXPECT_EQ(table_.find("a"), std::optional(a)) << "freed while an attempt is in flight";
   apply({instance("b", "10.0.0.2:80")});
   EXPECT_NE(table_.find("b"), std::optional(a));
   table_.dropUse(a);
@@ -111,14 +111,14 @@
   EXPECT_EQ(update.entries[0].state, EndpointState::Gone);
   EXPECT_EQ(update.entries[1].state, EndpointState::Serving);
   EXPECT_FALSE(table_[old].isListed);
-  // The list still says the old one.
+  // A later list that still names the old endpoint does not take the address back.
   const MembershipUpdate again = apply({instance("old", "10.0.0.1:80", EndpointState::Serving, kStart)});
   ASSERT_EQ(again.entries.size(), 1u);
   EXPECT_EQ(again.entries[0].state, EndpointState::Gone);
   EXPECT_TRUE(table_[*table_.find("new")].isListed);
 }
 
-TEST_F(EndpointTableTest, TellsTheModuleOfAnExclusionAsADrain) {
+TEST_F(EndpointTableTest, ReportsAnExcludedEndpointAsDraining) {
   exclusion::Change change;
   change.kind = exclusion::Change::Kind::Exclude;
   change.endpoint = "a";
@@ -127,7 +127,7 @@
   const MembershipUpdate update = apply({instance("a", "10.0.0.1:80")});
   ASSERT_EQ(update.entries.size(), 1u);
   EXPECT_EQ(update.entries[0].state, EndpointState::Draining);
-  // As received, for when it is included again.
+  // received() returns the entry without the exclusion, for when the endpoint is included again.
   const std::vector<discovery::Instance> received = table_.received({"a", "unknown"});
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0].state, EndpointState::Serving);
