--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -1,7 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Comparison of tables, and pulls of what differs (Demers et al. 1987). Every message of it may be left out,
-// lost, doubled or late: what it does is merge what others believe, so none does harm.
+// Anti-entropy (Demers et al. 1987): sidecars compare digests of their member tables and pull the entries
+// that differ. Its messages may be omitted, lost, duplicated or delayed: merging entries is idempotent and
+// commutative.
 #include <algorithm>
 #include <bit>
 #include <optional>
@@ -16,16 +17,17 @@
 constexpr std::uint8_t kRangeBits = 2;
 static_assert(kRanges == 1U << kRangeBits);
 constexpr unsigned kIdBits = 64;
-// A filter over more members than this holds too many by mistake: under five bits a member.
+// The most members that one filter covers. Beyond it, at under five bits per member, a filter has too many
+// false positives.
 constexpr std::size_t kMaxFiltered = 8 * BloomFilter::kMaxBytes / 5;
-// A pull that brought so many has found somebody worth asking again at once.
+// After a pull that gained this many entries the next one follows without backoff.
 constexpr std::size_t kProductivePull = 4;
-// From a suspicion to its refutation, by the simulated fleets of up to 1,320.
+// The time from a suspicion to its refutation in simulated fleets of up to 1,320 sidecars.
 constexpr Micros kRefutation = 1'000'000;
-// Corrections of earlier incarnations that answer one message, in one datagram.
+// The most corrections of outdated incarnations sent in answer to one message; they share one datagram.
 constexpr std::size_t kCorrections = 8;
 
-// What a range's digest and a filter are made of: an incarnation that is believed in.
+// The key of a member's incarnation in digests and Bloom filters.
 std::uint64_t keyOf(const Update& update) {
   return mix(update.id ^ mix(update.incarnation));
 }
@@ -52,8 +54,8 @@
   return settings_.antiEntropy && found != members_.end() && found->second.update.usesAntiEntropy;
 }
 
-// The dead are no part of it: they are forgotten at different times, and who never knew one need not learn of
-// it. That one believes in a life and the other does not makes the difference.
+// Dead members are left out of the digests: sidecars forget them at different times, and a sidecar that never
+// knew a dead member need not learn of it. Digests differ where only one side considers an incarnation alive.
 Table Members::table() {
   if (tableChanged_) {
     tableChanged_ = false;
@@ -131,8 +133,9 @@
     return differingTables_[static_cast<std::size_t>(uniform() *
                                                      static_cast<double>(differingTables_.size()))];
   }
-  // Who has just started lacks what anybody has, and who is asked learns of it. Those who have not spoken yet
-  // come first: perhaps nobody has spoken to them.
+  // A sidecar that has just started lacks entries that every other one has, and its pull makes it known to
+  // the member that it asks. Members that it has received no message from come first: they may not have been
+  // contacted by any sidecar yet.
   auto anybody = pickAlive(kMaxMembers, settings_.self);
   std::erase_if(anybody, [](const Member* one) { return !one->update.usesAntiEntropy; });
   if (anybody.empty()) return std::nullopt;
@@ -171,12 +174,12 @@
   PendingAnswer pending{pull.nonce, pull.sender, pull.address, now + kPullTimeout, {}, 0, false};
   const auto consider = [&](const Update& update) {
     if (!isInRange(update.id, pull.range) || update.id == pull.sender) return;
-    // The dead are told of to who believes in them.
+    // A death is sent only if the filter holds the incarnation, so that the puller considers it alive.
     if (filter.holds(keyOf(update)) == (update.state == State::Dead)) pending.missing.push_back(update.id);
   };
   consider(ownUpdate());
   for (const auto& [id, member] : members_) consider(member.update);
-  // What has been told least comes first, as it is what the fewest know; among equals chance decides.
+  // The least transmitted entries come first, since the fewest sidecars know them; ties are broken at random.
   const auto rank = [&](PeerId id) {
     const auto found = members_.find(id);
     return std::pair(found == members_.end() ? 0 : ~found->second.transmissionsLeft, mix(id ^ pull.nonce));
@@ -191,7 +194,7 @@
   nextAntiEntropy_ = std::min(nextAntiEntropy_, now + kGossipEvery);
 }
 
-// Pages as far as the bytes reach, each asker in turn.
+// Sends pages to the pending pulls in round-robin order until the byte budget is exhausted.
 void Members::sendPages(Micros now, std::vector<Outgoing>& out) {
   while (!pendingAnswers_.empty()) {
     PendingAnswer pending = std::move(pendingAnswers_.front());
@@ -214,13 +217,13 @@
 
 std::size_t Members::fillPage(Message& page, const PendingAnswer& pending) const {
   std::vector<Update> entries;
-  std::vector<std::size_t> ends;  // where in `missing` each entry ends
+  std::vector<std::size_t> ends;  // for each entry, the index in `missing` after it
   for (std::size_t n = pending.sent; n < pending.missing.size() && entries.size() < kMaxEntries; ++n) {
     const PeerId id = pending.missing[n];
     const auto found = members_.find(id);
     if (id != settings_.self && found == members_.end()) continue;
     Update update = id == settings_.self ? ownUpdate() : found->second.update;
-    // A suspicion goes by rumours, with its witnesses; here it is an incarnation that is believed in.
+    // Suspicions are disseminated as rumours, with their witnesses; a page lists the suspect as alive.
     if (update.state == State::Suspect) update.state = State::Alive;
     entries.push_back(update);
     ends.push_back(n + 1);
@@ -240,7 +243,7 @@
   const auto found = std::find_if(
       outstandingPulls_.begin(), outstandingPulls_.end(),
       [&](const OutstandingPull& one) { return one.nonce == page.nonce && one.from == page.sender; });
-  // Not asked for, too late, or more than a pull brings: nothing is taken from it.
+  // A page that answers no outstanding pull, or exceeds the pages allowed for one, is ignored.
   if (found == outstandingPulls_.end() || ++found->pages > 2 * kPagesPerPull) return;
   lastAnsweredPingAt_ = std::max(lastAnsweredPingAt_.value_or(found->at), found->at);
   found->gained += mergeEntries(page, now, out);
@@ -270,7 +273,7 @@
                           entry.state == State::Alive && !found->second.hasLeft();
     if (isDenied && message.kind == Kind::Page && (!doubtful || isHeads())) doubtful = held;
   }
-  // It can speak for itself: the ping tells it what to refute.
+  // The sender considers this member alive; the ping carries its death, which it refutes if it still runs.
   if (doubtful) ping(doubtful->address, doubtful->id, Need::Optional, now, out);
   if (!corrections.empty() && usesAntiEntropy(message.sender)) {
     Message answer = make(Kind::Rumours, ++lastNonce_);
@@ -280,9 +283,10 @@
   return gained;
 }
 
-// A rumour of a death is as old as its way; what a page holds may be from before a cut that has healed. So it
-// is one more witness, and the suspect is probed (as hashicorp/memberlist merges a remote state); unless it
-// has been a suspect here for longer than a refutation takes.
+// A death in a rumour is recent, but one in a page may date from before a partition that has healed. The
+// latter therefore counts as a suspicion witnessed by the sender, which gets the member probed (as
+// hashicorp/memberlist merges remote state), unless the member has been suspected here for longer than a
+// refutation takes.
 Update Members::weighDeath(const Update& entry, PeerId sender, Micros now) const {
   if (entry.state != State::Dead || entry.witness == entry.id) return entry;
   const auto known = members_.find(entry.id);
--- a/src/gossip/bloom_filter.h
+++ b/src/gossip/bloom_filter.h
@@ -10,9 +10,9 @@
 
 namespace ivypost::gossip {
 
-/// SplitMix64's finisher: every bit of the number bears on every bit of the result.
+/// SplitMix64's finalizer, a bijective hash: every bit of the number affects every bit of the result.
 constexpr std::uint64_t mix(std::uint64_t number) {
-  // The shifts and factors are David Stafford's variant 13.
+  // The shifts and factors are those of David Stafford's variant 13.
   // NOLINTBEGIN(readability-magic-numbers,cppcoreguidelines-avoid-magic-numbers)
   number = (number ^ number >> 30) * 0xbf58476d1ce4e5b9;
   number = (number ^ number >> 27) * 0x94d049bb133111eb;
@@ -20,31 +20,33 @@
   // NOLINTEND(readability-magic-numbers,cppcoreguidelines-avoid-magic-numbers)
 }
 
-/// A Bloom filter over 64-bit keys with a salt (Bloom 1970; the positions by double hashing, Kirsch and
-/// Mitzenmacher 2006). Who pulls a range of a table sends in it what it has already. A key that it holds by
-/// mistake is not sent, this time: the next filter has another salt, and another mistake.
+/// A salted Bloom filter over 64-bit keys (Bloom 1970; bit positions by double hashing, Kirsch and
+/// Mitzenmacher 2006). A pull sends the keys of the entries that the puller already has in such a filter. An
+/// entry whose key is a false positive is missing from the answer; the next pull's filter has another salt,
+/// and so other false positives.
 class BloomFilter {
  public:
-  /// The widest filter, in bytes, that a datagram has room for.
+  /// The size of the largest filter that fits into a datagram, in bytes.
   static constexpr std::size_t kMaxBytes = 168;
-  /// With so many bits a key one in 200 is held by mistake; at the 5 of 268 keys in kMaxBytes one in 11.
+  /// The size of a filter in bits per key. At 16 the false-positive rate is one in 200; at 5, with 268 keys
+  /// in kMaxBytes, it is one in 11.
   static constexpr std::size_t kBitsPerKey = 16;
 
-  /// Empty, wide enough for so many keys if kMaxBytes are.
+  /// An empty filter for this many keys, at kBitsPerKey each, of kMaxBytes at the most.
   BloomFilter(std::size_t keys, std::uint32_t salt)
       : bytes_(std::clamp<std::size_t>((keys * kBitsPerKey + kBitsPerByte - 1) / kBitsPerByte, kMinBytes,
                                        kMaxBytes)),
         salt_(salt) {}
-  /// As it was received; empty bytes hold nothing.
+  /// A received filter; with empty `bytes` it contains no key.
   BloomFilter(std::vector<std::uint8_t> bytes, std::uint32_t salt) : bytes_(std::move(bytes)), salt_(salt) {}
 
-  /// The filter holds the key from then on. Not for one of empty bytes.
+  /// Adds the key. Must not be called on a filter made from empty bytes.
   void add(std::uint64_t key) {
     forEachBit(key, [&](std::size_t bit) {
       bytes_[bit / kBitsPerByte] |= static_cast<std::uint8_t>(1U << bit % kBitsPerByte);
     });
   }
-  /// Whether the key was added, or by mistake.
+  /// Whether the key was added; may also be true for a key that was not (a false positive).
   [[nodiscard]] bool holds(std::uint64_t key) const {
     if (bytes_.empty()) return false;
     bool all = true;
@@ -53,7 +55,7 @@
     });
     return all;
   }
-  /// As they are sent.
+  /// The filter's bits, as they are sent.
   [[nodiscard]] const std::vector<std::uint8_t>& bytes() const { return bytes_; }
 
  private:
--- a/src/gossip/byte_budget.h
+++ b/src/gossip/byte_budget.h
@@ -8,28 +8,29 @@
 
 namespace ivypost::gossip {
 
-/// A token bucket over bytes (RFC 2697's committed rate and burst) that bounds what is sent in any second,
-/// and that what must go may overdraw by a little. In any second at most rate + depth + debt go out, which
-/// together are what the operator allows.
+/// A token bucket over bytes (RFC 2697's committed rate and burst) that bounds the bytes sent in any second.
+/// Required messages may overdraw it by a limited debt. In any second at most rate + depth + debt bytes are
+/// sent, a sum that the caller sets to the operator's limit.
 class ByteBudget {
  public:
   /// Microseconds of the own monotonic clock.
   using Micros = std::int64_t;
-  /// Full at the start. `rate`: bytes that come back each second. `depth`: bytes that may be saved. `debt`:
-  /// bytes that may be overdrawn.
+  /// A full bucket. `rate`: bytes refilled per second. `depth`: the capacity in bytes. `debt`: bytes that
+  /// demand() may overdraw.
   ByteBudget(double rate, double depth, double debt, Micros now)
       : rate_(rate), depth_(depth), debt_(debt), credit_(depth), at_(now) {}
 
-  /// Takes the bytes where they are there, and tells whether: for what can wait or be left out.
+  /// Takes the bytes if the credit covers them, and returns whether it did: for optional messages.
   [[nodiscard]] bool take(std::size_t bytes, Micros now) { return takeAbove(bytes, 0, now); }
-  /// Takes the bytes down to the debt, and tells whether: for what the protocol can't do without.
+  /// Takes the bytes if credit and debt cover them, and returns whether they did: for messages that the
+  /// protocol requires.
   [[nodiscard]] bool demand(std::size_t bytes, Micros now) { return takeAbove(bytes, -debt_, now); }
-  /// So many bytes have gone out already.
+  /// Subtracts bytes that have already been sent, without a limit.
   void charge(std::size_t bytes, Micros now) {
     refill(now);
     credit_ -= static_cast<double>(bytes);
   }
-  /// Bytes that are there; negative while overdrawn.
+  /// The bytes available now; negative while the bucket is overdrawn.
   [[nodiscard]] double credit(Micros now) {
     refill(now);
     return credit_;
@@ -45,7 +46,7 @@
     return true;
   }
   void refill(Micros now) {
-    // A clock that stands or steps back earns nothing.
+    // Nothing is refilled while the clock stands still or steps back.
     const auto elapsed = static_cast<double>(std::max<Micros>(0, now - at_));
     credit_ = std::min(depth_, credit_ + rate_ * elapsed / kMicrosPerSecond);
     at_ = std::max(at_, now);
--- a/src/gossip/byte_codec.h
+++ b/src/gossip/byte_codec.h
@@ -9,15 +9,15 @@
 
 namespace ivypost::gossip {
 
-/// The bits of a byte.
+/// The number of bits in a byte.
 constexpr int kByteBits = 8;
 
-/// Appends big-endian numbers to bytes, which have to outlive it.
+/// Appends big-endian integers to a byte vector, which must outlive the writer.
 class Writer {
  public:
-  /// Behind what `to` holds.
+  /// Appends to the present contents of `to`.
   explicit Writer(std::vector<std::uint8_t>& to) : to_(&to) {}
-  /// Appends the number in its own width.
+  /// Appends the number in the width of its type.
   template <class Number>
   void put(Number number) {
     for (int shift = kByteBits * (static_cast<int>(sizeof number) - 1); shift >= 0; shift -= kByteBits)
@@ -28,13 +28,13 @@
   std::vector<std::uint8_t>* to_;
 };
 
-/// Reads big-endian numbers, one after the other; beyond the end it gives 0 and is no longer good(). The
-/// bytes have to outlive it.
+/// Reads big-endian integers in sequence; a read past the end yields 0 bytes and makes good() false. The
+/// bytes must outlive the reader.
 class Reader {
  public:
-  /// From the first of these bytes.
+  /// Starts at the first of these bytes.
   explicit Reader(std::span<const std::uint8_t> from) : from_(from) {}
-  /// The next number, of its own width.
+  /// Reads the next number, in the width of `Number`.
   template <class Number>
   Number get() {
     std::uint64_t number = 0;
@@ -44,7 +44,7 @@
     }
     return static_cast<Number>(number);
   }
-  /// The next so many bytes; empty, and no longer good(), where fewer are left.
+  /// Reads the next `length` bytes; empty, and good() becomes false, if fewer are left.
   std::span<const std::uint8_t> take(std::size_t length) {
     if (length > left()) {
       good_ = false;
@@ -53,9 +53,9 @@
     at_ += length;
     return from_.subspan(at_ - length, length);
   }
-  /// Bytes that were not read yet.
+  /// The number of bytes not read yet.
   [[nodiscard]] std::size_t left() const { return at_ < from_.size() ? from_.size() - at_ : 0; }
-  /// Whether nothing was read beyond the end.
+  /// Whether no read has gone past the end.
   [[nodiscard]] bool good() const { return good_; }
 
  private:
--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// How updates spread: as rumours, and piggybacked on pings and acks (SWIM, section 4.1).
+// Dissemination of updates: in Rumours messages, and piggybacked on pings and acks (SWIM, section 4.1).
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -12,9 +12,9 @@
 namespace ivypost::gossip {
 namespace {
 
-// With more members than this to be told of as alive, rumours would only repeat what pages tell better.
+// With more pending updates than this about alive members, pages carry them more efficiently than rumours.
 constexpr std::size_t kMassUpdates = 64;
-// Updates in an ack, and bytes of entries, which leave room for the payload.
+// The most updates, and bytes of entries, in an ack: the rest of the datagram is for the payload.
 constexpr std::size_t kAckUpdates = 2;
 constexpr std::size_t kAckEntryBytes = 64;
 
@@ -29,15 +29,16 @@
 void Members::piggyback(Message& message, PeerId about, bool isNewcomer, Micros now) {
   if (usesAntiEntropy(about) || (settings_.antiEntropy && about == 0)) {
     if (about == 0 || budget_.credit(now) <= 0) return;
-    // An ack leaves room for the payload, but to who knows nobody yet.
+    // An ack leaves room for the payload, except to a newcomer, which needs members first.
     const bool leaveRoom = message.kind == Kind::Ack && !isNewcomer;
     return addEntries(message, about, leaveRoom ? kAckEntryBytes : kMaxDatagram);
   }
   addUpdates(message, about);
 }
 
-// First what the receiver has to refute, then what is pending, the least transmitted first, then one that is
-// not: in time everybody has told everybody of all, whatever was lost.
+// First an update that the receiver has to refute, then the pending ones, least transmitted first, then one
+// of all members in round-robin order: so every sidecar eventually sends every entry to every other, in spite
+// of losses.
 void Members::addUpdates(Message& message, PeerId receiver) {
   const std::size_t most = message.kind == Kind::Ack ? kAckUpdates : kMaxUpdates;
   const auto found = members_.find(receiver);
@@ -63,7 +64,8 @@
   if (!isIncluded && next->first != receiver) message.updates.push_back(next->second.update);
 }
 
-// First what the receiver has to refute, then suspicions and deaths, then what was transmitted least.
+// First an update that the receiver has to refute, then suspicions and deaths, then the least transmitted
+// ones.
 void Members::addEntries(Message& message, PeerId receiver, std::size_t room) {
   std::vector<Update> entries;
   const auto found = members_.find(receiver);
@@ -72,7 +74,7 @@
   std::vector<Member*> owed = pendingFor(receiver, message.kind);
   const std::size_t refuted = entries.size();
   const std::size_t count = std::min(owed.size(), kMaxEntries - refuted);
-  // Among equals chance decides, or all would tell of the same first.
+  // Ties are broken at random, or all sidecars would send the same updates first.
   const auto rank = [&](const Member* one) {
     return std::tuple(one->update.state == State::Alive, ~one->transmissionsLeft,
                       mix(one->update.id ^ message.nonce));
@@ -81,7 +83,7 @@
                     [&](const Member* a, const Member* b) { return rank(a) < rank(b); });
   for (std::size_t n = 0; n < count; ++n) {
     entries.push_back(owed[n]->update);
-    // Of several witnesses any one: who is told by two hears of two.
+    // A random one of several witnesses: a receiver of two messages then probably learns of two witnesses.
     const auto& witnesses = owed[n]->witnesses;
     if (owed[n]->update.state == State::Suspect && !witnesses.empty())
       entries.back().witness =
@@ -104,13 +106,15 @@
     alive += member.update.state == State::Alive ? 1 : 0;
     if (id != receiver) pending.push_back(&member);
   }
-  // What all would tell all of, as after a start of the whole fleet, is fetched by those who lack it.
+  // With many pending updates about alive members, as after a start of the whole fleet, sidecars pull the
+  // entries that they lack instead.
   if (alive > kMassUpdates && !differingTables_.empty() && kind == Kind::Rumours)
     std::erase_if(pending, [](const Member* one) { return one->update.state == State::Alive; });
   return pending;
 }
 
-// Who has the same table knows of every life that this one knows of; only suspicions are no part of it.
+// Called when a peer's digests equal this table's: it has every incarnation that this table has, so those
+// updates need fewer transmissions. Digests don't cover suspicions.
 void Members::halveTransmissions() {
   for (auto& [id, member] : members_)
     if (member.update.state != State::Suspect) member.transmissionsLeft /= 2;
--- a/src/gossip/entry_codec.cpp
+++ b/src/gossip/entry_codec.cpp
@@ -7,14 +7,14 @@
 namespace ivypost::gossip {
 namespace {
 
-// An entry's first byte: the state, and the region above it.
+// An entry's first byte: the state in the low bits, the region in the high ones.
 constexpr std::uint8_t kStateMask = 3;
 constexpr int kStateBits = 2;
-// On the wire the state of who has left; else State::Dead with its own id as the witness.
+// The wire state of a member that has left; in an Update that is State::Dead with its own id as the witness.
 constexpr std::uint8_t kLeft = 3;
 constexpr int kPortBits = 16;
 
-// LEB128: seven bits a byte, and a bit that says that more follow.
+// LEB128: seven bits per byte, and a continuation bit.
 constexpr int kVarintBits = 7;
 constexpr std::uint8_t kContinues = 0x80;
 constexpr int kLastShift = 63;
@@ -31,7 +31,7 @@
   to.put(static_cast<std::uint8_t>(number));
 }
 
-// Ten bytes at the most; more, or bits beyond 64, are an error.
+// Reads ten bytes at the most; false if the number is longer, has more than 64 bits, or is cut off.
 bool readVarint(Reader& from, std::uint64_t& number) {
   number = 0;
   for (int shift = 0; shift <= kLastShift; shift += kVarintBits) {
@@ -47,7 +47,7 @@
   return std::uint64_t{address.ip} << kPortBits | address.port;
 }
 
-// An address is 48 bits, so its difference with the bit behind it has room in 50.
+// An address has 48 bits, so a difference of two with its sign and the flag bit has 50.
 constexpr int kAddressBits = 48;
 constexpr std::uint64_t kAddresses = std::uint64_t{1} << kAddressBits;
 
@@ -69,12 +69,13 @@
   }
 }
 
-// The entries of a section, one after the other; none: they are malformed.
+// Decodes the entries of a section in sequence.
 class Unpacker {
  public:
   explicit Unpacker(std::span<const std::uint8_t> packed) : from_(packed) {}
 
   [[nodiscard]] bool isAtEnd() const { return from_.left() == 0; }
+  // The next entry; none if it is malformed.
   std::optional<Update> next() {
     Update one;
     const auto head = from_.get<std::uint8_t>();
--- a/src/gossip/entry_codec.h
+++ b/src/gossip/entry_codec.h
@@ -10,28 +10,29 @@
 #include "gossip/message.h"
 
 /// \file
-/// What one believes of others, packed: a datagram holds 12 to 20 entries where it holds six of Update's 31
-/// bytes. Guards against wrong lengths, numbers out of range and more entries than a datagram can hold.
+/// The compact encoding of updates: a datagram holds 12 to 20 entries, against six updates of 31 bytes. The
+/// decoder rejects wrong lengths, numbers out of range and more entries than a datagram can hold.
 ///
-/// An entry, in the order of addresses:
+/// Entries are sorted by address. Each one is:
 ///
 ///     byte 0       the state (0 alive, 1 suspect, 2 dead, 3 has left) in two bits, the region in six
 ///     bytes 1 to 8 the id
-///     a varint     the incarnation less the last entry's, zigzag (0 ahead of the first)
-///     Alive        a varint: the address less the last alive entry's as 48 bits, zigzag, and a bit
-///                  `usesAntiEntropy`
-///     Suspect      8 bytes: the witness
+///     a varint     the incarnation minus the previous entry's (0 before the first), zigzag
+///     if alive     a varint: the address as 48 bits minus the previous alive entry's, zigzag, shifted
+///                  left by one, and `usesAntiEntropy` as the lowest bit
+///     if suspect   8 bytes: the witness
 ///
-/// A varint is LEB128's (DWARF 5, section 7.6), zigzag Protocol Buffers' (encoding of signed integers).
+/// A varint is an unsigned LEB128 (DWARF 5, section 7.6); zigzag is Protocol Buffers' encoding of signed
+/// integers.
 
 namespace ivypost::gossip {
 
-/// Appends the first so many of the entries that fit into `room` bytes, in the order of their addresses.
-/// Returns how many; kMaxEntries at the most.
+/// Appends the longest prefix of `entries` that fits into `room` bytes encoded, sorted by address. Returns
+/// its length, kMaxEntries at the most.
 std::size_t packEntries(std::span<const Update> entries, std::size_t room, std::vector<std::uint8_t>& to);
 
-/// Appends the entries that are packed there. False where they are malformed or more than kMaxEntries; those
-/// ahead of the error are appended then.
+/// Decodes the entries and appends them to `to`. False if one is malformed or `to` would exceed kMaxEntries;
+/// the entries before the error are appended all the same.
 [[nodiscard]] bool unpackEntries(std::span<const std::uint8_t> packed, std::vector<Update>& to);
 
 }  // namespace ivypost::gossip
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -10,17 +10,19 @@
 namespace ivypost::gossip {
 namespace {
 
-// Pings passed on for others that are remembered: for as many sidecars that doubt somebody in one moment.
+// The most indirect probes that run for other sidecars at once, so for as many sidecars with a failed probe
+// at the same moment; further requests are dropped.
 constexpr std::size_t kMaxRelayed = 64;
-// A relay answers with a nack when this fraction of the time-out has passed without an ack.
+// A relay sends a nack after this fraction of the probe time-out without an ack.
 constexpr double kNackAt = 0.8;
-// A further witness of a suspicion is passed on to this fraction of those who are told of a change.
+// A further witness of a suspicion is transmitted this many times less often than a change of state.
 constexpr std::uint32_t kWitnessFraction = 4;
 
 }  // namespace
 
-// Guards against accusing others of what was this process's own absence: it doubts itself first, and
-// suspicions get the time back in which they could not be answered.
+// Guards against suspecting others because this process was paused: the local health multiplier goes to its
+// maximum, the running probe is discarded, and suspicions are extended by the pause, during which no
+// refutation could be received.
 void Members::resumeAfterPause(Micros now) {
   const Micros gap = now - lastTick_;
   lastTick_ = now;
@@ -99,7 +101,7 @@
     const auto found = members_.find(probeOrder_[nextInProbeOrder_++]);
     if (found == members_.end() || found->second.update.state == State::Dead) continue;
     const bool isSuspected = settings_.antiEntropy && found->second.update.state == State::Suspect;
-    // With so many witnesses a further one would change nothing.
+    // With more than kConfirmations witnesses a further one does not shorten the suspicion.
     if (isSuspected && found->second.witnesses.size() > kConfirmations) continue;
     return &found->second;
   }
@@ -118,7 +120,7 @@
   if (!probe_ || probe_->acked || probe_->relayed || now < probe_->relayAt) return;
   probe_->relayed = true;
   const auto target = members_.find(probe_->target);
-  // Whom others suspect is probed for one more witness, not to find out whether it is there.
+  // A member that others already suspect is probed to add a witness, for which a direct probe is enough.
   if (target == members_.end() || probe_->suspected) return;
   for (const Member* other : pickAlive(settings_.relays, probe_->target)) {
     Message message = make(Kind::Relay, ++lastNonce_);
@@ -135,19 +137,21 @@
   const Probe probe = std::move(*probe_);
   probe_.reset();
   if (probe.acked) return adjustLocalHealth(-1);
-  // Lifeguard, 3.1: a failed probe, and relays that did not even say that they are there. Missing ones count
-  // only where all are missing: in a partition half of them are, and this process is not slow for that.
-  // With anti-entropy a failed probe whose relays are there says nothing against this process: in a cut that
-  // half of the fleet is behind, all would be slow to find it (as hashicorp/memberlist counts it).
+  // Lifeguard, 3.1: a failed probe raises the multiplier, and missing nacks raise it further, but only if all
+  // are missing: in a partition half of the relays don't answer, which does not mean that this process is
+  // slow. With anti-entropy a failed probe with at least one nack does not raise it (as in
+  // hashicorp/memberlist): with half of the fleet cut off, all sidecars would probe more slowly and detect
+  // the partition late.
   const bool cleared = settings_.antiEntropy && (probe.suspected || probe.nacks > 0);
   if (!cleared) adjustLocalHealth(!probe.relays.empty() && probe.nacks == 0 ? 2 : 1);
   const auto found = members_.find(probe.target);
   if (found != members_.end()) suspect(found->second, settings_.self, now);
 }
 
-// While most of those probed are out of reach, one more is asked each period, of the own region if that is
-// told: a small region that is cut off would be isolated for want of having asked the right ones. It is drawn
-// as any, so who hears few stays isolated.
+// Sends one more ping per period, to a member of the own region (without regions, to any), while no ping of
+// the last quarter of isolatedAfter was answered. Without it a small region that is cut off would count as
+// isolated, since most of its probes go to unreachable regions. The member is random, so a sidecar that
+// reaches few remains isolated.
 void Members::pingOwnRegion(Micros now, std::vector<Outgoing>& out) {
   if (lastAnsweredPingAt_ && now - *lastAnsweredPingAt_ < settings_.isolatedAfter / 4) return;
   std::vector<const Member*> inRegion;
@@ -168,7 +172,8 @@
   ping(one.address, one.id, Need::Required, now, out);
 }
 
-// Who should be there: the dead that are remembered, and addresses at which nobody is reachable.
+// Dead members that have not left, and seeds and addresses of forgotten members at which no member is
+// reachable.
 std::vector<Members::Candidate> Members::reconnectCandidates() {
   std::vector<Candidate> candidates;
   std::vector<Address> reachable = {settings_.address};
@@ -190,8 +195,8 @@
   return candidates;
 }
 
-// Lifeguard's stretched period. With anti-entropy it stays under a third of isolatedAfter, or a slow process
-// would be isolated for want of having asked.
+// The protocol period stretched by the local health multiplier (Lifeguard). With anti-entropy it is limited
+// to a third of isolatedAfter: otherwise a slow process would send too few pings to avoid isolation.
 Micros Members::period() const {
   const Micros stretched = settings_.period * (localHealth_ + 1);
   if (!settings_.antiEntropy) return stretched;
@@ -206,8 +211,8 @@
   localHealth_ = std::clamp(localHealth_ + by, 0, kMaxLocalHealth);
 }
 
-// A further independent witness makes the suspicion shorter (Lifeguard, 3.2).
-// True if it is news.
+// Starts a suspicion, or adds a witness to it: each independent witness shortens it (Lifeguard, 3.2). True if
+// the member became a suspect or the witness is new.
 bool Members::suspect(Member& member, PeerId witness, Micros now) {
   if (member.update.state == State::Dead) return false;
   if (member.update.state == State::Alive) {
@@ -226,7 +231,8 @@
     return false;
   member.witnesses.push_back(witness);
   member.update.witness = witness;
-  // The suspicion is known already; a further witness needs to reach a few, who then know of the death.
+  // The suspicion has been disseminated already. A further witness need reach only a few sidecars, which then
+  // declare the member dead earlier and disseminate that.
   member.transmissionsLeft = settings_.antiEntropy
                                  ? std::max(member.transmissionsLeft, transmissionLimit() / kWitnessFraction)
                                  : transmissionLimit();
--- a/src/gossip/member_table.cpp
+++ b/src/gossip/member_table.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What is believed of each member, and how a received update changes it (SWIM, section 4.2).
+// The table of members, and the rules by which a received update changes it (SWIM, section 4.2).
 #include <algorithm>
 #include <utility>
 
@@ -9,10 +9,10 @@
 namespace ivypost::gossip {
 namespace {
 
-// Changes that wait for the log; more are left out.
+// The most changes that wait to be logged; further ones are dropped.
 constexpr std::size_t kMaxChanges = 256;
 
-// Whether what was received outbids what is believed (SWIM, section 4.2).
+// Whether the received update overrides the one held of the same member (SWIM, section 4.2).
 bool outbids(const Update& received, const Update& believed) {
   if (received.incarnation != believed.incarnation) return received.incarnation > believed.incarnation;
   return received.state > believed.state;
@@ -31,14 +31,14 @@
   if (update.state == State::Alive && update.address != settings_.address && !isOlder) nameConflictAt_ = now;
   const bool isOwn = update.state == State::Alive && update.incarnation == settings_.incarnation;
   if (isOlder || isOwn) return false;
-  // Lifeguard: to have to refute is a sign of being slow.
+  // Lifeguard: having to refute a suspicion or death indicates that this process is slow.
   if (update.state != State::Alive) adjustLocalHealth(1);
   refute(update.incarnation);
   return true;
 }
 
 bool Members::addMember(const Update& update, Micros now) {
-  // A member is added only with its address.
+  // An update about a dead member, or a suspicion without an address, adds no member.
   if (update.state == State::Dead || (update.state == State::Suspect && update.address == Address{}))
     return false;
   if (members_.size() >= kMaxMembers) {
@@ -57,7 +57,7 @@
     mostReported_ = 0;
   }
   if (changes_.size() < kMaxChanges) changes_.push_back({update.id, update.address, State::Alive});
-  // Where it comes into the order of probes is random (SWIM, section 4.3).
+  // A new member goes to a random position of the probe order (SWIM, section 4.3).
   const auto at =
       nextInProbeOrder_ +
       static_cast<std::size_t>(uniform() * static_cast<double>(probeOrder_.size() - nextInProbeOrder_ + 1));
@@ -71,7 +71,7 @@
       update.incarnation == member.update.incarnation)
     return suspect(member, update.witness, now);
   if (update.incarnation == member.update.incarnation) {
-    // What only some report of an incarnation; the merge is the greater of each.
+    // Not every update of an incarnation carries these fields; merging keeps the greater value of each.
     member.update.region = std::max(member.update.region, update.region);
     member.update.usesAntiEntropy = member.update.usesAntiEntropy || update.usesAntiEntropy;
   }
@@ -84,7 +84,7 @@
   tableChanged_ = true;
   if (update.state == State::Alive) member.update.address = update.address;
   if (update.state == State::Suspect) {
-    // It was back since.
+    // The higher incarnation shows that the member came back before it was suspected again.
     if (member.update.state == State::Dead) changeState(member, State::Alive, now);
     suspect(member, update.witness, now);
     return true;
@@ -114,7 +114,8 @@
   member.stateSince = now;
   member.transmissionsLeft = transmissionLimit();
   hasPendingUpdates_ = tableChanged_ = true;
-  // Guards against one that comes and goes faster than the order is worked off; it is in the next one anyway.
+  // The bound guards against a member that repeatedly dies and returns within one pass of the probe order. A
+  // member that is not appended here is part of the next pass.
   if (before == State::Dead && state == State::Alive && probeOrder_.size() < kMaxMembers)
     probeOrder_.push_back(member.update.id);
   if (changes_.size() < kMaxChanges) changes_.push_back({member.update.id, member.update.address, state});
--- a/src/gossip/members.cpp
+++ b/src/gossip/members.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Members: what goes in and out, and what it answers when asked.
+// Members: timers, sending and receiving of messages, and queries.
 #include "gossip/members.h"
 
 #include <algorithm>
@@ -10,12 +10,12 @@
 namespace ivypost::gossip {
 namespace {
 
-// Every so many periods somebody is tried who should be there and is not reachable, or a seed.
+// The number of periods between two pings to an unreachable member, seed or forgotten address.
 constexpr std::uint64_t kReconnectPeriods = 4;
-// Pings to be answered that are remembered: enough for some seconds.
+// The number of sent pings that are kept to match answers: those of a few seconds.
 constexpr std::size_t kMaxSentPings = 64;
 constexpr double kMicrosPerSecond = 1e6;
-// Bytes that may be saved up for pulls, and for rumours.
+// The depth of the byte budgets for pulls and for rumours.
 constexpr double kBurst = 2.0 * kMaxDatagram;
 constexpr Micros kMinPeriod = 1000;
 
@@ -32,7 +32,7 @@
       random_(seed),
       lastNonce_(static_cast<std::uint32_t>(random_())),
       lastTick_(now),
-      // Sidecars that start together must not all speak in the same moment.
+      // A random phase, so that sidecars which start together don't send at the same moment.
       nextPeriod_(now + static_cast<Micros>(uniform() * static_cast<double>(settings_.period))),
       announcementAt_(now),
       announcementAnswerAt_(now),
@@ -156,7 +156,7 @@
 
 bool Members::receive(const Message& message, Micros now, std::vector<Outgoing>& out) {
   if (message.sender == settings_.self) {
-    // An echo of one's own is nothing; somebody else under this name is.
+    // An echo of an own message is harmless; another process under this name is a conflict.
     if (message.address != settings_.address || message.incarnation > settings_.incarnation)
       nameConflictAt_ = now;
     return false;
@@ -172,7 +172,7 @@
   found->second.lastMessageAt = now;
   for (const Update& update : message.updates) apply(update, now);
   if (settings_.antiEntropy) {
-    // Those of a page count only where it answers a pull.
+    // The entries of a page are merged by receivePage(), and only if it answers a pull.
     if (message.kind != Kind::Page) mergeEntries(message, now, out);
     compareTables(message, now);
   }
@@ -208,15 +208,16 @@
 void Members::answerPing(const Message& message, Micros now, std::vector<Outgoing>& out) {
   Message ack = make(Kind::Ack, message.nonce);
   if (settings_.antiEntropy) ack.table = table();
-  // Who knows nobody yet asks again. While all start at once a few are asked by all, and must not miss the
-  // probes of those who know them.
+  // The ack to a newcomer is optional, since newcomers ask again: while a whole fleet starts, the seeds are
+  // pinged by all, and their budget must still cover the acks to probes by members that know them.
   const bool isNewcomer = message.table && message.table->reachable <= 1;
   piggyback(ack, message.sender, isNewcomer, now);
   send(message.address, std::move(ack), isNewcomer ? Need::Optional : Need::Required, now, out);
 }
 
-// A replay, or what speaks with an incarnation that has been outbid. The latter is told so, and not too
-// often: after a restart with its clock set back it could not be heard again otherwise.
+// False for a replay, and for a message of an earlier incarnation than one seen before. A ping of the latter
+// kind is answered, once per period at the most, with the incarnation that the sender has to exceed:
+// otherwise a sidecar whose clock was set back before a restart could not rejoin.
 bool Members::acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out) {
   if (message.incarnation < member.windowIncarnation) {
     if (message.kind != Kind::Ping ||
@@ -235,7 +236,7 @@
   return member.window.take(message.sequence);
 }
 
-// ---- What is known ----------------------------------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------------------------------------
 
 std::size_t Members::knownCount() const {
   return static_cast<std::size_t>(
--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -17,90 +17,97 @@
 
 namespace ivypost::gossip {
 
-/// A message that has to be written to an address.
+/// A message to be sent.
 struct Outgoing {
   Address to;       ///< the receiver's
   Message message;  ///< without payload and seal
 };
 
-/// A member's state has changed, for the log.
+/// A change of a member's state, for the log.
 struct Change {
   PeerId id = 0;               ///< the member's
-  Address address;             ///< where it was reached last
-  State state = State::Alive;  ///< what it is believed to be now
+  Address address;             ///< the member's last known
+  State state = State::Alive;  ///< the new state
 };
 
-/// Which other sidecars there are: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey
-/// 2017), and anti-entropy (Demers et al. 1987). Free of I/O; the time is a parameter, random numbers come
-/// from a seed, and the same calls give the same messages.
+/// The group membership of sidecars: SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips,
+/// Currey 2017), and anti-entropy (Demers et al. 1987). It does no I/O; time is a parameter, random numbers
+/// come from a seed, and the same calls produce the same messages.
 ///
-/// Rumours make a change known fast and may miss somebody; anti-entropy is what makes all agree: each ping
-/// and ack carries digests of the sender's table, and who sees another's differ from its own pulls what it
-/// lacks. docs/design/fleet-size.md has what was weighed.
+/// Rumours disseminate a change quickly but may miss a sidecar; anti-entropy makes all tables converge: each
+/// ping and ack carries digests of the sender's table, and a receiver whose own digests differ pulls the
+/// entries that it lacks. docs/design/fleet-size.md describes the alternatives.
 ///
-/// Invariant: nobody is taken for reachable on another's word alone beyond the time that a suspicion takes;
-/// nobody is dead but by an incarnation that it can outbid; what one believes of another only ever rises in
-/// (incarnation, state), whichever way it came; the table, the bytes of a message and the bytes sent in any
-/// second are bounded, whatever is sent to it.
-/// Clock: the own monotonic one, in microseconds. No time that another sends is compared with it.
-/// Who hears nothing: isIsolated() holds by the own clock after Settings::isolatedAfter at the latest, also
+/// Invariant: a member that is not reachable is not kept as reachable on the reports of others for longer
+/// than a suspicion lasts; a member is declared dead only in an incarnation that it can refute with a higher
+/// one; the (incarnation, state) held of a member never decreases, whichever message changes it; the table,
+/// the size of a message and the bytes sent in any second are bounded, whatever is received. Clock: this
+/// process's monotonic one, in microseconds. It is never compared with a time from another sidecar.
+/// Isolation: when no message arrives, isIsolated() is true after Settings::isolatedAfter at the latest, also
 /// right after a pause of the process, before the first message is read: it is computed from the time, not
-/// from an event.
+/// set by an event.
 class Members {
  public:
-  /// A sidecar that has just started and knows its seeds alone. Out-of-range times of `settings` are clamped.
+  /// The membership of a sidecar that has just started and knows only its seeds. Out-of-range times in
+  /// `settings` are clamped. `seed`: of the random numbers.
   Members(Settings settings, std::uint64_t seed, Micros now);
 
-  /// Does what is due, and appends what has to be sent. To be called at nextTick() or a little later.
+  /// Runs the timers that are due, and appends the messages to send. To be called at nextTick() or shortly
+  /// after.
   void tick(Micros now, std::vector<Outgoing>& out);
-  /// When tick() has to be called next; it changes with each call of tick() and receive().
+  /// When tick() has to be called next; each call of tick() or receive() may change it.
   [[nodiscard]] Micros nextTick() const;
-  /// This sidecar ends: the others need not find out. Nothing is sent after it.
+  /// Appends the messages that announce this sidecar's departure, so that the others need not detect it. The
+  /// caller sends nothing after these.
   void leave(Micros now, std::vector<Outgoing>& out);
-  /// So many bytes of payload were put into what it gave out; they count for bytesPerSecond too.
+  /// Counts the bytes of a payload that the caller added to a message against Settings::bytesPerSecond.
   void charge(std::size_t bytes, Micros now);
-  /// There is a new payload that others should not wait a period for: kFanOut of them are asked to ping, as
-  /// far as kAnnouncementsPerSecond allows.
+  /// Announces a new payload to kFanOut random members, which then ping to fetch it before their next probe.
+  /// Limited to kAnnouncementsPerSecond.
   void announce(Micros now, std::vector<Outgoing>& out);
-  /// Takes in a message whose seal was right, and appends the answers. False if it is dropped: its own, a
-  /// replay, or there is no room for its sender.
+  /// Processes a message whose seal was verified, and appends the answers. False if it is dropped: an own
+  /// message, a replay, one of an earlier incarnation, or one whose sender the table has no room for.
   bool receive(const Message& message, Micros now, std::vector<Outgoing>& out);
 
-  /// How long ago the ping was written that this ack answers; none: it answers none of ours. To be called
-  /// ahead of receive(): what the ack carries is not younger than reported by more than this.
+  /// The time since the ping that this ack or nack answers was sent; none if it answers no recent ping of
+  /// this sidecar. An upper bound for the time that the ack's payload was in transit. To be called before
+  /// receive().
   [[nodiscard]] std::optional<Micros> elapsedSincePing(const Message& ack, Micros now) const;
 
-  /// Whether this sidecar must not go by what it knows: no ping was answered within isolatedAfter, or there
-  /// was no quorum for as long, or another process has this one's name. True also while it knows nobody.
+  /// Whether this sidecar must not rely on the membership: no ping was answered within isolatedAfter, or
+  /// there was no quorum for as long, or another process uses this sidecar's name. Also true while no member
+  /// is known.
   [[nodiscard]] bool isIsolated(Micros now) const;
-  /// Whether another process under this one's name was seen within isolatedAfter.
+  /// Whether a message of another process with this sidecar's name was received within isolatedAfter.
   [[nodiscard]] bool hasNameConflict(Micros now) const {
     return nameConflictAt_ && now - *nameConflictAt_ <= settings_.isolatedAfter;
   }
-  /// Members that are not believed dead, this one among them.
+  /// The number of members that are not considered dead, this one included.
   [[nodiscard]] std::size_t reachableCount() const { return aliveCount_ + 1; }
-  /// The reachable against all that are known or should be there, from 0 to 1; with a region, of that region.
+  /// The reachable members as a fraction of those known or expected, whichever are more; with a region set,
+  /// of that region's members only.
   [[nodiscard]] double reachableFraction() const;
-  /// Whether somebody was not added since kMaxMembers are known.
+  /// Whether a member could not be added because kMaxMembers are known.
   [[nodiscard]] bool isFull() const { return isFull_; }
-  /// Whether this member is known and not believed dead; true for this one itself.
+  /// Whether this member is known and not considered dead; true for this sidecar itself.
   [[nodiscard]] bool isReachable(PeerId id) const;
-  /// Which reachable member this key is the duty of (rendezvous hashing, Thaler and Ravishankar 1998): the
-  /// same for all who reach the same ones, and another one once it is dead.
+  /// The reachable member that owns this key (rendezvous hashing, Thaler and Ravishankar 1998): the same at
+  /// all sidecars that reach the same members, and another one once the owner is dead.
   [[nodiscard]] PeerId ownerOf(std::uint64_t key) const;
-  /// Probes that are queued; kMaxMembers at the most.
+  /// The length of the probe order; kMaxMembers at the most.
   [[nodiscard]] std::size_t probeQueueSize() const { return probeOrder_.size(); }
-  /// Members that are known but this one and those that have left; the dead count until they are forgotten.
+  /// The number of known members, without this one and those that have left. Dead ones count until they are
+  /// forgotten.
   [[nodiscard]] std::size_t knownCount() const;
   /// Lifeguard's local health multiplier: 0 for a healthy process, kMaxLocalHealth at the most.
   [[nodiscard]] int localHealth() const { return localHealth_; }
-  /// As given, but for the incarnation, which rises with each refutation.
+  /// The settings as given, except for the incarnation, which rises with each refutation.
   [[nodiscard]] const Settings& settings() const { return settings_; }
-  /// The own incarnation, as the others are told.
+  /// This sidecar's current incarnation.
   [[nodiscard]] std::uint64_t incarnation() const { return settings_.incarnation; }
-  /// What is believed of each member but this one, in the order of their ids.
+  /// The state held of each member except this one, sorted by id.
   [[nodiscard]] std::vector<Update> updates() const;
-  /// The changes since the last call; beyond a bound they are left out.
+  /// Returns and clears the changes since the last call; beyond a bound the latest ones are missing.
   std::vector<Change> takeChanges() { return std::exchange(changes_, {}); }
 
  private:
@@ -108,12 +115,12 @@
     Update update;
     Micros stateSince = 0;
     Micros deadline = 0;                  // of a suspicion
-    std::vector<PeerId> witnesses;        // of it, independent; kConfirmations at the most beside the first
-    std::uint32_t transmissionsLeft = 0;  // of its state to others
+    std::vector<PeerId> witnesses;        // of the suspicion, independent; 1 + kConfirmations at the most
+    std::uint32_t transmissionsLeft = 0;  // of the update to other members
     ReplayWindow window;
-    std::uint64_t windowIncarnation = 0;  // the incarnation that the window is of; 0: it has not spoken
-    Micros lastMessageAt = 0;             // of its own
-    Micros correctedAt = 0;               // answered last that it speaks with an earlier incarnation
+    std::uint64_t windowIncarnation = 0;  // whose sequence the window tracks; 0: no message received from it
+    Micros lastMessageAt = 0;             // received from this member
+    Micros correctedAt = 0;               // when a ping of an earlier incarnation was last answered
     [[nodiscard]] bool hasLeft() const { return update.state == State::Dead && update.witness == update.id; }
   };
   struct Probe {
@@ -124,11 +131,11 @@
     Micros relayAt = 0;
     bool relayed = false;
     bool acked = false;
-    bool suspected = false;             // by others, when it began
-    std::vector<std::uint32_t> relays;  // nonces of those asked to probe
-    std::uint32_t nacks = 0;            // of them that have answered that they are there
+    bool suspected = false;             // by others, when the probe began
+    std::vector<std::uint32_t> relays;  // nonces of the requests for indirect probes
+    std::uint32_t nacks = 0;            // relays that have answered, with a nack or an ack
   };
-  // Another's ping that this one was asked to pass on.
+  // An indirect probe that this sidecar performs for another one.
   struct Relayed {
     std::uint32_t nonce = 0;
     std::uint32_t theirs = 0;
@@ -141,7 +148,7 @@
     std::uint32_t nonce = 0;
     Micros at = 0;
   };
-  // A pull of this one's that is not answered completely yet.
+  // A pull sent by this sidecar whose last page has not arrived yet.
   struct OutstandingPull {
     std::uint32_t nonce = 0;
     PeerId from = 0;
@@ -149,27 +156,27 @@
     std::uint32_t pages = 0;
     std::size_t gained = 0;
   };
-  // Another's pull that waits for bytes to be answered with.
+  // A received pull whose pages wait for byte budget.
   struct PendingAnswer {
     std::uint32_t nonce = 0;
     PeerId who = 0;
     Address to;
     Micros until = 0;
-    std::vector<PeerId> missing;  // in the order in which they are sent
+    std::vector<PeerId> missing;  // members that the puller lacks, in the order of sending
     std::size_t sent = 0;
     bool isTruncated = false;
   };
   struct DifferingTable {
     PeerId id = 0;
-    std::uint8_t ranges = 0;  // a bit each
+    std::uint8_t ranges = 0;  // a bit for each range whose digests differ
     Micros at = 0;
   };
-  // Where somebody might be; id 0: not known who.
+  // An address to ping in order to reconnect; id 0: the member there is not known.
   struct Candidate {
     Address address;
     PeerId id = 0;
   };
-  // What can be left out, and what the protocol can't do without.
+  // Whether a message may be dropped for lack of byte budget, or may use the budget's debt.
   enum class Need : std::uint8_t { Optional, Required };
 
   // ---- members.cpp ----
@@ -179,12 +186,12 @@
   bool acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out);
   Message make(Kind kind, std::uint32_t nonce);
   bool send(const Address& to, Message message, Need need, Micros now, std::vector<Outgoing>& out);
-  // The nonce; none: there were no bytes for it.
+  // Returns the ping's nonce; none if the byte budget did not allow it.
   std::optional<std::uint32_t> ping(const Address& to, PeerId about, Need need, Micros now,
                                     std::vector<Outgoing>& out);
   std::vector<const Member*> pickAlive(std::uint32_t most, PeerId butNot, Micros heardNoEarlierThan = 0);
   static bool takeToken(double& credit, Micros& at, double perSecond, Micros now);
-  // From 0 to below 1: the upper 53 bits, as many as a double holds.
+  // A random number in [0, 1) from the upper 53 bits, a double's precision.
   double uniform() {
     constexpr int kDroppedBits = 11;
     constexpr double kStep = 0x1p-53;
@@ -195,7 +202,7 @@
     return uniform() < kHalf;
   }
   void updateQuorum(Micros now);
-  // ---- member_table.cpp; those that are bool: whether it changed what is believed ----
+  // ---- member_table.cpp; functions returning bool: whether the table or the own incarnation changed ----
   bool apply(const Update& update, Micros now);
   bool applyToSelf(const Update& update, Micros now);
   bool addMember(const Update& update, Micros now);
@@ -245,47 +252,47 @@
   [[nodiscard]] BloomFilter filterOver(const Range& range, std::uint32_t salt) const;
   void beginPages(const Message& pull, Micros now, std::vector<Outgoing>& out);
   void sendPages(Micros now, std::vector<Outgoing>& out);
-  // Where in `missing` the page ends.
+  // Returns the index in `missing` after the page's last entry.
   std::size_t fillPage(Message& page, const PendingAnswer& pending) const;
   void receivePage(const Message& page, Micros now, std::vector<Outgoing>& out);
-  // How many changed what is believed. Who sends an earlier incarnation than is known here is corrected, as
-  // far as one datagram holds.
+  // Returns the number of entries that changed the table. Answers outdated incarnations with the known ones,
+  // as far as they fit into one datagram.
   std::size_t mergeEntries(const Message& message, Micros now, std::vector<Outgoing>& out);
   [[nodiscard]] Update weighDeath(const Update& entry, PeerId sender, Micros now) const;
 
   Settings settings_;
   std::mt19937_64 random_;
-  std::map<PeerId, Member> members_;  // but this one
-  std::size_t aliveCount_ = 0;        // of them; the suspected count until they are dead
-  std::vector<PeerId> probeOrder_;    // shuffled anew at its end (SWIM, section 4.3)
+  std::map<PeerId, Member> members_;  // without this sidecar
+  std::size_t aliveCount_ = 0;        // members alive or suspect
+  std::vector<PeerId> probeOrder_;    // reshuffled after each pass (SWIM, section 4.3)
   std::size_t nextInProbeOrder_ = 0;
   std::optional<Probe> probe_;
   std::vector<Relayed> relayed_;
-  std::vector<SentPing> sentPings_;  // lately
+  std::vector<SentPing> sentPings_;  // recent ones without an answer
   std::uint64_t sequence_ = 0;
   std::uint32_t lastNonce_;
   int localHealth_ = 0;
   Micros lastTick_;
   Micros nextPeriod_;
-  std::optional<Micros> lastAnsweredPingAt_;  // when the last ping that was answered was written
+  std::optional<Micros> lastAnsweredPingAt_;  // when the latest answered ping or pull was sent
   std::optional<Micros> nameConflictAt_;
   std::optional<Micros> belowQuorumSince_;
   std::uint64_t periods_ = 0;
-  // Token buckets of a second: announcements, and pings that answer them.
+  // Token buckets with a depth of one second: announcements, and the pings that answer them.
   double announcementCredit_ = kAnnouncementsPerSecond;
   double announcementAnswerCredit_ = kFanOut * kAnnouncementsPerSecond;
   Micros announcementAt_;
   Micros announcementAnswerAt_;
-  PeerId lastFiller_ = 0;  // whose state went out last without being pending
+  PeerId lastFiller_ = 0;  // the member whose update was last sent in round-robin order
   ByteBudget budget_;
   ByteBudget pullBudget_;
   ByteBudget gossipBudget_;
   Micros nextAntiEntropy_;
   Micros nextPull_;
   Micros pullGap_ = kPullGap;
-  Micros startedAt_;                // or when somebody became known after nobody was
-  std::uint16_t mostReported_ = 0;  // members that another has reported to reach
-  bool hasPendingUpdates_ = false;  // somebody's transmissions may be left
+  Micros startedAt_;                // or when the first member became reachable after none was
+  std::uint16_t mostReported_ = 0;  // the highest Table::reachable received
+  bool hasPendingUpdates_ = false;  // some member may have transmissions left
   bool tableChanged_ = true;
   Table table_;
   std::vector<OutstandingPull> outstandingPulls_;
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -20,7 +20,7 @@
   Page = 7
 };
 
-// Ahead of each section: its tag and its length.
+// The header of a section: its tag and its length.
 constexpr std::size_t kSectionBytes = 2;
 constexpr std::size_t kMaxBody = kMaxDatagram - kSealBytes;
 constexpr std::size_t kTableBytes = 4 * kRanges + 3;
@@ -71,7 +71,7 @@
   to.put(table.region);
 }
 
-// Bytes that are left for the body of one more section.
+// The bytes left for the body of one more section.
 std::size_t roomBehind(const std::vector<std::uint8_t>& bytes) {
   const std::size_t used = bytes.size() + kSectionBytes;
   return used < kMaxBody ? kMaxBody - used : 0;
@@ -119,7 +119,7 @@
          message.range.bits <= kMaxRangeBits && message.range.index >> message.range.bits == 0;
 }
 
-// False where the section is malformed; one of an unknown tag is skipped.
+// False if the section is malformed; a section with an unknown tag is skipped.
 bool getSection(std::uint8_t tag, std::span<const std::uint8_t> bytes, Message& message) {
   Reader body(bytes);
   switch (static_cast<Tag>(tag)) {
--- a/src/gossip/options.cpp
+++ b/src/gossip/options.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint32_t kMaxOctet = 255;
 constexpr std::uint32_t kMaxPort = 65535;
 
-// Takes the number ahead in the text away from it; none: there is none, or it is higher than `most`.
+// Parses and removes the number at the start of the text; none if there is no number or it exceeds `most`.
 std::optional<std::uint32_t> takeNumber(std::string_view& text, std::uint32_t most) {
   std::uint32_t value = 0;
   const auto [next, error] = std::from_chars(text.begin(), text.end(), value);
--- a/src/gossip/replay_window.h
+++ b/src/gossip/replay_window.h
@@ -6,14 +6,14 @@
 
 namespace ivypost::gossip {
 
-/// The sliding window against replays of RFC 4303 (section 3.4.3) over one sender's incarnation: each
-/// sequence number is taken once, and none that is kWidth or more behind the highest one taken.
+/// The anti-replay sliding window of RFC 4303 (section 3.4.3) for one incarnation of a sender: each sequence
+/// number is accepted once, and none that is kWidth or more below the highest one accepted.
 class ReplayWindow {
  public:
-  /// Sequence numbers that the window spans.
+  /// The number of sequence numbers in the window.
   static constexpr std::uint64_t kWidth = 64;
 
-  /// Whether the number is neither a replay nor too old; it is a replay from then on.
+  /// Accepts the sequence number and returns true, unless it was accepted before or is below the window.
   [[nodiscard]] bool take(std::uint64_t sequence) {
     if (sequence > highest_) {
       const std::uint64_t by = sequence - highest_;
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -12,27 +12,27 @@
 
 namespace ivypost::gossip {
 
-/// The size of the fleet's key.
+/// The size of the fleet's key in bytes.
 constexpr std::size_t kKeyBytes = 32;
 
-/// The keyed seal behind every message: BLAKE2b with a key (RFC 7693), kSealBytes long, by libsodium. One key
-/// for the whole fleet, out of one file: it proves that a message is from somebody who has the key, not from
-/// whom.
+/// The seal that follows every message, a message authentication code: keyed BLAKE2b (RFC 7693) of
+/// kSealBytes, by libsodium. The whole fleet shares one key, read from a file, so the seal proves that a
+/// sender holds the key, but not which sender it is.
 class Seal {
  public:
-  /// The key of this file, which holds 64 hexadecimal digits and perhaps a line's end. Throws
-  /// std::runtime_error, one line that names the file and the mend.
+  /// Reads the key from a file of 64 hexadecimal digits and optional line ends. Throws std::runtime_error,
+  /// whose message is one line with the file and the remedy.
   static Seal read(const std::string& path);
-  /// Of this key.
+  /// A seal with this key.
   explicit Seal(const std::array<std::uint8_t, kKeyBytes>& key) : key_(key) {}
 
-  /// Appends the seal of the message to it.
+  /// Appends the seal to the message.
   void close(std::vector<std::uint8_t>& message) const;
-  /// What stands before the seal, a part of `datagram`; empty where the seal is not of this key or the length
-  /// is out of range. The time that it takes does not tell how far a seal fits.
+  /// The message without its seal, a view into `datagram`; empty if the seal is not valid under this key or
+  /// the length is out of range. Seals are compared in constant time.
   [[nodiscard]] std::span<const std::uint8_t> open(std::span<const std::uint8_t> datagram) const;
 
-  /// Whether the keys are the same.
+  /// Compares the keys.
   bool operator==(const Seal&) const = default;
 
  private:
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -10,110 +10,115 @@
 
 namespace ivypost::gossip {
 
-// The numbers are the table of defaults.
+// The numbers are default values.
 // NOLINTBEGIN(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
-/// What a sidecar's membership goes by. Times are microseconds of the own monotonic clock.
+/// The configuration of Members. Times are microseconds of this process's monotonic clock.
 struct Settings {
   PeerId self = 0;                ///< this sidecar's id
-  Address address;                ///< where the others reach this sidecar
-  std::uint64_t incarnation = 1;  ///< higher than in any earlier life; Unix time in ms does
-  std::vector<Address> seeds;     ///< where others may be; its own address among them does no harm
-  /// SWIM's protocol period: one member is probed in each. Lifeguard stretches it for a slow process. At
-  /// least a millisecond.
+  Address address;                ///< this sidecar's address for the others
+  std::uint64_t incarnation = 1;  ///< higher than before any restart; Unix time in ms satisfies this
+  std::vector<Address> seeds;     ///< addresses to join at; this sidecar's own one is allowed
+  /// SWIM's protocol period: one member is probed per period. Lifeguard stretches it while the process is
+  /// slow. At least one millisecond.
   Micros period = 250'000;
-  /// A direct probe has to be answered within it, before others are asked to probe; under the period.
+  /// The time-out of a direct probe, after which indirect probes begin; less than the period.
   Micros timeout = 80'000;
-  std::uint32_t relays = 3;          ///< others that are asked to probe (SWIM's k)
-  Micros isolatedAfter = 2'000'000;  ///< nobody reachable, or no quorum, for so long
-  double quorumFraction = 0.5;       ///< fewer than this fraction of the expected are no quorum; 0 to 1
-  /// How many sidecars there should be, as the platform says; it may be wrong by kExpectedTolerance either
-  /// way.
+  std::uint32_t relays = 3;          ///< relays asked for an indirect probe (SWIM's k)
+  Micros isolatedAfter = 2'000'000;  ///< time without an answered ping, or without quorum, until isolated
+  double quorumFraction = 0.5;       ///< fraction of the expected sidecars that is a quorum; 0 to 1
+  /// The number of sidecars in the fleet according to the platform; it may be wrong by a factor of
+  /// kExpectedTolerance.
   std::uint32_t expected = 1;
-  Micros forget = 60'000'000;  ///< the dead are remembered, and now and then tried, for so long
-  /// The region that this sidecar is in, 1 to kMaxRegion; 0: not set. With a region the quorum is of the
-  /// sidecars of the same region alone.
+  Micros forget = 60'000'000;  ///< time for which dead members are kept, and pinged occasionally
+  /// The region of this sidecar, 1 to kMaxRegion; 0: not set. With a region the quorum counts the sidecars of
+  /// that region only.
   std::uint8_t region = 0;
-  std::uint32_t regionExpected = 0;  ///< how many sidecars should be in the region
-  /// Sent in any second at the most, with kDatagramOverhead a datagram.
+  std::uint32_t regionExpected = 0;  ///< expected number of sidecars in the region
+  /// The maximum of bytes sent in any second, including kDatagramOverhead for each datagram.
   std::uint32_t bytesPerSecond = 6000;
-  /// Compares its table with others' and fetches what differs; off: sends and understands as before that.
+  /// Whether this sidecar takes part in anti-entropy. If not, it behaves like sidecars that predate it.
   bool antiEntropy = true;
 };
 // NOLINTEND(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
 
-/// Of IPv4 without options and UDP (RFC 791, RFC 768), in bytes.
+/// The size of the IPv4 header without options and the UDP header (RFC 791, RFC 768), in bytes.
 constexpr std::size_t kDatagramOverhead = 28;
 
-/// Members that a table holds beside the own one; those beyond are not added.
+/// The maximum number of members in a table, without the own one; further ones are not added.
 constexpr std::size_t kMaxMembers = 4096;
-/// The quorum is of what should be there divided by this, so that a wrong number isolates nobody.
+/// The quorum is computed from the expected number divided by this, so that a wrong number isolates no
+/// sidecar.
 constexpr std::uint32_t kExpectedTolerance = 4;
-/// Lifeguard's local health multiplier goes from 0 to this (LHM, section 3.1, S = 8).
+/// The maximum of Lifeguard's local health multiplier (LHM, section 3.1, S = 8); the minimum is 0.
 constexpr int kMaxLocalHealth = 8;
-/// A suspicion lasts this times log10(members) periods at the least (Lifeguard, section 3.2, alpha).
+/// The shortest suspicion lasts this times log10(members) periods (Lifeguard, section 3.2, alpha).
 constexpr double kSuspicionFactor = 5;
-/// The longest suspicion in shortest ones (Lifeguard, section 3.2, beta).
+/// The longest suspicion as a multiple of the shortest (Lifeguard, section 3.2, beta).
 constexpr double kMaxSuspicionFactor = 6;
-/// A suspicion comes down to the shortest with so many independent witnesses (Lifeguard, section 3.2, K).
+/// The number of confirming witnesses that reduces a suspicion to the shortest (Lifeguard, section 3.2, K).
 constexpr std::uint32_t kConfirmations = 3;
-/// Each change is sent so many times log2(members + 1) (SWIM, section 4.1, lambda).
+/// Each change is sent this times log2(members + 1) times (SWIM, section 4.1, lambda).
 constexpr double kTransmissionFactor = 3;
-/// An announcement goes to so many at once, and those who learn something pass it on.
+/// The number of members that an announcement is sent to; a receiver to which the payload is new announces it
+/// in turn.
 constexpr std::uint32_t kFanOut = 3;
-/// Announcements that are sent in a second at the most.
+/// The maximum number of announcements per second.
 constexpr double kAnnouncementsPerSecond = 8;
-/// A suspicion's time grows with the members up to 10 to this power. Beyond, the refutation still comes in
-/// time: rumours go out each kGossipEvery, not each period.
+/// Suspicions grow with the logarithm of the fleet size up to 10 to this power members. In larger fleets
+/// refutations still arrive in time, because rumours are sent every kGossipEvery instead of every period.
 constexpr double kMaxMagnitude = 2;
-/// Of those who learn of a suspicion so many probe the suspect out of turn, so that its witnesses or its
-/// refutation come in a time that does not grow with the fleet.
+/// The expected number of sidecars that, on learning of a suspicion, probe the suspect out of turn, so that
+/// the time to further witnesses or a refutation does not grow with the fleet.
 constexpr double kSuspectProbers = 6;
-/// Between two turns of rumours and pulls, while there is something to send or to fetch; microseconds.
+/// The interval between rounds of rumours and pulls, while there are any to send; microseconds.
 constexpr Micros kGossipEvery = 100'000;
-/// Rumours of one turn.
+/// The number of members that rumours are sent to in one round.
 constexpr std::uint32_t kGossipFanOut = 2;
-/// All rumours of a turn but one go to who has spoken within this time, in microseconds: in a partition the
-/// others' half would be lost.
+/// All but one of a round's rumours go to members heard from within this time, in microseconds: in a
+/// partition those to the other side would be lost.
 constexpr Micros kRecentContact = 1'500'000;
-/// Pages that answer one pull at the most.
+/// The maximum number of pages that answer one pull.
 constexpr std::uint32_t kPagesPerPull = 4;
-/// Pulls of others that wait to be answered; those beyond are dropped, and asked again by who needs them.
+/// The maximum number of received pulls that wait for an answer; further ones are dropped, and their senders
+/// retry.
 constexpr std::size_t kMaxPending = 8;
-/// Own pulls that are not answered completely yet.
+/// The maximum number of own pulls whose answers are incomplete.
 constexpr std::size_t kMaxPulls = 3;
-/// A pull is answered within this time, in microseconds, or not at all.
+/// The time-out of a pull, in microseconds, at both its sender and its receiver.
 constexpr Micros kPullTimeout = 500'000;
-/// Of Settings::bytesPerSecond: what comes back each second. With kDepthFraction and kDebtFraction it adds up
-/// to 1, which is what goes out in any second at the most.
+/// The refill rate of the byte budget per second, as a fraction of Settings::bytesPerSecond. Together with
+/// kDepthFraction and kDebtFraction it makes 1, the most that is sent in any second.
 constexpr double kRateFraction = 0.85;
-/// Of Settings::bytesPerSecond: what may be saved up.
+/// The depth of the byte budget, as a fraction of Settings::bytesPerSecond.
 constexpr double kDepthFraction = 0.1;
-/// Of Settings::bytesPerSecond: what may be overdrawn by what the protocol can't do without.
+/// The debt of the byte budget that required messages may use, as a fraction of Settings::bytesPerSecond.
 constexpr double kDebtFraction = 0.05;
-/// Of Settings::bytesPerSecond: what pulls may cost, so that there is room for answers.
+/// The share of Settings::bytesPerSecond that pulls may use, so that some is left for answers.
 constexpr double kPullFraction = 0.25;
-/// Of Settings::bytesPerSecond: what rumours may cost, likewise.
+/// The share of Settings::bytesPerSecond that rumours may use, so that some is left for answers.
 constexpr double kGossipFraction = 0.4;
-/// Between a pull that brought something and the next, in microseconds; after one that brought nothing the
-/// next waits twice as long as before, up to kMaxPullGap.
+/// The interval from a productive pull to the next, in microseconds; after each other pull it doubles, up to
+/// kMaxPullGap.
 constexpr Micros kPullGap = 100'000;
-/// The longest time between two pulls while tables differ, in microseconds.
+/// The longest interval between pulls while tables differ, in microseconds.
 constexpr Micros kMaxPullGap = 1'000'000;
-/// Who has started fetches the table first, and probes nobody meanwhile: while all start at once each would
-/// probe the few that it knows, the seeds above all. It ends with this fraction of what others know.
+/// A sidecar that has started is joining: it pulls the table and sends no probes yet. Otherwise, in a
+/// simultaneous start, all would probe the few members that they know, mainly the seeds. Joining ends when
+/// the sidecar reaches this fraction of the members that others report.
 constexpr double kJoinedFraction = 0.8;
-/// Who has started fetches the table first for so long at the least, in microseconds.
+/// The minimum duration of joining, in microseconds.
 constexpr Micros kMinJoining = 1'000'000;
-/// Who has started fetches the table first for so long at the most, in microseconds.
+/// The maximum duration of joining, in microseconds.
 constexpr Micros kMaxJoining = 8'000'000;
-/// Others whose tables were seen to differ; the oldest is left out beyond it.
+/// The maximum number of members recorded as having a differing table; beyond it the oldest record is
+/// dropped.
 constexpr std::size_t kMaxDiffering = 8;
-/// That a table was seen to differ is believed for so long, in microseconds.
+/// How long a record of a differing table is kept, in microseconds.
 constexpr Micros kDiffersFor = 2'000'000;
-/// Addresses of those that were forgotten while dead, to be tried now and then: after a long partition two
-/// sides find each other by them. A random one is left out beyond it.
+/// The maximum number of addresses kept of dead members that were forgotten. They are pinged occasionally, by
+/// which the sides of a long partition find each other again. Beyond it a random one is dropped.
 constexpr std::size_t kMaxForgottenAddresses = 32;
-/// A gap between two ticks of so many periods is a pause of this process, not of the others.
+/// A gap between two ticks of more than this many periods counts as a pause of this process.
 constexpr double kPausedPeriods = 4;
 
 }  // namespace ivypost::gossip
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -13,7 +13,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::seconds kRebindInterval{1};
-// One line of complaint in this time.
+// The minimum interval between log lines about rejected datagrams, in microseconds.
 constexpr Micros kLogInterval = 1'000'000;
 
 Micros now() {
@@ -66,7 +66,8 @@
   });
 }
 
-// Guards the requests against a flood: what is beyond the bound of a tick waits for the next one.
+// Guards the proxied requests against a flood of datagrams: beyond the limit of a slice, reading resumes in
+// the next slice.
 void Transport::readDatagrams() {
   if (const Micros slice = now() / kSlice; slice != slice_) {
     slice_ = slice;
@@ -77,8 +78,9 @@
     const std::size_t length = socket_.receive_from(asio::buffer(buffer_), from_, 0, error);
     if (error == asio::error::would_block) return waitReadable();
     ++takenInSlice_;
-    // An answer from the system that somebody is not there comes as an error of the socket; it means nothing,
-    // nor does another of one call. They count, so that the loop doesn't spin on one that lasts.
+    // Errors are ignored: an ICMP "port unreachable" for an earlier datagram may be reported here, and other
+    // errors concern this one call. They count against the limit, so that a persistent error can't make the
+    // loop spin.
     if (!error) handleDatagram(length);
   }
   logThrottled("more datagrams than are looked at");
--- a/src/gossip/transport.h
+++ b/src/gossip/transport.h
@@ -18,45 +18,45 @@
 
 namespace ivypost::gossip {
 
-/// Executes what Members decides, over UDP: one socket, one timer.
+/// Runs Members over UDP, with one socket and one timer.
 ///
-/// Threads: everything on the io_context's one thread. Bounds: a datagram is kMaxDatagram bytes at the most;
-/// of those that come, kMaxPerSlice are read in each kSlice, and what is beyond waits in the kernel or is
-/// lost there. Lifetime: to be destroyed after leave() only once the io_context has run the handlers that
-/// leave() cancels, or never runs again.
+/// Threads: everything runs on the io_context's one thread. Bounds: a datagram has kMaxDatagram bytes at the
+/// most; kMaxPerSlice datagrams are read in each kSlice, and further ones wait in the kernel or are dropped
+/// there. Lifetime: may be destroyed after leave() only when the io_context has run the handlers that leave()
+/// cancelled, or will not run again.
 class Transport {
  public:
-  /// The time over which datagrams are counted against kMaxPerSlice, in microseconds.
+  /// The interval to which kMaxPerSlice applies, in microseconds.
   static constexpr Micros kSlice = 100'000;
-  /// Datagrams that are read in a slice at the most.
+  /// The maximum number of datagrams read per slice.
   static constexpr std::uint32_t kMaxPerSlice = 250;
 
-  /// What the owner does for it; each is called on the io_context's thread, and all have to be set.
+  /// The owner's callbacks, all required; they run on the io_context's thread.
   struct Callbacks {
-    /// The payload for an ack, of so many bytes at the most.
+    /// Returns the payload for an ack, of `room` bytes at the most.
     std::function<std::vector<std::uint8_t>(std::size_t room)> makePayload;
-    /// The payload of an answer that was on its way for `delay` microseconds at the most: whether it changed
-    /// anything; none: it is malformed.
+    /// Takes the payload of an answer that was in transit for `delay` microseconds at the most. Returns
+    /// whether it held anything new; none if it is malformed.
     std::function<std::optional<bool>(std::span<const std::uint8_t> payload, Micros delay)> receivePayload;
-    /// The state of a member has changed.
+    /// Called when the state of a member has changed.
     std::function<void(const Change&)> memberChanged;
-    /// A line for the log, without a line's end.
+    /// Logs a line, given without a line end.
     std::function<void(const std::string& line)> log;
   };
-  /// What it has counted since it was made; bytes without the headers of IP and UDP.
+  /// Counters since construction; bytes exclude the headers of IP and UDP.
   struct Counts {
-    std::uint64_t sent = 0;           ///< datagrams
-    std::uint64_t sentBytes = 0;      ///< of them
-    std::uint64_t received = 0;       ///< datagrams, whatever they held
-    std::uint64_t receivedBytes = 0;  ///< of them
-    std::uint64_t unsealed = 0;       ///< received, not from this key or of no allowed length
-    std::uint64_t malformed = 0;      ///< received, no message or no payload of this version
-    std::uint64_t replayed = 0;       ///< received, dropped by Members
-    std::uint64_t unsent = 0;         ///< the system would not take them
+    std::uint64_t sent = 0;           ///< datagrams sent
+    std::uint64_t sentBytes = 0;      ///< bytes in them
+    std::uint64_t received = 0;       ///< datagrams received, valid or not
+    std::uint64_t receivedBytes = 0;  ///< bytes in them
+    std::uint64_t unsealed = 0;       ///< received with an invalid seal or length
+    std::uint64_t malformed = 0;      ///< received with a message or payload that can't be decoded
+    std::uint64_t replayed = 0;       ///< received messages that Members dropped
+    std::uint64_t unsent = 0;         ///< datagrams that the system refused to send
   };
 
-  /// Begins to send and receive. `listen`: where to bind; tried again each second while it is taken, as while
-  /// a process is replaced. `seed`: of the random numbers.
+  /// Begins to send and receive. `listen`: the address to bind to; binding is retried every second while it
+  /// is in use, for instance while a process is replaced. `seed`: of the random numbers.
   Transport(boost::asio::io_context& io, const Settings& settings, const Address& listen, const Seal& seal,
             std::uint64_t seed, Callbacks callbacks);
   Transport(const Transport&) = delete;
@@ -65,18 +65,18 @@
   Transport& operator=(Transport&&) = delete;
   ~Transport() = default;
 
-  /// There is a new payload that others should not wait for.
+  /// Announces to some members that there is a new payload, so that they fetch it at once.
   void announce();
-  /// This sidecar ends. Nothing is sent after it.
+  /// Announces that this sidecar leaves, and closes the socket. Nothing is sent afterwards.
   void leave();
 
-  /// What is known of others.
+  /// The membership.
   [[nodiscard]] const Members& members() const { return members_; }
-  /// What was counted.
+  /// The counters.
   [[nodiscard]] const Counts& counts() const { return counts_; }
-  /// Whether it is bound.
+  /// Whether the socket is bound.
   [[nodiscard]] bool listens() const { return socket_.is_open(); }
-  /// The port that it is bound to. Throws boost::system::system_error where it is not bound.
+  /// The port that the socket is bound to. Throws boost::system::system_error if it is not bound.
   [[nodiscard]] std::uint16_t port() const { return socket_.local_endpoint().port(); }
 
  private:
--- a/src/health_reports/attempt_history.h
+++ b/src/health_reports/attempt_history.h
@@ -11,41 +11,41 @@
 
 namespace ivypost::health_reports {
 
-/// The outcomes of this sidecar's last attempts at one incarnation of an endpoint, and the status that they
-/// show. No I/O and no clock.
+/// The outcomes of this sidecar's latest attempts at one incarnation of an endpoint, and the health status
+/// derived from them. No I/O; time is a parameter.
 class AttemptHistory {
  public:
-  /// Older outcomes do not count.
+  /// Outcomes older than this are ignored.
   static constexpr Duration kWindow = std::chrono::seconds(5);
-  /// Of outcomes that are kept; the oldest one is forgotten beyond it.
+  /// The maximum number of outcomes kept; beyond it the oldest is dropped.
   static constexpr std::size_t kCapacity = 16;
-  /// An endpoint is unhealthy when so many attempts, and more than half of all, have failed: chance and one
-  /// bad moment do not make it so. One unanswered attempt is enough where none has succeeded since it was
-  /// sent, since it took the client's whole time.
+  /// An endpoint is unhealthy when at least this many attempts, and more than half of all, have failed, so
+  /// that a single chance failure is not enough. One unanswered attempt is enough if no attempt has succeeded
+  /// since it was sent, since such an attempt uses up the client's whole time limit.
   static constexpr std::uint16_t kMinFailures = 2;
-  /// It is healthy again after so many successes in a row, whatever was before. An endpoint that fails four
-  /// attempts in five succeeds three times in a row once in 125 times.
+  /// An endpoint is healthy again after this many successes in a row, whatever came before. An endpoint that
+  /// fails four of five attempts succeeds three times in a row with a probability of 1 in 125.
   static constexpr std::uint16_t kRecoverySuccesses = 3;
 
   /// How an attempt ended.
   enum class Outcome : std::uint8_t {
-    Succeeded,   ///< a complete answer that is no error
-    Failed,      ///< an error, or a connection that broke or was not made
-    Unanswered,  ///< no answer within its time
+    Succeeded,   ///< a complete answer that is not an error
+    Failed,      ///< an error, or a connection that failed or was refused
+    Unanswered,  ///< no answer before the time-out
   };
-  /// What the attempts within the window show.
+  /// The endpoint's health by the attempts within the window.
   struct Assessment {
-    HealthStatus status = HealthStatus::Healthy;  ///< Healthy if there are none
-    std::uint16_t attempts = 0;                   ///< how many there are
-    std::uint16_t failures = 0;                   ///< how many of them failed or were unanswered
-    Duration age{};                               ///< elapsed since the last attempt ended
+    HealthStatus status = HealthStatus::Healthy;  ///< Healthy if there are no attempts
+    std::uint16_t attempts = 0;                   ///< number of attempts
+    std::uint16_t failures = 0;                   ///< number of them that failed or were unanswered
+    Duration age{};                               ///< time since the last attempt ended
   };
 
-  /// An attempt has ended at `now`, so long after it was sent.
+  /// Records an attempt that ended at `now`, `sinceSent` after it was sent.
   void record(Outcome outcome, Duration sinceSent, TimePoint now);
-  /// The endpoint's status by what was recorded.
+  /// The endpoint's health at `now`.
   [[nodiscard]] Assessment assess(TimePoint now) const;
-  /// When an attempt was recorded last.
+  /// When the last attempt was recorded.
   [[nodiscard]] TimePoint lastAttempt() const { return lastAttempt_; }
 
  private:
@@ -65,7 +65,7 @@
   std::vector<Ended> attempts_;
   TimePoint lastAttempt_;
   std::optional<TimePoint> lastSuccess_;
-  // No attempt has succeeded since one was sent that is unanswered.
+  // Whether the last attempt was unanswered and none has succeeded since it was sent.
   bool isUnresponsive_ = false;
 };
 
--- a/src/health_reports/health_report.cpp
+++ b/src/health_reports/health_report.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// A start travels as 48 bits: 16 above these, then these.
+// A start time is encoded in 48 bits: the high 16, then the low 32.
 constexpr unsigned kLowStartBits = 32;
 
 std::uint16_t encodedAge(Duration age) {
--- a/src/health_reports/health_report_table.cpp
+++ b/src/health_reports/health_report_table.cpp
@@ -10,15 +10,16 @@
 namespace ivypost::health_reports {
 namespace {
 
-// An own report whose status stays is made anew so often, which makes it younger.
+// The minimum interval between renewals of an own report whose status is unchanged; a renewal resets its age.
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(500);
-// No time is above this. A version that is must not bring this sidecar's own to overflow.
+// The highest received version that exceedVersion() accepts. No clock yields a higher one, and accepting one
+// could make this sidecar's version overflow.
 constexpr std::uint64_t kMaxVersionToExceed = std::uint64_t{1} << 62U;
 // Each change is sent this many times the binary logarithm of the number of sidecars (SWIM, 4.1), so that it
 // reaches all of them in spite of some loss.
 constexpr double kTransmissionFactor = 3;
 
-// Between two places in a container.
+// A half-open range of iterators.
 template <class Iterator>
 struct Range {
   [[nodiscard]] Iterator begin() const { return first; }
@@ -28,7 +29,7 @@
   Iterator last;
 };
 
-// The entries of one incarnation, in the order of their reporters.
+// The entries of one incarnation, sorted by reporter.
 template <class Entries>
 auto entriesOf(const Entries& entries, const Incarnation& incarnation) {
   constexpr PeerId kLastPeer = std::numeric_limits<PeerId>::max();
@@ -55,7 +56,7 @@
   const auto own = entries_.find({incarnation, self_});
   const bool isReported = own != entries_.end();
   const bool isSameStatus = isReported && own->second.status == assessment.status;
-  // That an endpoint is healthy is worth a report only where somebody has found otherwise.
+  // A report of a healthy endpoint is needed only if a report on this incarnation exists already.
   if (assessment.status == HealthStatus::Healthy && !isReported && reporterCount(incarnation) == 0)
     return false;
   if (isSameStatus && now - own->second.observedAt < kRefreshInterval) return false;
@@ -115,8 +116,8 @@
   return isChanged;
 }
 
-// Guards against versions from before this sidecar's restart, when its wall clock was ahead: others would go
-// by those until they expire. The reports made since then get higher versions and are sent again.
+// Guards against versions from before a restart when the wall clock was ahead: other sidecars would use those
+// reports until they expire. The reports made since the restart get higher versions and are sent again.
 void HealthReportTable::exceedVersion(std::uint64_t version) {
   if (version <= version_ || version > kMaxVersionToExceed) return;
   version_ = version;
@@ -133,7 +134,7 @@
   while (reader.left() > 0) {
     const std::optional<HealthReport> report = decode(reader);
     if (!report) return ReceiveResult::Malformed;
-    // A report by this sidecar from before its restart does not count: others still hold it.
+    // An own report, possibly from before a restart, is not merged; its version must be exceeded.
     if (report->reporter == self_) {
       exceedVersion(report->version);
     } else if (merge(*report, delay, now)) {
@@ -157,7 +158,8 @@
 std::vector<HealthReportTable::Entries::iterator> HealthReportTable::selectForTransmission(
     std::size_t maxCount) {
   std::vector<Entries::iterator> selected = selectChanged(maxCount);
-  // The others in turn: in time every sidecar has sent everything to every other, whatever was lost.
+  // Then the others in round-robin order, so that every report eventually reaches every sidecar in spite of
+  // losses.
   auto next = entries_.upper_bound(lastSent_);
   for (std::size_t n = 0; n < entries_.size() && selected.size() < maxCount; ++n, ++next) {
     if (next == entries_.end()) next = entries_.begin();
@@ -167,7 +169,7 @@
   return selected;
 }
 
-// Those that have been sent least often, and counts them as sent once more.
+// Selects the entries with the most transmissions left, and counts one transmission for each.
 std::vector<HealthReportTable::Entries::iterator> HealthReportTable::selectChanged(std::size_t maxCount) {
   std::vector<Entries::iterator> selected;
   for (auto entry = entries_.begin(); entry != entries_.end(); ++entry)
@@ -187,7 +189,7 @@
   transmissions_ = static_cast<std::uint32_t>(rounds) + 1;
 }
 
-// ---- What is valid ----------------------------------------------------------------------------------------
+// ---- Valid reports ----------------------------------------------------------------------------------------
 
 HealthReportTable::Summary HealthReportTable::summarize(const Incarnation& incarnation,
                                                         const IsReachable& isReachable, TimePoint now) const {
--- a/src/health_reports/health_report_table.h
+++ b/src/health_reports/health_report_table.h
@@ -15,82 +15,85 @@
 
 namespace ivypost::health_reports {
 
-/// Incarnations that a table keeps attempt histories of. Beyond it the one attempted longest ago is
-/// forgotten.
+/// The maximum number of incarnations with an attempt history. Beyond it the history with the oldest last
+/// attempt is dropped.
 constexpr std::size_t kMaxIncarnations = 512;
-/// Reports of one incarnation, each by another sidecar. Other sidecars' are rejected beyond it.
+/// The maximum number of reports on one incarnation, one per reporter. Beyond it other sidecars' reports are
+/// rejected.
 constexpr std::size_t kMaxReportersPerIncarnation = 16;
-/// Reports by one other sidecar, rejected beyond it: one that lies fills a small part of the table.
+/// The maximum number of reports by one other sidecar, so that one that reports wrongly fills a small part of
+/// the table. Further ones are rejected.
 constexpr std::size_t kMaxReportsPerReporter = kMaxIncarnations / 4;
-/// Reports in a table; other sidecars' are rejected beyond it, own ones are always taken.
+/// The maximum number of reports in a table. Beyond it other sidecars' reports are rejected; own ones are
+/// always stored.
 constexpr std::size_t kMaxReports = kMaxIncarnations * kMaxReportersPerIncarnation;
 
-/// What came of received bytes.
+/// The result of merging received bytes.
 enum class ReceiveResult : std::uint8_t {
-  Unchanged,  ///< no report is of a new reporter or has another status than the reporter's last
-  Changed,    ///< at least one is or has
-  Malformed,  ///< some bytes are no report; reports ahead of them were merged
+  Unchanged,  ///< no report added a reporter or changed a reporter's status
+  Changed,    ///< at least one report did
+  Malformed,  ///< some bytes could not be decoded; the reports before them were merged
 };
 
-/// The health reports that this sidecar has made and received. No I/O and no clock.
+/// The health reports that this sidecar has made and received. No I/O; time is a parameter.
 ///
-/// Invariant: a report is valid for kTimeToLive after the last attempt behind it at the most, by elapsed time
-/// that is never taken for less than it was; for the incarnation that it was made of alone; and only while
-/// its reporter is reachable. The table is bounded, whatever is received. The merge is commutative,
-/// associative and idempotent: of one reporter's reports of one incarnation the highest version is valid, and
-/// of one version the oldest age. Clocks: an age is by the reporter's clock until it is first sent, by each
-/// forwarder's while it is kept there, and by the receiver's from before the receiver asked for it. So delays
-/// make a report older, never younger. A sidecar that receives nothing has no reports but its own after
+/// Invariant: a report is valid for kTimeToLive at the most after the last attempt that it is based on, by an
+/// elapsed time that is never underestimated; only for its own incarnation; and only while its reporter is
+/// reachable. The table is bounded, whatever is received. The merge is commutative, associative and
+/// idempotent: of one reporter's reports on one incarnation the highest version is valid, and of one version
+/// the oldest age. Clocks: the age is measured by the reporter's clock until the report is first sent, by
+/// each forwarder's while it is stored there, and by the receiver's from before it requested the report. So
+/// delays make a report older, never younger. A sidecar that receives nothing has only its own reports after
 /// kTimeToLive.
 class HealthReportTable {
  public:
-  /// Says of a sidecar whether it is reachable.
+  /// Returns whether a sidecar is reachable.
   using IsReachable = std::function<bool(PeerId)>;
-  /// Says of an incarnation whether an endpoint list has it.
+  /// Returns whether an incarnation is in an endpoint list.
   using IsListed = std::function<bool(const Incarnation&)>;
 
-  /// `self`: this sidecar. `version`: higher than all that it sent before its restart, as Unix time in
-  /// microseconds is. If it is not, since the wall clock was set back, the table exceeds the earlier versions
-  /// as soon as it receives them.
+  /// `self`: this sidecar. `version`: higher than all versions sent before a restart, which Unix time in
+  /// microseconds satisfies. If it is not, because the wall clock was set back, the table raises its version
+  /// above the earlier ones as soon as it receives them.
   HealthReportTable(PeerId self, std::uint64_t version) : self_(self), version_(version) {}
 
-  /// An own attempt has ended at `now`, so long after it was sent. Makes a report of what that changes; true
-  /// if this sidecar's status for the incarnation is another one than before.
+  /// Records an own attempt that ended at `now`, `sinceSent` after it was sent, and updates this sidecar's
+  /// report if needed. True if this sidecar's status for the incarnation has changed.
   bool recordAttempt(const Incarnation& incarnation, AttemptHistory::Outcome outcome, Duration sinceSent,
                      TimePoint now);
 
-  /// Merges reports as encodeNext() writes them. `delay`: the longest that they can have been on their way.
+  /// Merges reports encoded by encodeNext(). `delay`: an upper bound for the time that they were in transit.
   ReceiveResult receive(std::span<const std::uint8_t> bytes, Duration delay, TimePoint now);
-  /// Merges one report, its age made older by `delay`. True if its reporter is new to the incarnation or has
-  /// another status than before.
+  /// Merges one report, with `delay` added to its age. True if its reporter is new for the incarnation or has
+  /// changed its status.
   bool merge(const HealthReport& report, Duration delay, TimePoint now);
 
-  /// The next reports for one message, in `maxBytes` at the most: recently changed ones first, then the
-  /// others in turn. Counts them as sent.
+  /// Encodes the next reports to send, in `maxBytes` at the most: recently changed ones first, then the
+  /// others in round-robin order. Counts them as sent.
   std::vector<std::uint8_t> encodeNext(std::size_t maxBytes, TimePoint now);
-  /// Sets how often a change is sent, from the number of sidecars: logarithmically, as membership changes
-  /// are.
+  /// Sets the number of transmissions per change, which grows logarithmically with the number of sidecars, as
+  /// for membership changes.
   void setFleetSize(std::size_t sidecars);
 
-  /// What other reachable sidecars report of one incarnation.
+  /// The reports of other reachable sidecars on one incarnation, aggregated.
   struct Summary {
-    std::uint32_t unhealthy = 0;  ///< reporters that find it failing or unresponsive
-    std::uint32_t healthy = 0;    ///< reporters that find it healthy by a later attempt than any of those
-    std::uint32_t attempts = 0;   ///< behind the unhealthy reports
-    std::uint32_t failures = 0;   ///< behind the unhealthy reports
-    Duration age{};               ///< of the youngest unhealthy report
+    std::uint32_t unhealthy = 0;  ///< number of reporters with status Failing or Unresponsive
+    std::uint32_t healthy = 0;    ///< reporters with status Healthy by an attempt after all unhealthy reports
+    std::uint32_t attempts = 0;   ///< attempts in the unhealthy reports
+    std::uint32_t failures = 0;   ///< failures in the unhealthy reports
+    Duration age{};               ///< age of the youngest unhealthy report
   };
-  /// Sums up the valid reports of others.
+  /// Aggregates the valid reports of other sidecars.
   [[nodiscard]] Summary summarize(const Incarnation& incarnation, const IsReachable& isReachable,
                                   TimePoint now) const;
-  /// Removes reports that are no longer valid, and histories that no report can come of.
+  /// Removes reports that are no longer valid, and attempt histories too old for a valid report.
   void removeStale(const IsListed& isListed, const IsReachable& isReachable, TimePoint now);
 
-  /// All reports within their time to live, this sidecar's own too, by incarnation and reporter.
+  /// All reports within their time to live, this sidecar's own included, sorted by incarnation and reporter.
   [[nodiscard]] std::vector<HealthReport> reports(TimePoint now) const;
-  /// The incarnations that there are reports of, in order, each once.
+  /// The incarnations with at least one report, sorted and unique.
   [[nodiscard]] std::vector<Incarnation> incarnations() const;
-  /// The number of reports in the table, kMaxReports and own ones at the most.
+  /// The number of reports in the table: kMaxReports at the most, plus own ones.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
@@ -105,7 +108,7 @@
     HealthStatus status = HealthStatus::Healthy;
     std::uint16_t attempts = 0;
     std::uint16_t failures = 0;
-    TimePoint observedAt;  // never later than the last attempt behind it
+    TimePoint observedAt;  // never later than the last attempt that the report is based on
     std::uint32_t transmissionsLeft = 0;
   };
   using Entries = std::map<Key, Entry>;
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -15,9 +15,9 @@
 using balancer::Outcome;
 using settings::bad;
 
-// Members and health reports that GET /status/peers tells at the most.
+// The maximum number of members, and of health reports, in GET /status/peers.
 constexpr std::size_t kShown = 256;
-// The rate of bytes is measured over so long at the least, in microseconds.
+// The minimum interval over which the rate of sent bytes is measured, in microseconds.
 constexpr Micros kRateInterval = 1'000'000;
 
 std::string hex(std::uint64_t number) {
@@ -26,8 +26,9 @@
   return text.data();
 }
 
-// What counts up over all lives of this sidecar while its wall clock is right. After a step back others hold
-// higher ones of earlier lives; both are outbid once they are heard.
+// A number that increases across restarts of this sidecar as long as its wall clock is right. If the clock
+// was set back, other sidecars hold higher incarnations and versions, which this one exceeds as soon as it
+// receives them.
 std::uint64_t incarnationNumber() {
   return static_cast<std::uint64_t>(std::max<Micros>(1000, unixNow()));
 }
@@ -92,7 +93,7 @@
                     return receive(reports, std::chrono::microseconds(delay));
                   },
                   [this](const gossip::Change& change) {
-                    // A suspicion is nothing that an operator could act on.
+                    // Suspicions are not logged: an operator can't act on them.
                     if (change.state == gossip::State::Suspect) return;
                     const bool isReachable = change.state == gossip::State::Alive;
                     callbacks_.log("peers: " + gossip::format(change.address) +
@@ -118,7 +119,7 @@
     case Outcome::Timeout:
       result = Result::Unanswered;
       break;
-    case Outcome::Full:  // it answers, and says that it is busy
+    case Outcome::Full:  // the endpoint answers; it is overloaded, not unhealthy
     case Outcome::Cancelled:
     case Outcome::Moot:
       break;
--- a/src/sidecar/gossip_health_view.h
+++ b/src/sidecar/gossip_health_view.h
@@ -21,69 +21,72 @@
 
 namespace ivypost {
 
-/// Publishes what sidecars know together to the balancer: it feeds own attempts into the health reports that
-/// gossip carries, and summaries of the others' reports to the balancer. Exists only where the operator's
-/// file has [peers] on.
+/// Exchanges health reports with other sidecars: it turns own attempts into reports that gossip disseminates,
+/// and passes summaries of the other sidecars' reports to the balancer. Exists only if [peers] is on in the
+/// operator's file.
 ///
-/// Invariant: the balancer is given summaries only while this sidecar is not isolated, and each lapses by the
-/// own monotonic clock within kReportValidity. Who is isolated so decides as without peers within
-/// Settings::isolatedAfter and kReportValidity, also right after a pause of the process, before any message
-/// or timer. Threads: everything on the io_context's one thread. Lifetime: as gossip::Transport's.
+/// Invariant: the balancer gets summaries only while this sidecar is not isolated, and each summary expires
+/// after kReportValidity by the monotonic clock. So the balancer of an isolated sidecar decides as without
+/// peers after Settings::isolatedAfter plus kReportValidity at the latest, also right after a pause of the
+/// process, before any message or timer. Threads: everything runs on the io_context's one thread. Lifetime:
+/// as for gossip::Transport.
 class GossipHealthView {
  public:
-  /// Between two summaries.
+  /// The interval between two summaries for the same upstream.
   static constexpr std::chrono::milliseconds kPublishInterval{100};
-  /// How long the balancer goes by a summary, in microseconds.
+  /// How long a summary is valid for the balancer, in microseconds.
   static constexpr Micros kReportValidity = 500'000;
 
-  /// An upstream of the endpoint list, by what others call it.
+  /// An upstream of the endpoint list, with its fleet-wide and its local identifiers.
   struct Listed {
     health_reports::Incarnation incarnation;  ///< the same at every sidecar
-    EndpointId upstream = 0;                  ///< the balancer's
-    Micros launchedAt = 0;                    ///< as the balancer was notified
-    std::string id;                           ///< as the endpoint list has it
+    EndpointId upstream = 0;                  ///< the balancer's id
+    Micros launchedAt = 0;                    ///< the launch time that the balancer was given
+    std::string id;                           ///< the id in the endpoint list
   };
-  /// What the owner does for it; each is called on the io_context's thread, and all have to be set.
+  /// The owner's callbacks, all required; they run on the io_context's thread.
   struct Callbacks {
-    /// The upstreams of the endpoint list as of now.
+    /// Returns the upstreams of the current endpoint list.
     std::function<std::vector<Listed>()> listed;
-    /// A summary of the health reports of one upstream.
+    /// Takes a summary of the health reports on one upstream.
     std::function<void(const balancer::HealthReport&)> report;
-    /// A line for the log, without a line's end.
+    /// Logs a line, given without a line end.
     std::function<void(const std::string&)> log;
   };
-  /// What the options come to for this sidecar.
+  /// The gossip configuration of this sidecar, derived from the options.
   struct Identity {
-    gossip::Settings settings;  ///< of the membership
-    gossip::Address listen;     ///< where to bind
-    gossip::Seal seal;          ///< of the fleet's key
+    gossip::Settings settings;  ///< settings of the membership
+    gossip::Address listen;     ///< the address to bind to
+    gossip::Seal seal;          ///< seal with the fleet's key
   };
 
-  /// The identity of this sidecar. Throws settings::FormatError, one line that names the key and the mend,
-  /// where the options can't be used here: no own address, or a key file that can't be read.
+  /// Derives the identity of this sidecar. Throws settings::FormatError, whose message is one line with the
+  /// key and the remedy, if the options can't be used here: no own address, no seeds, or a key file that
+  /// can't be read.
   static Identity identityOf(const gossip::Options& options, const Config& config);
 
-  /// Begins to gossip. `seed`: of the random numbers.
+  /// Joins the fleet. `seed`: of the random numbers.
   GossipHealthView(boost::asio::io_context& io, const Identity& identity, std::uint64_t seed,
                    Callbacks callbacks);
 
-  /// An attempt at this incarnation of an endpoint has ended, `lag` microseconds after it was sent.
+  /// Records an attempt at this incarnation of an endpoint that has ended `lag` microseconds after it was
+  /// sent.
   void recordAttempt(const health_reports::Incarnation& incarnation, balancer::Outcome outcome, Micros lag);
-  /// This sidecar ends, or the operator has switched gossip off.
+  /// Leaves the fleet, because this sidecar stops or the operator has switched gossip off.
   void leave();
 
-  /// As gossip::Members::isIsolated(), as of now.
+  /// gossip::Members::isIsolated() at the current time.
   [[nodiscard]] bool isIsolated() const { return transport_.members().isIsolated(now()); }
-  /// The membership, and what is sent and received.
+  /// The transport, for its membership and counters.
   [[nodiscard]] const gossip::Transport& transport() const { return transport_; }
-  /// The health reports that are known.
+  /// The health reports made and received.
   [[nodiscard]] const health_reports::HealthReportTable& healthReports() const { return healthReports_; }
-  /// For GET /status/peers: members, what fraction is reachable, health reports with reporters and ages,
-  /// bytes.
+  /// The body of GET /status/peers: members, the reachable fraction, health reports with reporters and ages,
+  /// bytes and datagrams.
   [[nodiscard]] nlohmann::json status() const;
 
  private:
-  // What others have sent. Whether it changes anything; none if it can't be read.
+  // Merges received reports. Returns whether they changed any status; none if they are malformed.
   std::optional<bool> receive(std::span<const std::uint8_t> reports, std::chrono::microseconds delay);
   void publish();
   void publishLater(std::chrono::milliseconds wait);
