--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -41,8 +41,11 @@
 /// Invariant: a member that is not reachable is not kept as reachable on the reports of others for longer
 /// than a suspicion lasts; a member is declared dead only in an incarnation that it can refute with a higher
 /// one; the (incarnation, state) held of a member never decreases, whichever message changes it; the table,
-/// the size of a message and the bytes sent in any second are bounded, whatever is received. Clock: this
-/// process's monotonic one, in microseconds. It is never compared with a time from another sidecar.
+/// the size of a message and the bytes sent in any second are bounded, whatever is received.
+///
+/// Clock: this process's monotonic one, in microseconds. It is never compared with a time from another
+/// sidecar.
+///
 /// Isolation: when no message arrives, isIsolated() is true after Settings::isolatedAfter at the latest, also
 /// right after a pause of the process, before the first message is read: it is computed from the time, not
 /// set by an event.
--- a/tests/gossip/anti_entropy_test.cpp
+++ b/tests/gossip/anti_entropy_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Anti-entropy: one membership against messages that are replayed, flooded, of an earlier incarnation or not
-// asked for, and many on the simulated network.
+// Anti-entropy: a single Members that receives replayed, excessive, outdated and unsolicited messages, and
+// fleets on a simulated network.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -18,8 +18,7 @@
 namespace ivypost::gossip {
 namespace {
 
-// ---- One membership against all that may come
-// --------------------------------------------------------------
+// ---- A single member --------------------------------------------------------------------------------------
 
 struct One {
   Settings settings;
@@ -46,7 +45,7 @@
     message.entries = std::move(entries);
     return message;
   }
-  // A ping with a table that differs from this one's in every range, and the pull that follows.
+  // Receives a ping with a table that differs in every range, and returns the pull that follows.
   std::optional<Message> pullAfterPingOf(PeerId sender, Micros now) {
     Message ping = from(sender, Kind::Ping);
     ping.table = Table{{1, 2, 3, 4}, 500, 0};
@@ -77,13 +76,13 @@
   Message page = one.from(2, Kind::Page, {alive(3, 5)});
   page.nonce = 12345;
   one.members.receive(page, kStart, one.out);
-  EXPECT_FALSE(one.of(3)) << "nobody asked";
+  EXPECT_FALSE(one.of(3)) << "not pulled";
   const auto pull = one.pullAfterPingOf(2, kStart + kSecond);
   ASSERT_TRUE(pull);
   Message stranger = one.from(9, Kind::Page, {alive(3, 5)});
   stranger.nonce = pull->nonce;
   one.members.receive(stranger, kStart + kSecond, one.out);
-  EXPECT_FALSE(one.of(3)) << "another was asked";
+  EXPECT_FALSE(one.of(3)) << "pulled from another member";
   Message answer = one.from(2, Kind::Page, {alive(3, 5)});
   answer.nonce = pull->nonce;
   answer.pageFlags = kLastPage;
@@ -93,7 +92,7 @@
   Message second = one.from(2, Kind::Page, {alive(4, 5)});
   second.nonce = pull->nonce;
   one.members.receive(second, kStart + kSecond + kGossipEvery, one.out);
-  EXPECT_FALSE(one.of(4)) << "behind the last page";
+  EXPECT_FALSE(one.of(4)) << "after the last page";
 }
 
 TEST(AntiEntropy, RejectsPagesBeyondThoseOfAPull) {
@@ -108,7 +107,7 @@
   EXPECT_EQ(one.members.knownCount(), 1 + 2 * kPagesPerPull);
 }
 
-// An earlier life changes nothing, and who tells of it is told of the later one.
+// An update of an earlier incarnation changes nothing, and its sender gets the later one in answer.
 TEST(AntiEntropy, RejectsAndCorrectsAnEarlierIncarnation) {
   One one;
   one.members.receive(one.from(2, Kind::Rumours, {alive(3, 7)}), kStart, one.out);
@@ -125,7 +124,7 @@
   EXPECT_EQ(one.out[0].message.entries.at(0).incarnation, 7u);
 }
 
-// Of a member that is gone and forgotten, or never was.
+// A member that was forgotten or never known is not added by a report of its suspicion or death.
 TEST(AntiEntropy, IgnoresTheDeathOfAnUnknownMember) {
   One one;
   one.members.receive(
@@ -135,7 +134,7 @@
   EXPECT_EQ(one.members.knownCount(), 1u);
 }
 
-// A death ends with the refutation of a later life, whichever way the death comes again.
+// A higher incarnation refutes a death for good, even if the death is received again.
 TEST(AntiEntropy, KeepsAMemberAliveThatRefutedItsDeath) {
   One one;
   const Update death{3, 7, {}, State::Dead, 0};
@@ -148,7 +147,8 @@
   EXPECT_TRUE(one.members.isReachable(3));
 }
 
-// What a page tells may be from before a cut that has healed: who is well is suspected by it, and not buried.
+// A page may date from before a partition that has healed, so a death in it makes a live member suspect, not
+// dead.
 TEST(AntiEntropy, TreatsADeathInAPageAsASuspicion) {
   One one;
   one.members.receive(one.from(2, Kind::Rumours, {alive(3, 7)}), kStart, one.out);
@@ -179,14 +179,14 @@
   for (const Outgoing& page : one.out) {
     if (page.message.kind != Kind::Page) continue;
     for (const Update& entry : page.message.entries)
-      EXPECT_TRUE(sent.insert(entry.id).second) << "twice " << entry.id;
+      EXPECT_TRUE(sent.insert(entry.id).second) << "duplicate entry " << entry.id;
   }
   for (PeerId id = 30; id < 50; ++id) EXPECT_EQ(sent.count(id), 1u) << id;
-  EXPECT_EQ(sent.count(1), 1u) << "of itself too";
+  EXPECT_EQ(sent.count(1), 1u) << "the own entry is sent too";
   EXPECT_EQ(sent.size(), 21u);
 }
 
-// Pulls as fast as they come: no more is queued than its bound, and no more is sent than the bytes allow.
+// A flood of pulls: the queue of answers stays bounded, and the answers stay within the byte budget.
 TEST(AntiEntropy, StaysWithinItsBytesUnderAFloodOfPulls) {
   One one(6000);
   for (PeerId id = 10; id < 200; ++id)
@@ -215,13 +215,12 @@
   }
   EXPECT_EQ(one.members.knownCount(), kMaxMembers);
   EXPECT_TRUE(one.members.isFull());
-  EXPECT_TRUE(one.members.isReachable(10)) << "those who are known stay so";
+  EXPECT_TRUE(one.members.isReachable(10)) << "members already known are kept";
 }
 
-// ---- The merge
-// ---------------------------------------------------------------------------------------------
+// ---- Merging ----------------------------------------------------------------------------------------------
 
-// Whatever the order and however often: of each member the same is believed.
+// Updates in any order and any multiplicity produce the same table.
 RC_GTEST_PROP(AntiEntropy, MergesTheSameInAnyOrder, ()) {
   constexpr PeerId kFirst = 10, kLast = 14;
   const auto received = *rc::gen::container<std::vector<Update>>(
@@ -250,14 +249,14 @@
   RC_ASSERT(believed(received) == believed(other));
 }
 
-// ---- Many
-// --------------------------------------------------------------------------------------------------
+// ---- Fleets -----------------------------------------------------------------------------------------------
 
 bool allHear(SimulatedNetwork& net, std::size_t count) {
   return net.all([&](Members& one) { return one.reachableCount() == count && !one.isIsolated(net.now); });
 }
 
-// Stopped while all fetch from all, for longer than the others take to bury them.
+// Four sidecars are paused during the initial exchange of tables, for longer than it takes to declare them
+// dead.
 TEST(AntiEntropy, ConvergesAfterAPauseInTheMiddle) {
   SimulatedNetwork net(21);
   for (std::size_t n = 0; n < 60; ++n) net.start(n, 60);
@@ -277,7 +276,7 @@
   });
 }
 
-// Old and new in one fleet: the old are spoken to as before, and all hear all.
+// Sidecars with and without anti-entropy in one fleet reach each other, also after deaths and restarts.
 TEST(AntiEntropy, ConvergesAndDetectsADeathInAMixedFleet) {
   SimulatedNetwork net(23);
   for (std::size_t n = 0; n < 24; ++n)
@@ -286,13 +285,13 @@
   net.kill(4);
   net.kill(5);
   EXPECT_TRUE(net.until([&] { return allHear(net, 22); }, 20 * kSecond));
-  net.start(4, 24, [&](Settings& settings) { settings.antiEntropy = false; });  // as after a step back
+  net.start(4, 24, [&](Settings& settings) { settings.antiEntropy = false; });  // a downgrade
   net.start(5, 24);
   EXPECT_TRUE(net.until([&] { return allHear(net, 24); }, 20 * kSecond));
 }
 
-// Three of twelve in a region of their own are cut off: nobody is isolated, since each hears its whole
-// region; without regions the three are.
+// A region with three of twelve sidecars is cut off: no sidecar is isolated, since each reaches its whole
+// region. Without regions the three are isolated.
 TEST(AntiEntropy, IsNotIsolatedWhileItsRegionIsReachable) {
   for (const bool regions : {true, false}) {
     SimulatedNetwork net(25);
@@ -310,13 +309,13 @@
       isIsolated = isIsolated || !net.all([&](Members& one) { return !one.isIsolated(net.now); });
     }
     EXPECT_EQ(isIsolated, !regions);
-    net.run(70 * kSecond);  // longer than the dead are remembered, and both seeds are on one side
+    net.run(70 * kSecond);  // longer than dead members are kept, with both seeds on one side
     net.faults.passes = nullptr;
     EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 8 * kSecond)) << regions;
   }
 }
 
-// Without a seed on the other side either: those forgotten are tried at where they were.
+// Neither side has a reachable seed; they reconnect by the addresses kept of forgotten members.
 TEST(AntiEntropy, ReconnectsTwoSidesWithoutSeedsAfterAnHour) {
   SimulatedNetwork net(27);
   for (std::size_t n = 0; n < 10; ++n) net.start(n, 10);
--- a/tests/gossip/bloom_filter_test.cpp
+++ b/tests/gossip/bloom_filter_test.cpp
@@ -20,8 +20,8 @@
       mistakes += filter.holds(mix(n)) ? 1 : 0;
       again += filter.holds(mix(n)) && other.holds(mix(n)) ? 1 : 0;
     }
-    EXPECT_LE(mistakes, 1300) << keys;  // one in 11 at the fullest, and chance
-    EXPECT_LE(again, mistakes / 3 + 5) << keys << ": another salt makes other mistakes";
+    EXPECT_LE(mistakes, 1300) << keys;  // one in 11 of 10'000 for the fullest filter, plus random variation
+    EXPECT_LE(again, mistakes / 3 + 5) << keys << ": another salt has other false positives";
     EXPECT_LE(filter.bytes().size(), BloomFilter::kMaxBytes);
   }
 }
--- a/tests/gossip/entry_codec_test.cpp
+++ b/tests/gossip/entry_codec_test.cpp
@@ -51,7 +51,7 @@
   RC_ASSERT(sent == back);
 }
 
-// As a datagram that was cut would leave them: refused, or fewer of the same.
+// Entries of a truncated datagram are rejected, or fewer of them are decoded.
 TEST(EntryCodec, RejectsOrShortensTruncatedBytes) {
   std::vector<Update> entries;
   for (std::uint64_t n = 1; n <= 9; ++n)
@@ -71,19 +71,19 @@
     const char* what;
     std::vector<std::uint8_t> packed;
   } rows[] = {
-      {"nobody's id", {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}},
-      {"an incarnation without end",
+      {"an id of 0", {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}},
+      {"an incarnation with an unterminated varint",
        {2, 0, 0, 0, 0, 0, 0, 0, 1, 128, 128, 128, 128, 128, 128, 128, 128, 128, 128, 128, 0}},
       {"an incarnation of 70 bits",
        {2, 0, 0, 0, 0, 0, 0, 0, 1, 255, 255, 255, 255, 255, 255, 255, 255, 255, 2}},
       {"an address below 0", {0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 2}},
-      {"a witness that is cut", {1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 1, 2, 3}},
+      {"a truncated witness", {1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 1, 2, 3}},
   };
   for (const auto& row : rows) {
     std::vector<Update> back;
     EXPECT_FALSE(unpackEntries(row.packed, back)) << row.what;
   }
-  // More than a datagram can hold.
+  // More entries than a datagram can hold.
   std::vector<std::uint8_t> many;
   for (std::size_t n = 0; n <= kMaxEntries; ++n) many.insert(many.end(), {2, 0, 0, 0, 0, 0, 0, 0, 1, 0});
   std::vector<Update> back;
--- a/tests/gossip/fleet_run.h
+++ b/tests/gossip/fleet_run.h
@@ -1,9 +1,10 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Plays of several processes of the program with peers on, for the tests of them. What each knew when is read
-// from its log, and where a test wants it from GET /status/peers of each, asked over and over.
+// Runs a fleet of sidecar processes with gossip enabled, for the tests. The state of each sidecar over time
+// is taken from its log, and optionally from GET /status/peers, polled continuously.
 //
-// What every play asks for by itself: rules 1 to 4 (the ledger), nobody crashed, four in five served.
+// Every run checks by itself: rules 1 to 4 of the invariant checker, no crashes, and at least four of five
+// requests served.
 #ifndef IVYPOST_TESTS_GOSSIP_FLEET_RUN_H_
 #define IVYPOST_TESTS_GOSSIP_FLEET_RUN_H_
 
@@ -49,9 +50,9 @@
   std::string text;
 };
 
-// What a sidecar answered to GET /status/peers.
+// A sidecar's answer to GET /status/peers.
 struct Status {
-  Micros at = 0;  // likewise, of the answer
+  Micros at = 0;  // of the answer, since the first event
   std::uint32_t sidecar = 0;
   nlohmann::json body;
   std::size_t number(const char* key) const { return body.value(key, std::size_t{0}); }
@@ -60,10 +61,10 @@
 
 struct FleetRun {
   Result result;
-  std::vector<Line> lines;       // those about peers and ejections
-  std::vector<Status> statuses;  // in the order of their times
+  std::vector<Line> lines;       // the sidecars' log
+  std::vector<Status> statuses;  // sorted by time
 
-  // Lines of this sidecar that hold the text and came in this time.
+  // The number of this sidecar's log lines in [from, to) that contain the text.
   std::size_t count(std::uint32_t sidecar, const std::string& text, Micros from = 0,
                     Micros to = 3'600'000'000) const {
     return static_cast<std::size_t>(std::count_if(lines.begin(), lines.end(), [&](const Line& line) {
@@ -71,7 +72,7 @@
              line.at < to;
     }));
   }
-  // All lines that hold the text, with their times: what a failed test prints.
+  // All log lines that contain the text, with their times, for failure messages.
   std::string linesWith(const std::string& text) const {
     std::string all;
     for (const Line& line : lines) {
@@ -81,12 +82,13 @@
     }
     return all;
   }
+  // As count(), over all sidecars.
   std::size_t everywhere(const std::string& text, Micros from = 0, Micros to = 3'600'000'000) const {
     std::size_t sum = 0;
     for (std::uint32_t n = 1; n <= result.sidecars.size(); ++n) sum += count(n, text, from, to);
     return sum;
   }
-  // Of how many others this one's last word was that they are not heard.
+  // The number of members whose last line in this sidecar's log says that they are unreachable.
   std::size_t missedAtTheEnd(std::uint32_t sidecar) const {
     std::map<std::string, bool> missed;
     for (const Line& line : lines) {
@@ -97,7 +99,7 @@
     return static_cast<std::size_t>(
         std::count_if(missed.begin(), missed.end(), [](const auto& one) { return one.second; }));
   }
-  // Whether this one's last word was that it is isolated, or that it has not been otherwise.
+  // Whether this sidecar's last log line about isolation says that it is isolated, or there is no such line.
   bool endsIsolated(std::uint32_t sidecar) const {
     bool isIsolated = true;
     for (const Line& line : lines)
@@ -105,14 +107,14 @@
         isIsolated = line.text.find("not deaf") == std::string::npos;
     return isIsolated;
   }
-  // The last that it answered; null: nothing.
+  // This sidecar's last status; null if there is none.
   const Status* last(std::uint32_t sidecar) const {
     const auto found = std::find_if(statuses.rbegin(), statuses.rend(),
                                     [&](const Status& one) { return one.sidecar == sidecar; });
     return found == statuses.rend() ? nullptr : &*found;
   }
-  // How long after `from` each sidecar heard so many, and from then on to the end; none: one doesn't at the
-  // end.
+  // The time from `from` until all sidecars reach `many` members and do so to the end of the run; none if
+  // some sidecar doesn't at the end.
   std::optional<Micros> allHear(std::size_t many, Micros from) const {
     std::vector<std::optional<Micros>> since(result.sidecars.size());
     for (const Status& one : statuses) {
@@ -130,7 +132,7 @@
     }
     return longest - from;
   }
-  // This one's lines that hold the text, for a failure's message.
+  // This sidecar's log lines that contain the text, for failure messages.
   std::string said(std::uint32_t sidecar, const std::string& text) const {
     std::string lists;
     for (const Line& line : lines)
@@ -139,7 +141,7 @@
             "\n  s" + std::to_string(sidecar) + " at " + std::to_string(line.at / 1000) + " ms: " + line.text;
     return lists;
   }
-  // The last words of all, likewise.
+  // The last status of each sidecar, for failure messages.
   std::string lasts() const {
     std::string text;
     for (std::uint32_t n = 1; n <= result.sidecars.size(); ++n) {
@@ -162,7 +164,8 @@
 
 using Built = std::function<std::shared_ptr<void>(asio::io_context&, const std::vector<std::string>&)>;
 
-// What a sidecar that is stopped had in hand is lost: rule 1 is not asked for then.
+// Whether the run stops sidecars. The requests in progress at a stopped sidecar are lost, so rule 1 is not
+// checked then.
 enum class Stops : std::uint8_t { None, Some };
 
 struct Plan {
@@ -172,13 +175,13 @@
   Built built;
   Stops stops = Stops::None;
   double rate = 360;
-  std::string head;                                  // more keys of the scenario
-  bool statuses = false;                             // are asked for, kAsked after each answer
-  std::function<void(const std::string&)> happened;  // each event; may be empty
-  std::function<void()> second;                      // once a second; may be empty
+  std::string head;                                  // further keys of the scenario
+  bool statuses = false;                             // whether to poll them, kAsked after each answer
+  std::function<void(const std::string&)> happened;  // called at each event; may be empty
+  std::function<void()> second;                      // called once a second; may be empty
 };
 
-// Asks every sidecar that has said where it listens for its status, one call at a time to each.
+// Polls the status of every sidecar whose port is known, with one call at a time to each.
 class StatusWatch : public std::enable_shared_from_this<StatusWatch> {
  public:
   static constexpr std::chrono::milliseconds kAsked{200};
@@ -224,7 +227,7 @@
                        self->askLater(call);
                      });
   }
-  // Also where the process was killed meanwhile, until it is back.
+  // Polling continues while a process is killed, until it runs again.
   void askLater(const std::shared_ptr<Call>& call) {
     call->timer.expires_after(kAsked);
     call->timer.async_wait([self = shared_from_this(), call](const boost::system::error_code& cancelled) {
@@ -239,7 +242,7 @@
 
 inline FleetRun runFleet(const Plan& plan) {
   std::string work = std::filesystem::temp_directory_path() / "peers-XXXXXX";
-  if (mkdtemp(work.data()) == nullptr) throw std::runtime_error("no folder");
+  if (mkdtemp(work.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
   std::string head = plan.head;
   if (plan.statuses) {
     std::ofstream(work + "/status.toml") << "[status]\npeers = true\n";
@@ -261,7 +264,7 @@
     if (!first) first = standins::nowMicros();
     if (plan.happened) plan.happened(what);
   };
-  // What comes behind the last whole second is the end of the play, when all leave.
+  // What is logged after the last full second belongs to the end of the run, when all sidecars leave.
   Micros lastSecond = 0;
   options.second = [&](const Second&) {
     lastSecond = standins::nowMicros();
@@ -287,7 +290,7 @@
   {
     Fleet fleet(parseScenario(text, "p"), options);
     run.result = fleet.play();
-    watch.reset();  // its last handlers go with the fleet's loop
+    watch.reset();  // its pending handlers are destroyed with the fleet's io_context
   }
   std::filesystem::remove_all(work);
   for (const auto& [at, line] : logged) {
@@ -317,15 +320,14 @@
   return runFleet(plan);
 }
 
-// ---- Guests: members in the test's own process
-// -------------------------------------------------------------
+// ---- Guests: members in the test's own process ------------------------------------------------------------
 
 struct Guest {
   gossip::Settings settings;
   gossip::Seal seal{{}};
 };
 
-// A member under this name that knows the fleet's key and where all of it listens.
+// A member with this name that has the fleet's key, and all sidecars as its seeds.
 inline Guest guestAs(asio::io_context& io, const std::string& name, const std::vector<std::string>& listens) {
   Guest guest;
   udp::socket free(io, udp::endpoint(asio::ip::address_v4::loopback(), 0));
--- a/tests/gossip/fuzz.cpp
+++ b/tests/gossip/fuzz.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A fuzz target (libFuzzer) for all that comes from another sidecar behind the seal: datagrams one after the
-// other, with time between them, into membership and health reports. Built without a fuzzer it plays the
-// files that it is given. tests/gossip/fuzz.sh builds and runs it by hand; CI plays the corpus.
+// A libFuzzer target for everything received from another sidecar with a valid seal: a sequence of datagrams,
+// with time between them, is passed to the membership and the health reports. Built without libFuzzer it runs
+// the files given as arguments. tests/gossip/fuzz.sh builds and runs it manually; CI runs the corpus.
 //
-// The input: for each datagram its length (one byte), the time since the last one in units of 5 ms (one
-// byte), and its bytes without the seal.
+// Input format, for each datagram: its length (one byte), the time since the previous one in units of 5 ms
+// (one byte), and its bytes without the seal.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -23,7 +23,7 @@
 
 void require(bool holds, const char* what) {
   if (holds) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "invariant violated: %s\n", what);
   std::abort();
 }
 
@@ -53,29 +53,31 @@
     members.tick(now, out);
     auto message = gossip::decode(datagram);
     if (message) {
-      require(gossip::encode(*message).size() + gossip::kSealBytes <= gossip::kMaxDatagram, "a message fits");
-      // A fuzzer would hardly count up by itself, nor answer a ping that it can't see.
+      require(gossip::encode(*message).size() + gossip::kSealBytes <= gossip::kMaxDatagram,
+              "a decoded message fits into a datagram");
+      // A fuzzer can hardly produce increasing sequence numbers, or the nonce of a ping that it doesn't see.
       message->sequence = ++sequence;
       for (const gossip::Outgoing& one : out)
         if (one.message.kind == gossip::Kind::Ping && message->kind == gossip::Kind::Ack)
           message->nonce = one.message.nonce;
       const auto late = members.elapsedSincePing(*message, now);
-      require(!late || *late <= settings.isolatedAfter, "an answer that counts is fresh");
+      require(!late || *late <= settings.isolatedAfter, "an accepted answer is at most isolatedAfter old");
       if (members.receive(*message, now, out) && late)
         reports.receive(message->payload, std::chrono::microseconds(*late), timePoint(now));
     }
-    require(out.size() <= 16, "one datagram causes few");
+    require(out.size() <= 16, "one datagram causes at most 16 messages");
     for (const gossip::Outgoing& one : out)
       require(gossip::encode(one.message).size() + gossip::kSealBytes <= gossip::kMaxDatagram,
-              "what is sent fits");
-    require(members.knownCount() <= gossip::kMaxMembers, "the table's bound");
-    require(members.reachableCount() <= members.knownCount() + 1, "heard are known");
-    require(members.reachableFraction() > 0 && members.reachableFraction() <= 1, "a part");
-    require(reports.size() <= health_reports::kMaxReports, "the health reports' bound");
+              "a sent message fits into a datagram");
+    require(members.knownCount() <= gossip::kMaxMembers, "the member table is bounded");
+    require(members.reachableCount() <= members.knownCount() + 1, "reachable members are known");
+    require(members.reachableFraction() > 0 && members.reachableFraction() <= 1,
+            "the reachable fraction is in (0, 1]");
+    require(reports.size() <= health_reports::kMaxReports, "the health reports are bounded");
     for (const health_reports::HealthReport& one : reports.reports(timePoint(now)))
       require(one.age >= health_reports::Duration::zero() && one.age < health_reports::kTimeToLive,
-              "none is too old");
-    require(reports.encodeNext(138, timePoint(now)).size() <= 138, "facts fit their room");
+              "no report exceeds its time to live");
+    require(reports.encodeNext(138, timePoint(now)).size() <= 138, "encoded reports fit into the given size");
   }
   return 0;
 }
@@ -92,7 +94,7 @@
     }
     LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   }
-  std::printf("%d inputs played\n", played);
+  std::printf("%d inputs run\n", played);
   return played > 0 ? 0 : 1;
 }
 #endif
--- a/tests/gossip/fuzz.sh
+++ b/tests/gossip/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fuzzes what comes from other sidecars, by hand: fuzz.sh [SECONDS], ten minutes by default. Needs clang and its
-# compiler-rt. Inputs that reach new code go to found/gossip, one that breaks something to found/; of the latter a
-# small one belongs into the corpus.
+# Fuzzes the handling of messages from other sidecars, run manually: fuzz.sh [SECONDS], ten minutes by default. Needs
+# clang and its compiler-rt. Inputs that reach new code are saved in found/gossip, failing inputs in found/; a small
+# failing input should be added to the corpus.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 work=$(mktemp -d)
@@ -9,7 +9,7 @@
 mkdir -p found/gossip
 sources=(src/health_reports/*.cpp)
 for source in src/gossip/*.cpp; do
-  # Those two need Asio and libsodium, and nothing of them is reached.
+  # These two need Asio and libsodium, and the fuzz target doesn't use them.
   case $source in */transport.cpp | */seal.cpp) ;; *) sources+=("$source") ;; esac
 done
 clang++ -std=c++20 -g -O1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -DIVYPOST_FUZZER -Isrc \
--- a/tests/gossip/members_test.cpp
+++ b/tests/gossip/members_test.cpp
@@ -22,7 +22,7 @@
 TEST(Members, FindEachOtherAndAgreeOnOwnersAfterAStart) {
   SimulatedNetwork net(1);
   startAll(net, 12);
-  EXPECT_TRUE(net.at(5).isIsolated(net.now)) << "before anybody was heard";
+  EXPECT_TRUE(net.at(5).isIsolated(net.now)) << "before it received a message";
   ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
   std::map<PeerId, int> turns;
   for (std::uint64_t thing = 1; thing <= 600; ++thing) {
@@ -31,7 +31,7 @@
     ++turns[turn];
   }
   EXPECT_EQ(turns.size(), 12u);
-  for (const auto& [id, count] : turns) EXPECT_LT(count, 100);  // 50 each, and chance
+  for (const auto& [id, count] : turns) EXPECT_LT(count, 100);  // 50 expected, plus random variation
 }
 
 TEST(Members, DetectADeathWithinItsTimeAndReassignOwnership) {
@@ -41,7 +41,8 @@
     ASSERT_TRUE(net.until([&] { return allHear(net, count); }, 20 * kSecond)) << count;
     const PeerId gone = SimulatedNetwork::idAt(1);
     net.kill(1);
-    // A probe of each within so many periods, then a suspicion; with few witnesses the longest.
+    // Each member is probed within as many periods as there are members; a suspicion follows, which lasts
+    // longest with few witnesses.
     ASSERT_TRUE(net.until([&] { return net.all([&](Members& one) { return !one.isReachable(gone); }); },
                           20 * kSecond))
         << count;
@@ -50,7 +51,7 @@
   }
 }
 
-// Nobody is declared dead for loss alone, at a rate that a network may have.
+// Packet loss at rates that occur in networks does not lead to false deaths.
 TEST(Members, DeclareNobodyDeadUnderPacketLoss) {
   for (const double loss : {0.01, 0.05, 0.1}) {
     SimulatedNetwork net(7);
@@ -70,8 +71,8 @@
   }
 }
 
-// Half cannot be heard by the other half for 10 s: each side goes on by itself, and they find each other
-// again.
+// Two halves can't reach each other for up to 10 s, until each has declared the other dead: both continue
+// separately, and merge when the partition heals.
 TEST(Members, SplitInAPartitionAndMergeWhenItHeals) {
   SimulatedNetwork net(3);
   startAll(net, 12);
@@ -79,30 +80,34 @@
   net.faults.passes = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
   ASSERT_TRUE(net.until([&] { return net.all([](Members& one) { return one.reachableCount() == 6; }); },
                         10 * kSecond));
-  EXPECT_TRUE(net.all([&](Members& one) { return !one.isIsolated(net.now); })) << "half is not too few";
+  EXPECT_TRUE(net.all([&](Members& one) { return !one.isIsolated(net.now); }))
+      << "half of the fleet is a quorum";
   EXPECT_EQ(net.at(0).ownerOf(99), net.at(2).ownerOf(99));
   net.faults.passes = nullptr;
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 8 * kSecond));
 }
 
-// One that can send but hears nothing, one that hears but cannot send, and one that hears only one other.
+// A member that receives nothing, one that can't send, and one that receives from a single other one are
+// isolated; one that a single other can't hear is not.
 TEST(Members, AreIsolatedByTheirOwnClockWhenCutOff) {
   const struct {
     const char* what;
     std::function<bool(std::size_t, std::size_t)> passes;
     bool isIsolated;
   } rows[] = {
-      {"hears nothing", [](std::size_t, std::size_t to) { return to != 4; }, true},
+      {"receives nothing", [](std::size_t, std::size_t to) { return to != 4; }, true},
       {"cannot send", [](std::size_t from, std::size_t) { return from != 4; }, true},
-      {"hears only one", [](std::size_t from, std::size_t to) { return to != 4 || from == 5; }, true},
-      {"one cannot hear it", [](std::size_t from, std::size_t to) { return from != 4 || to != 5; }, false},
+      {"receives from one member only", [](std::size_t from, std::size_t to) { return to != 4 || from == 5; },
+       true},
+      {"cannot send to one member", [](std::size_t from, std::size_t to) { return from != 4 || to != 5; },
+       false},
   };
   for (const auto& row : rows) {
     SimulatedNetwork net(11);
     startAll(net, 12);
     ASSERT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
     net.faults.passes = row.passes;
-    // Either no answer at all for isolatedAfter, or too few of the others are left for as long.
+    // It is isolated by isolatedAfter without an answer, or by as long without a quorum.
     net.until([&] { return net.at(4).isIsolated(net.now); }, 40 * kSecond);
     EXPECT_EQ(net.at(4).isIsolated(net.now), row.isIsolated) << row.what;
     for (std::size_t n = 0; n < 12; ++n)
@@ -110,8 +115,8 @@
   }
 }
 
-// After a stop of the process it is isolated before it has read anything, and answers that have waited in the
-// kernel meanwhile do not change that.
+// After a pause of the process a member is isolated before it has read any message, and remains so when it
+// reads answers that waited in the kernel meanwhile.
 TEST(Members, AreIsolatedRightAfterAPauseOfTheProcess) {
   for (const Micros stop : {5 * kSecond, 30 * kSecond}) {
     SimulatedNetwork net(5);
@@ -122,9 +127,10 @@
     for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).isIsolated(net.now)) << n;
     net.all([](Members& one) { return one.takeChanges(), true; });
     for (std::size_t n = 0; n < 4; ++n) net.resume(n);
-    for (std::size_t n = 0; n < 4; ++n) EXPECT_TRUE(net.at(n).isIsolated(net.now)) << n << " by old answers";
+    for (std::size_t n = 0; n < 4; ++n)
+      EXPECT_TRUE(net.at(n).isIsolated(net.now)) << n << " after reading old answers";
     EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 5 * kSecond)) << stop;
-    // Those who were stopped bury nobody for it.
+    // No member other than the paused ones is declared dead.
     std::set<PeerId> stopped;
     for (std::size_t n = 0; n < 4; ++n) stopped.insert(SimulatedNetwork::idAt(n));
     for (std::size_t n = 0; n < 12; ++n)
@@ -136,14 +142,15 @@
 TEST(Members, FindEachOtherWhenTheSeedsComeUpAfterAMinute) {
   SimulatedNetwork net(9);
   startAll(net, 12);
-  net.faults.passes = [](std::size_t, std::size_t to) { return to > 2; };  // the seeds hear nobody
+  net.faults.passes = [](std::size_t, std::size_t to) { return to > 2; };  // the seeds receive nothing
   net.run(60 * kSecond);
   EXPECT_TRUE(net.all([&](Members& one) { return one.isIsolated(net.now); }));
   net.faults.passes = nullptr;
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
 }
 
-// A restart under the same name, also with a clock that was set back.
+// A restart under the same name, with a higher incarnation, and with a lower one because the clock was set
+// back.
 TEST(Members, AcceptANewIncarnationAfterAHundredMilliseconds) {
   for (const std::uint64_t incarnation : {std::uint64_t{0}, std::uint64_t{1}}) {
     SimulatedNetwork net(13);
@@ -188,13 +195,14 @@
   EXPECT_TRUE(net.until([&] { return allHear(net, 4); }, 3 * kSecond));
   EXPECT_DOUBLE_EQ(net.at(0).reachableFraction(), 1.0);
   EXPECT_EQ(net.at(0).knownCount(), 3u);
-  // Found by the fuzz target: who is back after it had left was not counted among the known again.
+  // Found by the fuzz target: a member that returned after it had left was not counted as known again.
   for (std::size_t n = 4; n < 12; ++n) net.start(n, 12);
   EXPECT_TRUE(net.until([&] { return allHear(net, 12); }, 10 * kSecond));
   EXPECT_TRUE(net.all([](Members& one) { return one.knownCount() == 11; }));
 }
 
-// What one sends a second does not grow with the fleet; S wrong by four times either way changes nothing.
+// The bytes that a member sends per second don't grow with the fleet, even if its expected size is wrong by a
+// factor of four either way.
 TEST(Members, StayWithinBytesPerSecond) {
   std::map<std::size_t, double> bytes;
   for (const std::size_t count : {2, 12, 48, 300}) {
@@ -210,7 +218,7 @@
   EXPECT_LT(bytes[300], 2 * bytes[12]);
 }
 
-// The table's bound, and that what is beyond it does no harm.
+// Guards against unbounded growth of the member table.
 TEST(Members, RejectNewMembersWhenTheTableIsFull) {
   Settings settings;
   settings.self = 1;
@@ -226,7 +234,8 @@
   EXPECT_EQ(members.knownCount(), kMaxMembers);
 }
 
-// One with the key that dies and comes back with ever new incarnations, between two periods.
+// Guards against unbounded growth of the probe order when a member dies and returns many times within a
+// period.
 TEST(Members, KeepTheProbeQueueBoundedWhenMembersFlap) {
   for (const bool antiEntropy : {false, true}) {
     Settings settings;
@@ -244,7 +253,7 @@
       members.takeChanges();
     }
     EXPECT_EQ(members.probeQueueSize(), kMaxMembers);
-    // And news ask for no more than their bucket holds, nor for more than the bytes of a moment.
+    // The pings that answer announcements stay within their token bucket, and within the byte budget.
     std::size_t bytes = 0;
     for (const Outgoing& one : out) bytes += encode(one.message).size() + kSealBytes + kDatagramOverhead;
     if (antiEntropy) {
@@ -274,7 +283,7 @@
   message.nonce = 12345;
   EXPECT_FALSE(members.elapsedSincePing(message, 0));
   EXPECT_TRUE(members.receive(message, 0, out));
-  EXPECT_TRUE(members.isIsolated(0)) << "an ack that nobody asked for";
+  EXPECT_TRUE(members.isIsolated(0)) << "an unsolicited ack does not count";
 }
 
 }  // namespace
--- a/tests/gossip/message_test.cpp
+++ b/tests/gossip/message_test.cpp
@@ -49,7 +49,7 @@
   }
 }
 
-// Six updates are asked for, and facts for which no room is left.
+// Six updates are too many, and a payload of 200 bytes does not fit beside the four that are sent.
 TEST(MessageCodec, OmitsWhatDoesNotFit) {
   const auto bytes = encode(someMessage(Kind::Ping, 6, 200));
   EXPECT_LE(bytes.size() + kSealBytes, kMaxDatagram);
@@ -71,7 +71,7 @@
   const auto good = encode(someMessage(Kind::Relay, 2, 0));
   ASSERT_TRUE(decode(good));
   for (std::size_t length = 0; length < good.size(); ++length) {
-    // Cut between two sections, the target's and the updates', it is complete but for the updates.
+    // Cut between the sections of the target and of the updates, the message is valid without updates.
     const bool isComplete = length == kHeaderBytes + 2 + kUpdateBytes;
     EXPECT_EQ(decode(std::span(good).first(length)).has_value(), isComplete) << length;
   }
@@ -83,8 +83,8 @@
               {"kind 0", 1, 0},
               {"kind 5", 1, 5},
               {"a ping with a target", 1, 1},
-              {"a state", kHeaderBytes + 2 + 22, 3},
-              {"a section over the end", kHeaderBytes + 1, 255}};
+              {"an unknown state", kHeaderBytes + 2 + 22, 3},
+              {"a section longer than the message", kHeaderBytes + 1, 255}};
   for (const auto& row : rows) {
     auto bytes = good;
     bytes[row.at] = row.value;
@@ -92,7 +92,7 @@
   }
 }
 
-// Bytes that nobody wrote for it: what is read fits into a message again.
+// A message decoded from arbitrary bytes can be encoded into a datagram again.
 RC_GTEST_PROP(MessageCodec, ReadsAnyBytesWithoutHarm, (std::vector<std::uint8_t> bytes)) {
   if (bytes.size() > 2) bytes[0] = kVersion, bytes[1] = static_cast<std::uint8_t>(1 + bytes[1] % 4);
   const auto message = decode(bytes);
@@ -110,7 +110,5 @@
     EXPECT_FALSE(parseAddress(text)) << text;
 }
 
-// RFC 4303, 3.4.3: against a set of all that was taken.
-
 }  // namespace
 }  // namespace ivypost::gossip
--- a/tests/gossip/options_test.cpp
+++ b/tests/gossip/options_test.cpp
@@ -9,7 +9,7 @@
 namespace ivypost::gossip {
 namespace {
 
-// Each flaw is one line that names the key and the mend; what is fit for use has none.
+// An error is one line with the key and the remedy; valid options have none.
 TEST(Options, DescribeAnInvalidValueInOneLine) {
   const struct {
     const char* what;
@@ -21,20 +21,21 @@
        "key_file is missing: a file of 64 hexadecimal digits, the same everywhere"},
       {"an address without a port", [](Options& o) { o.address = "10.0.0.4"; },
        "address: '10.0.0.4' is no address as 10.0.0.4:7946"},
-      {"a name to listen at", [](Options& o) { o.listen = "here:1"; },
+      {"a host name to listen at", [](Options& o) { o.listen = "here:1"; },
        "listen: 'here:1' is no address as 10.0.0.4:7946"},
-      {"a seed that is none",
+      {"an empty seed",
        [](Options& o) {
          o.seeds = {"10.0.0.4:7946", ""};
        },
        "seeds: '' is no address as 10.0.0.4:7946"},
-      {"a time-out of a period", [](Options& o) { o.timeout = o.period; }, "timeout has to be under period"},
-      {"isolated at once", [](Options& o) { o.isolatedAfter = 4 * o.period - 1; },
+      {"a time-out as long as the period", [](Options& o) { o.timeout = o.period; },
+       "timeout has to be under period"},
+      {"an isolatedAfter under four periods", [](Options& o) { o.isolatedAfter = 4 * o.period - 1; },
        "deaf_after has to be at least four times period"},
       {"a region and how many are in it", [](Options& o) { o.region = 63, o.regionSidecars = 1; }, nullptr},
       {"a region alone", [](Options& o) { o.region = 2; },
        "region_sidecars is missing: how many sidecars there should be in this one's region, as 330"},
-      {"sidecars of no region", [](Options& o) { o.regionSidecars = 6; },
+      {"sidecars of the region without a region", [](Options& o) { o.regionSidecars = 6; },
        "region_sidecars counts for nothing without region; set region, 1 to 63, or leave both out"},
       {"the fewest bytes", [](Options& o) { o.bytesPerSecond = kMinBytesPerSecond; }, nullptr},
   };
--- a/tests/gossip/processes_test.cpp
+++ b/tests/gossip/processes_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Several processes of the program with faults between them. What each knew when is read from its log.
+// Fleets of sidecar processes with faults between them. The state of each over time is taken from its log.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/udp.hpp>
@@ -18,15 +18,15 @@
 
 TEST(GossipProcesses, AHungEndpointIsDetectedOnceForAll) {
   const FleetRun calm = runFleet("[[event]]\nat = \"4s\"\ndo = \"hang\"\nnode = 1\nfor = \"6s\"\n");
-  // Far from all of the twelve have lost attempts of their own to it, and nearly all leave it out.
+  // Far fewer than the twelve sidecars have lost own attempts at the node, but nearly all eject it.
   EXPECT_GE(calm.everywhere("upstream ejected", 0, 4 * kSecond), 9u);
   EXPECT_LE(calm.result.hungArrivals, 20u);
   for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_EQ(calm.count(n, "peers: deaf"), 0u) << n;
 }
 
-// Six hear only each other, and a node hangs for one side alone: the other side keeps it. That side has it
-// back well before they hear each other again: until then its reports would be true, and the others would go
-// by them.
+// Six sidecars are partitioned from the others, and a node hangs for these six only: the other side must not
+// eject it. The node recovers well before the partition heals; otherwise the reports would still be valid
+// then, and the other side would use them.
 TEST(GossipProcesses, HalvesDecideAloneInAPartitionAndAgreeAfterwards) {
   const FleetRun halves = runFleet(
       "[[event]]\nat = \"4s\"\ndo = \"partition\"\ngroup = [1, 2, 3, 4, 5, 6]\nfor = \"10s\"\n"
@@ -45,25 +45,25 @@
   }
 }
 
-// A third hears nothing but sends; the others hear all of them.
+// A third of the sidecars receives nothing but can send, so the others still reach all of them.
 TEST(GossipProcesses, OnlyWhoReceivesNothingIsIsolated) {
   const FleetRun isolated =
       runFleet("[[event]]\nat = \"3s\"\ndo = \"deafen\"\ngroup = [1, 2, 3, 4]\nfor = \"4s\"\n", 12, 11);
   for (std::uint32_t n = 1; n <= 12; ++n) {
-    // deaf_after, and the time between two looks, and room for a busy machine.
+    // The bound is deaf_after, the interval between two checks, and slack for a busy machine.
     EXPECT_EQ(isolated.count(n, "peers: deaf", kSecond, 4 * kSecond), n <= 4 ? 1u : 0u) << n;
     EXPECT_FALSE(isolated.endsIsolated(n)) << n;
   }
 }
 
-// Stopped for less than others take to miss them, and for longer.
+// Four sidecars are paused for longer than the others take to declare them dead.
 TEST(GossipProcesses, PausedSidecarsAreReachableAgainAndTryNothingOutOfTurn) {
   const FleetRun stopped = runFleet(
       "[[event]]\nat = \"3s\"\ndo = \"hang\"\nnode = 1\nfor = \"9s\"\n"
       "[[event]]\nat = \"5s\"\ndo = \"pause\"\ngroup = [1, 2, 3, 4]\nfor = \"5s\"\n",
       12, 16, {}, Stops::Some);
   for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_FALSE(stopped.endsIsolated(n)) << n;
-  // Of the others nobody is isolated for it, and who was missed is heard again at the end.
+  // None of the others becomes isolated, and at the end they reach the paused ones again.
   for (std::uint32_t n = 5; n <= 12; ++n) {
     EXPECT_EQ(stopped.count(n, "peers: deaf"), 0u) << n;
     EXPECT_EQ(stopped.missedAtTheEnd(n), 0u) << n;
@@ -89,7 +89,7 @@
   }
 }
 
-// The first sidecar's name is another process's too: it goes by itself, and nobody else is isolated for it.
+// Another process has the first sidecar's name: that sidecar is isolated, and no other one.
 TEST(GossipProcesses, IsIsolatedWhenAnotherProcessHasItsName) {
   const FleetRun twins =
       runFleet("", 6, 8, [&](asio::io_context& io, const std::vector<std::string>& listens) {
@@ -98,7 +98,7 @@
   for (std::uint32_t n = 1; n <= 6; ++n) EXPECT_EQ(twins.endsIsolated(n), n == 1) << n;
 }
 
-// One with the key that says of every node that it fails, under its own name.
+// A member with the key reports every node as failing, under its own name.
 TEST(GossipProcesses, ALyingMemberEjectsNoEndpoint) {
   std::uint64_t sent = 0, version = 1;
   const FleetRun lies =
@@ -117,12 +117,12 @@
         };
         return join(io, guest, tell);
       });
-  EXPECT_GT(sent, 20u) << "it was asked";
+  EXPECT_GT(sent, 20u) << "its payload was requested";
   EXPECT_EQ(lies.everywhere("upstream ejected"), 0u);
   EXPECT_EQ(lies.result.tally.failed, 0u);
 }
 
-// Sends as fast as one loop does, 400 datagrams in 20 ms.
+// Sends 400 datagrams every 20 ms.
 class Flood {
  public:
   Flood(asio::io_context& io, const std::string& to, std::uint64_t& sent)
@@ -164,7 +164,7 @@
   std::mt19937_64 random_{5};
 };
 
-// Every length from 0 to 1,500, random bytes, and one good datagram again and again.
+// The flood consists of random bytes of every length from 0 to 1,500, and replays of one valid datagram.
 TEST(GossipProcesses, AFloodOfDatagramsCostsABoundedShareOfACore) {
   std::uint64_t sent = 0;
   const FleetRun flooded =
@@ -174,7 +174,7 @@
   const auto& all = flooded.result.sidecars;
   EXPECT_GT(sent, 50'000u);
   EXPECT_LT(all[0].cpuSeconds, all[1].cpuSeconds + 2.0)
-      << "a fifth of a core at the most, beside its requests";
+      << "at most a fifth of a core more than without the flood";
   EXPECT_LT(all[0].peakBytes, all[1].peakBytes + 2'000'000);
   const std::size_t complaints =
       flooded.count(1, "peers: a datagram") + flooded.count(1, "peers: more datagrams");
--- a/tests/gossip/regions_test.cpp
+++ b/tests/gossip/regions_test.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Processes of the program in regions and zones: a region that is cut off, zones that lose half of theirs,
-// ways that lose what goes one way, a long stop, another region at SIGHUP, and others of an older version
-// among them. What each knew when is asked of GET /status/peers, beside its log.
+// Sidecar processes in regions and zones: a region that is cut off, zones that lose half of their sidecars,
+// one-way packet loss, a long pause, a change of region at SIGHUP, and members of an older version. The state
+// of each sidecar over time is taken from GET /status/peers and its log.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,18 +13,18 @@
 namespace ivypost::fleet {
 namespace {
 
-// They end with the play's loop, so a test only looks at them while it goes on.
+// They are destroyed with the run's io_context, so a test may read them only during the run.
 using Guests = std::vector<std::shared_ptr<gossip::Transport>>;
 
-// From the end of a fault until all know all; the mechanism's own figure is 8 s at 660, and a busy machine
-// gets more.
+// The bound for the time from the end of a fault until all sidecars reach each other: 8 s at 660 sidecars,
+// and slack for a busy machine.
 constexpr Micros kAgreed = 10 * kSecond;
 
 std::string event(const std::string& at, const std::string& what, const std::string& keys) {
   return "[[event]]\nat = \"" + at + "\"\ndo = \"" + what + "\"\n" + keys + "\n";
 }
 
-// Numbers from the first to the last, as a list of the scenario's.
+// The numbers from `first` to `last`, as a list in the scenario's syntax.
 std::string numbers(std::uint32_t first, std::uint32_t last) {
   std::string list = "[";
   for (std::uint32_t n = first; n <= last; ++n) list += (n == first ? "" : ", ") + std::to_string(n);
@@ -47,13 +47,14 @@
   }
 }
 
-// Six of eighteen, one region of two, hear only each other for 20 s, and a node swallows what these six send
-// it.
+// One of two regions, with six of eighteen sidecars, is cut off for 20 s, and a node does not answer requests
+// of these six.
 TEST(GossipRegions, OneThatIsCutOffDecidesAloneAndAllAgreeAfterwards) {
   Plan plan;
   plan.sidecars = 18;
   plan.seconds = 30;
-  // Eighteen under sanitizers serve some 430 a second on eight cores; it is not their load that is watched.
+  // The rate is below the 430 requests per second that eighteen sidecars under sanitizers serve on eight
+  // cores; this is not a load test.
   plan.rate = 270;
   plan.head = "regions = 2\nzones = 3\n";
   plan.statuses = true;
@@ -66,16 +67,17 @@
   for (std::uint32_t n = 1; n <= 18; ++n) {
     const bool six = n % 3 == 2;
     EXPECT_EQ(cut.count(n, "peers: deaf"), 0u)
-        << n << (six ? ", it hears its whole region" : "") << cut.said(n, "deaf");
+        << n << (six ? ", it reaches its whole region" : "") << cut.said(n, "deaf");
     if (six) {
       ejected += cut.count(n, "upstream ejected");
     } else {
-      EXPECT_EQ(cut.count(n, "upstream ejected"), 0u) << n << ", the node was well for it";
+      EXPECT_EQ(cut.count(n, "upstream ejected"), 0u) << n << ", the node answered its requests";
     }
   }
   EXPECT_GE(ejected, 3u);
   expectAllAgree(cut, 18, 20 * kSecond);
-  // The node has been well for over twelve seconds, and longer than that nothing is in force.
+  // The node has answered for over twelve seconds, a report's time to live, so no unhealthy report is valid
+  // any more.
   for (std::uint32_t n = 1; n <= 18; ++n) {
     const Status* const last = cut.last(n);
     if (last == nullptr) continue;
@@ -103,7 +105,7 @@
   for (std::uint32_t n = 1; n <= 18; ++n) EXPECT_EQ(killed.missedAtTheEnd(n), 0u) << n;
 }
 
-// The first sends in vain and hears all; later the last hears nothing, and all that it sends arrives.
+// First all that sidecar 1 sends is lost; later sidecar 12 receives nothing but can send.
 TEST(GossipRegions, OnlyWhoseMessagesAreLostOneWayIsIsolated) {
   Plan plan;
   plan.seconds = 15;
@@ -121,7 +123,8 @@
   expectAllAgree(lost, 12, 8'500'000);
 }
 
-// Stopped for 30 s right when another's table is being fetched, and one more joins meanwhile.
+// A sidecar is paused for 30 s while it pulls the entry of a member that has just joined; another one joins
+// meanwhile.
 TEST(GossipRegions, APausedSidecarLearnsOfAllWhoJoinedMeanwhile) {
   std::weak_ptr<Guests> guests;
   std::vector<std::size_t> heard;
@@ -130,7 +133,7 @@
   plan.seconds = 38;
   plan.statuses = true;
   plan.stops = Stops::Some;
-  // An event that changes nothing tells when the guests join.
+  // The load events change nothing; they mark the times at which the guests join.
   plan.events = event("2950ms", "load", "factor = 1\nfor = \"1ms\"") +
                 event("3s", "pause", "sidecar = 4\nfor = \"30s\"") +
                 event("15s", "load", "factor = 1\nfor = \"1ms\"");
@@ -161,14 +164,16 @@
   }
   for (std::uint32_t n = 1; n <= 12; ++n) {
     const std::size_t times = n == 4 ? 1 : 0;
-    EXPECT_EQ(stopped.count(n, "peers: deaf", 30 * kSecond, 32 * kSecond), times) << n << ", right after it";
+    EXPECT_EQ(stopped.count(n, "peers: deaf", 30 * kSecond, 32 * kSecond), times)
+        << n << ", right after the pause";
     EXPECT_EQ(stopped.count(n, "peers: deaf"), times) << n << stopped.said(n, "deaf");
   }
   EXPECT_EQ(heard, (std::vector<std::size_t>{14, 14}));
   expectAllAgree(stopped, 14, 30'050'000);
 }
 
-// Regions of three: one moves to the other region, and later a whole region does, each by SIGHUP under load.
+// Two regions of three sidecars: one sidecar moves to the other region, and later a whole region does, each
+// by SIGHUP under load.
 TEST(GossipRegions, AnotherOneAtSighupKeepsServing) {
   Plan plan;
   plan.sidecars = 6;
@@ -191,7 +196,7 @@
   expectAllAgree(moved, 6, 2 * kSecond);
 }
 
-// Three that speak as before the comparison of tables, among six processes of the program.
+// Three members that predate anti-entropy, among six sidecar processes.
 TEST(GossipRegions, OldAndNewVersionsReachEachOther) {
   std::weak_ptr<Guests> guests;
   struct Seen {
--- a/tests/health_reports/attempt_history_test.cpp
+++ b/tests/health_reports/attempt_history_test.cpp
@@ -35,14 +35,15 @@
     for (const auto outcome : row.outcomes) history.record(outcome, 500us, now += 1ms);
     EXPECT_EQ(history.assess(now).status, row.status) << &row - rows;
     EXPECT_EQ(history.assess(now).attempts, row.outcomes.size());
-    EXPECT_EQ(history.assess(now + AttemptHistory::kWindow + 1ms).attempts, 0) << "too old";
+    EXPECT_EQ(history.assess(now + AttemptHistory::kWindow + 1ms).attempts, 0) << "outside of the window";
   }
   AttemptHistory history;
   for (std::size_t n = 0; n < 3 * AttemptHistory::kCapacity; ++n) history.record(Failed, 500us, kStart);
   EXPECT_EQ(history.assess(kStart).attempts, AttemptHistory::kCapacity);
 }
 
-// An upstream that served something after the attempt was sent is not unresponsive: that attempt was slow.
+// An endpoint that served another attempt after this one was sent is not unresponsive: only this attempt was
+// slow.
 TEST(AttemptHistory, IsNotUnresponsiveAfterASuccessSinceTheAttemptWasSent) {
   for (const Duration lag : {900ms, 1100ms}) {
     AttemptHistory history;
--- a/tests/health_reports/health_report_table_test.cpp
+++ b/tests/health_reports/health_report_table_test.cpp
@@ -28,7 +28,7 @@
           age};
 }
 
-// What is valid, without how often it is still sent.
+// The valid reports, without their remaining transmissions.
 using State = std::set<std::tuple<Incarnation, PeerId, std::uint64_t, HealthStatus, Duration>>;
 State stateOf(const HealthReportTable& one, TimePoint now) {
   State state;
@@ -44,20 +44,21 @@
   ASSERT_EQ(to.receive(from.encodeNext(kRoom, kStart), 250ms, kStart + 1s), ReceiveResult::Changed);
   auto summary = to.summarize(kIncarnation, everyone, kStart + 1s);
   EXPECT_EQ(summary.unhealthy, 1u);
-  EXPECT_EQ(summary.failures, 1u);  // what was behind it when it was first sent
-  EXPECT_EQ(summary.age, 250ms) << "the delay makes it older";
+  EXPECT_EQ(summary.failures, 1u);  // as of the first report; the second and third are too soon for a renewal
+  EXPECT_EQ(summary.age, 250ms) << "the delay is added to the age";
   EXPECT_EQ(to.summarize(
                   kIncarnation, [](PeerId id) { return id != 1; }, kStart + 1s)
                 .unhealthy,
             0u)
-      << "not reachable any more";
+      << "the reporter is no longer reachable";
   EXPECT_EQ(to.summarize({7, kIncarnation.startedAt + 1ms}, everyone, kStart).unhealthy, 0u)
       << "another incarnation";
-  EXPECT_EQ(from.summarize(kIncarnation, everyone, kStart).unhealthy, 0u) << "its own do not count";
+  EXPECT_EQ(from.summarize(kIncarnation, everyone, kStart).unhealthy, 0u)
+      << "own reports are not part of the summary";
 }
 
-// A restart with the wall clock set back by an hour: what it reported before is outbid once that
-// is received, and does not last until it expires.
+// After a restart with the wall clock set back by an hour, earlier reports have higher versions. Once they
+// are received, new reports exceed them, so that the earlier ones are not valid until they expire.
 TEST(HealthReportTable, OutbidsReportsOfItsEarlierIncarnationWithALaterClock) {
   constexpr std::uint64_t kNow = 1'790'000'000'000'000, kHour = 3'600'000'000;
   HealthReportTable other(2, kNow);
@@ -66,7 +67,7 @@
   other.receive(earlier.encodeNext(kRoom, kStart), 0s, kStart);
   ASSERT_EQ(other.summarize(kIncarnation, everyone, kStart).unhealthy, 1u);
   HealthReportTable one(1, kNow - kHour);
-  // It receives what the other one has, its own earlier report too, and finds the endpoint healthy.
+  // It receives the other table's reports, its own earlier one included, and then finds the endpoint healthy.
   one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart + 1s);
   one.receive(other.encodeNext(kRoom, kStart + 1s), 0s, kStart + 1s);
   for (int n = 0; n < 3; ++n)
@@ -78,7 +79,7 @@
   }));
 }
 
-// So is a report that was sent before the earlier one was received.
+// A report that was sent before the earlier version was received is sent again with a higher version.
 TEST(HealthReportTable, SendsAgainWhatItSentBeforeItKnewOfTheEarlierIncarnation) {
   HealthReportTable other(2, 100), one(1, 100);
   other.merge(reportBy(1, 5000, HealthStatus::Failing), 0s, kStart);
@@ -93,7 +94,7 @@
   }));
 }
 
-// A version that is no time is not exceeded: the own one would overflow.
+// A version too high to be a time is ignored: exceeding it would make the own version overflow.
 TEST(HealthReportTable, DoesNotExceedAVersionThatIsNoTime) {
   HealthReportTable liar(2, 100), one(1, 100), other(4, 100);
   liar.merge(reportBy(1, ~std::uint64_t{0}, HealthStatus::Failing), 0s, kStart);
@@ -125,12 +126,12 @@
   EXPECT_EQ(one.size(), 2u);
 }
 
-// Any order, repetition and loss, and then all of them everywhere: one state.
+// Merging in any order and with repetitions, and by messages of which half are lost, produces the same state.
 RC_GTEST_PROP(HealthReportTable, MergesToOneStateWhateverTheOrder, (std::uint32_t seed)) {
   std::mt19937 random(seed);
   std::vector<HealthReport> received;
   for (int n = 0; n < 30; ++n) {
-    // A reporter gives each version one status.
+    // A reporter uses each version for one status only.
     const std::uint64_t version = 1 + random() % 4;
     const PeerId reporter = 10 + random() % 5;
     const Incarnation incarnation{random() % 3, WallTime(5ms)};
@@ -144,7 +145,7 @@
     for (const HealthReport& one : received) second.merge(one, 0s, kStart);
   }
   RC_ASSERT(stateOf(first, kStart) == stateOf(second, kStart));
-  // By messages of which half are lost, too.
+  // The same by messages, of which half are lost.
   HealthReportTable third(3, 1);
   for (int n = 0; n < 400; ++n) {
     const auto bytes = first.encodeNext(kRoom, kStart);
@@ -153,7 +154,7 @@
   RC_ASSERT(stateOf(first, kStart) == stateOf(third, kStart));
 }
 
-// Forwarded between two for ever, each time as slowly as it may be: it does not outlive its time.
+// A report that two tables forward to each other repeatedly, with delays, does not outlive its time to live.
 TEST(HealthReportTable, NoReportOutlivesItsTimeHoweverOftenItIsForwarded) {
   HealthReportTable one(1, 1), two(2, 1);
   one.merge(reportBy(9, 1, HealthStatus::Failing), 0s, kStart);
@@ -181,7 +182,7 @@
   for (PeerId reporter = 10; reporter < 100; ++reporter)
     one.merge(reportBy(reporter, 1, HealthStatus::Failing), 0s, kStart);
   EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).unhealthy, kMaxReportersPerIncarnation);
-  // At the bound, filled by many that lie together, there is room for own reports.
+  // In a table filled to its bound by many wrong reporters there is still room for own reports.
   for (PeerId reporter = 100; reporter < 300; ++reporter)
     for (std::uint64_t n = 0; n < kMaxReportsPerReporter; ++n)
       one.merge(reportBy(reporter, 1, HealthStatus::Failing, 0s, {reporter * 1000 + n, {}}), 0s, kStart);
@@ -200,7 +201,8 @@
   EXPECT_EQ(one.size(), 0u);
 }
 
-// Lengths of 0 to 1,500 and random bytes: what is no report is rejected, and nothing else happens.
+// Random bytes of lengths from 0 to 1,500 are rejected unless they consist of reports, and add no more than
+// those.
 RC_GTEST_PROP(HealthReportTable, RejectsAnyBytesWithoutHarm, (std::uint32_t seed)) {
   std::mt19937 random(seed);
   HealthReportTable one(1, 1);
--- a/tests/health_reports/health_report_test.cpp
+++ b/tests/health_reports/health_report_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// The bytes themselves are pinned by tests/compatibility.
+// tests/compatibility checks the encoding byte by byte.
 HealthReport someReport() {
   return {{7, WallTime(1'790'000'000'123ms)}, 11, 99, HealthStatus::Failing, 5, 2, 1500ms};
 }
@@ -70,7 +70,7 @@
 TEST(HealthReport, IsRejectedWhereItContradictsItself) {
   HealthReport nobody = someReport();
   nobody.reporter = 0;
-  EXPECT_FALSE(decoded(encoded(nobody))) << "nobody is its reporter";
+  EXPECT_FALSE(decoded(encoded(nobody))) << "the reporter is 0";
   HealthReport failures = someReport();
   failures.failures = 6;
   EXPECT_FALSE(decoded(encoded(failures))) << "more failures than attempts";
