--- a/src/admission/admission_queue.cpp
+++ b/src/admission/admission_queue.cpp
@@ -33,7 +33,7 @@
 std::optional<Decision> AdmissionQueue::push(const QueuedRequest& request, Micros now) {
   if (laneById_.empty()) nonEmptySince_ = now;
   const std::size_t lane = laneOf(request);
-  // By arrival, which may lie before that of one read earlier.
+  // Sorted by arrival: a request may have arrived before one that was read earlier.
   auto& requests = lanes_.at(lane).requests;
   const auto position =
       std::upper_bound(requests.begin(), requests.end(), request.arrived,
@@ -77,7 +77,8 @@
   return true;
 }
 
-// The oldest of each lane stands in front, so that what is late is found at once, wherever its turn would be.
+// The oldest request of each lane is at its front, so that late requests are found at once, independently of
+// the order in which lanes are served.
 std::optional<Decision> AdmissionQueue::rejectLate(Micros now) {
   const bool isOverload = isOverloaded(now);
   for (std::size_t lane = lanes_.size(); lane-- > 0;) {
@@ -113,7 +114,8 @@
   return (turn_ + 1) % kFairTurnInterval == 0 ? servedLongestAgo : best;
 }
 
-// Of the lane of the lowest priority, the one that has waited longest: it has the least time left.
+// Evicts from the non-empty lane of the lowest priority the request that has waited longest, as the one with
+// the least time left.
 std::optional<Decision> AdmissionQueue::evictFrom(std::optional<std::uint32_t> tenant, Outcome outcome) {
   for (std::size_t lane = lanes_.size(); lane-- > 0;) {
     const auto& requests = lanes_.at(lane).requests;
--- a/src/admission/connection_limiter.cpp
+++ b/src/admission/connection_limiter.cpp
@@ -12,7 +12,7 @@
   return list.insert(list.end(), Connection{id, State::Silent, now, 0, 0});
 }
 
-// Splices within the lists, so that nothing is allocated for a request.
+// Splices the list node, so that nothing is allocated per request.
 void ConnectionLimiter::move(Slot slot, State state, Micros now) {
   auto& to = listOf(state);
   to.splice(to.end(), listOf(slot->state), slot);
@@ -71,7 +71,8 @@
   const auto consider = [&](State state, Micros timeout) {
     if (!listOf(state).empty()) next = std::min(next, listOf(state).front().since + timeout);
   };
-  // Whether its last response is acknowledged is known only by asking the kernel.
+  // A closing connection is always a candidate: only the kernel knows whether its last response is
+  // acknowledged.
   consider(State::Closing, 0);
   consider(State::Silent, settings_.silentTimeout);
   consider(State::Idle, settings_.idleTimeout);
--- a/src/admission/connection_limiter.h
+++ b/src/admission/connection_limiter.h
@@ -12,113 +12,115 @@
 
 namespace ivypost::admission {
 
-/// The caller's number of a client connection, never given twice.
+/// The caller's id of a client connection, which is never reused.
 using ConnectionId = std::uint64_t;
 
-/// What a ConnectionLimiter goes by. Fractions are of maxConnections. The reasons for the defaults are in
+/// The settings of a ConnectionLimiter. Fractions are of maxConnections. The reasons for the defaults are in
 /// docs/design/reduced-service.md.
 struct ConnectionLimiterSettings {
   // The fields name their defaults.
   // NOLINTBEGIN(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
-  /// Client connections at once, those that are closing among them; at least 1.
+  /// The most concurrent client connections, including those that are closing; at least 1.
   std::size_t maxConnections = 0;
-  /// Up to this fraction open, a response leaves any connection open. 1: always. The protocol lets either
-  /// side end a connection with its response.
+  /// While no more than this fraction is open, every connection is kept alive after a response. 1: always.
+  /// The protocol lets either side close a connection after a response.
   double keepAnyFraction = 0.5;
-  /// Up to this fraction open, a response leaves a connection open that its client has used again within
+  /// While no more than this fraction is open, a connection is kept alive if its client has reused it within
   /// idleTimeout; no less than keepAnyFraction. 1: always.
   double keepReusedFraction = 0.8;
-  /// Beyond this fraction active, new requests are rejected at once: the rest of the slots takes connections
-  /// whose requests are rejected. 1: no such limit.
+  /// While more than this fraction is active, new requests are rejected at once: the remaining slots are for
+  /// connections whose requests are rejected. 1: no such limit.
   double activeFraction = 0.9;
   /// A connection that has sent nothing since it was accepted may be evicted after this time.
   Micros silentTimeout = 100'000;
-  /// One between requests may be evicted after this time. The platform asks for no less; a client whose
-  /// connection closes under its request sends it once more.
+  /// A connection that is idle between requests may be evicted after this time. The platform requires at
+  /// least this value; a client whose request crosses the close sends the request again.
   Micros idleTimeout = 2'000'000;
   // NOLINTEND(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
 };
 
-/// Decides who may hold one of the sidecar's few slots for client connections: whose connection is left open
-/// after a response, who is evicted when all slots are taken, and how many may be active at once. No I/O and
-/// no clock: the listener and the client sessions notify it of what connections do.
+/// Limits client connections: decides which are kept alive after a response, which are evicted when all slots
+/// are taken, and how many may be active at once. No I/O and no clock: the listener and the client sessions
+/// report the state changes of connections.
 ///
-/// Invariant: each connection is in the list of its state alone, and each list is in the order in which its
-/// connections came to that state. The caller's monotonic clock counts. Guards against slots that nobody uses
-/// (incident r88fa20: 211 clients asked `GET /ready` once each and then held all slots, while 2,000 others
-/// stood in the kernel's accept queue).
+/// Invariant: each connection is only in the list of its state, and each list is in the order in which its
+/// connections entered that state. All times are of the caller's monotonic clock. Prevents unused connections
+/// from holding all slots (incident r88fa20: 211 clients each sent one `GET /ready` and then held all slots,
+/// while 2,000 others waited in the kernel's accept queue).
 class ConnectionLimiter {
  public:
-  /// What a connection does.
+  /// The state of a connection.
   enum class State : std::uint8_t {
     Silent,   ///< has sent nothing yet
     Idle,     ///< between requests
     Active,   ///< from a request's first byte to its response's last
-    Closing,  ///< its last response is written; what it still sends is read and dropped
+    Closing,  ///< its last response is written; further input is read and discarded
   };
-  /// A client connection as the limiter knows it.
+  /// A client connection as the limiter records it.
   struct Connection {
-    /// The caller's number.
+    /// The caller's id.
     ConnectionId id = 0;
-    /// What it does now.
+    /// Its current state.
     State state = State::Silent;
-    /// When it came to that state.
+    /// When it entered that state.
     Micros since = 0;
-    /// Requests that were begun; stays at its highest value.
+    /// Requests that were begun; saturates at the highest value.
     std::uint32_t requests = 0;
-    /// The time between its last two requests, or ahead of its first.
+    /// The idle time before its latest request, in microseconds: since the response before, or since the
+    /// accept.
     Micros lastIdleTime = 0;
   };
   /// Refers to a connection that holds a slot. Valid from insert() to release().
   using Slot = std::list<Connection>::iterator;
 
-  /// Eviction candidates at once: each costs the caller a system call or two.
+  /// The most eviction candidates per call: each costs the caller one or two system calls.
   static constexpr std::size_t kMaxCandidates = 16;
-  /// nextEvictionAt() is no sooner: a closing connection is a candidate at all times, and asking without
-  /// pause would take the core.
+  /// The earliest nextEvictionAt() after `now`: a closing connection is always a candidate, and polling
+  /// without a pause would use up the core.
   static constexpr Micros kMinWait = 1'000;
-  /// nextEvictionAt() is no later: where no time is due, the caller asks again.
+  /// The latest nextEvictionAt() after `now`: the caller polls at this interval if no connection is due
+  /// earlier.
   static constexpr Micros kMaxWait = 100'000;
 
-  /// Takes valid settings.
+  /// The settings must be valid; they are not checked.
   explicit ConnectionLimiter(const ConnectionLimiterSettings& settings) : settings_(settings) {}
-  /// Goes by other settings from now on. Connections stay, also beyond a lower limit.
+  /// Applies other settings. Connections stay open, even beyond a lower limit.
   void apply(const ConnectionLimiterSettings& settings) { settings_ = settings; }
 
-  /// The limit of the settings.
+  /// The connection limit.
   [[nodiscard]] std::size_t maxConnections() const { return settings_.maxConnections; }
-  /// Whether the limit is reached, or exceeded.
+  /// Whether the limit is reached or exceeded.
   [[nodiscard]] bool isFull() const { return size_ >= settings_.maxConnections; }
   /// Connections that hold a slot.
   [[nodiscard]] std::size_t size() const { return size_; }
   /// Connections in this state.
   [[nodiscard]] std::size_t count(State state) const { return listOf(state).size(); }
 
-  /// A connection was accepted at `now`; it is silent. Also beyond the limit, since the kernel's queue may
-  /// have to be emptied when the process stops.
+  /// Adds a silent connection that was accepted at `now`. Allowed beyond the limit, since the accept queue
+  /// has to be emptied when the process stops.
   [[nodiscard]] Slot insert(ConnectionId id, Micros now);
-  /// The first byte of a request has come. Does nothing for an active connection. Allocates nothing, as the
-  /// next two.
+  /// The first byte of a request was received. Does nothing for an active connection. Like beginIdle() and
+  /// beginClosing(), allocates nothing.
   void beginRequest(Slot slot, Micros now);
-  /// The response is written, and the connection left open.
+  /// The response was written, and the connection is kept alive.
   void beginIdle(Slot slot, Micros now);
-  /// The last response is written.
+  /// The last response was written.
   void beginClosing(Slot slot, Micros now);
-  /// The connection is closed. `slot` is not valid any more.
+  /// The connection is closed. Invalidates `slot`.
   void release(Slot slot);
 
-  /// Whether the response that is about to be written leaves the connection open.
+  /// Whether the connection is kept alive after the response that is about to be written.
   [[nodiscard]] bool keepsAlive(Slot slot) const;
-  /// Whether a request that has been read may be forwarded; otherwise too many connections are active. One
-  /// active connection always may.
+  /// Whether a request that has been read may be forwarded; false if too many connections are active. A
+  /// single active connection is always allowed.
   [[nodiscard]] bool admitsRequests() const;
 
-  /// Connections to evict when the limit is reached, kMaxCandidates at the most: the closing ones (if all
-  /// that was sent to them is acknowledged, which the caller has to find out), those that were silent, then
-  /// those that were idle for longer than the settings' time; the longest first in each group. The caller
-  /// closes the first that may still be closed.
+  /// Connections to evict when the limit is reached, at most kMaxCandidates: closing ones (if all that was
+  /// sent is acknowledged, which the caller must check), then silent ones, then idle ones past their
+  /// timeouts; those longest in their state first within each group. The caller closes the first one that may
+  /// still be closed.
   [[nodiscard]] std::vector<ConnectionId> evictionCandidates(Micros now) const;
-  /// When the next connection may be evicted by time alone, if nothing happens: from kMinWait to kMaxWait
+  /// When the next connection may be evicted if no connection changes its state: from kMinWait to kMaxWait
   /// after `now`.
   [[nodiscard]] Micros nextEvictionAt(Micros now) const;
 
@@ -134,7 +136,7 @@
   void move(Slot slot, State state, Micros now);
 
   ConnectionLimiterSettings settings_;
-  std::array<std::list<Connection>, kStateCount> lists_;  // by state, the longest in it first
+  std::array<std::list<Connection>, kStateCount> lists_;  // by state, those longest in the state first
   std::size_t size_ = 0;
 };
 
--- a/src/admission/expiring_average.h
+++ b/src/admission/expiring_average.h
@@ -8,20 +8,20 @@
 
 namespace ivypost::admission {
 
-/// An exponentially weighted moving average of recent durations, which expires. No I/O and no clock.
+/// An exponentially weighted moving average of recent durations that expires. No I/O and no clock.
 ///
-/// Guards against an average that keeps itself alive: when all requests are rejected because of it, nothing
-/// is measured any more, and it would never change. So one that is older than kTimeToLive is unknown, and
-/// what is admitted then is measured anew.
+/// The expiry prevents a lock-in: when all requests are rejected because of a high average, nothing is
+/// measured any more and the average would never change. So an average older than kTimeToLive counts as
+/// unknown, and the requests that are then admitted provide new measurements.
 class ExpiringAverage {
  public:
-  /// A new measurement counts for one part of so many.
+  /// The weight of a new measurement is 1 / kWeightDivisor.
   static constexpr Micros kWeightDivisor = 16;
-  /// How long after its last measurement the average is known.
+  /// Microseconds after the last measurement until the average expires.
   static constexpr Micros kTimeToLive = 500'000;
 
-  /// Adds a duration that was measured at `now`. The first one, and the first after an expiry, is the
-  /// average.
+  /// Adds a duration that was measured at `now`. The first duration, and the first one after an expiry,
+  /// becomes the average.
   void add(Micros duration, Micros now) {
     value_ = isCurrent(now) ? value_ + (duration - value_) / kWeightDivisor : duration;
     addedAt_ = now;
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -10,27 +10,28 @@
 
 namespace ivypost::admission {
 
-/// Which requests lie within their tenant's quota, a fraction of all traffic. A tenant that sends more keeps
-/// its quota: of its requests just so many are marked as beyond it. No I/O and no clock.
+/// Decides which requests are within their tenant's quota, a fraction of all traffic. Of a tenant that sends
+/// more, only the excess requests are marked as beyond the quota. No I/O and no clock.
 ///
-/// Invariant: rates are sums that decay with kTimeConstant of the caller's monotonic clock, so that a tenant
-/// that was quiet may send a burst before it exceeds its quota, and one that has stopped is forgotten. It
-/// holds one entry a tenant of the settings.
+/// Invariant: rates are sums that decay exponentially with kTimeConstant of the caller's monotonic clock, so
+/// that a tenant that sent little may send a burst before it exceeds its quota, and the requests of a tenant
+/// that has stopped no longer count. Holds one entry per tenant of the settings.
 class TenantQuotas {
  public:
   /// Time constant of the decay, in microseconds.
   static constexpr double kTimeConstant = 2e6;
-  /// With fewer recent requests than this nothing is beyond a quota: they say nothing of anyone's rate.
+  /// With fewer recent requests than this, no request is beyond a quota: the sample is too small to show a
+  /// rate.
   static constexpr double kMinRequests = 20;
-  /// A tenant exceeds its quota only past this many times it: chance alone makes some send more than others.
+  /// A tenant exceeds its quota only beyond this multiple of it, which allows for random variation.
   static constexpr double kTolerance = 1.25;
 
-  /// `quotas`: by tenant, in proportion to each other; negative or not finite counts as 0. When all are 0,
-  /// nothing is ever beyond a quota.
+  /// `quotas`: by tenant, relative to each other; a negative or non-finite quota counts as 0. If all are 0,
+  /// no request is ever beyond a quota.
   explicit TenantQuotas(std::vector<double> quotas);
 
-  /// A request came at `now`: whether it is beyond its tenant's quota. Never one without a tenant, or of a
-  /// tenant without a quota entry.
+  /// Records a request that arrived at `now`; returns whether it is beyond its tenant's quota. Always false
+  /// for a request without a tenant, or of a tenant that has no entry in `quotas`.
   [[nodiscard]] bool recordArrival(std::optional<std::uint32_t> tenant, Micros now);
 
   /// The fraction of recent requests that were beyond a quota; 0 to 1.
@@ -40,7 +41,7 @@
   struct Tenant {
     double quota = 0;     // of all requests; 0 to 1
     double requests = 0;  // decaying sum
-    double credit = 0;    // of requests within the quota, carried over from the last one; 0 to 1
+    double credit = 0;    // fraction of a request within the quota, carried over to the next request; 0 to 1
   };
   void decay(Micros now);
 
--- a/src/admission/time.h
+++ b/src/admission/time.h
@@ -6,8 +6,8 @@
 
 namespace ivypost::admission {
 
-/// Microseconds: a span, or a moment on the caller's monotonic clock, which never steps back. The same as the
-/// decision module's and the operator's file's; the module reads no clock of its own.
+/// Microseconds: a duration, or a point in time of the caller's monotonic clock. The same type as in the
+/// decision module and the operator's file; the admission module reads no clock.
 using Micros = std::int64_t;
 
 }  // namespace ivypost::admission
--- a/src/admission/trace_ids.h
+++ b/src/admission/trace_ids.h
@@ -12,36 +12,37 @@
 
 namespace ivypost::admission {
 
-/// Which trace ids are taken: those of open requests, and of requests that were closed lately. A second
-/// request under the id of an open one may be read only when that one is closed, and its attempts would be
-/// taken for the first one's. No I/O and no clock.
+/// The trace ids in use: those of open requests, and of requests that were closed recently. A duplicate of an
+/// open request may be read only after that request is closed, and its attempts would then be taken for those
+/// of the first request. No I/O and no clock.
 ///
-/// Bounds: open ids are bounded by whoever opens requests (one a client connection). Of the closed ones
-/// kMaxClosed are remembered, each for kRetention of the caller's monotonic clock; beyond that the one closed
-/// longest ago is forgotten early. 5,461 requests a second fill it: more than a fraction of a core carries,
-/// fewer than a whole one does.
+/// Bounds: the caller bounds the open ids (one per client connection). At most kMaxClosed closed ids are
+/// retained, each for kRetention of the caller's monotonic clock; beyond that, the id closed longest ago is
+/// removed early. The table is full at 5,461 requests a second: more than a fraction of a core handles, fewer
+/// than a whole core does.
 class TraceIds {
  public:
-  /// How long a closed request's id is remembered: longer than an overloaded core delays reading.
+  /// Microseconds for which the id of a closed request is retained: longer than an overloaded core delays
+  /// reading.
   static constexpr Micros kRetention = 3'000'000;
-  /// Closed requests' ids that are remembered.
+  /// The most ids of closed requests that are retained.
   static constexpr std::size_t kMaxClosed = 16'384;
 
-  /// The id is open from now on. False, and nothing changes, if it is taken.
+  /// Marks the id as open. Returns false, and changes nothing, if the id is in use.
   bool open(std::uint64_t id, Micros now);
-  /// Whether open() would take it.
+  /// Whether open() would succeed.
   [[nodiscard]] bool isFree(std::uint64_t id, Micros now);
-  /// The request under this id is closed. Does nothing for an id that is not open.
+  /// Marks the id as closed. Does nothing for an id that is not open.
   void close(std::uint64_t id, Micros now);
 
-  /// Ids that are taken, but for expired ones that no call has removed yet.
+  /// The number of ids in use, including expired ones that no call has removed yet.
   [[nodiscard]] std::size_t size() const { return ids_.size(); }
 
  private:
   void removeExpired(Micros now);
 
-  std::unordered_map<std::uint64_t, bool> ids_;          // whether it is closed
-  std::deque<std::pair<Micros, std::uint64_t>> closed_;  // when, and which; the longest ago first
+  std::unordered_map<std::uint64_t, bool> ids_;          // the value: whether the id is closed
+  std::deque<std::pair<Micros, std::uint64_t>> closed_;  // time of closing and id, the oldest first
 };
 
 }  // namespace ivypost::admission
--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -78,7 +78,8 @@
   }
 }
 
-// If not, the effects are computed anew at that time at the latest.
+// Whether `duration` has passed since `start`. If not, nextChange_ is moved forward to the end of it where
+// needed.
 bool Lifecycle::hasElapsed(TimePoint start, Duration duration, TimePoint now) {
   const TimePoint end = start + duration;
   if (now >= end) return true;
@@ -112,7 +113,7 @@
   if (!effects.sendsFinalResponses) return effects;
   effects.acceptsRequests = false;
   if (!finalResponsesAt_) finalResponsesAt_ = now;
-  // Both are asked, so that nextChange() has the earlier of those that have not elapsed.
+  // Both are evaluated, so that nextChange() is the earlier of those that have not elapsed.
   const bool isDue = hasElapsed(stateEnteredAt_, exitDelay(), now);
   const bool responsesHadTime = hasElapsed(*finalResponsesAt_, kMinFinalResponsePeriod, now);
   effects.mustExit = isDue && responsesHadTime;
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -8,24 +8,24 @@
 
 namespace ivypost::lifecycle {
 
-/// A span of time as the decisions take it: whole microseconds.
+/// A duration in whole microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A moment on the caller's monotonic clock. The module reads no clock of its own.
+/// A point in time of the caller's monotonic clock. The module reads no clock.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/// What the sidecar is doing as a whole.
+/// The state of the sidecar as a whole.
 enum class State : std::uint8_t {
-  Starting,  ///< Not ready until it can serve; only where another process may serve meanwhile.
+  Starting,  ///< Not ready to serve yet; only if another process may serve meanwhile.
   Ready,     ///< Serves.
-  Draining,  ///< Operators have sent the clients away; the process goes on running.
-  Stopping,  ///< SIGTERM has come; final.
+  Draining,  ///< Operators have requested a drain; the process keeps running.
+  Stopping,  ///< SIGTERM was received; final.
 };
 
-/// The state in small letters, as operators and logs see it.
+/// The state in lower case, as in the admin API and the log.
 [[nodiscard]] const char* nameOf(State state);
 
-/// What the sidecar tells the state machine.
+/// An event that the sidecar reports to the state machine.
 enum class Event : std::uint8_t {
   EndpointListReceived,  ///< Discovery has sent an endpoint list.
   DrainRequested,        ///< The operators' call `evacuate`.
@@ -34,97 +34,100 @@
   TimerExpired,          ///< Lifecycle::nextChange() has passed.
 };
 
-/// What holds from now on.
+/// What the sidecar does, and may do, in the current state.
 struct Effects {
   /// GET /ready and the admin API answer that the sidecar is ready.
   bool isReady = false;
   /// Connections are accepted from the listening socket.
   bool acceptsConnections = false;
-  /// A response leaves its connection open.
+  /// Connections are kept alive after a response.
   bool keepsConnections = false;
-  /// Connections on which no request has begun are closed, again and again.
+  /// Idle connections are closed, in repeated sweeps.
   bool closesIdleConnections = false;
-  /// Requests are accepted; else they are rejected at once, and request heads that are not complete are cut
-  /// short.
+  /// Requests are accepted; otherwise they are rejected at once, and a request head gets only a short time.
   bool acceptsRequests = true;
-  /// The process exits once no connection is open.
+  /// The process exits once every open connection is idle.
   bool mayExit = false;
-  /// The process exits whatever is open.
+  /// The process exits whether or not connections are in use.
   bool mustExit = false;
-  /// Every request that is owed a response gets its final one now, and no further request is accepted.
+  /// Every pending request gets its final response now, and no further request is accepted.
   bool sendsFinalResponses = false;
 
   bool operator==(const Effects&) const = default;
 };
 
-/// What is known when the process starts.
+/// The settings of a Lifecycle, fixed when the process starts.
 struct Settings {
   /// The listening socket is inherited from the platform: another process may accept from it too, before this
-  /// one is ready and after it stops.
+  /// process is ready and after it stops.
   bool sharesListeningSocket = false;
-  /// Endpoints are known already, from the platform's last list.
+  /// Endpoints are already known from the platform's last list.
   bool hasEndpoints = false;
-  /// The longest deadline of all classes of requests: SIGKILL follows SIGTERM after this and
-  /// Lifecycle::kKillDelay. None, or not above 0: no deadline is known, and Lifecycle::kMaxCountedDeadline
-  /// holds, as it does for a longer one.
+  /// The longest deadline of all request classes: SIGKILL follows SIGTERM after this time plus
+  /// Lifecycle::kKillDelay. None or not above 0: no deadline is known, and Lifecycle::kMaxCountedDeadline
+  /// applies, as it does to longer deadlines.
   std::optional<Duration> longestDeadline = std::nullopt;
 };
 
-/// The one state machine for all that begins and ends a sidecar's service: its start, the operators' drain,
-/// SIGTERM, and its replacement by another process on the same listening socket. No I/O and no clock: the
-/// caller reports events, does what effects() says, and reports Event::TimerExpired at nextChange().
+/// The state machine of a sidecar's lifecycle: its start, the operators' drain, SIGTERM, and its replacement
+/// by another process on the same listening socket. No I/O and no clock: the caller reports events, applies
+/// effects(), and reports Event::TimerExpired at nextChange().
 ///
-/// These rules are kept nowhere else: GET /ready, the admin API, the server's connections and the signals all
-/// go by the same effects. Stopping is final. Its state belongs to this process alone.
+/// The only implementation of these rules: GET /ready, the admin API, the server's connections and the
+/// signals all use the same effects. Stopping is final. The state is local to this process.
 class Lifecycle {
  public:
-  /// How long a new process waits for discovery where it has endpoints already. The platform gives a process
-  /// 6 s in all to become ready.
+  /// How long a new process that already has endpoints waits for discovery. The platform gives a process 6 s
+  /// in all to become ready.
   static constexpr Duration kDiscoveryTimeoutWithEndpoints{1'000'000};
-  /// The same where it has none.
+  /// How long a new process without endpoints waits for discovery.
   static constexpr Duration kDiscoveryTimeoutWithoutEndpoints{4'000'000};
-  /// From the beginning of a drain until idle connections are closed. The platform goes on sending new
-  /// connections for 0.3 s, and clients use theirs: until then only responses end connections, so that hardly
-  /// a request crosses a close.
+  /// From the beginning of a drain until idle connections are closed. The platform continues to open
+  /// connections for 0.3 s, and clients use theirs: until then connections are closed only after responses,
+  /// so that hardly a request crosses a close.
   static constexpr Duration kDrainIdleCloseDelay{1'000'000};
-  /// From the beginning of a drain until requests are rejected. The platform wants no request of the last
-  /// 2 s in flight at 4 s, whatever its deadline; the margin below 2 s covers kMaxSchedulingDelay.
+  /// From the beginning of a drain until requests are rejected. The platform requires that, 4 s after
+  /// the beginning, no request of the last 2 s is in flight, whatever its deadline; the margin below 2 s
+  /// covers kMaxSchedulingDelay.
   static constexpr Duration kDrainRequestPeriod{1'800'000};
-  /// Where no other process listens, new connections go on coming for up to 0.4 s after SIGTERM.
+  /// How long connections are accepted after SIGTERM if no other process listens: clients continue to connect
+  /// for up to 0.4 s.
   static constexpr Duration kStopAcceptPeriod{500'000};
-  /// What a client has on its way when the last connection is accepted.
+  /// The time after the last accept for requests that clients have already sent to arrive.
   static constexpr Duration kStopLinger{200'000};
-  /// The most of the longest deadline that counts towards the time of SIGKILL.
+  /// The upper limit of the longest deadline in the computation of the time of SIGKILL.
   static constexpr Duration kMaxCountedDeadline{3'000'000};
-  /// SIGKILL comes no sooner after SIGTERM than the counted deadline and this.
+  /// SIGKILL follows SIGTERM no sooner than after the counted deadline plus this time.
   static constexpr Duration kKillDelay{700'000};
-  /// The longest that the process may be suspended between reading its clock and acting on it.
+  /// The longest time that the process may be suspended between reading its clock and acting on it.
   static constexpr Duration kMaxSchedulingDelay{150'000};
-  /// What exiting itself takes: the last writes, and the end of the event loop.
+  /// The time that the exit itself takes: the last writes, and the end of the event loop.
   static constexpr Duration kExitMargin{50'000};
-  /// Final responses are written this long before the exit: the kernel has them by then, and what clients
-  /// still send is read, since a close over unread bytes would reset the connection and lose the response.
+  /// Final responses are written this long before the exit, so that the kernel can send them and remaining
+  /// client input is read: a close over unread bytes would reset the connection and lose the response.
   static constexpr Duration kFinalResponseLead{100'000};
-  /// Where the process was suspended as they were due, the exit comes at least this long behind them.
+  /// The shortest time between final responses and exit, if the process was suspended when the responses were
+  /// due.
   static constexpr Duration kMinFinalResponsePeriod{20'000};
 
-  /// Starts at `now`: in Starting where the listening socket is shared, else in Ready.
+  /// Starts at `now`: in Starting if the listening socket is shared, otherwise in Ready.
   Lifecycle(const Settings& settings, TimePoint now);
 
-  /// Handles an event at `now`, no earlier than the previous one. False: the event is rejected in this state,
-  /// and nothing has changed. A repeated event is accepted and changes nothing.
+  /// Handles an event at `now`, which must not be earlier than that of the previous event. Returns false if
+  /// the event is rejected in this state, in which case nothing has changed. A repeated event is accepted and
+  /// changes nothing.
   bool handle(Event event, TimePoint now);
 
   /// The current state.
   [[nodiscard]] State state() const { return state_; }
-  /// What holds in it.
+  /// The effects of the current state.
   [[nodiscard]] const Effects& effects() const { return effects_; }
-  /// When effects() change by time alone. None: they don't.
+  /// When effects() next change without an event; none: they don't.
   [[nodiscard]] std::optional<TimePoint> nextChange() const { return nextChange_; }
 
-  /// From SIGTERM until every open request gets its final response.
+  /// The time from SIGTERM until every open request gets its final response.
   [[nodiscard]] Duration finalResponseDelay() const { return exitDelay() - kFinalResponseLead; }
-  /// From SIGTERM until the process has to exit.
+  /// The time from SIGTERM until the process must exit.
   [[nodiscard]] Duration exitDelay() const;
 
  private:
--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -11,9 +11,9 @@
 using admission::Decision;
 using balancer::RequestId;
 
-// The least Retry-After, where the platform wants one.
+// The minimum Retry-After in microseconds, if the platform asks for that header.
 constexpr Micros kMinRetryAfter = 100'000;
-// Rejections cost little, but not nothing: so many count as one request in the number that a turn forwards.
+// A rejection costs less than forwarding a request: this many count as one against the limit per turn.
 constexpr std::int64_t kRejectionsPerForward = 8;
 
 std::vector<double> quotasOf(const Config& config) {
@@ -92,7 +92,8 @@
   const Micros at = now();
   const bool isBeyondQuota = countsArrivals_ && quotas_.recordArrival(request.tenant, at);
   if (!queue_) return callbacks_.forward(std::move(request));
-  // Nothing is queued and the turn is not used up: the usual case costs no more than a post to the loop.
+  // The queue is empty and the limit of this turn is not reached: the usual case costs only a post to the
+  // loop.
   if (!isOverloaded && queued_.empty() && forwardedInTurn_ < perTurn_) {
     ++forwardedInTurn_;
     scheduleTurn();
--- a/src/sidecar/admission_controller.h
+++ b/src/sidecar/admission_controller.h
@@ -20,60 +20,62 @@
 
 namespace ivypost {
 
-/// Between the server and the decision module: executes what src/admission decides on requests that have been
-/// read. Where the operator has not switched the queue on, each is forwarded at once and nothing is kept.
+/// Stands between the server and the decision module: executes the decisions of src/admission on requests
+/// that have been read. If the operator has not enabled the queue, each request is forwarded at once and none
+/// is held.
 ///
-/// Invariant: each request that is submitted is forwarded or rejected once, or withdrawn. The queue is
-/// bounded by the operator's settings; the controller holds the requests that are in it and no others.
+/// Invariant: each submitted request is forwarded or rejected exactly once, or withdrawn. The queue is
+/// bounded by the operator's settings; the controller holds only the requests in the queue.
 class AdmissionController {
  public:
-  /// What becomes of requests, called from within the event loop; also from within submit() and apply().
+  /// Execute the decisions on requests. Made from the event loop, also from within submit() and apply().
   struct Callbacks {
-    /// Takes a request on.
+    /// Takes a request that is admitted.
     std::function<void(ClientRequest)> forward;
     /// The request of this id will not run; the outcome says why.
     std::function<void(balancer::RequestId, admission::Outcome)> reject;
   };
 
-  /// Throws settings::FormatError for an order with a class that the platform doesn't have. `io` and `config`
-  /// have to outlive it.
+  /// Throws settings::FormatError if the file's priority order names a class that the platform does not have.
+  /// `io` and `config` must outlive it.
   AdmissionController(boost::asio::io_context& io, const Config& config,
                       const configuration::OperatorFile& file, Callbacks callbacks);
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
   ~AdmissionController();
 
-  /// Throws as the constructor does, for a file that apply() could not go by; changes nothing.
+  /// Throws as the constructor does for a file that apply() would reject; changes nothing.
   void validate(const configuration::OperatorFile& file) const;
-  /// Goes by another operator's file from now on. Queued requests stay in the queue, in the new order, or are
-  /// forwarded where there is no queue any more. Throws as the constructor does.
+  /// Applies another operator's file. Queued requests stay in the queue, in the new order, or are forwarded
+  /// if the queue is now off. Throws as the constructor does.
   void apply(const configuration::OperatorFile& file);
-  /// Goes by the restrictions of another degradation level from now on.
+  /// Applies the restrictions of another degradation level.
   void restrict(const degradation::Restrictions& restrictions);
 
-  /// Takes a request over, whose id was never submitted: forwards, queues or rejects it. `isOverloaded`:
-  /// there is no capacity for one more, so one of the lowest priority is rejected for it.
+  /// Forwards, queues or rejects a request whose id was not submitted before. `isOverloaded`: there is no
+  /// capacity for a further request, so a queued request of the lowest priority is rejected in its place.
   void submit(ClientRequest request, bool isOverloaded);
-  /// The client of a request has left or has its response. False if the request is not in the queue.
+  /// Removes a request whose client has left or has its response. False if the request is not in the queue.
   bool withdraw(balancer::RequestId id);
-  /// A request was served; `duration`: microseconds since it had come.
+  /// Records a served request; `duration`: microseconds since its arrival.
   void recordResponseTime(Micros duration) { responseTime_.add(duration, now()); }
 
-  /// Whether requests that can't be served are to be rejected before their body is read.
+  /// Whether requests that can't be served are rejected before their body is read.
   [[nodiscard]] bool rejectsBeforeBody() const { return restrictions_.rejectsBeforeBody; }
-  /// Whether the operator has switched the queue on.
+  /// Whether the operator has enabled the queue.
   [[nodiscard]] bool hasQueue() const { return queue_ != nullptr; }
-  /// Whether a request of this class with so many microseconds left can't be served: the degradation level
-  /// excludes its class, or recent requests took longer.
+  /// Whether a request of this class with `remaining` microseconds until its deadline can't be served: the
+  /// degradation level excludes its class, or recent requests took longer than that.
   [[nodiscard]] bool isTooLate(std::uint32_t requestClass, Micros remaining) const;
-  /// Microseconds after which a client that is rejected now may come again; 0: the platform wants no advice.
+  /// Microseconds after which a client that is rejected now may retry; 0: the platform's settings ask for no
+  /// Retry-After.
   [[nodiscard]] Micros retryAfter() const;
-  /// The fraction of recent requests that were beyond their tenant's quota; 0 to 1. 0 where neither the queue
+  /// The fraction of recent requests that were beyond their tenant's quota; 0 to 1. 0 if neither the queue
   /// nor degradation is on.
   [[nodiscard]] double beyondQuotaFraction();
   /// Requests in the queue.
   [[nodiscard]] std::size_t queueSize() const { return queue_ ? queue_->size() : 0; }
-  /// Requests that had this outcome since the process started; none is counted while there is no queue.
+  /// Requests that had this outcome since the process started; not counted while the queue is off.
   [[nodiscard]] std::uint64_t count(admission::Outcome outcome) const {
     return counts_.at(static_cast<std::size_t>(outcome));
   }
@@ -84,13 +86,14 @@
     admission::QueuedRequest entry;
   };
 
-  // By class. The operator's order first, each above all weights that the platform gives; then by the
-  // platform's.
+  // By class. Classes in the operator's order weigh more than any weight of the platform, in that order; the
+  // others have the platform's weights.
   [[nodiscard]] std::vector<double> priorityWeightsOf(const configuration::OperatorFile& file) const;
   void execute(const admission::Decision& decision);
-  // Forwards and rejects as much as one turn of the event loop may take.
+  // Forwards and rejects as many requests as one turn of the event loop allows.
   void runTurn();
-  // Runs a turn behind everything that is ready now: all requests that have come by then have been read.
+  // Posts a turn behind all handlers that are ready now, so that requests received by then are read before
+  // it.
   void scheduleTurn();
 
   boost::asio::io_context& io_;
@@ -100,13 +103,13 @@
   std::int64_t perTurn_;
   std::unique_ptr<admission::AdmissionQueue> queue_;  // none: off
   admission::TenantQuotas quotas_;
-  bool countsArrivals_ = false;  // quotas count: the queue or degradation is on
+  bool countsArrivals_ = false;  // whether quotas_ records requests: the queue or degradation is on
   std::unordered_map<balancer::RequestId, Queued> queued_;
   degradation::Restrictions restrictions_;
   std::int64_t forwardedInTurn_ = 0;  // of the event loop
   bool isTurnScheduled_ = false;
-  admission::ExpiringAverage queueTime_;     // of forwarded requests, since they had come
-  admission::ExpiringAverage responseTime_;  // of served requests, since they had come
+  admission::ExpiringAverage queueTime_;     // of forwarded requests, since their arrival
+  admission::ExpiringAverage responseTime_;  // of served requests, since their arrival
   std::array<std::uint64_t, admission::kOutcomes> counts_{};
   std::shared_ptr<bool> isAlive_;  // for handlers that outlive this
 };
--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -13,50 +13,50 @@
 
 namespace ivypost {
 
-/// A request as it came, complete or without its body.
+/// A request as received, complete or without its body.
 using Message = boost::beast::http::request<boost::beast::http::string_body>;
 
-/// A request's body that is still coming in when the request is forwarded. Shared by the client session,
-/// which fills the pipe, and the attempt that empties it; either may end first.
+/// A request body that is still being received when the request is forwarded. Shared by the client session,
+/// which writes to the pipe, and the attempt that reads from it; either may end first.
 struct Upload {
-  /// `budget` bounds the bytes of all bodies in transit, and has to outlive the upload.
+  /// `budget` bounds the bytes of all bodies in transit and must outlive the upload.
   explicit Upload(streaming::ByteBudget& budget) : pipe(budget) {}
 
-  /// What has come and was not sent yet.
+  /// The bytes that have been received and not yet sent to the upstream.
   streaming::Pipe pipe;
-  /// Bytes of the complete body; none: it comes in chunks.
+  /// Bytes of the complete body; none: the body is chunked.
   std::optional<std::uint64_t> length;
-  /// Of the request: an estimate until the last byte has come.
+  /// The request's deadline: an estimate until the last byte of the body has been received.
   Clock::time_point deadline;
-  /// From the last byte on, as the client has it; no attempt is given more.
+  /// The time that the client grants, counted from the last byte of the body. No attempt is given more.
   Clock::duration clientGave{};
 };
 
-/// A request of the application's that passed all checks, on its way to the decision module.
+/// A validated request of the application, as it is passed to the decision module.
 struct ClientRequest {
-  /// The server's own number, never given twice; a client's trace id may come again.
+  /// The server's own number, which is never reused; a client may reuse a trace id.
   balancer::RequestId id = 0;
-  /// The number of its class.
+  /// The index of its class.
   std::uint32_t requestClass = 0;
-  /// The number of its tenant; none: the platform has no tenants.
+  /// The index of its tenant; none: the platform has no tenants.
   std::optional<std::uint32_t> tenant;
   /// The hash of the path's last segment; none: the path has one segment.
   std::optional<std::uint64_t> key;
-  /// Microseconds of work as X-Size-Hint has them; none: the client gave no hint.
+  /// Expected work in microseconds, from X-Size-Hint; none: the client gave no hint.
   std::optional<Micros> work;
-  /// The client has sent it before (X-Second-Try).
+  /// Whether the client has sent this request before (X-Second-Try).
   bool isRetry = false;
   /// The client's X-Trace-Id.
   std::uint64_t trace = 0;
-  /// Microseconds until the client gives up, from when the request was read.
+  /// Microseconds from reading the request until the client gives up.
   Micros expiresIn = 0;
-  /// When its last byte came, as far as the kernel knows.
+  /// When its last byte was received, as far as the kernel knows.
   Clock::time_point arrived;
   /// When its client gives up.
   Clock::time_point deadline;
   /// The request, without the body if there is an upload.
   std::shared_ptr<const Message> message;
-  /// The body that is still coming in; none: the message has it.
+  /// The body that is still being received; none: the message holds the body.
   std::shared_ptr<Upload> upload;
 };
 
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-// The life of a connection: waiting for requests and for answers, closing.
+// The states of a client connection: waiting for requests and answers, and closing.
 #include "client_session.h"
 
 #include <algorithm>
@@ -20,27 +20,30 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The server answers by itself when the module's answer is this much late.
+// The session answers 504 itself when the decision module's answer is this late.
 constexpr milliseconds kBackstop{10};
-// What a client still sends after its last answer is read and dropped for this long: closing at once would
-// reset the connection and could cost it the answer. But no more than so much: it would cost us the core.
+// After the last answer, what the client still sends is read and discarded for this time: closing at once
+// would reset the connection and could lose the answer. At most kMaxDiscard bytes, to bound the processor
+// time.
 constexpr milliseconds kLingerTime{200};
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
-// And of each connection so much while the whole server ends: what the kernel can hold unread of one.
+// The limit for each connection while the server stops: the most that the kernel can hold unread for it.
 constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
-// A client that has not acknowledged all of its last answer by then is waited for up to this long: one that
-// takes nothing must not hold its place, nor the end of the process.
+// The longest wait for a client to acknowledge all of its last answer: a client that reads nothing must not
+// hold its slot or delay the exit of the process.
 constexpr milliseconds kMaxLingerTime{1000};
-// What is read of what a client sends ahead while its request waits, whatever the budget says; up to
-// BodyBuffering::kMaxBuffered as far as that goes. With more unread its close may stand in its own machine's
-// queue, where nobody sees it: then no attempt is begun for it, and it is looked for so often.
+// Bytes of input that are read ahead while a request waits for its answer, independently of the budget; with
+// budget, up to BodyBuffering::kMaxBuffered. Beyond that the client's close may be queued in the client's own
+// kernel, where it can't be seen: no attempt is begun for such a request, and the connection is polled for a
+// close at kClosePollInterval.
 constexpr std::size_t kMaxAhead = 16UL * 1024;
 constexpr milliseconds kClosePollInterval{100};
 constexpr std::size_t kReadOnce = 4096;
-// A request that was expected or being read when its time was up may have come whole meanwhile; it is read
-// for so long.
+// When the time for a request is up but unread data has been received, the request may be complete: it gets
+// this much more time.
 constexpr milliseconds kLastReadTime{10};
-// A connection that has sent nothing since it came is not idle before this: its request is on the way.
+// Microseconds. A new connection that has sent nothing does not count as idle before this: its first request
+// may be on its way.
 constexpr Micros kSettlingTime = 300'000;
 
 }  // namespace
@@ -107,7 +110,7 @@
       keepAlive_ = false;
       if (!isBufferInUse_) return write(host_.rejection("refused: the sidecar stops"));
       error_code ignored;
-      socket_.cancel(ignored);  // onRead() answers
+      socket_.cancel(ignored);  // onRead() writes the answer
       return;
     }
     case State::Waiting:
@@ -162,7 +165,7 @@
   socket_.close(ignored);
   if (upload_) upload_->pipe.fail();
   if (const auto stream = std::exchange(responsePipe_, nullptr)) stream->abandon();
-  const auto self = shared_from_this();  // the server's may have been the last
+  const auto self = shared_from_this();  // onClosed() may drop the server's reference, the last other one
   host_.onClosed(slot_);
   if (waiting && host_.endRequest(*this)) host_.cancelRequest(request_);
 }
@@ -272,7 +275,7 @@
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
   linger(Clock::now() + kMaxLingerTime);
-  // Once the whole server ends there is nobody to take the core from.
+  // While the server stops, no other client needs the processor.
   discard(host_.effects().sendsFinalResponses ? kMaxFinalDiscard : kMaxDiscard);
 }
 
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -29,129 +29,136 @@
 
 namespace ivypost {
 
-/// One client connection: reading requests, answering them, closing. It lives as long as its host lists it or
-/// an operation on it is out: shared, since operations on the socket outlive its place in the list.
+/// One client connection: reads requests, writes answers and closes the connection. Owned jointly by the
+/// host's list and by pending operations on the socket, which may outlive the list entry.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
-  /// What all connections of a server share. All of it has to outlive them.
+  /// What all connections of a server share. All of it must outlive them.
   struct Resources {
     /// The event loop.
     boost::asio::io_context& io;
     /// The deadlines of all connections.
     std::shared_ptr<Deadlines> deadlines;
-    /// For bodies, and for what is read ahead of answers.
+    /// The memory budget for bodies, and for input that is read ahead of an answer.
     streaming::ByteBudget& budget;
-    /// Decides which connections are kept; told of each change of this one's state.
+    /// Decides which connections are kept; notified of each change of this connection's state.
     admission::ConnectionLimiter& connectionLimiter;
   };
 
-  /// Takes an accepted connection over that the connection limit has entered at `slot`.
+  /// Takes ownership of an accepted connection that the connection limiter holds in `slot`.
   ClientSession(ClientSessionHost& host, const Resources& resources, boost::asio::ip::tcp::socket socket,
                 admission::ConnectionLimiter::Slot slot);
 
-  /// Begins to read. Called once, when the server lists the connection.
+  /// Starts reading. Called once, after the server has listed the connection.
   void start();
-  /// Whether nothing has come on an idle connection, so that closing it loses no request.
+  /// Whether the connection is between requests and has received no byte of a next one, so that closing it
+  /// loses no request.
   [[nodiscard]] bool isQuiet();
-  /// Whether it has been here for long enough to count as idle when it sends nothing.
+  /// Whether the connection has had a request, or has been open long enough to count as idle without one.
   [[nodiscard]] bool hasSettled(Micros time) const;
-  /// Whether closing it costs its client nothing.
+  /// Whether closing the connection loses no request and no answer of its client.
   [[nodiscard]] bool mayBeEvicted();
-  /// Whether closing it now, when it is idle, can cost its client neither a request nor an answer: a request
-  /// that crosses the close resets the connection, and what has not been acknowledged by then may be gone.
+  /// Whether the connection is idle and closing it now loses neither a request nor an answer. A request that
+  /// crosses the close resets the connection, which may discard data that the client has not acknowledged.
   [[nodiscard]] bool mayCloseIdle();
-  /// Whether the client of the waiting request has left; closes the connection then, but not from within the
-  /// caller, who may be in the middle of something of this request's.
+  /// Whether the client of the waiting request has left, or can't be seen to leave since its input is no
+  /// longer read. The connection is then closed or answered from the event loop and not within this call, as
+  /// the caller may still be working on the request.
   [[nodiscard]] bool isClientGone();
-  /// The server stops: what is owed an answer gets its final one. Nothing of what is still being read has
-  /// run.
+  /// The server is stopping: gives a request that is still read or waits for its answer the final one. A
+  /// request that is still being read has not run.
   void answerFinally();
-  /// The process ends. Guards against a close over unread bytes, which would reset the connection and could
-  /// cost the client its answer; and against an answer cut short that looks whole.
+  /// The process is about to exit: closes the connection. Reads what is unread first, since closing over
+  /// unread bytes would reset the connection and could lose the answer; and resets the connection under an
+  /// incomplete streamed answer, so that the client can't take it for a complete one.
   void closeFinally();
-  /// The request that was taken last; 0: none yet.
+  /// The id of the last request that was accepted; 0: none yet.
   [[nodiscard]] balancer::RequestId request() const { return request_; }
-  /// When that request had come.
+  /// When the last byte of that request was received.
   [[nodiscard]] Clock::time_point arrivedAt() const { return arrivedAt_; }
-  /// That request's X-Trace-Id.
+  /// The X-Trace-Id of that request.
   [[nodiscard]] std::uint64_t trace() const { return trace_; }
-  /// Answers what the client has sent, and goes on or hangs up.
+  /// Writes the answer to the current request, then continues with the next request or closes the connection.
   void write(Answer answer);
-  /// Closes the connection at once; a request that waits is cancelled. Nothing when it is closed already.
+  /// Closes the connection at once and cancels a waiting request. Does nothing if it is already closed.
   void close();
 
-  /// Ends it without a word to its host, which is about to go: handlers that come later do nothing.
+  /// Closes the connection without notifying the host, which is being destroyed; handlers that run later do
+  /// nothing.
   void detach();
 
  private:
-  // Idle: nothing of a request has come. Waiting: a request is taken and its answer owed.
+  // Idle: no byte of a request has been received. Waiting: a request was accepted and its answer is pending.
   enum class State { Idle, Reading, Waiting, Writing, HangingUp, Closed };
 
-  // A connection's first request must be whole within this time of its accept, and each further one of its
-  // first byte: whoever sends nothing, or never comes to an end, is owed an error or a close within 3 s.
+  // The first request must be complete within this time after the accept, each further one within this time
+  // after its first byte: a client that sends nothing, or an incomplete request, must get an error or a close
+  // within 3 s.
   static constexpr std::chrono::milliseconds kMaxRequestTime{2500};
 
   boost::system::error_code peek();
-  // Waits for a request, or for a client that leaves without its answer. `why`: the read before came to
-  // nothing.
+  // Waits for a request, or for the client to close before it has its answer. `why`: the error of the
+  // previous read, if any.
   void waitForInput(boost::system::error_code why = {});
-  // Whether more may be read while a request waits. The client's close stands behind all that it has sent, so
-  // reading stops only where memory ends.
+  // Whether more may be read while a request waits for its answer. The client's close is seen only after all
+  // that it sent before has been read, so reading stops only at the memory budget.
   bool mayReadAhead();
-  // Reads what has come since reading had to stop. False if the client has left.
+  // Reads what has been received since reading ahead stopped. False if the client has left.
   bool continueReadAhead();
-  // Looks now and then whether the client has left, while what it sends is not read: behind that its close
-  // can't be seen by reading.
+  // Polls whether the client has left while its input is not read: with unread data in front, reading can't
+  // show the close.
   void pollForClose();
-  // What has come. While a request waits, it guards against a client that sends more and then leaves
-  // unnoticed.
+  // Reads what has been received into the buffer. While a request waits for its answer, this detects a client
+  // that sends more and then closes.
   boost::system::error_code readAhead();
   void resume();
-  // An answer is owed from here on.
+  // Registers the request as open and forwards it; from here on its answer is pending.
   void beginWaiting(ClientRequest request);
-  // Guards the last answer against everything else: a late timer, a full core, a module that is wrong.
+  // Answers the request shortly after its deadline if nothing else has: because of a late timer, an
+  // overloaded core or a fault of the decision module.
   void armBackstop(Clock::time_point deadline);
   void setDeadline(Clock::time_point until);
   void hangUp();
-  // Closing over unread input resets the connection, and what the client has not acknowledged is gone.
+  // Delays the close until the client has acknowledged its answer: closing over unread input resets the
+  // connection and discards what is not acknowledged.
   void linger(Clock::time_point atMost);
   void discard(std::size_t atMost);
 
   // client_session_reading.cpp
   void read();
-  // Guards against a body without end: Boost.Beast 1.74 forgets that a length is over the limit when the body
-  // comes along with the header, so the header is read apart.
+  // The header is read separately from the body: Boost.Beast 1.74 does not report a length over the limit
+  // when the body arrives together with the header, so such a body would be read without bound.
   void readHead(bool mayBeEmptyLine);
   void readRestOfHead(bool mayBeEmptyLine);
   void onHead(boost::system::error_code error, bool mayBeEmptyLine);
-  // The client waits for this before it sends the body.
+  // Sends 100 (Continue), for which the client waits before it sends the body.
   void sendContinue();
   void readBody();
-  // What has come of the body.
+  // Parses the part of the body that has been received.
   void takeBody();
-  // `why`: the read before came to nothing.
+  // Reads at most `most` bytes of the body. `why`: the error of the previous read, if any.
   void readMore(std::size_t most, boost::system::error_code why = {});
-  // Hands the request on while its body is still coming in.
+  // Forwards the request while its body is still being received.
   void beginUpload();
   void onUploadPiece(boost::system::error_code error);
   void continueUpload();
-  // Whether more of an upload may be read than its pipe has capacity for. The client's close stands behind
-  // all that it has sent, and no attempt may begin after it: until one has begun, reading stops only where
-  // memory ends.
+  // Whether more of an upload may be read than its pipe has capacity for. The client's close is seen only
+  // after all that it sent has been read, and no attempt may begin after the close: until an attempt takes
+  // bytes, reading stops only at the memory budget.
   bool mayReadBeyondPipe();
   void onPipeCapacity();
   void onBody(boost::system::error_code error);
   std::string_view received() const;
   void onRead(boost::system::error_code error);
-  // How long a request that has been read now had stood unread: in the accept queue, or while the loop was
-  // late. Its time counts from its last byte.
+  // How long a request that has just been read was unread before: in the accept queue, or because the event
+  // loop was late. The client's time counts from the last byte of the request.
   std::chrono::milliseconds unreadFor();
 
   // client_session_writing.cpp
-  // Whether something of a next request has come. What has been read is owed an answer, so the connection is
-  // not ended by us ahead of that.
+  // Whether bytes of a next request have been received. Input that has been read must be answered, so the
+  // sidecar does not close the connection before that.
   bool hasNextRequest();
-  // Of the answer. `why`: the write before came to no end.
+  // Writes the remainder of the answer. `why`: the error that interrupted the previous write.
   void writeRest(boost::system::error_code why);
   void writeStream(ResponseHead head, std::shared_ptr<streaming::Pipe> body);
   void writeStreamed();
@@ -164,35 +171,35 @@
   admission::ConnectionLimiter& connectionLimiter_;
   boost::asio::ip::tcp::socket socket_;
   Deadlines::Deadline deadline_;
-  Deadlines::Deadline closePoll_;  // the next look for one
+  Deadlines::Deadline closePoll_;  // the next poll for the client's close
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<streaming::PiecesBody>> parser_;
-  std::optional<streaming::StallTimer> pace_;  // of the body
-  streaming::BodyBuffering buffering_;         // of bodies
-  streaming::ByteBudget::Share aheadBytes_;    // of what is read ahead of an answer or of an upload's attempt
-  std::size_t emptyUploadCapacity_ = 0;        // of its pipe when that is empty
-  std::shared_ptr<Upload> upload_;             // of one that is not
-  std::shared_ptr<streaming::Pipe> responsePipe_;  // of an answer that is not
-  Micros expiresIn_ = 0;                           // of a request whose body streams, from its last byte
-  std::optional<Micros> heldBackSince_;            // the client is not read, for want of room
-  unsigned httpVersion_ = 11;                      // of the request's HTTP
+  std::optional<streaming::StallTimer> pace_;  // of the request's body
+  streaming::BodyBuffering buffering_;         // of request bodies
+  streaming::ByteBudget::Share aheadBytes_;    // budget held by input read ahead of an answer or an attempt
+  std::size_t emptyUploadCapacity_ = 0;        // capacity in bytes of the upload's pipe when it is empty
+  std::shared_ptr<Upload> upload_;             // of a request whose body streams
+  std::shared_ptr<streaming::Pipe> responsePipe_;  // the body of an answer that streams
+  Micros expiresIn_ = 0;                 // the client's time from the last byte of a streamed request body
+  std::optional<Micros> heldBackSince_;  // since when backpressure has stopped reading the upload
+  unsigned httpVersion_ = 11;            // of the request, as Boost.Beast writes versions
   bool isUploading_ = false, isReadingBody_ = false;
   StreamWriter writer_;                            // of an answer that streams
-  bool waitsToWrite_ = false;                      // for the client to take more of it
-  std::optional<RequestHead> headersAheadOfBody_;  // as they came, while a chunked body is read
-  std::string responseHead_, responseBody_;        // of the answer
-  bool closesAfterResponse_ = false;               // the answer ends the connection
-  bool isClientError_ = false;                     // it says that the client erred
+  bool waitsToWrite_ = false;                      // the streamed answer waits for a writable socket
+  std::optional<RequestHead> headersAheadOfBody_;  // as received, while a chunked body is read
+  std::string responseHead_, responseBody_;
+  bool closesAfterResponse_ = false;
+  bool isClientError_ = false;  // the answer has a 4xx status
   balancer::RequestId request_ = 0;
   Clock::time_point arrivedAt_;
-  Clock::time_point responseDeadline_ = Clock::time_point::max();  // of the request that is answered
+  Clock::time_point responseDeadline_ = Clock::time_point::max();  // the deadline of the current request
   std::uint64_t trace_ = 0;
   const admission::ConnectionLimiter::Slot slot_;
   State state_ = State::Idle;
   bool keepAlive_ = true;
   bool isWaitingForInput_ = false;
-  bool isBufferInUse_ = false;  // a head is read, or a 100 written, by an operation that has the buffer
-  bool mayHaveUnread_ = false;  // reading ahead has stopped: more may have come, and its close behind that
+  bool isBufferInUse_ = false;  // a pending operation reads a head into the buffer, or writes a 100
+  bool mayHaveUnread_ = false;  // reading ahead has stopped: unread data, and a close after it, may be queued
 };
 
 }  // namespace ivypost
--- a/src/sidecar/client_session_host.h
+++ b/src/sidecar/client_session_host.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What a client's connection asks of the server that lists it.
+// What a client session needs from the server that owns it.
 #ifndef IVYPOST_CLIENT_SESSION_HOST_H_
 #define IVYPOST_CLIENT_SESSION_HOST_H_
 
@@ -20,34 +20,35 @@
 
 class ClientSession;
 
-/// The server as its connections see it. Outlives them.
+/// The server as its client sessions see it. Outlives them.
 class ClientSessionHost {
  public:
   ClientSessionHost() = default;
   ClientSessionHost(const ClientSessionHost&) = delete;
   ClientSessionHost& operator=(const ClientSessionHost&) = delete;
 
-  /// What the lifecycle allows now.
+  /// What the lifecycle allows at present.
   [[nodiscard]] virtual const lifecycle::Effects& effects() const = 0;
-  /// From the head alone: the answer to a request whose body need not be read; none: it has to be read.
-  /// `unread`: since its last byte came.
+  /// The rejection of a request whose head suffices to reject it; none: the body has to be read. `unread`:
+  /// the time since data was last received.
   [[nodiscard]] virtual std::optional<Answer> rejectionFromHead(const RequestHead& head,
                                                                 std::chrono::milliseconds unread) const = 0;
-  /// What a request reads as, or the answer it gets at once. `unread`: since its last byte came.
+  /// Validates a request: the parsed request, or the answer that it gets at once. `unread`: the time since
+  /// its last byte was received.
   [[nodiscard]] virtual std::variant<ClientRequest, Answer> check(Message message,
                                                                   std::chrono::milliseconds unread) = 0;
   /// 503 with Retry-After: the request has not run and will not.
   [[nodiscard]] virtual Answer rejection(std::string reason) const = 0;
 
-  /// An answer is owed to the session's request from here on.
+  /// Registers the session's request as open: its answer is pending from here on.
   virtual void openRequest(std::shared_ptr<ClientSession> session) = 0;
-  /// Passes an open request on towards the upstreams; it may be answered from within.
+  /// Forwards an open request towards the upstreams. The request may be answered before this returns.
   virtual void forward(ClientRequest request) = 0;
-  /// The session's request is owed no answer any more. False if it was not open.
+  /// The session's request is no longer open: no answer is pending. False if it was not open.
   virtual bool endRequest(const ClientSession& session) = 0;
-  /// Nobody waits for what a request that was ended gets from an upstream.
+  /// Cancels what remains of a request that was ended: its place in the queue, or its attempts.
   virtual void cancelRequest(balancer::RequestId id) = 0;
-  /// The session has closed its connection; its place in the connection limit is given back.
+  /// The session has closed its connection; releases its slot in the connection limiter.
   virtual void onClosed(admission::ConnectionLimiter::Slot slot) = 0;
 
  protected:
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-// Reading requests: head, body, a body in pieces.
+// Reading requests: head, complete body, streamed body.
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <utility>
@@ -18,12 +18,12 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The kernel tells times by its own tick, of 10 ms at the most; less may be none.
+// The kernel measures times in ticks of 10 ms at the most; a shorter time may be none at all.
 constexpr milliseconds kKernelTick{10};
-// Who still comes when requests are refused for a drain gets so long for a head.
+// The time for a request head while requests are rejected because of a drain.
 constexpr milliseconds kMaxHeadTimeInDrain{300};
 
-// Boost.Beast tells lengths in Boost's own type.
+// Converts a length from Boost's own optional type.
 std::optional<std::uint64_t> toStd(const boost::optional<std::uint64_t>& length) {
   return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
 }
@@ -33,7 +33,7 @@
 void ClientSession::read() {
   const bool first = slot_->state == admission::ConnectionLimiter::State::Silent;
   state_ = State::Reading;
-  // The first one's time began when it was let in, and its timer runs.
+  // The time for the first request began with the accept, and its timer is running.
   if (!host_.effects().acceptsRequests) {
     setDeadline(Clock::now() + kMaxHeadTimeInDrain);
   } else if (!first) {
@@ -47,7 +47,7 @@
   parser_.emplace();
   parser_->header_limit(kMaxHeader);
   parser_->body_limit(kMaxBody);
-  // As a rule the whole head is here already.
+  // Usually the complete head has been received already.
   error_code error;
   if (buffer_.size() > 0) buffer_.consume(parser_->put(buffer_.data(), error));
   if (error != http::error::need_more && (error || parser_->is_header_done()))
@@ -71,7 +71,7 @@
 }
 
 void ClientSession::onHead(error_code error, bool mayBeEmptyLine) {
-  // RFC 9112, 2.2: an empty line ahead of a request is passed over.
+  // RFC 9112, 2.2: an empty line before a request is ignored.
   if (error == http::error::bad_method && mayBeEmptyLine && received().substr(0, 2) == "\r\n") {
     buffer_.consume(2);
     return readHead(false);
@@ -84,7 +84,7 @@
   }
   if (parser_->is_done()) return onRead(error);
   if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
-  // A body that has come along costs less to read than a new connection would.
+  // A body that has arrived with the head costs less to read than the client's new connection would.
   if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
     if (auto refused = host_.rejectionFromHead(parser_->get(), unreadFor())) {
       keepAlive_ = false;
@@ -107,7 +107,7 @@
 }
 
 void ClientSession::readBody() {
-  // A trailer's fields are no headers (RFC 9110, 6.5.1), but the parser adds them there.
+  // Trailer fields must not be merged into the headers (RFC 9110, 6.5.1), but the parser does that.
   if (parser_->chunked()) headersAheadOfBody_ = parser_->get().base();
   parser_->eager(true);
   pace_.emplace(Clock::now());
@@ -120,7 +120,7 @@
   while (!error && !parser_->is_done() && buffer_.size() > 0)
     buffer_.consume(parser_->put(buffer_.data(), error));
   if (error == http::error::need_more) error = {};
-  // A chunk's head without end.
+  // The chunk header exceeds the limit without ending.
   if (!error && !parser_->is_done() && buffer_.size() > kMaxHeader) error = http::error::bad_chunk_extension;
   if (isUploading_) return onUploadPiece(error);
   if (error || parser_->is_done()) return onBody(error);
@@ -152,7 +152,8 @@
 
 void ClientSession::beginUpload() {
   auto& read = parser_->get();
-  // The parser goes on with its own, and a later request must not get these.
+  // The message gets its own copy of the head, since the parser still needs it; saved headers are moved out,
+  // so that a later request does not get them.
   Message message(headersAheadOfBody_ ? std::move(*std::exchange(headersAheadOfBody_, std::nullopt))
                                       : read.base());
   keepAlive_ = parser_->keep_alive();
@@ -168,7 +169,7 @@
   upload_ = upload;
   isUploading_ = true;
   expiresIn_ = request.expiresIn;
-  // The request's time counts from its last byte, which is not known yet.
+  // The client's time counts from the last byte of the request, whose time is not known yet.
   request.expiresIn +=
       streaming::BodyBuffering::uploadTime(*pace_, toStd(parser_->content_length_remaining())).count();
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
@@ -187,7 +188,7 @@
 
 void ClientSession::onUploadPiece(error_code error) {
   if (error) {
-    // The attempt ends without its last byte, so it never runs.
+    // The upstream never gets the last byte of the body, so the request does not run there.
     const auto self = shared_from_this();
     upload_->pipe.fail();
     if (!host_.endRequest(*this)) return close();
@@ -213,7 +214,7 @@
     capacity = kReadOfStream;
   }
   if (capacity == 0) {
-    // Held back by us: the client's pace does not count meanwhile.
+    // Backpressure stops reading, so the stall timer of the client's body is suspended.
     deadline_.cancel();
     if (!heldBackSince_) heldBackSince_ = now();
     return pollForClose();
@@ -228,7 +229,7 @@
 bool ClientSession::mayReadBeyondPipe() {
   if (upload_->pipe.forwardedBytes() > 0) return false;
   const std::size_t buffered = upload_->pipe.front().size();
-  // The pipe has taken its own part of the budget.
+  // Bytes up to the pipe's own capacity are charged to the budget by the pipe.
   while (aheadBytes_.bytes() + emptyUploadCapacity_ <= buffered) {
     if (buffered >= streaming::BodyBuffering::kMaxBuffered) return false;
     if (!aheadBytes_.grow(streaming::BodyBuffering::kBudgetStep)) return false;
@@ -267,7 +268,7 @@
     return close();
   }
   const milliseconds unread = unreadFor();
-  // Nobody waits for what stood unread until its client had left.
+  // The client has left while its request was unread, so no answer is expected.
   if (unread > milliseconds(0) && admission::hasPeerClosed(socket_.native_handle())) return close();
   keepAlive_ = parser_->keep_alive();
   auto request = parser_->release();
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -1,5 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-// Writing answers, complete or in pieces.
+// Writing answers, complete or streamed.
 #include <algorithm>
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -17,16 +17,16 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// An answer must be gone within this time, and by its request's deadline: nobody waits for the rest of it
-// then. One that is written late gets a little time all the same.
+// An answer must be written within kResponseTime and by its request's deadline, after which the client no
+// longer waits. An answer that begins close to the deadline or after it still gets kLateResponseTime.
 constexpr milliseconds kResponseTime{5000};
 constexpr milliseconds kLateResponseTime{200};
-// A client that has got an error is read again after this pause: one that sends the same at full speed must
-// not take the core from the others.
+// The pause before reading from a client again after a 4xx answer: a client that repeats a faulty request at
+// full speed must not take the processor from the others.
 constexpr milliseconds kErrorPause{100};
-// A buffer that was read empty is kept up to this size for the connection's next request.
+// Bytes of capacity up to which an empty read buffer is kept for the connection's next request.
 constexpr std::size_t kKeptBuffer = 4096;
-// A client that takes nothing more of an answer for so long has stopped.
+// A client that accepts no byte of a streamed answer for this time counts as stalled, and is closed.
 constexpr milliseconds kClientStallTime{10'000};
 
 }  // namespace
@@ -38,7 +38,7 @@
 
 void ClientSession::write(Answer answer) {
   state_ = State::Writing;
-  // What is left of a body is not waited for; the client hears at once.
+  // The rest of an unfinished upload is not read: the client is answered at once and the connection closed.
   if (isUploading_) keepAlive_ = false;
   isUploading_ = false;
   closesAfterResponse_ =
@@ -50,13 +50,13 @@
   if (answer.stream) return writeStream(std::move(head), std::move(answer.stream));
   responseHead_ = std::move(head.text);
   responseBody_ = std::move(answer.body);
-  // Nearly always the kernel takes all of it at once.
+  // Nearly always the kernel accepts the complete answer at once.
   const std::array<asio::const_buffer, 2> parts = {asio::buffer(responseHead_), asio::buffer(responseBody_)};
   error_code error;
   const std::size_t sent = network::writeSome(socket_, parts, error);
   if (!error) return onWritten();
   if (!network::isTransient(error)) {
-    // Not from within the caller, who may be in the middle of something of this session's.
+    // Closed from the event loop, since the caller may still be using this session.
     asio::post(io_, [self = shared_from_this()] { self->close(); });
     return;
   }
@@ -89,7 +89,7 @@
       });
     }
   };
-  // Not from within the caller, who goes on with what it has read of the answer.
+  // Written from the event loop, since the caller is still processing what it has read of the answer.
   asio::post(io_, [self = shared_from_this()] {
     if (self->responsePipe_ && !self->waitsToWrite_) self->writeStreamed();
   });
@@ -100,9 +100,9 @@
     case StreamWriter::Step::Blocked:
       return waitToWriteStreamed();
     case StreamWriter::Step::Starved:
-      return deadline_.cancel();  // the upstream's side has its own
+      return deadline_.cancel();  // the upstream connection has its own timer
     case StreamWriter::Step::Failed: {
-      // The client must be able to tell, also where the end of the connection ends the answer.
+      // Resets the connection, so that the client detects the failure even if the close ends the answer.
       error_code ignored;
       socket_.set_option(asio::socket_base::linger(true, 0), ignored);
       return close();
@@ -142,8 +142,8 @@
   state_ = State::Idle;
   connectionLimiter_.beginIdle(slot_, now());
   if (isClientError_) return deadline_.set(Clock::now() + kErrorPause, [this] { resume(); });
-  // One request of a connection a turn of the loop: whoever sends many at once has to let the others have
-  // theirs.
+  // At most one request of a connection is handled per turn of the event loop, so that a client that
+  // pipelines many requests does not starve the other connections.
   if (buffer_.size() == 0) return waitForInput();
   asio::post(io_, [self = shared_from_this()] { self->resume(); });
 }
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -22,23 +22,24 @@
 using settings::bad;
 using settings::FormatError;
 
-// Descriptors of the process itself: its log, the loop's own, signals, what it listens on, discovery, files.
+// Descriptors that the process itself needs: log, event loop, signals, listening sockets, discovery, files.
 constexpr double kOwnSockets = 16;
-// And of the operators' console, where there is one.
+// Descriptors that the operators' console needs, if it is configured.
 constexpr double kConsoleSockets = admin::AdminServer::kMaxConnections + 1;
 constexpr double kPoolShare = 0.9;
-// Part of the memory for bodies in transit. Strings that grow hold up to twice what is in them, and what each
-// pipe holds at the least, the program and its tables need the rest.
+// The fraction of the memory for bodies in transit. Growing strings hold up to twice their contents; the
+// minimum of each pipe, the program and its tables need the rest.
 constexpr double kRelayShare = 0.35;
 constexpr double kMostMemoryMb = 1e6;
 constexpr double kBytesPerMb = 1e6;
-// Connections that are held whatever the limit says: one of a client, one to an upstream.
+// Connections that are allowed whatever the limit is: one of a client and one to an upstream.
 constexpr double kFewestPoolSockets = 2;
-// While a process is replaced the old one and the new one share the limits, so each keeps to half of them.
+// While a process is replaced, the old one and the new one share the limits, so each uses half of them.
 constexpr int kSharersWhileReplaced = 2;
 constexpr int kSeedBase = 16;
 
-// Values are parts of a line of name=value pairs, where a space would end them and a comma part them.
+// Values become part of a line of name=value pairs, in which a space ends a value and a comma separates
+// items.
 std::string sanitized(std::string text) {
   std::replace_if(
       text.begin(), text.end(), [](char c) { return c == ' ' || c == ',' || c == '\n'; }, '_');
@@ -49,8 +50,8 @@
   return value.is_string() ? sanitized(value.get<std::string>()) : value.dump();
 }
 
-// The form of the simulator's first message: nested names joined by dots, a list of plain values by commas, a
-// list of objects by its count and the number of each.
+// Writes JSON in the format of the simulator's first message: nested names are joined by dots and lists of
+// plain values by commas; a list of objects is written as its count, and each object under its index.
 void flatten(const json& value, const std::string& path, std::string& line) {
   const std::string below = path.empty() ? path : path + ".";
   if (value.is_object()) {
@@ -75,7 +76,7 @@
   }
 }
 
-// What the platform remembers of the last list is a help at the start, and no reason not to start.
+// The last endpoint list is optional: an error in it leaves a remark and does not prevent the start.
 std::optional<discovery::EndpointList> toKnown(const json& object, std::vector<std::string>& remarks) {
   try {
     return discovery::toEndpointList(object);
@@ -85,7 +86,8 @@
   }
 }
 
-// Likewise: what [peers] of the operator's file needs it says itself where this is missing.
+// The platform's peers are optional too: an error leaves a remark. If [peers] of the operator's file needs
+// them, that section reports the error.
 void readPeers(const json& file, Config& config) {
   const auto address = [](const json& text) {
     const auto read = gossip::parseAddress(text.get<std::string>());
@@ -110,15 +112,15 @@
   return seed;
 }
 
-// The file can be replaced while the program runs and the environment can't, so the file goes first.
+// The file can be replaced while the program runs and the environment can't, so the file takes precedence.
 std::string textOf(const json& file, const char* key, const char* variable) {
   const char* const value = std::getenv(variable);
   if (!file.contains(key) && value != nullptr && *value != '\0') return value;
   return file.at(key).get<std::string>();
 }
 
-// The number that GW_FD gives, if it is a listening socket at this address. Else one line says what is wrong,
-// and the process listens by itself, as without it.
+// The descriptor in GW_FD, if it is a socket that listens on this address. Otherwise adds a remark with the
+// reason, and the process opens its own listening socket, as it does without GW_FD.
 std::optional<int> toListener(const Endpoint& listen, std::vector<std::string>& remarks) {
   const char* const text = std::getenv("GW_FD");
   if (text == nullptr || *text == '\0') return std::nullopt;
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The deadlines of many connections behind one timer of the event loop.
+/// Multiplexes the deadlines of many connections onto one timer of the event loop.
 #ifndef IVYPOST_DEADLINES_H_
 #define IVYPOST_DEADLINES_H_
 
@@ -15,20 +15,21 @@
 
 namespace ivypost {
 
-/// All deadlines of one side of the data plane. Most are moved or dropped before they pass, and later than
-/// the earliest one, so that the kernel's timer is hardly ever set: a timer a connection cost two system
-/// calls a request. Shared by its deadlines. Not thread-safe: all calls are made on the loop.
+/// The deadlines of all connections to clients, or of all connections to upstreams. Most deadlines are moved
+/// or cancelled before they expire and are later than the earliest one, so the kernel's timer is rarely set;
+/// one timer per connection would cost two system calls per request. Shared by its deadlines. Not
+/// thread-safe: all calls are made on the event loop.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
-  /// Has no deadline yet. `io` must outlive it.
+  /// Creates an empty set of deadlines. `io` must outlive it.
   explicit Deadlines(boost::asio::io_context& io) : timer_(io) {}
   Deadlines(const Deadlines&) = delete;
   Deadlines& operator=(const Deadlines&) = delete;
 
-  /// No more callbacks: whoever they would call is about to go. Final.
+  /// Makes no more callbacks, since their owners are about to be destroyed. Final.
   void stop() noexcept { stopped_ = true; }
 
-  /// One deadline. Dropped when it is destroyed.
+  /// One deadline. Cancelled when it is destroyed.
   class Deadline {
    public:
     /// Not set yet.
@@ -37,14 +38,14 @@
     Deadline& operator=(const Deadline&) = delete;
     ~Deadline() { cancel(); }
 
-    /// Calls back from the loop at this time or soon after, once; in place of what was set before. The
-    /// callback may set it anew, and may destroy it.
+    /// Calls `passed` once from the event loop, at this time or soon after. Replaces what was set before. The
+    /// callback may set the deadline again, and may destroy it.
     void set(Clock::time_point at, std::function<void()> passed) {
       passed_ = std::move(passed);
       if (node_.empty() && !set_) {
         position_ = all_->set_.emplace(at, this);
       } else {
-        // Without allocating: its position in the tree is moved.
+        // Reuses the tree node, so that nothing is allocated.
         if (set_) node_ = all_->set_.extract(position_);
         node_.key() = at;
         position_ = all_->set_.insert(std::move(node_));
@@ -52,7 +53,7 @@
       set_ = true;
       all_->arm();
     }
-    /// Drops it; the callback is not made. Does nothing if it is not set.
+    /// Cancels the deadline; the callback is not made. Does nothing if it is not set.
     void cancel() {
       if (std::exchange(set_, false)) node_ = all_->set_.extract(position_);
     }
@@ -62,7 +63,7 @@
     const std::shared_ptr<Deadlines> all_;
     std::function<void()> passed_;
     std::multimap<Clock::time_point, Deadline*>::iterator position_;
-    std::multimap<Clock::time_point, Deadline*>::node_type node_;  // while it is not set
+    std::multimap<Clock::time_point, Deadline*>::node_type node_;  // the spare tree node while it is not set
     bool set_ = false;
   };
 
@@ -79,7 +80,8 @@
 
   void pass() {
     armedFor_ = Clock::time_point::max();
-    // Those that are due now; what a callback sets waits for the next turn of the loop.
+    // Runs only the deadlines that are due at `now`; one that a callback sets later than that waits for a
+    // further turn of the event loop.
     const auto now = Clock::now();
     while (!stopped_ && !set_.empty() && set_.begin()->first <= now) {
       Deadline& first = *set_.begin()->second;
--- a/src/sidecar/etcd_source.h
+++ b/src/sidecar/etcd_source.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The one place where the two programs differ: ivypost is built without etcd, ivypost-etcd with it.
+// The only difference between the two programs: ivypost is built without etcd, ivypost-etcd with it.
 #ifndef IVYPOST_ETCD_SOURCE_FACTORY_H_
 #define IVYPOST_ETCD_SOURCE_FACTORY_H_
 
@@ -8,7 +8,7 @@
 
 namespace ivypost {
 
-// Empty in ivypost.
+/// The factory of the etcd discovery source; empty in ivypost.
 Sidecar::MakeEtcd etcdSource();
 
 }  // namespace ivypost
--- a/src/sidecar/framing.h
+++ b/src/sidecar/framing.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Whether a message's end can be read in one way only, and how large it may be.
+/// Unambiguous message framing, and the size limits of messages.
 #ifndef IVYPOST_FRAMING_H_
 #define IVYPOST_FRAMING_H_
 
@@ -12,23 +12,24 @@
 
 namespace ivypost {
 
-/// Bytes. Bodies up to this are read whole before they go on; larger ones are relayed in pieces.
+/// Bytes. Bodies up to this size are always read completely before they are forwarded; a larger answer is
+/// streamed, a larger request body is streamed if the memory budget does not allow buffering it.
 constexpr std::size_t kMaxWhole = 64UL * 1024;
-/// Bytes of a body, by the platform's protocol; of requests and answers alike.
+/// The largest body in bytes that the platform's protocol allows, of requests and answers.
 constexpr std::size_t kMaxBody = 32UL * 1024 * 1024;
-/// Bytes of the start line and headers, by our own choice; of requests and answers alike.
+/// The largest start line with headers in bytes, of requests and answers. This limit is the sidecar's own.
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 
-/// The same bytes as the standard library has them.
+/// Converts a Boost string view to the standard library's; refers to the same bytes.
 [[nodiscard]] inline std::string_view view(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
-/// Whether a head states the length of its body in one way at the most: one Content-Length with one number,
-/// or `Transfer-Encoding: chunked` alone (RFC 9112, 6.1 and 6.3).
+/// Whether a head has no framing header, one Content-Length with one number, or `Transfer-Encoding: chunked`
+/// alone (RFC 9112, 6.1 and 6.3).
 ///
-/// Guards against requests hidden in others and lengths that can be read in two ways: Boost.Beast 1.74 takes
-/// equal lengths more than once, and any coding but chunked in front of a length.
+/// Protects against request smuggling and ambiguous lengths: Boost.Beast 1.74 accepts repeated equal lengths,
+/// and any coding other than chunked together with a length.
 [[nodiscard]] inline bool plainFraming(const boost::beast::http::fields& fields) {
   using boost::beast::http::field;
   const auto lengths = fields.count(field::content_length);
--- a/src/sidecar/listener.cpp
+++ b/src/sidecar/listener.cpp
@@ -16,12 +16,13 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// When the kernel has no descriptor for a new connection, accepting waits this long; and when so many
-// connections in a row ended while they stood in its queue.
+// Accepting pauses for this time when the system has no descriptor or memory for a new connection, and after
+// kMaxFailuresInARow consecutive failures, as of connections that ended in the kernel's queue.
 constexpr milliseconds kAcceptPause{10};
 constexpr int kMaxFailuresInARow = 16;
 
-// accept() failed since the system is short of something, not since the connection had ended already.
+// Whether accept() failed because the system lacks resources, and not because the connection had already
+// ended.
 bool isSystemShortage(const error_code& error) {
   return error == asio::error::no_descriptors ||
          error == boost::system::errc::too_many_files_open_in_system || network::isShortage(error);
@@ -46,8 +47,8 @@
     acceptor_.listen();
   }
   acceptor_.non_blocking(true);
-  // Asio would pass over a connection that ended in the queue and wait for the next one to come, while others
-  // stand there already.
+  // Without this, Asio skips a connection that ended in the queue and waits for a new one, although others
+  // are already in the queue.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
@@ -58,8 +59,8 @@
 
 void Listener::stop() {
   isStarted_ = false;
-  // Whatever stands in the queue counts as taken, unless another process reads it too.
-  // One that has ended there, or the want of a descriptor, says nothing of those behind.
+  // The connections in the queue are served, unless another process accepts from it too. A connection that
+  // has ended there, or a lack of descriptors, does not mean that the queue is empty.
   for (int failures = 0; !isInherited_ && failures < kMaxFailuresInARow;) {
     error_code error;
     tcp::socket socket(io_);
@@ -69,7 +70,7 @@
     if (isSystemShortage(error)) callbacks_.evictConnection();
     if (!error) callbacks_.onAccepted(std::move(socket));
   }
-  // Closed, and never shut down: an inherited one stays open for the other process.
+  // The socket is closed but never shut down: an inherited one stays open for the other process.
   error_code ignored;
   acceptor_.close(ignored);
   waitsForCapacity_ = false;
@@ -92,13 +93,13 @@
 
 void Listener::onAccept(const error_code& error, tcp::socket socket) {
   isAccepting_ = false;
-  // What was accepted counts as taken, also when the acceptor has been closed since.
+  // An accepted connection is served even if the acceptor has been closed since.
   if (!error) callbacks_.onAccepted(std::move(socket));
   if (!acceptor_.is_open()) return;
   failuresInARow_ = error ? failuresInARow_ + 1 : 0;
   const bool isShort = isSystemShortage(error);
   if (!isShort && failuresInARow_ < kMaxFailuresInARow) return accept();
-  // Guards against a loop that spins when descriptors have run out.
+  // Without a pause the loop would spin when descriptors have run out.
   if (isShort) callbacks_.evictConnection();
   failuresInARow_ = 0;
   timer_.expires_after(kAcceptPause);
--- a/src/sidecar/listener.h
+++ b/src/sidecar/listener.h
@@ -13,38 +13,39 @@
 
 namespace ivypost {
 
-/// Accepts client connections on the listening socket, one after the other, while the connection limit and
-/// the system allow it. Pauses otherwise: connections wait in the kernel's queue then.
+/// Accepts client connections on the listening socket, one at a time, while the connection limit and the
+/// system's resources allow it. Pauses otherwise; connections then wait in the kernel's accept queue.
 class Listener {
  public:
-  /// What the listener asks of its owner, from within the event loop.
+  /// Callbacks to the owner, made from the event loop.
   struct Callbacks {
     /// Closes one client connection that may be evicted; false if there is none.
     std::function<bool()> evictConnection;
-    /// Takes an accepted connection over. It counts as taken, also where the listener was stopped meanwhile.
+    /// Takes ownership of an accepted connection. Also called for a connection whose accept completes after
+    /// stop().
     std::function<void(boost::asio::ip::tcp::socket)> onAccepted;
   };
 
-  /// Listens on the configuration's address, or takes its inherited socket over; accepts from start() on.
-  /// Throws boost::system::system_error when it cannot listen. `io` and `limiter` have to outlive it.
+  /// Listens on the configured address, or uses the inherited listening socket; accepts from start() on.
+  /// Throws boost::system::system_error if it cannot listen. `io` and `limiter` must outlive it.
   Listener(boost::asio::io_context& io, const Config& config, const admission::ConnectionLimiter& limiter,
            Callbacks callbacks);
 
-  /// Accepts from now on. Does nothing after stop().
+  /// Starts accepting. Does nothing after stop().
   void start();
-  /// Accepts what stands in the kernel's queue, unless another process accepts from it too, and closes the
-  /// socket.
+  /// Accepts the connections in the kernel's queue, unless another process accepts from it too, and closes
+  /// the socket.
   void stop();
-  /// A client connection was closed: a listener that waits for that goes on.
+  /// A client connection was closed: resumes accepting if the listener waits for that.
   void onCapacity();
 
-  /// The port that it listens on. Throws boost::system::system_error after stop().
+  /// The listening port. Throws boost::system::system_error after stop().
   [[nodiscard]] std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
  private:
   void accept();
   void onAccept(const boost::system::error_code& error, boost::asio::ip::tcp::socket socket);
-  // Until a connection closes, or one may be evicted by the time that it has been silent or idle.
+  // Pauses until a connection closes, or one has been silent or idle for long enough to be evicted.
   void waitForEviction();
   void waitForCapacity();
 
@@ -55,7 +56,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer timer_;
   bool isStarted_ = false;
-  bool isAccepting_ = false;  // the next connection is waited for
+  bool isAccepting_ = false;  // an asynchronous accept is pending
   bool waitsForCapacity_ = false;
   int failuresInARow_ = 0;
 };
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Starts the sidecar, reads its configuration and the operator's file anew at SIGHUP, and ends it at SIGTERM
-// or SIGINT.
+// Starts the sidecar, reloads its configuration and the operator's file on SIGHUP, and stops it on SIGTERM or
+// SIGINT.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -23,7 +23,7 @@
 
 namespace {
 
-// Blocks of this size and more go back to the system when they are freed.
+// Bytes. The C library returns blocks of at least this size to the system when they are freed.
 constexpr int kLargeBlock = 128 * 1024;
 
 ivypost::configuration::OperatorFile readFile(const std::string& path) {
@@ -31,12 +31,12 @@
                       : ivypost::configuration::readOperatorFile(path);
 }
 
-// The configuration is read again so often and so long after one that could not be: whoever sends SIGHUP may
-// still be writing the file, and what it says counts 4 s after the signal.
+// A configuration that can't be read is retried at this interval, with this many attempts in all: the file
+// may still be being written when SIGHUP arrives, and must take effect within 4 s of the signal.
 constexpr std::chrono::milliseconds kAgain{100};
 constexpr int kTries = 20;
 
-// Guards against a file that is half written or wrong: what the sidecar has stays.
+// Reloads the configuration; while the file is incomplete or invalid, the sidecar keeps its current one.
 class Reload {
  public:
   Reload(boost::asio::io_context& io, ivypost::Sidecar& sidecar, std::string path)
@@ -75,10 +75,11 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11's own set-up may throw, and then ends the program.
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  // One that comes before it is waited for tells nothing: the file is read after that anyway.
+  // A SIGHUP that arrives before the signal handler is set can be ignored: the file is read after that
+  // anyway.
   std::signal(SIGHUP, SIG_IGN);
-  // Large bodies come and go. Left to itself the C library keeps what they held for the next ones, in pieces
-  // that fit none of them, and the process grows over its limit.
+  // By default the C library keeps the freed memory of large bodies, fragmented into blocks that fit no
+  // further body, and the process grows over its memory limit.
   mallopt(M_MMAP_THRESHOLD, kLargeBlock);
   mallopt(M_TRIM_THRESHOLD, kLargeBlock);
   CLI::App app("A sidecar that passes an application's requests to booking nodes. Configured by GW_CONFIG.");
--- a/src/sidecar/request_parser.cpp
+++ b/src/sidecar/request_parser.cpp
@@ -15,13 +15,14 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-// What this protocol and HTTP itself stand on: naming one of these in Connection would have it dropped on the
-// way.
+// End-to-end headers that the platform's protocol and HTTP itself need: one that Connection names would be
+// removed before forwarding, so such a request is rejected.
 constexpr std::array<const char*, 10> kEndToEnd = {
     "Host",         "Content-Length",  "X-Trace-Id",   "X-Qos",      "X-Customer", "Idempotency-Key",
     "Content-Type", "X-Expires-In-Ms", "X-Second-Try", "X-Size-Hint"};
 
-// That speak of the client's connection, not of its request. Expect is answered here.
+// Headers that apply to the client's connection and not to its request; and Expect, which the sidecar
+// answers.
 constexpr std::array<http::field, 8> kHopByHop = {
     http::field::connection, http::field::keep_alive, http::field::proxy_connection,
     http::field::te,         http::field::trailer,    http::field::transfer_encoding,
@@ -35,7 +36,8 @@
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
 }
 
-// RFC 3986, 2: unreserved, sub-delims, whole percent-encodings, and what `more` allows.
+// Whether the text holds only characters of RFC 3986, 2 (unreserved, sub-delims, complete percent-encodings)
+// and those in `more`.
 bool inUri(std::string_view text, std::string_view more) {
   constexpr std::string_view kOthers = "-._~!$&'()*+,;=";
   for (std::size_t n = 0; n < text.size(); ++n) {
@@ -51,7 +53,7 @@
   return true;
 }
 
-// RFC 9110, 7.2, and RFC 3986, 3.2: uri-host [ ":" port ], without user information. May be empty.
+// RFC 9110, 7.2, and RFC 3986, 3.2: uri-host [ ":" port ], without user information. An empty text is valid.
 bool isAuthority(std::string_view text) {
   std::string_view port;
   std::string_view host = text;
@@ -108,7 +110,8 @@
   if (codings > 0) {
     if (head.version() < 11) return SyntaxError{400, "a transfer coding in HTTP/1.0"};
     if (codings == 1 && head.count(http::field::content_length) == 0) {
-      // Another coding that ends with chunked has an end, and is merely not understood (RFC 9112, 6.1).
+      // Several codings of which the last is chunked delimit the body, and are merely unsupported (RFC 9112,
+      // 6.1).
       const std::string_view coding = view(head[http::field::transfer_encoding]);
       const std::size_t comma = coding.rfind(',');
       if (comma != std::string_view::npos && coding.find("chunked") > comma) {
--- a/src/sidecar/request_validator.cpp
+++ b/src/sidecar/request_validator.cpp
@@ -15,9 +15,9 @@
 using balancer::Semantics;
 using std::chrono::milliseconds;
 
-// The longest time that a client may ask for, so that sums of times stay far from overflow.
+// The longest time that a client may state, so that sums of times can't overflow.
 constexpr std::int64_t kMaxExpiresInMs = 3'600'000;
-// X-Trace-Id is a 64-bit number, written out.
+// X-Trace-Id is a 64-bit number with all its hexadecimal digits.
 constexpr std::size_t kTraceIdDigits = 16;
 constexpr int kHexadecimal = 16;
 
@@ -35,7 +35,7 @@
   return std::string_view(found->value().data(), found->value().size());
 }
 
-// Headers that are read here, and must not say one thing here and another further on.
+// Whether a header that the sidecar evaluates occurs more than once: the upstream might take another value.
 bool repeatsAHeader(const RequestHead& head) {
   for (const char* name : {"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In-Ms", "Idempotency-Key",
                            "X-Size-Hint", "X-Second-Try"}) {
--- a/src/sidecar/request_validator.h
+++ b/src/sidecar/request_validator.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Checks the head of a client's request against the platform's settings. A function of the message, the
-// settings and the time: no I/O, no clock of its own, nothing kept.
+// Checks the head of a client's request against the platform's settings. A pure function of the message, the
+// settings and the time: no I/O, no clock and no state.
 #ifndef IVYPOST_REQUEST_VALIDATOR_H_
 #define IVYPOST_REQUEST_VALIDATOR_H_
 
@@ -19,47 +19,48 @@
 
 namespace ivypost {
 
-/// Why a request is not taken.
+/// Why a request is rejected.
 struct RequestError {
-  /// The HTTP status of the answer. 503 promises that trying again is harmless, and gets Retry-After.
+  /// The HTTP status of the answer. 503 states that the request has not run, so that a retry is safe; it gets
+  /// Retry-After.
   unsigned status = 400;
   /// One line for the client, without a line end; static text.
   std::string_view reason;
 };
 
-/// What the head of a request tells before its body has been read.
+/// What the head of a request states before its body has been read.
 struct RequestHint {
-  /// The number of its class.
+  /// The index of its class.
   std::uint32_t requestClass = 0;
-  /// Microseconds until its client gives up; negative when that has passed.
+  /// Microseconds until its client gives up; negative if that time has passed.
   Micros remaining = 0;
 };
 
-/// Reads and checks heads of requests. Stateless; the site has to outlive it.
+/// Parses and checks heads of requests. Stateless; the site must outlive it.
 class RequestValidator {
  public:
-  /// Whether no other request has this X-Trace-Id.
+  /// Whether no open or recently closed request has this X-Trace-Id.
   using IsTraceIdFree = std::function<bool(std::uint64_t)>;
 
-  /// `site`: the platform's settings; referred to, not copied.
+  /// `site`: the platform's settings; held by reference.
   explicit RequestValidator(const settings::Site& site) : site_(site) {}
 
-  /// What a head in origin-form reads as, or the first error that it has. The request's id and message are
-  /// left to the caller. `unread`: time since the request's last byte came; `time`: now.
+  /// Parses a head whose target is in origin-form; returns its first error if it has one. The caller sets the
+  /// request's id and message. `unread`: the time since the request's last byte was received; `time`: now.
   [[nodiscard]] std::variant<ClientRequest, RequestError> validate(const RequestHead& head,
                                                                    std::chrono::milliseconds unread,
                                                                    Clock::time_point time,
                                                                    const IsTraceIdFree& isTraceIdFree) const;
 
-  /// Class and remaining time as far as the head tells them without an error in either; none: only validate()
-  /// can say what is wrong.
+  /// The class and the remaining time, if the head states both without an error; otherwise none, and
+  /// validate() reports the error.
   [[nodiscard]] std::optional<RequestHint> hintOf(const RequestHead& head,
                                                   std::chrono::milliseconds unread) const;
 
  private:
   using Error = std::optional<RequestError>;
 
-  // `firstSegment`: of the path; none if the path has none or is no path.
+  // `firstSegment`: the path's first segment; none if it has no segment or the target is not a path.
   Error readClass(const RequestHead& head, std::optional<std::string_view> firstSegment,
                   ClientRequest& request) const;
   Error checkMethod(const RequestHead& head, std::uint32_t requestClass) const;
--- a/src/sidecar/response_writer.cpp
+++ b/src/sidecar/response_writer.cpp
@@ -13,7 +13,7 @@
 
 namespace http = boost::beast::http;
 
-// The first version of HTTP with chunks, as Boost.Beast writes versions.
+// HTTP/1.1, the first version with chunked bodies, in Boost.Beast's notation.
 constexpr unsigned kHttp11 = 11;
 constexpr double kMicrosPerSecond = 1e6;
 
--- a/src/sidecar/response_writer.h
+++ b/src/sidecar/response_writer.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The answer to a client, and its text on the wire: status line, headers, Retry-After. No I/O.
+// The answer to a client and its text in HTTP: status line, headers, Retry-After. No I/O.
 #ifndef IVYPOST_RESPONSE_WRITER_H_
 #define IVYPOST_RESPONSE_WRITER_H_
 
@@ -20,34 +20,34 @@
 struct Answer {
   /// The HTTP status.
   unsigned status = 502;
-  /// The body, if it is here complete.
+  /// The body, if it is complete.
   std::string body;
   /// The value of Content-Type.
   std::string contentType = "text/plain";
-  /// Microseconds after which the client may come again; 0: no advice.
+  /// Microseconds after which the client may try again; 0: no advice.
   Micros retryAfter = 0;
-  /// The body if it comes in pieces, in place of `body`.
+  /// The body if it is streamed, in place of `body`; null otherwise.
   std::shared_ptr<streaming::Pipe> stream;
-  /// Bytes of the body that comes in pieces; none: unknown.
+  /// Bytes of the streamed body; none: unknown.
   std::optional<std::uint64_t> length;
 };
 
-/// A response up to its body, and what it says about how the body ends.
+/// The head of a response, and how the end of the body is marked.
 struct ResponseHead {
-  /// Status line and headers with the empty line behind them.
+  /// Status line and headers, with the empty line that ends them.
   std::string text;
-  /// The body follows in chunks (RFC 9112, 7.1).
+  /// The body is sent in chunks (RFC 9112, 7.1).
   bool isChunked = false;
-  /// The connection ends with the body.
+  /// The connection is closed after the body.
   bool closesConnection = false;
 };
 
-/// The head of an answer. `httpVersion`: of the request, as 10 or 11; a body of unknown length ends the
-/// connection of a client that knows no chunks. `closesConnection`: the connection is not kept after it.
+/// The head of an answer. `httpVersion`: of the request, 10 or 11; for HTTP/1.0, which has no chunks, a body
+/// of unknown length is ended by closing the connection. `closesConnection`: the connection is closed anyway.
 [[nodiscard]] ResponseHead formatResponseHead(const Answer& answer, unsigned httpVersion,
                                               bool closesConnection);
 
-/// All of an answer that is the last of its connection, when the process ends. It always states Retry-After.
+/// The complete text of the last answer on a connection when the process exits. Always has Retry-After.
 [[nodiscard]] std::string formatLastResponse(const Answer& answer);
 
 /// An answer of one line of text; a line end is added.
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -18,9 +18,9 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// While the server drains or stops, its connections are swept so often.
+// The interval between sweeps of the connections while the server drains or stops.
 constexpr milliseconds kSweepInterval{20};
-// Part of the pools' descriptors that clients' connections may hold.
+// The fraction of the pools' descriptors that client connections may hold.
 constexpr double kClientFraction = 0.6112;
 
 admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config,
@@ -58,13 +58,13 @@
 
 Server::~Server() {
   deadlines_->stop();
-  // Their handlers may be queued and come after this.
+  // Handlers of the sessions may be queued and run after this.
   for (const auto& [id, session] : sessions_) session->detach();
 }
 
 void Server::admit(tcp::socket socket) {
-  // Guards the core against those that gave up while they stood in the kernel's queue: nobody reads an
-  // answer.
+  // A client that closed while its connection was in the kernel's queue reads no answer, so no processor time
+  // is spent on it.
   if (admission::hasPeerClosed(socket.native_handle())) return;
   const auto slot = connectionLimiter_.insert(++lastConnection_, now());
   const auto session = std::make_shared<ClientSession>(
@@ -74,7 +74,7 @@
   session->start();
 }
 
-// Guards against clients that hold connections and don't use them.
+// Makes room for new connections when clients hold connections without using them.
 bool Server::evictConnection() {
   for (const auto connection : connectionLimiter_.evictionCandidates(now())) {
     const auto session = sessions_.at(connection);
@@ -148,7 +148,7 @@
 
 std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
   if (!admissionController_.rejectsBeforeBody()) return std::nullopt;
-  // Whatever is wrong with it gets its answer when it has been read.
+  // A request with an error gets its answer after it has been read completely.
   const auto hint = validator_.hintOf(head, unread);
   if (!hint || !admissionController_.isTooLate(hint->requestClass, hint->remaining)) return std::nullopt;
   return rejection("refused: too late");
@@ -210,7 +210,7 @@
   isSweeping_ = effects_.closesIdleConnections;
   if (!isSweeping_) return;
   const Micros time = now();
-  // A client whose request crosses this sends it once more on a new connection.
+  // A client whose request crosses the close retries it on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
     if (session->hasSettled(time) && session->mayCloseIdle()) {
@@ -228,7 +228,7 @@
 
 bool Server::closeFinally() {
   if (!effects_.mayExit) return false;
-  // One on which something has come by now is about to be read.
+  // A connection with unread input has a request that is about to be read.
   const bool allIdle =
       std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isQuiet(); });
   if (!allIdle && !effects_.mustExit) return false;
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -31,54 +31,55 @@
 
 namespace ivypost {
 
-/// The client side: accepts connections of the application, reads and validates its requests, and gives each
-/// exactly one answer.
+/// The client side: accepts connections from the application, reads and validates its requests, and gives
+/// each exactly one answer.
 ///
-/// Invariant: a request is open from openRequest() until it has its answer or its client has left; nothing
-/// but an open one is answered. Connections are bounded by the connection limiter, open requests by the
-/// platform's settings and by one a connection.
+/// Invariant: a request is open from openRequest() until it has its answer or its client has left; only an
+/// open request is answered. Connections are bounded by the connection limiter. Open requests are bounded by
+/// the platform's settings, and to one per connection.
 class Server : private ClientSessionHost {
  public:
-  /// What the server asks of its owner, from within the event loop.
+  /// Callbacks to the owner, made from the event loop.
   struct Callbacks {
-    /// Takes a request that passed all checks and was admitted.
+    /// Takes a request that was validated and admitted.
     std::function<void(ClientRequest)> onRequest;
-    /// Nobody waits for this request's answer any more: its client has left, or the deadline passed and the
-    /// server has answered.
+    /// The answer to this request is no longer needed: its client has left, or the server has answered since
+    /// the deadline passed or the process stops.
     std::function<void(balancer::RequestId)> onRequestEnded;
-    /// The body of GET /status/level, as JSON. Called only where the operator has switched it on.
+    /// The body of GET /status/level, as JSON. Called only if the operator has enabled that page.
     std::function<std::string()> levelStatus;
-    /// The body of GET /status/peers, likewise.
+    /// The body of GET /status/peers, as JSON. Called only if the operator has enabled that page.
     std::function<std::string()> peerStatus;
-    /// All requests are answered, or have to be left, and the lifecycle lets the process exit.
+    /// The lifecycle lets the process exit, and all requests are answered or the time for answers is over.
     std::function<void()> onEnded;
   };
 
-  /// Listens; accepts when the lifecycle's effects say so. Throws boost::system::system_error when it cannot
-  /// listen, and what AdmissionController throws. `budget` bounds the bodies in transit. `io`, `config` and
-  /// `budget` have to outlive it.
+  /// Listens, and accepts connections when the lifecycle's effects allow it. Throws
+  /// boost::system::system_error if it cannot listen, and what AdmissionController throws. `budget` bounds
+  /// the bodies in transit. `io`, `config` and `budget` must outlive it.
   Server(boost::asio::io_context& io, const Config& config, const configuration::OperatorFile& file,
          streaming::ByteBudget& budget, Callbacks callbacks);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
   ~Server();
 
-  /// Gives an open request its final answer. Otherwise drops the answer, and abandons a body that it streams.
+  /// Gives an open request its final answer. If the request is not open, drops the answer and abandons its
+  /// streamed body.
   void answer(balancer::RequestId id, Answer answer);
 
-  /// Whether nobody waits for this request's answer any more: it is not open, or its client has closed or
-  /// reset the connection or ended its sending, as the kernel knows it now (one system call). Such a
-  /// connection is closed soon after, from the event loop, which ends the request.
+  /// Whether the answer to this request is no longer needed: it is not open, or its client has closed,
+  /// half-closed or reset the connection according to the kernel (usually one system call). Such a connection
+  /// is closed soon after, from the event loop, which ends the request.
   [[nodiscard]] bool isClientGone(balancer::RequestId id);
 
-  /// Goes by what the lifecycle allows from now on.
+  /// Applies what the lifecycle allows from now on.
   void apply(const lifecycle::Effects& effects);
 
-  /// Goes by another operator's file; admissionController().validate() has to have passed it.
+  /// Applies another operator's file, which admissionController().validate() must have accepted.
   void apply(const configuration::OperatorFile& file);
   /// Decides on requests that have been read.
   [[nodiscard]] AdmissionController& admissionController() { return admissionController_; }
-  /// The same, to be read.
+  /// Read-only access to the admission controller.
   [[nodiscard]] const AdmissionController& admissionController() const { return admissionController_; }
   /// Decides on connections.
   [[nodiscard]] const admission::ConnectionLimiter& connectionLimiter() const { return connectionLimiter_; }
@@ -103,13 +104,13 @@
   void cancelRequest(balancer::RequestId id) override;
   void onClosed(admission::ConnectionLimiter::Slot slot) override;
 
-  // Closes what is idle while the server drains or stops, and tells its owner when nothing is left to answer.
+  // Closes idle connections while the server drains or stops, and calls onEnded() once the process may exit.
   void sweep();
-  // Gives all clients their last bytes and closes their connections, if the lifecycle lets the process exit
-  // and nothing has come that is not read. False if the process goes on.
+  // Sends all clients their last answers and closes their connections, if the lifecycle lets the process exit
+  // and either no connection is in use or it must exit. False if the process continues.
   bool closeFinally();
 
-  // What the sidecar answers without an endpoint: /ready and the status pages.
+  // The answer to a request that the sidecar serves without an endpoint: /ready and the status pages.
   [[nodiscard]] std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
   [[nodiscard]] bool isAtRequestLimit() const;
 
@@ -124,7 +125,7 @@
   AdmissionController admissionController_;
   Listener listener_;
   configuration::OperatorFile::Status statusSettings_;
-  lifecycle::Effects effects_;  // nothing yet
+  lifecycle::Effects effects_;  // default until the first apply()
   bool isSweeping_ = false;
   admission::ConnectionId lastConnection_ = 0;
   std::unordered_map<admission::ConnectionId, std::shared_ptr<ClientSession>> sessions_;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -23,13 +23,13 @@
   std::fprintf(stderr, "%s\n", line.c_str());
 }
 
-// By what other sidecars call it, and its present life.
+// The endpoint's identity as shared with other sidecars, and the start time of its present incarnation.
 health_reports::Incarnation incarnationOf(const EndpointRecord& endpoint) {
   return {settings::identity(endpoint.id),
           health_reports::WallTime(std::chrono::milliseconds(endpoint.startedAtMs))};
 }
 
-// None: the settings name no class.
+// The longest deadline of all classes; none: the settings have no class.
 std::optional<microseconds> longestDeadline(const balancer::Settings& settings) {
   std::optional<microseconds> longest;
   for (const auto& cls : settings.classes)
@@ -111,7 +111,7 @@
   if (!(file.peers == peersAs_)) {
     if (fleet_) {
       fleet_->leave();
-      // Guards against its handlers that are queued already: it goes behind them.
+      // Destroyed from the event loop, after its handlers that are already queued.
       asio::post(io_, [old = std::move(fleet_)] {});
     }
     peersAs_ = file.peers;
@@ -139,7 +139,7 @@
   event.requestClass = client.requestClass;
   event.tenant = client.tenant;
   event.key = client.key;
-  // Not what it had when it was read: it may have waited in the queue for the core since.
+  // Computed anew, since the request may have waited in the admission queue after it was read.
   event.expiresIn = std::max<Micros>(0, duration_cast<microseconds>(client.deadline - Clock::now()).count());
   event.work = client.work;
   event.isRetry = client.isRetry;
@@ -196,7 +196,8 @@
   executor_.forget(end.id.request);
 }
 
-// The answer is the client's from here on: whatever becomes of the rest, there is no other.
+// Once the answer has begun to stream to the client, no other answer can replace it, whatever happens to the
+// rest.
 void Sidecar::onBegan(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
   if (found == requests_.end() || found->second.isFinished) return begin.body->abandon();
@@ -225,7 +226,8 @@
     if (entry.state != balancer::EndpointState::Gone)
       pool_.setAddress(entry.upstream, endpoints_[entry.upstream].address);
   }
-  // It is followed all the same: what drains or is gone gets nothing new, whatever is left.
+  // A list without a serving endpoint is applied all the same: draining and removed endpoints get no new
+  // attempts.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
     return entry.state == balancer::EndpointState::Serving;
   });
@@ -242,8 +244,7 @@
   }
 }
 
-// ---- Operators
-// ------------------------------------------------------------------------------------------------
+// ---- Operators --------------------------------------------------------------------------------------------
 
 void Sidecar::onLifecycle(lifecycle::Event event) {
   const auto before = lifecycle_.state();
@@ -265,12 +266,11 @@
 void Sidecar::onExclusionsChanged(const std::vector<std::string>& endpoints) {
   discovery::EndpointList changed;
   changed.instances = endpoints_.received(endpoints);
-  changed.previousUntil = timePoint(now());  // the operators' call has come since
+  changed.previousUntil = timePoint(now());  // the previous list was current until the operators' call
   if (!changed.instances.empty()) onList(changed, MembershipUpdate::Kind::Changes);
 }
 
-// ---- Peers
-// ------------------------------------------------------------------------------------------------------
+// ---- Peers ------------------------------------------------------------------------------------------------
 
 std::unique_ptr<GossipHealthView> Sidecar::viewOf(const gossip::Options& options) {
   if (!options.on) return nullptr;
@@ -290,8 +290,7 @@
   return all;
 }
 
-// ---- Levels
-// ---------------------------------------------------------------------------------------------------
+// ---- Degradation levels -----------------------------------------------------------------------------------
 
 void Sidecar::onLevel(degradation::Level level) {
   const degradation::Restrictions restrictions = degradation::restrictionsAt(level);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// One sidecar: the wiring of its parts, and the only caller of the balancer.
+/// One sidecar: connects its components, and is the only caller of the balancer.
 #ifndef IVYPOST_SIDECAR_H_
 #define IVYPOST_SIDECAR_H_
 
@@ -29,41 +29,42 @@
 
 namespace ivypost {
 
-/// Turns what happens on the sockets into the module's events; ActionExecutor executes the module's actions.
-/// Listens from its construction on, and ends with its event loop. Not thread-safe: all calls are made on the
-/// loop.
+/// Converts what happens on the sockets into events of the decision module; ActionExecutor executes the
+/// module's actions. Listens from its construction on, and must outlive the run of its event loop. Not
+/// thread-safe: all calls are made on the event loop.
 class Sidecar {
  public:
-  /// As MembershipSelection::MakeEtcd.
+  /// The factory of the etcd discovery source; see MembershipSelection::MakeEtcd.
   using MakeEtcd = MembershipSelection::MakeEtcd;
 
-  /// `io` must outlive it. Throws settings::FormatError for an operator's file that does not fit the
+  /// `io` must outlive it. Throws settings::FormatError for an operator's file that does not match the
   /// configuration or this program, and what the server throws.
   explicit Sidecar(boost::asio::io_context& io, Config config, const configuration::OperatorFile& file = {},
                    MakeEtcd makeEtcd = {});
 
-  /// Applies what may change while it runs: where discovery is, and the operator's file. The rest waits for
-  /// the next start. Throws settings::FormatError, and then nothing has changed.
+  /// Applies what may change at run time: the address of discovery, and the operator's file. Other settings
+  /// take effect at the next start. Throws settings::FormatError, in which case nothing has changed.
   void reload(const Config& config, const configuration::OperatorFile& file);
 
-  /// SIGTERM: answers all that was taken, then calls back once. Ignored the second time.
+  /// Stops the sidecar, as on SIGTERM: answers the accepted requests, then calls `stopped` once. Further
+  /// calls are ignored.
   void stop(std::function<void()> stopped);
 
-  /// Where clients connect.
+  /// The port on which clients connect.
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
-  /// Normal while the operator has the levels off.
+  /// The degradation level; normal while the operator has degradation off.
   [[nodiscard]] degradation::Level level() const { return degradation_.level(); }
-  /// Starting, ready, draining or stopping.
+  /// The lifecycle state: starting, ready, draining or stopping.
   [[nodiscard]] lifecycle::State state() const { return lifecycle_.state(); }
-  /// None: there is no console, or it could not be bound yet.
+  /// The port of the operators' console; none: there is no console, or its address could not be bound yet.
   [[nodiscard]] std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
-  /// Null: peers are off. Valid until the next reload().
+  /// The health view shared by gossip; null: peers are off. Valid until the next reload().
   [[nodiscard]] const GossipHealthView* fleet() const { return fleet_.get(); }
-  /// How old the endpoint list may be.
+  /// How long the endpoint list may have been out of date, and whether its source confirms it.
   [[nodiscard]] discovery::Freshness freshness() const { return membership_.freshness(); }
-  /// For tests: the endpoints' numbers, in use and free.
+  /// For tests: the size of the endpoint table, with used and free entries.
   [[nodiscard]] std::size_t upstreamNumbers() const { return endpoints_.size(); }
-  /// For tests: connections to endpoints that are not up yet.
+  /// For tests: connections to endpoints that have a request to send and are not established yet.
   [[nodiscard]] std::size_t comingUp() const { return pool_.comingUp(); }
 
  private:
@@ -84,7 +85,7 @@
   std::unique_ptr<GossipHealthView> viewOf(const gossip::Options& options);
   std::vector<GossipHealthView::Listed> listed() const;
 
-  // Gives the module one event and executes what it answers.
+  // Passes one event to the decision module and executes the actions that it returns.
   void handle(const balancer::Event& event);
 
   boost::asio::io_context& io_;
@@ -102,8 +103,8 @@
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
   std::function<void()> stopped_;
-  gossip::Options peersAs_;                  // as the operator has set them
-  std::unique_ptr<GossipHealthView> fleet_;  // none: off
+  gossip::Options peersAs_;                  // from the operator's file
+  std::unique_ptr<GossipHealthView> fleet_;  // null: gossip is off
   AdminHandler admin_;
 };
 
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -17,26 +17,25 @@
 
 namespace ivypost {
 
-/// Bytes of a body that are read at once while it streams.
+/// Bytes that one read takes of a body that is streamed.
 constexpr std::size_t kReadOfStream = 16UL * 1024;
 
-/// Writes a message whose body comes in pieces: the head, then what a pipe holds, in chunks (RFC 9112, 7.1)
-/// or as it is. Copies one piece at a time, so that its memory is bounded. Doesn't wait; the caller does,
+/// Writes a message with a streamed body: the head, then the contents of a pipe, in chunks (RFC 9112, 7.1) or
+/// unchanged. Copies one piece at a time, so that its memory is bounded. Does not block; the caller waits
 /// between steps.
 class StreamWriter {
  public:
-  /// What a step came to.
+  /// The result of a step.
   enum class Step {
-    Blocked,  ///< the socket takes no more now, or others are to have their turn: again when it can be
-              ///< written
-    Starved,  ///< the pipe is empty: again when it has more
-    Failed,   ///< the rest will not come; all that came before has been written
+    Blocked,  ///< the socket accepts no more now, or the limit per turn is reached: call again when writable
+    Starved,  ///< the pipe is empty: call again when it has data
+    Failed,   ///< the body will not be completed; all that was in the pipe has been written
     Broken,   ///< the connection is broken
-    Done,     ///< all of it has been written
+    Done,     ///< the complete message has been written
   };
 
-  /// Begins a message with this head; `chunked`: its body goes in chunks. What was left of another is
-  /// dropped.
+  /// Begins a message with this head; `chunked`: its body is sent in chunks. Discards what is left of a
+  /// previous message.
   void begin(std::string head, bool chunked) {
     text_ = std::move(head);
     at_ = 0;
@@ -44,7 +43,8 @@
     lastChunk_ = false;
   }
 
-  /// Writes as much as the socket takes and one turn of the event loop allows. The socket must not block.
+  /// Writes as much as the socket accepts and one turn of the event loop allows. The socket must be
+  /// non-blocking.
   [[nodiscard]] Step step(boost::asio::ip::tcp::socket& socket, streaming::Pipe& pipe) {
     std::size_t inTurn = 0;
     for (;;) {
@@ -65,14 +65,15 @@
     }
   }
 
-  /// Calls `handler` back with an error code when a step that was Blocked may go on.
+  /// Calls `handler` with an error code when a step that returned Blocked can be repeated.
   template <class Handler>
   void wait(boost::asio::ip::tcp::socket& socket, Handler handler) {
     network::waitToRetry(socket, boost::asio::ip::tcp::socket::wait_write, blocked_, std::move(handler));
   }
 
  private:
-  // Copied out of the pipe at once, and written in one turn of the loop at the most.
+  // Bytes that are copied from the pipe at once, and bytes after which a step ends its turn of the event
+  // loop.
   static constexpr std::size_t kPiece = 16UL * 1024;
   static constexpr std::size_t kPerTurn = 256UL * 1024;
 
@@ -95,9 +96,9 @@
   }
 
   std::string text_;
-  std::size_t at_ = 0;  // what stands before has been written
+  std::size_t at_ = 0;  // bytes of text_ that have been written
   bool chunked_ = false, lastChunk_ = false;
-  boost::system::error_code blocked_;  // what ended the last write
+  boost::system::error_code blocked_;  // the result of the last write
 };
 
 }  // namespace ivypost
