--- a/tests/admission/admission_queue_test.cpp
+++ b/tests/admission/admission_queue_test.cpp
@@ -15,7 +15,8 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kFarDeadline = 1'000'000'000;
 
-// Class 1 has the highest priority, as reserva-sala may stand anywhere in the settings.
+// Class 1 has the highest priority: the order of classes in the settings does not imply their priority, as
+// for reserva-sala.
 const std::vector<double> kPriorityWeights = {2, 5, 1};
 
 QueuedRequest request(RequestId id, std::uint32_t requestClass, Micros arrived, bool beyond = false,
@@ -33,7 +34,7 @@
 
 TEST(AdmissionQueue, ForwardsInTheOrderOfArrivalWhileTheCoreKeepsUp) {
   AdmissionQueue queue({}, kPriorityWeights);
-  // Read in another order than they came in.
+  // Read in an order that differs from that of arrival.
   queue.push(request(1, 0, 30), 100);
   queue.push(request(2, 1, 20, true), 100);
   queue.push(request(3, 2, 10), 100);
@@ -54,8 +55,9 @@
   EXPECT_EQ(forwarded(queue, 5), (std::vector<RequestId>{4, 5, 3, 1, 2}));
 }
 
-// A queue that is never empty is overload: the last that came goes first, and what has waited for longer than
-// the target is rejected, in the lane of the highest priority for longer than the interval.
+// A queue that has not been empty for the interval is overloaded: the latest request is served first, and
+// requests that have waited longer than targetDelay are rejected; in the lane of the highest priority, those
+// that have waited longer than the interval.
 TEST(AdmissionQueue, IsOverloadedWhenItWasNotEmptyForTheInterval) {
   const AdmissionQueueSettings settings;
   AdmissionQueue queue(settings, kPriorityWeights);
@@ -67,7 +69,7 @@
   queue.push(request(4, 0, settings.interval - settings.targetDelay), settings.interval);
   EXPECT_EQ(queue.next(settings.interval)->id, 3u);  // rejected
   EXPECT_EQ(forwarded(queue, settings.interval), (std::vector<RequestId>{2, 1, 4}));
-  // It was empty: no overload any more.
+  // The queue was empty in between, which ends the overload.
   queue.push(request(5, 0, settings.interval), settings.interval + 1);
   EXPECT_FALSE(queue.isOverloaded(settings.interval + 1));
 }
@@ -109,10 +111,10 @@
     EXPECT_EQ(decision->outcome, Outcome::QueueFull);
     EXPECT_EQ(queue.size(), 4u);
   };
-  expect(5, 1, 2);  // beyond its quota, whatever its class
+  expect(5, 1, 2);  // request 2 is beyond its tenant's quota, which outweighs its class
   expect(6, 1, 3);
   expect(7, 1, 1);
-  expect(8, 2, 8);  // itself
+  expect(8, 2, 8);  // the pushed request itself
   EXPECT_EQ(queue.evict()->id, 4u);
   EXPECT_EQ(queue.size(), 3u);
 }
@@ -128,13 +130,13 @@
   ASSERT_TRUE(rejected);
   EXPECT_EQ(rejected->id, 5u);
   EXPECT_EQ(rejected->outcome, Outcome::TenantFull);
-  // Capacity again when one of them has gone.
+  // Withdrawing one of the tenant's requests frees capacity.
   EXPECT_TRUE(queue.withdraw(2));
   EXPECT_FALSE(queue.withdraw(2));
   EXPECT_FALSE(queue.push(request(6, 2, 1, false, 7), 0));
 }
 
-// A strict order would starve the lower priorities as long as there is enough of the higher ones.
+// With strict priority, a steady supply of requests of higher priority would starve the lower ones.
 TEST(AdmissionQueue, StarvesNoClass) {
   AdmissionQueue queue({}, kPriorityWeights);
   queue.setPriorityOrder(true);
@@ -159,8 +161,8 @@
   EXPECT_EQ(turns[2], 10);
 }
 
-// A quarter of what comes can be forwarded: the class of the highest priority hardly notices. Simulated
-// clock; a request a millisecond, a fifth of them of that class, four times what the core can do.
+// Overload by a factor of four must hardly affect the class of the highest priority. Simulated clock; one
+// request per millisecond, a fifth of them of that class; the core forwards a quarter.
 TEST(AdmissionQueue, FavoursTheHighestPriorityUnderOverload) {
   AdmissionQueue queue({}, kPriorityWeights);
   std::map<RequestId, std::uint32_t> classOf;
@@ -170,12 +172,12 @@
   std::map<RequestId, Micros> arrived;
   for (Micros now = 0; now < 10'000 * kMillisecond; now += kMillisecond) {
     const std::uint32_t requestClass =
-        id % 5 == 0 ? 1 : 0;  // 200 a second of the highest priority, 800 of another
+        id % 5 == 0 ? 1 : 0;  // 200 per second of the highest priority, 800 of another class
     classOf[++id] = requestClass;
     arrived[id] = now;
     ++came[requestClass];
     queue.push(request(id, requestClass, now, false, std::nullopt, now + 500 * kMillisecond), now);
-    if (now % (4 * kMillisecond) != 0) continue;  // 250 a second are forwarded
+    if (now % (4 * kMillisecond) != 0) continue;  // 250 per second are forwarded
     while (const auto decision = queue.next(now)) {
       if (decision->outcome != Outcome::Forward) continue;
       ++served[classOf[decision->id]];
@@ -188,7 +190,8 @@
   EXPECT_LE(waited, AdmissionQueueSettings{}.interval);
 }
 
-// Whatever comes: each request gets exactly one decision, the bounds hold, and nothing is left behind.
+// For random sequences of calls: each request gets exactly one decision or is withdrawn, the bounds hold, and
+// the queue ends empty.
 TEST(AdmissionQueueProperty, EachRequestGetsOneDecisionWhateverComes) {
   EXPECT_TRUE(rc::check("one decision each", [] {
     AdmissionQueueSettings settings;
--- a/tests/admission/connection_limit_io_test.cpp
+++ b/tests/admission/connection_limit_io_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The connection limit of a complete sidecar, over loopback sockets.
+// Tests the connection limit of a complete sidecar over loopback sockets.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -16,14 +16,14 @@
 
 class ConnectionLimitTest : public SidecarTest {
  protected:
-  // A connection that is there, with this written to it, before the loop runs again.
+  // Opens a connection and writes `bytes` to it, before the event loop runs again.
   tcp::socket connectAhead(const std::string& bytes) {
     tcp::socket socket(io);
     socket.connect({asio::ip::address_v4::loopback(), sidecar->port()});
     asio::write(socket, asio::buffer(bytes));
     return socket;
   }
-  // Whether a reset takes the place of the answer is up to the network; what counts is the node.
+  // Sends a request on a new connection and expects that it reaches the node and is answered.
   void serveOne(const std::string& trace) {
     const Client usual = client();
     Request request;
@@ -37,8 +37,9 @@
   }
 };
 
-// Incident r88fa20: clients that ask once, and then hold their connections without using them, take all
-// slots from the others for two seconds each. Now they get theirs one after the other.
+// Guards against incident r88fa20: clients that sent one request and then held their connections unused
+// occupied all slots, for two seconds each. With half the slots taken, the response now closes such a
+// connection.
 TEST_F(ConnectionLimitTest, ResponsesCloseUnusedConnectionsWhenHalfTheSlotsAreTaken) {
   start(1, kElevenConnections);
   std::vector<Client> holding;
@@ -52,7 +53,7 @@
   for (int n = 0; n < 5; ++n) EXPECT_FALSE(holding[static_cast<std::size_t>(n)].closed());
 }
 
-// A client that uses its connection again keeps it, while one that came for the first time does not.
+// A connection that its client reuses is kept alive, while a connection with its first request is not.
 TEST_F(ConnectionLimitTest, KeepsAConnectionThatIsUsedAgain) {
   start(1, kElevenConnections);
   std::vector<Client> holding;
@@ -70,8 +71,8 @@
   EXPECT_FALSE(first.answer(0).keep_alive());
 }
 
-// A connection that its client has left while it stood in the kernel's queue goes no further, complete
-// request or not: it would cost a node's work that nobody waits for.
+// A connection that its client closed in the kernel's accept queue is dropped, whether or not its request is
+// complete: no client waits for the work that the request would cause on a node.
 TEST_F(ConnectionLimitTest, DropsConnectionsThatClosedInTheAcceptQueue) {
   start(1);
   for (int n = 0; n < 20; ++n) connectAhead(Request().text()).close();
@@ -81,8 +82,8 @@
   EXPECT_EQ(arrived(), 1u);
 }
 
-// A sidecar that was paused finds requests whose time is up: they are rejected at once, and none reaches a
-// node. One with time left is served within what is left of it.
+// After a pause of the sidecar, requests whose time has expired unread are rejected at once and do not reach
+// a node. A request with time left is forwarded with its remaining time.
 TEST_F(ConnectionLimitTest, ARequestsTimeCountsWhileItIsUnread) {
   start(1);
   std::vector<tcp::socket> late;
@@ -92,7 +93,7 @@
     request.expiresInMs = 30;
     late.push_back(connectAhead(request.text()));
   }
-  // The kernel's clock is the one that counts here; nothing is awaited.
+  // The kernel measures how long data is unread, so real time has to pass; no event can be awaited instead.
   std::this_thread::sleep_for(std::chrono::milliseconds(120));
   serveOne("00000000000000b3");
   EXPECT_EQ(arrived(), 1u);
@@ -111,14 +112,14 @@
   EXPECT_LE(std::stoi(std::string(left.data(), left.size())), 9'900);
 }
 
-// When nearly all connections are active, further requests are rejected at once: they would wait in the
-// kernel's queue until their time is up.
+// When nearly all connections are active, further requests are rejected at once: otherwise they would wait in
+// the kernel's accept queue until their time expires.
 TEST_F(ConnectionLimitTest, RejectsAtOnceWhenNearlyAllConnectionsAreActive) {
   start(1, kElevenConnections);
   std::vector<Client> active;
   for (int n = 0; n < 9; ++n) {
     active.push_back(client());
-    // Its last byte is yet to come.
+    // The last byte is not sent, so the request stays incomplete and the connection active.
     const std::string text = Request().text();
     active.back().send(text.substr(0, text.size() - 1));
   }
@@ -133,8 +134,8 @@
   }
 }
 
-// Slots of clients that don't close their connections after the last response are free as soon as that is
-// acknowledged, not after the complete time of lingering.
+// When a client does not close its connection after the last response, its slot can be reused as soon as the
+// response is acknowledged, and not only after the full linger time.
 TEST_F(ConnectionLimitTest, EvictsClosingConnectionsOnceTheirResponsesAreAcknowledged) {
   start(1, kElevenConnections);
   std::vector<tcp::socket> staying;
@@ -144,7 +145,8 @@
     auto& socket = staying.back();
     ASSERT_TRUE(wait([&] { return socket.available() > 0; }));
   }
-  // Eleven at a time, 200 ms each, would take 2.6 s; a late acknowledgement takes 40 ms.
+  // With the full linger time, eleven connections per 200 ms would take 2.6 s; a delayed acknowledgement
+  // takes 40 ms.
   EXPECT_LT(Clock::now() - from, std::chrono::milliseconds(2300));
 }
 
--- a/tests/admission/connection_limiter_test.cpp
+++ b/tests/admission/connection_limiter_test.cpp
@@ -17,7 +17,7 @@
   return settings;
 }
 
-// A limiter with so many connections that are idle, accepted at time 0 and served once.
+// A limiter with `connections` idle connections, which were accepted at time 0 and have had one request.
 struct Filled {
   Filled(std::size_t maxConnections, std::size_t connections) : limiter(withMaxConnections(maxConnections)) {
     for (std::size_t n = 0; n < connections; ++n) {
@@ -74,7 +74,7 @@
   limiter.beginRequest(closing, 0);
   EXPECT_EQ(limiter.evictionCandidates(0), std::vector<ConnectionId>{});
   EXPECT_EQ(limiter.nextEvictionAt(0), ConnectionLimiter::kMaxWait);
-  EXPECT_EQ(limiter.nextEvictionAt(149'500), 150'500);  // the silent one's time is nearer than that
+  EXPECT_EQ(limiter.nextEvictionAt(149'500), 150'500);  // the silent one is due earlier than kMinWait allows
   limiter.beginClosing(closing, 60'000);
   EXPECT_EQ(limiter.evictionCandidates(60'000), std::vector<ConnectionId>{4});
   EXPECT_EQ(limiter.nextEvictionAt(60'000), 60'000 + ConnectionLimiter::kMinWait);
@@ -102,7 +102,8 @@
   EXPECT_TRUE(smallest.admitsRequests());
 }
 
-// Whatever connections do: the counts agree, and none that is active or not due is a candidate.
+// For random sequences of calls: the counts of the states agree with the total, and no connection that is
+// active or not due is an eviction candidate.
 TEST(ConnectionLimiterProperty, CountsAgreeAndCandidatesAreDueWhateverConnectionsDo) {
   EXPECT_TRUE(rc::check("counts agree and candidates are due", [] {
     const ConnectionLimiterSettings settings = withMaxConnections(8);
--- a/tests/admission/expiring_average_test.cpp
+++ b/tests/admission/expiring_average_test.cpp
@@ -8,7 +8,8 @@
 
 constexpr Micros kMillisecond = 1000;
 
-// An average because of which all is rejected must not last: nothing is measured any more.
+// Guards against a lock-in: if the average has all requests rejected, no new measurement corrects it, so it
+// must expire.
 TEST(ExpiringAverage, IsUnknownWhenNothingWasMeasuredLately) {
   ExpiringAverage average;
   EXPECT_EQ(average.value(0), 0);
--- a/tests/admission/metastable_overload_test.cpp
+++ b/tests/admission/metastable_overload_test.cpp
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A metastable overload on a simulated clock: a core that answers 1,000 requests a second, and clients that
-// send 700 a second and retry what is rejected or not answered in time, at once, up to three times. A short
-// fault fills the queue; from then on it is the retries that keep it full, unless the sidecar takes care what
-// it spends its core on (Bronson et al., "Metastable Failures in Distributed Systems", HotOS 2021).
+// Simulates a metastable overload: a core that answers 1,000 requests per second, and clients that send 700
+// per second and immediately retry rejected or timed-out requests up to three times. A short fault fills the
+// queue; after it, retries keep the queue full unless the sidecar limits what its core works on (Bronson et
+// al., "Metastable Failures in Distributed Systems", HotOS 2021).
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -20,11 +20,11 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kResponseCost = 1'000;  // of the core, for a request that is forwarded
-constexpr Micros kRejectionCost = 125;   // for a rejection: an eighth, as the admission controller counts it
-constexpr Micros kClientTimeout = 250'000;  // of a client for one attempt
+constexpr Micros kResponseCost = 1'000;  // processor time of a forwarded request
+constexpr Micros kRejectionCost = 125;  // processor time of a rejection: an eighth, as in AdmissionController
+constexpr Micros kClientTimeout = 250'000;  // the time that a client waits for one attempt
 constexpr int kMaxAttempts = 4;
-constexpr double kUsualRate = 700;  // first attempts a second
+constexpr double kUsualRate = 700;  // first attempts per second
 
 enum class Cause { Burst, Pause, Slow };
 enum class Order { InOrderOfArrival, Queued };
@@ -34,7 +34,8 @@
   Simulation(Order order, Cause cause)
       : order_(order), cause_(cause), queue_(AdmissionQueueSettings{}, {5, 2}) {}
 
-  // Runs until `end`; returns how many first attempts of each second were served in the end, by a deadline.
+  // Runs until `end`. Returns, for each second, how many of the requests first sent in it were finally served
+  // by the deadline of an attempt.
   std::vector<int> run(Micros end) {
     served_.assign(static_cast<std::size_t>(end / kSecond) + 1, 0);
     at(0, [this] { firstAttempt(); });
@@ -49,7 +50,7 @@
     return served_;
   }
 
-  static constexpr Micros kFrom = 3 * kSecond, kTo = 5 * kSecond;  // of the cause
+  static constexpr Micros kFrom = 3 * kSecond, kTo = 5 * kSecond;  // the period of the fault
 
  private:
   struct Attempt {
@@ -87,7 +88,7 @@
     serveNext();
   }
 
-  // Rejected, or timed out: the client retries at once.
+  // The attempt was rejected or has timed out: the client retries at once.
   void retry(RequestId id) {
     const auto found = open_.find(id);
     if (found == open_.end()) return;
@@ -107,7 +108,7 @@
     });
   }
 
-  // Whenever the core is free, the next one.
+  // Serves the next request if the core is free.
   void serveNext() {
     if (busyUntil_ > now_) return;
     if (order_ == Order::InOrderOfArrival) {
@@ -157,7 +158,8 @@
   for (std::size_t second = 10; second < 19; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
 }
 
-// Shows that it is one: in the order of arrival, the core works for clients that have timed out.
+// Shows that the simulated overload is metastable: when served in the order of arrival, the core works on
+// requests whose clients have timed out.
 TEST_P(MetastableOverloadTest, StaysWithoutTheQueue) {
   const auto served = Simulation(Order::InOrderOfArrival, GetParam()).run(20 * kSecond);
   for (std::size_t second = 1; second < 3; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
--- a/tests/admission/tcp_state_test.cpp
+++ b/tests/admission/tcp_state_test.cpp
@@ -26,7 +26,7 @@
   far.shutdown(tcp::socket::shutdown_send);
   near.wait(tcp::socket::wait_read);
   EXPECT_TRUE(admission::hasPeerClosed(near.native_handle()));
-  // Where the kernel gives an error, the caller changes nothing.
+  // On an error each function returns the value for which its caller takes no action.
   EXPECT_FALSE(admission::hasPeerClosed(-1));
   EXPECT_EQ(admission::timeSinceLastData(-1).count(), 0);
   EXPECT_FALSE(admission::isAllAcknowledged(-1));
--- a/tests/admission/tenant_quotas_test.cpp
+++ b/tests/admission/tenant_quotas_test.cpp
@@ -16,7 +16,7 @@
   double beyondQuota = 0;
 };
 
-// Two tenants that send so many a second each, evenly, from one time to another.
+// Two tenants send `first` and `second` requests per second, evenly, from `from` to `to`.
 std::array<Count, 2> simulate(TenantQuotas& quotas, Micros from, Micros to, double first, double second) {
   std::array<Count, 2> counts;
   std::array<double, 2> due{};
@@ -39,7 +39,8 @@
   EXPECT_EQ(quotas.beyondQuotaFraction(10 * kSecond), 0);
 }
 
-// A tenant at five times its traffic keeps its quota of all of it, and the other loses nothing.
+// A tenant that sends five times its usual traffic still gets its quota, and the other tenant loses no
+// request.
 TEST(TenantQuotas, AFloodingTenantKeepsItsQuota) {
   TenantQuotas quotas({0.79, 0.21});
   simulate(quotas, 0, 10 * kSecond, 79, 21);
@@ -49,7 +50,7 @@
   EXPECT_NEAR(within / (flood[0].requests + flood[1].requests), 0.21 * TenantQuotas::kTolerance, 0.02);
   EXPECT_NEAR(quotas.beyondQuotaFraction(30 * kSecond),
               flood[1].beyondQuota / (flood[0].requests + flood[1].requests), 0.03);
-  // And it is forgotten when it has stopped.
+  // Its excess traffic no longer counts after it has stopped.
   const auto after = simulate(quotas, 40 * kSecond, 50 * kSecond, 79, 21);
   EXPECT_EQ(after[0].beyondQuota + after[1].beyondQuota, 0);
 }
--- a/tests/admission/trace_ids_test.cpp
+++ b/tests/admission/trace_ids_test.cpp
@@ -39,10 +39,10 @@
   EXPECT_EQ(ids.size(), kOpen);
 }
 
-// Against a plain map of when each id's request ended.
+// Compares TraceIds with a plain map from each id to the time when its request was closed.
 RC_GTEST_PROP(TraceIds, AgreesWithAPlainMap, ()) {
   TraceIds ids;
-  std::map<std::uint64_t, Micros> ended;  // open: -1
+  std::map<std::uint64_t, Micros> ended;  // -1: the request is open
   Micros now = 0;
   for (const auto step : *rc::gen::container<std::vector<int>>(200, rc::gen::inRange(0, 12))) {
     const auto id = static_cast<std::uint64_t>(step % 4);
--- a/tests/deadlines_test.cpp
+++ b/tests/deadlines_test.cpp
@@ -15,7 +15,7 @@
 struct DeadlinesTest : testing::Test {
   void run() {
     io.restart();
-    io.run_for(std::chrono::seconds(10));  // ends when nothing is left to wait for
+    io.run_for(std::chrono::seconds(10));  // returns as soon as no work is left
   }
   boost::asio::io_context io;
   std::shared_ptr<Deadlines> all = std::make_shared<Deadlines>(io);
@@ -45,7 +45,8 @@
   EXPECT_EQ(passed, std::vector<int>{3});
 }
 
-// A callback sets its own deadline anew, drops another that is due too, and destroys itself.
+// A callback may set its own deadline again, cancel another deadline that is due, and destroy its own
+// deadline.
 TEST_F(DeadlinesTest, ACallbackMayDoAnything) {
   Deadline again(all), other(all);
   auto self = std::make_unique<Deadline>(all);
--- a/tests/http_conformance_test.cpp
+++ b/tests/http_conformance_test.cpp
@@ -1,7 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What clients may send, by section of RFC 9110 (HTTP semantics) and RFC 9112 (HTTP/1.1), as one table with
-// the answer that each is owed. What gets an error must not reach an upstream; what gets 200 reaches it once.
+// Valid and invalid requests by section of RFC 9110 (HTTP semantics) and RFC 9112 (HTTP/1.1), in one table
+// with the status of the answer. A request that gets an error must not reach an upstream; one that gets 200
+// reaches it once.
 #include <array>
 #include <cctype>
 #include <string>
@@ -13,7 +14,7 @@
 namespace ivypost {
 namespace {
 
-// A request for the unsafe class in three parts, so that a case can change one of them.
+// A request for the unsafe class in parts, so that a case can change one of them.
 struct Parts {
   std::string line = "POST /cambio/7 HTTP/1.1\r\n";
   std::string host = "Host: service.internal\r\n";
@@ -216,7 +217,7 @@
   EXPECT_EQ(from.answer(0).result_int(), one.status);
   ASSERT_EQ(arrived(), one.status == 200 ? 1u : 0u);
   if (one.status != 200) return;
-  // What reaches the upstream can be read in one way only.
+  // The request that reaches the upstream is unambiguous.
   const Message& got = upstreams[0]->requests[0].message;
   EXPECT_EQ(got.version(), 11u);
   EXPECT_EQ(got.count("Host"), 1u);
@@ -225,7 +226,7 @@
   EXPECT_EQ(got.count("Content-Length"), 1u);
   for (const char* gone : {"Connection", "Upgrade", "Expect", "Trailer"})
     EXPECT_EQ(got.count(gone), 0u) << gone;
-  // A folded line goes on as one, with a space in place of the fold (RFC 9112, 5.2).
+  // A folded field is forwarded as one line, with a space in place of the fold (RFC 9112, 5.2).
   EXPECT_EQ(got["X-Note"].find_first_of("\r\n"), beast::string_view::npos);
   EXPECT_NE(got["X-Note"], "late") << "a trailer became a header";
 }
@@ -240,8 +241,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Rfc, ConformanceTest, testing::Range<std::size_t>(0, cases().size()), nameOfCase);
 
-// RFC 9112, 3.2.2: the host of an absolute target stands above the Host field; 9110, 7.6.1: what Connection
-// names stays here.
+// RFC 9112, 3.2.2: the host of an absolute target takes precedence over the Host field. RFC 9110, 7.6.1:
+// headers that Connection names are not forwarded.
 TEST_F(SidecarTest, SendsOnInOriginForm) {
   start(1);
   upstreams[0]->onRequest = [](Peer::Exchange& e) { e.reply(200, "hecho"); };
@@ -254,7 +255,8 @@
   EXPECT_EQ(got.count("X-Hop"), 0u);
 }
 
-// RFC 9110, 10.1.1: a client that waits for 100 gets it, sends its body, and has one final answer.
+// RFC 9110, 10.1.1: a client that waits for 100 (Continue) gets it, sends its body, and gets one final
+// answer.
 TEST_F(SidecarTest, AsksForTheBodyThatAClientHoldsBack) {
   start(1);
   upstreams[0]->onRequest = [](Peer::Exchange& e) { e.reply(200, "hecho"); };
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Clients that leave while their request waits: it is not sent on any more.
+// Clients that leave while their request waits: the request must not be sent to an upstream any more.
 #include "moments.h"
 
 namespace ivypost {
@@ -15,7 +15,7 @@
   return file;
 }
 
-// A client's socket without a reader of its own.
+// A client's socket that reads only on request.
 class Visitor {
  public:
   Visitor(asio::io_context& io, std::uint16_t port) : socket_(io) {
@@ -23,7 +23,7 @@
   }
   void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
   bool sendsAhead(Leaves how) const { return how == Leaves::CloseAfterMuch || how == Leaves::ResetAfterMuch; }
-  // More than the sidecar reads ahead of an answer, and less than the kernel holds.
+  // Sends more than the sidecar reads ahead of an answer without budget, and less than the kernel buffers.
   void sendAhead(std::size_t size = 40'000) {
     std::string much;
     for (int n = 100; much.size() < size; ++n) {
@@ -34,7 +34,8 @@
     }
     send(much);
   }
-  // So much of a request's body, as far as this end's kernel holds it; all of it, unless it is larger.
+  // Sends the first `size` bytes of a request, or all of it if its body is not larger, as far as the send
+  // buffer of this end accepts them without blocking.
   void sendWithoutWaiting(std::size_t size, std::size_t body = 0) {
     socket_.set_option(asio::socket_base::send_buffer_size(static_cast<int>(size)));
     Request request;
@@ -45,7 +46,7 @@
     for (std::size_t at = 0; at < text.size() && !error;)
       at += socket_.write_some(asio::buffer(text) + at, error);
   }
-  // All that has come.
+  // All bytes that have been received.
   std::string got() {
     std::string text(socket_.available(), ' ');
     if (!text.empty()) asio::read(socket_, asio::buffer(text));
@@ -73,7 +74,7 @@
     return {{"settings", {{"limits", {{"mayCancel", mayCancel()}, {"connectTimeout", 60'000'000}}}}}};
   }
   void settle() { pollAll(io); }
-  // The list names this upstream alone.
+  // Publishes an endpoint list with this upstream only.
   void tell(const std::string& address) {
     json told = list(++generation, true);
     told["instances"].push_back({{"instanceId", "s-1"},
@@ -88,7 +89,8 @@
   }
 };
 
-// Behind a connection that is coming up. It comes up afterwards, and nothing is written to it.
+// The client leaves while the connection to the upstream is being established. When that succeeds later, the
+// request must not be written to it.
 TEST_P(LeavesTest, WhileAConnectionComesUp) {
   FullListener node(io);
   start(0, patched());
@@ -98,12 +100,12 @@
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
   if (visitor.sendsAhead(how())) {
     visitor.sendAhead();
-    settle();  // what may be read ahead of it has been
+    settle();  // the sidecar reads ahead as much as it may
   }
   visitor.leave(how());
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
-  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // not by its time-out
+  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
   node.letGo();
   const Client next = client();
   Request request;
@@ -113,8 +115,8 @@
   EXPECT_EQ(node.got().find(Request().trace), std::string::npos);
 }
 
-// Right before the first byte: the connection comes up and then the client leaves, both before the loop
-// looks. So the handler that would write runs ahead of the one that hears of the leaving.
+// The connection is established and then the client leaves, both before the event loop runs. So the handler
+// that would write the request runs before the one that detects the client's close.
 TEST_P(LeavesTest, AsItsConnectionHasComeUp) {
   FullListener node(io);
   start(0, patched());
@@ -126,7 +128,8 @@
     visitor.sendAhead();
     settle();
   }
-  // The connection's first packets were dropped for want of room; the kernel sends them anew after 1 s.
+  // The connection's first packets were dropped as the accept queue was full; the kernel retransmits them
+  // after 1 s.
   node.emptyTheQueue();
   standStill(milliseconds(1500));
   visitor.leave(how());
@@ -141,7 +144,8 @@
   EXPECT_EQ(node.got().find(Request().trace), std::string::npos);
 }
 
-// In the module, since its only upstream has as much as it may. The next client's request goes instead.
+// The request waits in the decision module, as its only upstream is at its concurrency limit. The next
+// client's request is sent instead.
 TEST_P(LeavesTest, WhileNobodyIsReady) {
   start(1, patched());
   const Client first = client();
@@ -156,9 +160,9 @@
     visitor.sendAhead();
     settle();
   }
-  ASSERT_EQ(arrived(), 1u);  // it waits
+  ASSERT_EQ(arrived(), 1u);  // the request waits
   visitor.leave(how());
-  // The sidecar closes its end when it has noticed.
+  // The sidecar detects the close and closes its end.
   settle();
   if (visitor.sendsAhead(how())) {
     const auto until = Clock::now() + milliseconds(300);
@@ -172,7 +176,8 @@
   EXPECT_EQ(upstreams[0]->requests[1].message["X-Trace-Id"], traceOf(2));
 }
 
-// While its upstream has taken a part of it: the last byte never goes out, so it never runs.
+// The client leaves when the upstream has received a part of the request: the last byte is never sent, so the
+// request never runs.
 TEST_P(LeavesTest, WhileItIsHalfWritten) {
   tcp::acceptor node(io, tcp::v4());
   node.set_option(asio::socket_base::receive_buffer_size(2048));
@@ -193,7 +198,7 @@
     settle();
   }
   visitor.leave(how());
-  // It reads on when the sidecar has had the time to notice.
+  // The upstream continues to read after the sidecar has had time to detect the close.
   const auto until = Clock::now() + milliseconds(300);
   ASSERT_TRUE(wait([&] { return Clock::now() >= until; }));
   std::string got;
@@ -211,8 +216,8 @@
   EXPECT_LT(got.size(), request.body.size());
 }
 
-// With a large body on its way that is held back, since its upstream does not take it: nothing of it goes out
-// later.
+// The client leaves during the upload of a large body under backpressure, since its upstream does not read:
+// nothing of the request is sent later.
 TEST_P(LeavesTest, WhileItsUploadIsHeldBack) {
   FullListener node(io);
   start(0, patched());
@@ -220,7 +225,7 @@
   Visitor visitor(io, sidecar->port());
   Request request;
   request.body.assign(3'000'000, 'b');
-  // More than is held for it, and no more than the kernel holds besides.
+  // More than the sidecar buffers for the request, and no more than the kernel can buffer in addition.
   visitor.send(request.text().substr(0, 160'000));
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
   settle();
@@ -237,8 +242,8 @@
 
 class MomentsTest : public SidecarTest {};
 
-// A client that has left before its request was read, since the loop stood still: it goes no further, though
-// the bytes are read before the end of the connection is.
+// A client leaves before its request is read, as the event loop is blocked: the request must not be
+// forwarded, although its bytes are read before the end of the connection.
 TEST_F(MomentsTest, ARequestThatStoodUnreadUntilItsClientLeftIsNotSent) {
   start(1);
   const Client usual = client();
@@ -253,10 +258,10 @@
     upstreams[0]->requests.back().reply(200, "");
     ASSERT_TRUE(wait([&] { return usual.answers() == answers + 1; }));
   };
-  serve(traceOf(1));  // and leaves an idle connection to the upstream
+  serve(traceOf(1));  // leaves an idle connection to the upstream open
   std::vector<std::unique_ptr<Visitor>> visitors;
   for (int n = 0; n < 50; ++n) visitors.push_back(std::make_unique<Visitor>(io, sidecar->port()));
-  serve(traceOf(2));  // they are in by then
+  serve(traceOf(2));  // the sidecar has accepted the connections by then
   for (std::size_t n = 0; n < visitors.size(); ++n) {
     request.trace = traceOf(100 + static_cast<int>(n));
     visitors[n]->send(request.text());
@@ -268,7 +273,8 @@
   EXPECT_EQ(arrived(), 4u);
 }
 
-// A burst of hundreds that leave while they wait: of their requests none is sent on afterwards.
+// Hundreds of clients leave at once while their requests wait: none of these requests is sent to an upstream
+// afterwards.
 TEST_F(MomentsTest, OfABurstOfLeaversNoneIsSentOn) {
   start(1, {{"limits", {{"sockets", 1024}}}});
   const Client first = client();
@@ -287,7 +293,7 @@
   }
   for (int n = 0; n < kMany; ++n)
     visitors[static_cast<std::size_t>(n)]->leave(n % 3 == 0 ? Leaves::Reset : Leaves::Close);
-  // A client that comes behind them is heard behind them.
+  // The sidecar serves this client after it has processed the events of the earlier ones.
   const Client last = client();
   last.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return last.answers() == 1; }));
@@ -305,8 +311,8 @@
   EXPECT_EQ(sentOn, 0u);
 }
 
-// A client that closes behind more than the kernel takes: the sidecar reads on while memory lasts, so that
-// the end of the stream can come.
+// A client sends more than the kernel buffers and then closes: the sidecar reads ahead within its memory
+// budget, so that it receives the end of the stream.
 TEST_F(MomentsTest, AClientThatClosesBehindAMegabyteIsSeenToLeave) {
   FullListener node(io);
   start(0, {{"settings", {{"limits", {{"connectTimeout", 60'000'000}}}}}});
@@ -327,11 +333,12 @@
   visitor.leave(Leaves::Close);
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
-  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // not by its time-out
+  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
 }
 
-// The same in the middle of a large body in pieces, of which its upstream has taken nothing: a connection
-// that comes up late, or a retry, would begin an attempt for nobody.
+// A client closes during the upload of a large streamed body of which the upstream has received nothing:
+// otherwise a connection that is established late, or a retry, would begin an attempt for a client that has
+// left.
 TEST_F(MomentsTest, AClientThatClosesBehindPartOfAnUploadIsSeenToLeave) {
   FullListener node(io);
   start(0, {{"settings", {{"limits", {{"connectTimeout", 60'000'000}}}}}});
@@ -350,10 +357,10 @@
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
   visitor.leave(Leaves::Close);
   pollAll(io);
-  node.letGo();  // the kernel sends the connection's first packet anew after a second or so
+  node.letGo();  // the kernel retransmits the connection's first packet after about a second
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
-  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // not by its time-out
+  EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
   const Client next = client();
   Request request;
   request.trace = traceOf(7);
@@ -362,7 +369,8 @@
   EXPECT_EQ(node.got().find(Request().trace), std::string::npos);
 }
 
-// Behind more than memory allows it can't be seen: such a request gets an answer, and is not sent late.
+// A close behind more unread bytes than the budget allows can't be detected: the request gets an error
+// answer, and is not sent to an upstream.
 TEST_F(ServerTest, WhoMayHaveLeftBehindUnreadBytesIsAnsweredAndNotSentOn) {
   budget.emplace(0);
   serve();
@@ -379,7 +387,7 @@
   EXPECT_EQ(over, std::vector{taken[0].id});
 }
 
-// The same client with as much as can be read is not suspected.
+// A client that sends ahead no more than can be read counts as connected.
 TEST_F(ServerTest, WhoSendsAheadWhatCanBeReadIsServed) {
   budget.emplace(0);
   serve();
@@ -393,7 +401,7 @@
 
 class AskedTest : public ServerTest, public testing::WithParamInterface<Leaves> {};
 
-// The server's word for it, before the loop has looked at the socket.
+// isClientGone() detects a client that has left before the event loop has handled the socket's event.
 TEST_P(AskedTest, WhoHasLeftIsKnownToBeGoneWhenAsked) {
   serve();
   Visitor visitor(io, server->port());
@@ -410,7 +418,8 @@
 
 INSTANTIATE_TEST_SUITE_P(All, AskedTest, testing::Values(Leaves::Close, Leaves::Reset, Leaves::HalfClose));
 
-// Behind the queue for the core: the loop stands still while all of them leave, and goes on with the queue.
+// Clients leave while their requests are in the admission queue, and the event loop does not run until all
+// have left: the queued requests must not be sent to an upstream.
 TEST_F(MomentsTest, WhoLeavesTheQueueForTheCoreIsNotSentOn) {
   upstreams.push_back(std::make_unique<Peer>(io));
   states.assign(1, "up");
@@ -429,14 +438,14 @@
     request.trace = traceOf(n);
     visitors[static_cast<std::size_t>(n)]->send(request.text());
   }
-  // All are read, and one or two of them have had their turn.
+  // All requests have been read, and one or two of them forwarded.
   io.restart();
   while (arrived() == 0) io.run_one_for(milliseconds(50));
   const std::size_t before = arrived();
   ASSERT_LT(before, 20u);
   for (int n = 0; n < kMany; ++n)
     visitors[static_cast<std::size_t>(n)]->leave(n % 2 == 0 ? Leaves::Close : Leaves::HalfClose);
-  // What has been written by then may still be on its way.
+  // Requests that were written before may still be in transit.
   const Client last = client();
   last.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return last.answers() == 1; }));
@@ -445,7 +454,7 @@
   EXPECT_LE(arrived(), before + 2);
 }
 
-// In the queue for the core: those that leave do not get their turn.
+// Requests in the admission queue are not forwarded after their clients have left.
 TEST_F(ServerTest, WhoLeavesTheQueueForTheCoreIsNotHandedOn) {
   serve(withQueue(1));
   constexpr std::size_t kMany = 100;
@@ -461,7 +470,7 @@
   const std::size_t before = taken.size();
   for (std::size_t n = 0; n < kMany; ++n) visitors[n]->leave(n % 2 == 0 ? Leaves::Close : Leaves::Reset);
   pollAll(io);
-  // The turn that was on, and one that comes before the loop looks at the sockets.
+  // Allows for the current turn, and one more turn before the event loop handles the sockets' events.
   EXPECT_LE(taken.size(), before + 3);
   EXPECT_EQ(server->admissionController().queueSize(), 0u);
   EXPECT_EQ(inside(), 0u);
--- a/tests/lifecycle/lifecycle_test.cpp
+++ b/tests/lifecycle/lifecycle_test.cpp
@@ -9,7 +9,7 @@
 
 namespace ivypost::lifecycle {
 
-// Found by GoogleTest, for the text of a failure.
+// GoogleTest calls these for the text of a failure.
 void PrintTo(const Effects& effects, std::ostream* out) {
   *out << "{isReady " << effects.isReady << ", acceptsConnections " << effects.acceptsConnections
        << ", keepsConnections " << effects.keepsConnections << ", closesIdleConnections "
@@ -42,7 +42,7 @@
   }
 }
 
-// Alone on its listening socket: ready from time 0.
+// A process that is alone on its listening socket, and so is ready from time 0.
 class AloneTest : public testing::Test {
  protected:
   void runUntil(Duration elapsed) { lifecycle::runUntil(lifecycle, at(elapsed)); }
@@ -50,7 +50,7 @@
   Lifecycle lifecycle{Settings{}, at(0us)};
 };
 
-// Beside another process on the same listening socket, without endpoints.
+// A process that shares its listening socket with another one, and has no endpoints yet.
 class SharedSocketTest : public testing::Test {
  protected:
   void runUntil(Duration elapsed) { lifecycle::runUntil(lifecycle, at(elapsed)); }
@@ -75,7 +75,7 @@
   EXPECT_TRUE(lifecycle.effects().acceptsConnections);
 }
 
-// The platform wants a process ready within 6 s, whether discovery answers or not.
+// The platform requires a process to be ready within 6 s, whether or not discovery answers.
 class DiscoveryTimeoutTest : public testing::TestWithParam<bool> {};
 
 TEST_P(DiscoveryTimeoutTest, SilentDiscoveryDelaysReadinessForABoundedTime) {
@@ -94,7 +94,8 @@
 
 TEST_F(AloneTest, DrainsStepByStep) {
   ASSERT_TRUE(lifecycle.handle(Event::DrainRequested, at(1s)));
-  // At once it isn't ready and responses end connections; requests that still come are served.
+  // From the beginning the sidecar is not ready and responses close connections; new requests are still
+  // served.
   EXPECT_EQ(lifecycle.effects(), Effects{.acceptsConnections = true});
   runUntil(1s + Lifecycle::kDrainIdleCloseDelay);
   EXPECT_TRUE(lifecycle.effects().closesIdleConnections);
@@ -114,7 +115,7 @@
   EXPECT_TRUE(lifecycle.effects().closesIdleConnections);
 }
 
-// Parameter: how long the drain has gone on.
+// The parameter is the time from the beginning of the drain to its cancellation.
 class DrainCancelledTest : public testing::TestWithParam<Duration> {};
 
 TEST_P(DrainCancelledTest, IsReadyAgain) {
@@ -151,7 +152,7 @@
   EXPECT_EQ(lifecycle.state(), State::Ready);
 }
 
-// Parameter: the state that it stops from.
+// The parameter is the state in which SIGTERM is received.
 class StopFromStateTest : public testing::TestWithParam<State> {};
 
 TEST_P(StopFromStateTest, IsFinal) {
@@ -182,7 +183,7 @@
   EXPECT_TRUE(lifecycle.effects().mayExit);
 }
 
-// New connections go on coming for up to 0.4 s after SIGTERM, and no other process accepts them.
+// Clients continue to connect for up to 0.4 s after SIGTERM, and no other process accepts their connections.
 TEST_F(AloneTest, AcceptsConnectionsForAWhileAfterSigterm) {
   lifecycle.handle(Event::TerminationRequested, at(10us));
   runUntil(10us + 400'000us);
@@ -195,7 +196,7 @@
   EXPECT_FALSE(lifecycle.effects().mustExit);
 }
 
-// SIGKILL comes as early as the longest deadline, 3 s at the most, and 0.7 s after SIGTERM.
+// The earliest time of SIGKILL after SIGTERM is the longest deadline, but at most 3 s, plus 0.7 s.
 struct StopCase {
   std::optional<Duration> deadline;
   Duration kill;
@@ -210,7 +211,7 @@
   constexpr Duration kSuspension = 150'000us;
   const TimePoint kill = at(10us + GetParam().kill);
   for (const bool isShared : {false, true}) {
-    // Never suspended, and suspended at any moment of the stop.
+    // The process is never suspended (from = 0), or suspended at each time of the stop in turn.
     for (Duration from = 0us; from <= GetParam().kill; from += 10'000us) {
       const TimePoint suspended = at(10us + from);
       Lifecycle lifecycle({.sharesListeningSocket = isShared, .longestDeadline = GetParam().deadline},
@@ -245,7 +246,7 @@
                                          StopCase{2'500'000us, 3'200'000us}, StopCase{3s, 3'700'000us},
                                          StopCase{3s + 1us, 3'700'000us}, StopCase{600s, 3'700'000us}));
 
-// Before the bound no accepted request is abandoned, and after SIGTERM new ones still are accepted.
+// Until finalResponseDelay() after SIGTERM, no accepted request is abandoned and new ones are still accepted.
 TEST(Lifecycle, AcceptsRequestsUntilAllGetTheirFinalResponse) {
   Lifecycle lifecycle({.longestDeadline = 1s}, at(0us));
   lifecycle.handle(Event::TerminationRequested, at(0us));
@@ -258,7 +259,8 @@
   EXPECT_FALSE(lifecycle.effects().mustExit);
 }
 
-// What comes at 2 s or later is rejected, also by a process that was suspended as that began.
+// Requests that arrive 2 s or more after the beginning of a drain are rejected, even if the process is
+// suspended when the rejections are due.
 TEST_F(AloneTest, ADrainRejectsInTimeWhereTheProcessIsSuspended) {
   lifecycle.handle(Event::DrainRequested, at(0us));
   runUntil(Lifecycle::kDrainIdleCloseDelay);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// New configurations in quick succession, and SIGTERM amid them.
+// Reloads of the configuration in quick succession, with SIGTERM among them.
 #include <algorithm>
 #include <array>
 #include <ostream>
@@ -12,8 +12,8 @@
 
 struct Reloads {
   const char* name;
-  // By letter: a, b, c: SIGHUP with discovery at that address (a: where it is at the start); x: with a file
-  // that can't be used; |: the loop takes a turn; T: SIGTERM.
+  // One letter per step: a, b, c: SIGHUP with discovery at that address (a: the initial one); x: SIGHUP with
+  // an invalid file; |: a turn of the event loop; T: SIGTERM.
   const char* steps;
 };
 std::ostream& operator<<(std::ostream& out, const Reloads& one) {
@@ -38,7 +38,7 @@
         sidecar->stop([this] { ++ends; });
         return;
       case 'x':
-        // As main() does: what can't be read changes nothing.
+        // As in main(): an invalid configuration is rejected and changes nothing.
         EXPECT_ANY_THROW(sidecar->reload(configure({{"discovery", "nowhere"}}), {}));
         return;
       default:
@@ -59,7 +59,8 @@
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
   for (Peer* other : {&others[0], &others[1]})
     other->onRequest = [this](Peer::Exchange& call) {
-      // Asked for the whole list, each says that the second upstream drains.
+      // Each of the other discovery services answers with a complete list in which the second upstream
+      // drains.
       if (call.message.target() != "/v1/endpoints") return;
       json told = list(generation, true);
       told["instances"][1]["lifecycle"] = "draining";
@@ -71,12 +72,12 @@
   const bool stopped = steps.find('T') != std::string::npos;
   if (!stopped) {
     Peer& counts = discoveryOf(last);
-    // It is asked for the whole list, and then watched.
+    // The sidecar requests the complete list from it, and then watches it.
     const std::size_t from = last == 'a' ? before : 0;
     ASSERT_TRUE(wait([&] { return counts.requests.size() >= from + 2; }));
     EXPECT_EQ(counts.requests[from].message.target(), "/v1/endpoints");
     EXPECT_TRUE(sidecar->freshness().isConfirmed);
-    // The others are left alone: no connection stays.
+    // No connection to the other discovery services stays open.
     for (const char letter : {'a', 'b', 'c'}) {
       if (letter == last) continue;
       EXPECT_TRUE(wait([&] { return discoveryOf(letter).open() == 0; })) << letter;
