--- a/src/admission/tcp_state.cpp
+++ b/src/admission/tcp_state.cpp
@@ -11,8 +11,8 @@
 namespace ivypost::admission {
 
 bool hasPeerClosed(int socket) {
-  pollfd asked{socket, POLLRDHUP, 0};
-  return poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd descriptor{socket, POLLRDHUP, 0};
+  return poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 std::chrono::milliseconds timeSinceLastData(int socket) {
@@ -23,13 +23,13 @@
 }
 
 bool isAllAcknowledged(int socket) {
-  int unsent = 0;
-  return ioctl(socket, SIOCOUTQ, &unsent) == 0 && unsent == 0;
+  int unacknowledged = 0;
+  return ioctl(socket, SIOCOUTQ, &unacknowledged) == 0 && unacknowledged == 0;
 }
 
 bool hasUnacknowledgedData(int socket) {
-  int unsent = 0;
-  return ioctl(socket, SIOCOUTQ, &unsent) == 0 && unsent > 0;
+  int unacknowledged = 0;
+  return ioctl(socket, SIOCOUTQ, &unacknowledged) == 0 && unacknowledged > 0;
 }
 
 }  // namespace ivypost::admission
--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -29,7 +29,7 @@
     : io_(io),
       config_(config),
       callbacks_(std::move(callbacks)),
-      perTurn_(file.admission.perTurn),
+      maxForwardsPerTurn_(file.admission.perTurn),
       quotas_(quotasOf(config)),
       isAlive_(std::make_shared<bool>(true)) {
   apply(file);
@@ -63,7 +63,7 @@
 
 void AdmissionController::apply(const configuration::OperatorFile& file) {
   priorityWeights_ = priorityWeightsOf(file);
-  perTurn_ = file.admission.perTurn;
+  maxForwardsPerTurn_ = file.admission.perTurn;
   countsArrivals_ = file.admission.queue || file.degradation.on;
   queue_.reset();
   if (file.admission.queue) {
@@ -94,7 +94,7 @@
   if (!queue_) return callbacks_.forward(std::move(request));
   // The queue is empty and the limit of this turn is not reached: the usual case costs only a post to the
   // loop.
-  if (!isOverloaded && queued_.empty() && forwardedInTurn_ < perTurn_) {
+  if (!isOverloaded && queued_.empty() && forwardedInTurn_ < maxForwardsPerTurn_) {
     ++forwardedInTurn_;
     scheduleTurn();
     ++counts_.at(static_cast<std::size_t>(admission::Outcome::Forward));
@@ -162,7 +162,7 @@
   isTurnScheduled_ = false;
   forwardedInTurn_ = 0;
   std::int64_t rejected = 0;
-  while (queue_ && forwardedInTurn_ + rejected / kRejectionsPerForward < perTurn_) {
+  while (queue_ && forwardedInTurn_ + rejected / kRejectionsPerForward < maxForwardsPerTurn_) {
     const auto decision = queue_->next(now());
     if (!decision) break;
     ++(decision->outcome == admission::Outcome::Forward ? forwardedInTurn_ : rejected);
--- a/src/sidecar/admission_controller.h
+++ b/src/sidecar/admission_controller.h
@@ -100,7 +100,7 @@
   const Config& config_;
   Callbacks callbacks_;
   std::vector<double> priorityWeights_;  // by class
-  std::int64_t perTurn_;
+  std::int64_t maxForwardsPerTurn_;
   std::unique_ptr<admission::AdmissionQueue> queue_;  // none: off
   admission::TenantQuotas quotas_;
   bool countsArrivals_ = false;  // whether quotas_ records requests: the queue or degradation is on
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -21,7 +21,7 @@
 using std::chrono::milliseconds;
 
 // The session answers 504 itself when the decision module's answer is this late.
-constexpr milliseconds kBackstop{10};
+constexpr milliseconds kLateAnswerGrace{10};
 // After the last answer, what the client still sends is read and discarded for this time: closing at once
 // would reset the connection and could lose the answer. At most kMaxDiscard bytes, to bound the processor
 // time.
@@ -36,15 +36,15 @@
 // budget, up to BodyBuffering::kMaxBuffered. Beyond that the client's close may be queued in the client's own
 // kernel, where it can't be seen: no attempt is begun for such a request, and the connection is polled for a
 // close at kClosePollInterval.
-constexpr std::size_t kMaxAhead = 16UL * 1024;
+constexpr std::size_t kUnbudgetedReadAhead = 16UL * 1024;
 constexpr milliseconds kClosePollInterval{100};
-constexpr std::size_t kReadOnce = 4096;
+constexpr std::size_t kReadSize = 4096;
 // When the time for a request is up but unread data has been received, the request may be complete: it gets
 // this much more time.
-constexpr milliseconds kLastReadTime{10};
+constexpr milliseconds kUnreadDataGrace{10};
 // Microseconds. A new connection that has sent nothing does not count as idle before this: its first request
 // may be on its way.
-constexpr Micros kSettlingTime = 300'000;
+constexpr Micros kFirstRequestGrace = 300'000;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
       deadline_(resources.deadlines),
       closePoll_(resources.deadlines),
       buffering_(resources.budget, kMaxWhole),
-      aheadBytes_(resources.budget),
+      readAheadShare_(resources.budget),
       slot_(slot) {}
 
 void ClientSession::start() {
@@ -69,13 +69,13 @@
   waitForInput();
 }
 
-bool ClientSession::isQuiet() {
+bool ClientSession::isIdle() {
   if (state_ != State::Idle || buffer_.size() > 0) return false;
   return peek() == asio::error::would_block;
 }
 
-bool ClientSession::hasSettled(Micros time) const {
-  return slot_->requests > 0 || time - slot_->since >= kSettlingTime;
+bool ClientSession::mayCountAsIdle(Micros time) const {
+  return slot_->requests > 0 || time - slot_->since >= kFirstRequestGrace;
 }
 
 bool ClientSession::mayBeEvicted() {
@@ -84,12 +84,12 @@
 }
 
 bool ClientSession::mayCloseIdle() {
-  return isQuiet() && !admission::hasUnacknowledgedData(socket_.native_handle());
+  return isIdle() && !admission::hasUnacknowledgedData(socket_.native_handle());
 }
 
 bool ClientSession::isClientGone() {
   const bool left =
-      admission::hasPeerClosed(socket_.native_handle()) || (!isUploading_ && !continueReadAhead());
+      admission::hasPeerClosed(socket_.native_handle()) || (!isUploading_ && !resumeReadAhead());
   if (!left && (isUploading_ || !mayHaveUnread_)) return false;
   asio::post(io_, [self = shared_from_this(), id = request_, left] {
     if (self->state_ != State::Waiting || self->request_ != id) return;
@@ -101,7 +101,7 @@
   return true;
 }
 
-void ClientSession::answerFinally() {
+void ClientSession::sendFinalAnswer() {
   const auto self = shared_from_this();
   switch (state_) {
     case State::Idle:
@@ -124,10 +124,10 @@
   }
 }
 
-void ClientSession::closeFinally() {
-  const bool owes = state_ == State::Reading || (state_ == State::Idle && !isQuiet());
+void ClientSession::closeAtExit() {
+  const bool owesAnswer = state_ == State::Reading || (state_ == State::Idle && !isIdle());
   error_code ignored;
-  if (owes) {
+  if (owesAnswer) {
     const std::string text = formatLastResponse(host_.rejection("refused: the sidecar stops"));
     socket_.write_some(asio::buffer(text), ignored);
   }
@@ -195,16 +195,16 @@
 }
 
 bool ClientSession::mayReadAhead() {
-  if (buffer_.size() < kMaxAhead) return true;
-  while (aheadBytes_.bytes() < buffer_.size()) {
+  if (buffer_.size() < kUnbudgetedReadAhead) return true;
+  while (readAheadShare_.bytes() < buffer_.size()) {
     if (buffer_.size() >= streaming::BodyBuffering::kMaxBuffered ||
-        !aheadBytes_.grow(streaming::BodyBuffering::kBudgetStep))
+        !readAheadShare_.grow(streaming::BodyBuffering::kBudgetStep))
       return false;
   }
   return true;
 }
 
-bool ClientSession::continueReadAhead() {
+bool ClientSession::resumeReadAhead() {
   while (mayHaveUnread_ && mayReadAhead()) {
     const error_code error = readAhead();
     if (network::isShortage(error)) return true;
@@ -226,7 +226,7 @@
 
 error_code ClientSession::readAhead() {
   error_code error;
-  const std::size_t most = buffer_.size() < kMaxAhead ? kReadOnce : kReadOfStream;
+  const std::size_t most = buffer_.size() < kUnbudgetedReadAhead ? kReadSize : kReadOfStream;
   buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
   return error;
 }
@@ -246,13 +246,13 @@
   host_.openRequest(shared_from_this());
   if (!isUploading_) {
     waitForInput();
-    armBackstop(request.deadline);
+    armAnswerTimeout(request.deadline);
   }
   host_.forward(std::move(request));
 }
 
-void ClientSession::armBackstop(Clock::time_point deadline) {
-  deadline_.set(deadline + kBackstop, [this] {
+void ClientSession::armAnswerTimeout(Clock::time_point deadline) {
+  deadline_.set(deadline + kLateAnswerGrace, [this] {
     const auto self = shared_from_this();
     if (state_ != State::Waiting || !host_.endRequest(*this)) return;
     write(textAnswer(504, "no answer in time"));
@@ -265,7 +265,7 @@
     const auto self = shared_from_this();
     const bool reads = state_ == State::Idle || state_ == State::Reading || isUploading_;
     if (!reads || peek() == asio::error::would_block) return close();
-    deadline_.set(Clock::now() + kLastReadTime, [this] { close(); });
+    deadline_.set(Clock::now() + kUnreadDataGrace, [this] { close(); });
   });
 }
 
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -53,9 +53,9 @@
   void start();
   /// Whether the connection is between requests and has received no byte of a next one, so that closing it
   /// loses no request.
-  [[nodiscard]] bool isQuiet();
+  [[nodiscard]] bool isIdle();
   /// Whether the connection has had a request, or has been open long enough to count as idle without one.
-  [[nodiscard]] bool hasSettled(Micros time) const;
+  [[nodiscard]] bool mayCountAsIdle(Micros time) const;
   /// Whether closing the connection loses no request and no answer of its client.
   [[nodiscard]] bool mayBeEvicted();
   /// Whether the connection is idle and closing it now loses neither a request nor an answer. A request that
@@ -67,11 +67,11 @@
   [[nodiscard]] bool isClientGone();
   /// The server is stopping: gives a request that is still read or waits for its answer the final one. A
   /// request that is still being read has not run.
-  void answerFinally();
+  void sendFinalAnswer();
   /// The process is about to exit: closes the connection. Reads what is unread first, since closing over
   /// unread bytes would reset the connection and could lose the answer; and resets the connection under an
   /// incomplete streamed answer, so that the client can't take it for a complete one.
-  void closeFinally();
+  void closeAtExit();
   /// The id of the last request that was accepted; 0: none yet.
   [[nodiscard]] balancer::RequestId request() const { return request_; }
   /// When the last byte of that request was received.
@@ -104,7 +104,7 @@
   // that it sent before has been read, so reading stops only at the memory budget.
   bool mayReadAhead();
   // Reads what has been received since reading ahead stopped. False if the client has left.
-  bool continueReadAhead();
+  bool resumeReadAhead();
   // Polls whether the client has left while its input is not read: with unread data in front, reading can't
   // show the close.
   void pollForClose();
@@ -116,7 +116,7 @@
   void beginWaiting(ClientRequest request);
   // Answers the request shortly after its deadline if nothing else has: because of a late timer, an
   // overloaded core or a fault of the decision module.
-  void armBackstop(Clock::time_point deadline);
+  void armAnswerTimeout(Clock::time_point deadline);
   void setDeadline(Clock::time_point until);
   void hangUp();
   // Delays the close until the client has acknowledged its answer: closing over unread input resets the
@@ -135,9 +135,9 @@
   void sendContinue();
   void readBody();
   // Parses the part of the body that has been received.
-  void takeBody();
+  void parseBody();
   // Reads at most `most` bytes of the body. `why`: the error of the previous read, if any.
-  void readMore(std::size_t most, boost::system::error_code why = {});
+  void readBodyPart(std::size_t most, boost::system::error_code why = {});
   // Forwards the request while its body is still being received.
   void beginUpload();
   void onUploadPiece(boost::system::error_code error);
@@ -152,7 +152,7 @@
   void onRead(boost::system::error_code error);
   // How long a request that has just been read was unread before: in the accept queue, or because the event
   // loop was late. The client's time counts from the last byte of the request.
-  std::chrono::milliseconds unreadFor();
+  std::chrono::milliseconds unreadTime();
 
   // client_session_writing.cpp
   // Whether bytes of a next request have been received. Input that has been read must be answered, so the
@@ -174,18 +174,18 @@
   Deadlines::Deadline closePoll_;  // the next poll for the client's close
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<streaming::PiecesBody>> parser_;
-  std::optional<streaming::StallTimer> pace_;  // of the request's body
-  streaming::BodyBuffering buffering_;         // of request bodies
-  streaming::ByteBudget::Share aheadBytes_;    // budget held by input read ahead of an answer or an attempt
-  std::size_t emptyUploadCapacity_ = 0;        // capacity in bytes of the upload's pipe when it is empty
-  std::shared_ptr<Upload> upload_;             // of a request whose body streams
+  std::optional<streaming::StallTimer> bodyStallTimer_;  // of the request's body
+  streaming::BodyBuffering buffering_;                   // of request bodies
+  streaming::ByteBudget::Share readAheadShare_;  // budget held by input read ahead of an answer or an attempt
+  std::size_t emptyUploadCapacity_ = 0;          // capacity in bytes of the upload's pipe when it is empty
+  std::shared_ptr<Upload> upload_;               // of a request whose body streams
   std::shared_ptr<streaming::Pipe> responsePipe_;  // the body of an answer that streams
-  Micros expiresIn_ = 0;                 // the client's time from the last byte of a streamed request body
-  std::optional<Micros> heldBackSince_;  // since when backpressure has stopped reading the upload
-  unsigned httpVersion_ = 11;            // of the request, as Boost.Beast writes versions
+  Micros expiresIn_ = 0;  // the client's time from the last byte of a streamed request body
+  std::optional<Micros> backpressureSince_;  // since when backpressure has stopped reading the upload
+  unsigned httpVersion_ = 11;                // of the request, as Boost.Beast writes versions
   bool isUploading_ = false, isReadingBody_ = false;
   StreamWriter writer_;                            // of an answer that streams
-  bool waitsToWrite_ = false;                      // the streamed answer waits for a writable socket
+  bool isWaitingToWrite_ = false;                  // the streamed answer waits for a writable socket
   std::optional<RequestHead> headersAheadOfBody_;  // as received, while a chunked body is read
   std::string responseHead_, responseBody_;
   bool closesAfterResponse_ = false;
--- a/src/sidecar/client_session_host.h
+++ b/src/sidecar/client_session_host.h
@@ -35,8 +35,8 @@
                                                                 std::chrono::milliseconds unread) const = 0;
   /// Validates a request: the parsed request, or the answer that it gets at once. `unread`: the time since
   /// its last byte was received.
-  [[nodiscard]] virtual std::variant<ClientRequest, Answer> check(Message message,
-                                                                  std::chrono::milliseconds unread) = 0;
+  [[nodiscard]] virtual std::variant<ClientRequest, Answer> validateRequest(
+      Message message, std::chrono::milliseconds unread) = 0;
   /// 503 with Retry-After: the request has not run and will not.
   [[nodiscard]] virtual Answer rejection(std::string reason) const = 0;
 
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -24,7 +24,7 @@
 constexpr milliseconds kMaxHeadTimeInDrain{300};
 
 // Converts a length from Boost's own optional type.
-std::optional<std::uint64_t> toStd(const boost::optional<std::uint64_t>& length) {
+std::optional<std::uint64_t> toStdOptional(const boost::optional<std::uint64_t>& length) {
   return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
 }
 
@@ -86,7 +86,7 @@
   if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
   // A body that has arrived with the head costs less to read than the client's new connection would.
   if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
-    if (auto refused = host_.rejectionFromHead(parser_->get(), unreadFor())) {
+    if (auto refused = host_.rejectionFromHead(parser_->get(), unreadTime())) {
       keepAlive_ = false;
       return write(std::move(*refused));
     }
@@ -110,12 +110,12 @@
   // Trailer fields must not be merged into the headers (RFC 9110, 6.5.1), but the parser does that.
   if (parser_->chunked()) headersAheadOfBody_ = parser_->get().base();
   parser_->eager(true);
-  pace_.emplace(Clock::now());
-  pace_->received(buffer_.size(), Clock::now());
-  takeBody();
+  bodyStallTimer_.emplace(Clock::now());
+  bodyStallTimer_->received(buffer_.size(), Clock::now());
+  parseBody();
 }
 
-void ClientSession::takeBody() {
+void ClientSession::parseBody() {
   error_code error;
   while (!error && !parser_->is_done() && buffer_.size() > 0)
     buffer_.consume(parser_->put(buffer_.data(), error));
@@ -125,14 +125,14 @@
   if (isUploading_) return onUploadPiece(error);
   if (error || parser_->is_done()) return onBody(error);
   const auto capacity =
-      buffering_.capacityFor(parser_->get().body().size(), toStd(parser_->content_length()));
+      buffering_.capacityFor(parser_->get().body().size(), toStdOptional(parser_->content_length()));
   if (!capacity) return beginUpload();
   parser_->get().body().reserve(*capacity);
-  setDeadline(pace_->deadline());
-  readMore(kReadOfStream);
+  setDeadline(bodyStallTimer_->deadline());
+  readBodyPart(kReadOfStream);
 }
 
-void ClientSession::readMore(std::size_t most, error_code why) {
+void ClientSession::readBodyPart(std::size_t most, error_code why) {
   if (std::exchange(isReadingBody_, true)) return;
   network::waitToRetry(socket_, tcp::socket::wait_read, why,
                        [self = shared_from_this(), most](error_code failed) {
@@ -143,10 +143,10 @@
                          if (!error)
                            size = network::receiveSome(self->socket_, self->buffer_.prepare(most), error);
                          self->buffer_.commit(size);
-                         if (network::isTransient(error)) return self->readMore(most, error);
+                         if (network::isTransient(error)) return self->readBodyPart(most, error);
                          if (error) return self->close();
-                         self->pace_->received(size, Clock::now());
-                         self->takeBody();
+                         self->bodyStallTimer_->received(size, Clock::now());
+                         self->parseBody();
                        });
 }
 
@@ -160,7 +160,7 @@
   auto upload = std::make_shared<Upload>(budget_);
   emptyUploadCapacity_ = upload->pipe.freeCapacity();
   if (const auto length = parser_->content_length()) upload->length = *length;
-  auto checked = host_.check(std::move(message), milliseconds(0));
+  auto checked = host_.validateRequest(std::move(message), milliseconds(0));
   if (auto* answer = std::get_if<Answer>(&checked)) {
     keepAlive_ = false;
     return write(std::move(*answer));
@@ -170,8 +170,9 @@
   isUploading_ = true;
   expiresIn_ = request.expiresIn;
   // The client's time counts from the last byte of the request, whose time is not known yet.
-  request.expiresIn +=
-      streaming::BodyBuffering::uploadTime(*pace_, toStd(parser_->content_length_remaining())).count();
+  request.expiresIn += streaming::BodyBuffering::uploadTime(
+                           *bodyStallTimer_, toStdOptional(parser_->content_length_remaining()))
+                           .count();
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
   upload->deadline = request.deadline;
   upload->clientGave = std::chrono::microseconds(expiresIn_);
@@ -201,7 +202,7 @@
   isUploading_ = false;
   const auto deadline = Clock::now() + std::chrono::microseconds(expiresIn_);
   upload_->deadline = responseDeadline_ = deadline;
-  armBackstop(deadline);
+  armAnswerTimeout(deadline);
   waitForInput();
   upload_->pipe.end();
 }
@@ -209,36 +210,37 @@
 void ClientSession::continueUpload() {
   std::size_t capacity = upload_->pipe.freeCapacity();
   if (capacity > 0) {
-    aheadBytes_.release();
+    readAheadShare_.release();
   } else if (mayReadBeyondPipe()) {
     capacity = kReadOfStream;
   }
   if (capacity == 0) {
     // Backpressure stops reading, so the stall timer of the client's body is suspended.
     deadline_.cancel();
-    if (!heldBackSince_) heldBackSince_ = now();
+    if (!backpressureSince_) backpressureSince_ = now();
     return pollForClose();
   }
   closePoll_.cancel();
-  if (heldBackSince_)
-    pace_->extendBy(std::chrono::microseconds(now() - *std::exchange(heldBackSince_, std::nullopt)));
-  setDeadline(pace_->deadline());
-  readMore(std::min(capacity, kReadOfStream));
+  if (backpressureSince_)
+    bodyStallTimer_->extendBy(
+        std::chrono::microseconds(now() - *std::exchange(backpressureSince_, std::nullopt)));
+  setDeadline(bodyStallTimer_->deadline());
+  readBodyPart(std::min(capacity, kReadOfStream));
 }
 
 bool ClientSession::mayReadBeyondPipe() {
   if (upload_->pipe.forwardedBytes() > 0) return false;
   const std::size_t buffered = upload_->pipe.front().size();
   // Bytes up to the pipe's own capacity are charged to the budget by the pipe.
-  while (aheadBytes_.bytes() + emptyUploadCapacity_ <= buffered) {
+  while (readAheadShare_.bytes() + emptyUploadCapacity_ <= buffered) {
     if (buffered >= streaming::BodyBuffering::kMaxBuffered) return false;
-    if (!aheadBytes_.grow(streaming::BodyBuffering::kBudgetStep)) return false;
+    if (!readAheadShare_.grow(streaming::BodyBuffering::kBudgetStep)) return false;
   }
   return true;
 }
 
 void ClientSession::onPipeCapacity() {
-  if (isUploading_ && heldBackSince_) continueUpload();
+  if (isUploading_ && backpressureSince_) continueUpload();
 }
 
 void ClientSession::onBody(error_code error) {
@@ -267,17 +269,17 @@
       return write(answerToBodyError(error));
     return close();
   }
-  const milliseconds unread = unreadFor();
+  const milliseconds unread = unreadTime();
   // The client has left while its request was unread, so no answer is expected.
   if (unread > milliseconds(0) && admission::hasPeerClosed(socket_.native_handle())) return close();
   keepAlive_ = parser_->keep_alive();
   auto request = parser_->release();
-  auto checked = host_.check(Message(std::move(request.base()), std::move(request.body())), unread);
+  auto checked = host_.validateRequest(Message(std::move(request.base()), std::move(request.body())), unread);
   if (auto* answer = std::get_if<Answer>(&checked)) return write(std::move(*answer));
   beginWaiting(std::move(std::get<ClientRequest>(checked)));
 }
 
-milliseconds ClientSession::unreadFor() {
+milliseconds ClientSession::unreadTime() {
   const auto waited = admission::timeSinceLastData(socket_.native_handle());
   return waited < kKernelTick ? milliseconds(0) : waited;
 }
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -25,7 +25,7 @@
 // full speed must not take the processor from the others.
 constexpr milliseconds kErrorPause{100};
 // Bytes of capacity up to which an empty read buffer is kept for the connection's next request.
-constexpr std::size_t kKeptBuffer = 4096;
+constexpr std::size_t kMaxKeptBuffer = 4096;
 // A client that accepts no byte of a streamed answer for this time counts as stalled, and is closed.
 constexpr milliseconds kClientStallTime{10'000};
 
@@ -85,13 +85,13 @@
   responsePipe_->onData = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       asio::post(self->io_, [self] {
-        if (self->responsePipe_ && !self->waitsToWrite_) self->writeStreamed();
+        if (self->responsePipe_ && !self->isWaitingToWrite_) self->writeStreamed();
       });
     }
   };
   // Written from the event loop, since the caller is still processing what it has read of the answer.
   asio::post(io_, [self = shared_from_this()] {
-    if (self->responsePipe_ && !self->waitsToWrite_) self->writeStreamed();
+    if (self->responsePipe_ && !self->isWaitingToWrite_) self->writeStreamed();
   });
 }
 
@@ -116,10 +116,10 @@
 }
 
 void ClientSession::waitToWriteStreamed() {
-  waitsToWrite_ = true;
+  isWaitingToWrite_ = true;
   setDeadline(Clock::now() + kClientStallTime);
   writer_.wait(socket_, [self = shared_from_this()](error_code error) {
-    self->waitsToWrite_ = false;
+    self->isWaitingToWrite_ = false;
     if (!self->responsePipe_ || self->state_ != State::Writing) return;
     if (error) return self->close();
     self->writeStreamed();
@@ -136,8 +136,8 @@
   responseDeadline_ = Clock::time_point::max();
   if (closesAfterResponse_) return hangUp();
   if (buffer_.size() == 0) {
-    if (buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
-    aheadBytes_.release();
+    if (buffer_.capacity() > kMaxKeptBuffer) buffer_.shrink_to_fit();
+    readAheadShare_.release();
   }
   state_ = State::Idle;
   connectionLimiter_.beginIdle(slot_, now());
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -23,19 +23,19 @@
 using settings::FormatError;
 
 // Descriptors that the process itself needs: log, event loop, signals, listening sockets, discovery, files.
-constexpr double kOwnSockets = 16;
+constexpr double kReservedSockets = 16;
 // Descriptors that the operators' console needs, if it is configured.
 constexpr double kConsoleSockets = admin::AdminServer::kMaxConnections + 1;
-constexpr double kPoolShare = 0.9;
+constexpr double kPoolFraction = 0.9;
 // The fraction of the memory for bodies in transit. Growing strings hold up to twice their contents; the
 // minimum of each pipe, the program and its tables need the rest.
-constexpr double kRelayShare = 0.35;
-constexpr double kMostMemoryMb = 1e6;
+constexpr double kRelayMemoryFraction = 0.35;
+constexpr double kMaxMemoryMb = 1e6;
 constexpr double kBytesPerMb = 1e6;
 // Connections that are allowed whatever the limit is: one of a client and one to an upstream.
-constexpr double kFewestPoolSockets = 2;
+constexpr double kMinPoolSockets = 2;
 // While a process is replaced, the old one and the new one share the limits, so each uses half of them.
-constexpr int kSharersWhileReplaced = 2;
+constexpr int kProcessesDuringReplacement = 2;
 constexpr int kSeedBase = 16;
 
 // Values become part of a line of name=value pairs, in which a space ends a value and a comma separates
@@ -77,7 +77,8 @@
 }
 
 // The last endpoint list is optional: an error in it leaves a remark and does not prevent the start.
-std::optional<discovery::EndpointList> toKnown(const json& object, std::vector<std::string>& remarks) {
+std::optional<discovery::EndpointList> parseKnownEndpoints(const json& object,
+                                                           std::vector<std::string>& remarks) {
   try {
     return discovery::toEndpointList(object);
   } catch (const std::exception& error) {
@@ -113,7 +114,7 @@
 }
 
 // The file can be replaced while the program runs and the environment can't, so the file takes precedence.
-std::string textOf(const json& file, const char* key, const char* variable) {
+std::string readSetting(const json& file, const char* key, const char* variable) {
   const char* const value = std::getenv(variable);
   if (!file.contains(key) && value != nullptr && *value != '\0') return value;
   return file.at(key).get<std::string>();
@@ -121,11 +122,11 @@
 
 // The descriptor in GW_FD, if it is a socket that listens on this address. Otherwise adds a remark with the
 // reason, and the process opens its own listening socket, as it does without GW_FD.
-std::optional<int> toListener(const Endpoint& listen, std::vector<std::string>& remarks) {
+std::optional<int> inheritedListener(const Endpoint& listen, std::vector<std::string>& remarks) {
   const char* const text = std::getenv("GW_FD");
   if (text == nullptr || *text == '\0') return std::nullopt;
   const std::string_view digits(text);
-  const auto wrong = [&](const char* why) {
+  const auto reject = [&](const char* why) {
     remarks.push_back(std::string("GW_FD ") + sanitized(std::string(digits)) + " " + why +
                       "; a socket of our own is listened on");
     return std::nullopt;
@@ -133,43 +134,43 @@
   int number = -1;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (error != std::errc() || end != digits.data() + digits.size() || number < 0)
-    return wrong("is no descriptor's number");
+    return reject("is no descriptor's number");
   int listens = 0;
   socklen_t size = sizeof listens;
   if (::getsockopt(number, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0)
-    return wrong("is no listening socket");
+    return reject("is no listening socket");
   Endpoint bound;
   size = static_cast<socklen_t>(bound.capacity());
-  if (::getsockname(number, bound.data(), &size) != 0) return wrong("has no address");
+  if (::getsockname(number, bound.data(), &size) != 0) return reject("has no address");
   bound.resize(size);
   if (bound.address() != listen.address() || (listen.port() != 0 && bound.port() != listen.port()))
-    return wrong("listens at another address");
+    return reject("listens at another address");
   return number;
 }
 
 }  // namespace
 
 double Config::poolSockets() const {
-  const double all = static_cast<double>(sockets) / (listener ? kSharersWhileReplaced : 1);
-  if (!console) return kPoolShare * all;
-  return std::max(kFewestPoolSockets, std::min(kPoolShare * all, all - kOwnSockets - kConsoleSockets));
+  const double all = static_cast<double>(sockets) / (listener ? kProcessesDuringReplacement : 1);
+  if (!console) return kPoolFraction * all;
+  return std::max(kMinPoolSockets, std::min(kPoolFraction * all, all - kReservedSockets - kConsoleSockets));
 }
 
 std::size_t Config::relayBytes() const {
-  return static_cast<std::size_t>(kRelayShare * std::min(memoryMb, kMostMemoryMb) * kBytesPerMb /
-                                  (listener ? kSharersWhileReplaced : 1));
+  return static_cast<std::size_t>(kRelayMemoryFraction * std::min(memoryMb, kMaxMemoryMb) * kBytesPerMb /
+                                  (listener ? kProcessesDuringReplacement : 1));
 }
 
 Config parseConfig(const std::string& text) {
   const json file = parseJson(text);
   Config config;
   try {
-    config.name = textOf(file, "name", "GW_NAME");
-    config.listen = parseEndpoint(textOf(file, "listen", "GW_LISTEN"));
-    config.discovery = parseEndpoint(textOf(file, "discovery", "GW_DISCOVERY"));
+    config.name = readSetting(file, "name", "GW_NAME");
+    config.listen = parseEndpoint(readSetting(file, "listen", "GW_LISTEN"));
+    config.discovery = parseEndpoint(readSetting(file, "discovery", "GW_DISCOVERY"));
     const char* const console = std::getenv("GW_CONSOLE");
     if (file.contains("console") || (console != nullptr && *console != '\0'))
-      config.console = parseEndpoint(textOf(file, "console", "GW_CONSOLE"));
+      config.console = parseEndpoint(readSetting(file, "console", "GW_CONSOLE"));
     if (const char* const folder = std::getenv("TMPDIR")) config.tempFolder = folder;
     config.seed = toSeed(file.at("seed").get<std::string>());
     if (file.contains("limits")) {
@@ -184,9 +185,9 @@
     const json& settings = file.at("settings");
     flatten(settings, "", line);
     config.site = settings::readSite(settings::Line(line));
-    config.listener = toListener(config.listen, config.site.remarks);
+    config.listener = inheritedListener(config.listen, config.site.remarks);
     readPeers(file, config);
-    if (file.contains("known")) config.known = toKnown(file["known"], config.site.remarks);
+    if (file.contains("known")) config.known = parseKnownEndpoints(file["known"], config.site.remarks);
   } catch (const json::exception& error) {
     throw FormatError(error.what());
   }
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -27,75 +27,76 @@
   Deadlines& operator=(const Deadlines&) = delete;
 
   /// Makes no more callbacks, since their owners are about to be destroyed. Final.
-  void stop() noexcept { stopped_ = true; }
+  void stop() noexcept { isStopped_ = true; }
 
   /// One deadline. Cancelled when it is destroyed.
   class Deadline {
    public:
     /// Not set yet.
-    explicit Deadline(std::shared_ptr<Deadlines> all) : all_(std::move(all)) {}
+    explicit Deadline(std::shared_ptr<Deadlines> all) : deadlines_(std::move(all)) {}
     Deadline(const Deadline&) = delete;
     Deadline& operator=(const Deadline&) = delete;
     ~Deadline() { cancel(); }
 
-    /// Calls `passed` once from the event loop, at this time or soon after. Replaces what was set before. The
-    /// callback may set the deadline again, and may destroy it.
-    void set(Clock::time_point at, std::function<void()> passed) {
-      passed_ = std::move(passed);
-      if (node_.empty() && !set_) {
-        position_ = all_->set_.emplace(at, this);
+    /// Calls `onExpired` once from the event loop, at this time or soon after. Replaces what was set before.
+    /// The callback may set the deadline again, and may destroy it.
+    void set(Clock::time_point at, std::function<void()> onExpired) {
+      onExpired_ = std::move(onExpired);
+      if (unusedNode_.empty() && !isSet_) {
+        position_ = deadlines_->pending_.emplace(at, this);
       } else {
         // Reuses the tree node, so that nothing is allocated.
-        if (set_) node_ = all_->set_.extract(position_);
-        node_.key() = at;
-        position_ = all_->set_.insert(std::move(node_));
+        if (isSet_) unusedNode_ = deadlines_->pending_.extract(position_);
+        unusedNode_.key() = at;
+        position_ = deadlines_->pending_.insert(std::move(unusedNode_));
       }
-      set_ = true;
-      all_->arm();
+      isSet_ = true;
+      deadlines_->arm();
     }
     /// Cancels the deadline; the callback is not made. Does nothing if it is not set.
     void cancel() {
-      if (std::exchange(set_, false)) node_ = all_->set_.extract(position_);
+      if (std::exchange(isSet_, false)) unusedNode_ = deadlines_->pending_.extract(position_);
     }
 
    private:
     friend class Deadlines;
-    const std::shared_ptr<Deadlines> all_;
-    std::function<void()> passed_;
+    const std::shared_ptr<Deadlines> deadlines_;
+    std::function<void()> onExpired_;
     std::multimap<Clock::time_point, Deadline*>::iterator position_;
-    std::multimap<Clock::time_point, Deadline*>::node_type node_;  // the spare tree node while it is not set
-    bool set_ = false;
+    std::multimap<Clock::time_point, Deadline*>::node_type
+        unusedNode_;  // the tree node while the deadline is not set
+    bool isSet_ = false;
   };
 
  private:
   void arm() {
-    if (stopped_ || set_.empty() || set_.begin()->first >= armedFor_) return;
-    armedFor_ = set_.begin()->first;
+    if (isStopped_ || pending_.empty() || pending_.begin()->first >= armedFor_) return;
+    armedFor_ = pending_.begin()->first;
     timer_.expires_at(armedFor_);
     timer_.async_wait([self = weak_from_this()](const boost::system::error_code& cancelled) {
       if (cancelled) return;
-      if (const auto all = self.lock(); all && !all->stopped_) all->pass();
+      if (const auto all = self.lock(); all && !all->isStopped_) all->runExpired();
     });
   }
 
-  void pass() {
+  void runExpired() {
     armedFor_ = Clock::time_point::max();
     // Runs only the deadlines that are due at `now`; one that a callback sets later than that waits for a
     // further turn of the event loop.
     const auto now = Clock::now();
-    while (!stopped_ && !set_.empty() && set_.begin()->first <= now) {
-      Deadline& first = *set_.begin()->second;
+    while (!isStopped_ && !pending_.empty() && pending_.begin()->first <= now) {
+      Deadline& first = *pending_.begin()->second;
       first.cancel();
-      const auto passed = std::exchange(first.passed_, nullptr);
-      passed();
+      const auto onExpired = std::exchange(first.onExpired_, nullptr);
+      onExpired();
     }
     arm();
   }
 
   boost::asio::steady_timer timer_;
-  std::multimap<Clock::time_point, Deadline*> set_;
+  std::multimap<Clock::time_point, Deadline*> pending_;
   Clock::time_point armedFor_ = Clock::time_point::max();
-  bool stopped_ = false;
+  bool isStopped_ = false;
 };
 
 }  // namespace ivypost
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -33,32 +33,34 @@
 
 // A configuration that can't be read is retried at this interval, with this many attempts in all: the file
 // may still be being written when SIGHUP arrives, and must take effect within 4 s of the signal.
-constexpr std::chrono::milliseconds kAgain{100};
-constexpr int kTries = 20;
+constexpr std::chrono::milliseconds kReloadRetryInterval{100};
+constexpr int kMaxReloadAttempts = 20;
 
 // Reloads the configuration; while the file is incomplete or invalid, the sidecar keeps its current one.
 class Reload {
  public:
   Reload(boost::asio::io_context& io, ivypost::Sidecar& sidecar, std::string path)
-      : sidecar_(sidecar), path_(std::move(path)), again_(io) {}
+      : sidecar_(sidecar), path_(std::move(path)), retryTimer_(io) {}
 
   void start() {
-    left_ = kTries;
+    attemptsLeft_ = kMaxReloadAttempts;
     attempt();
   }
 
  private:
   void attempt() {
-    again_.cancel();
+    retryTimer_.cancel();
     try {
       const ivypost::Config config = ivypost::readConfig();
       sidecar_.reload(config, readFile(path_));
-      if (left_ < kTries) std::fprintf(stderr, "the configuration could be read now, and counts\n");
+      if (attemptsLeft_ < kMaxReloadAttempts)
+        std::fprintf(stderr, "the configuration could be read now, and counts\n");
     } catch (const std::exception& error) {
-      if (left_ == kTries) std::fprintf(stderr, "the configuration stays as it was: %s\n", error.what());
-      if (--left_ == 0) return;
-      again_.expires_after(kAgain);
-      again_.async_wait([this](const boost::system::error_code& cancelled) {
+      if (attemptsLeft_ == kMaxReloadAttempts)
+        std::fprintf(stderr, "the configuration stays as it was: %s\n", error.what());
+      if (--attemptsLeft_ == 0) return;
+      retryTimer_.expires_after(kReloadRetryInterval);
+      retryTimer_.async_wait([this](const boost::system::error_code& cancelled) {
         if (!cancelled) attempt();
       });
     }
@@ -66,8 +68,8 @@
 
   ivypost::Sidecar& sidecar_;
   const std::string path_;
-  boost::asio::steady_timer again_;
-  int left_ = 0;
+  boost::asio::steady_timer retryTimer_;
+  int attemptsLeft_ = 0;
 };
 
 }  // namespace
--- a/src/sidecar/request_parser.cpp
+++ b/src/sidecar/request_parser.cpp
@@ -28,25 +28,25 @@
     http::field::te,         http::field::trailer,    http::field::transfer_encoding,
     http::field::upgrade,    http::field::expect};
 
-bool alphanumeric(char c) {
+bool isAlphanumeric(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z');
 }
 
-bool hexadecimal(char c) {
+bool isHexDigit(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F');
 }
 
 // Whether the text holds only characters of RFC 3986, 2 (unreserved, sub-delims, complete percent-encodings)
-// and those in `more`.
-bool inUri(std::string_view text, std::string_view more) {
+// and those in `extraCharacters`.
+bool isUriText(std::string_view text, std::string_view extraCharacters) {
   constexpr std::string_view kOthers = "-._~!$&'()*+,;=";
   for (std::size_t n = 0; n < text.size(); ++n) {
     const char c = text[n];
     if (c == '%') {
-      if (n + 2 >= text.size() || !hexadecimal(text[n + 1]) || !hexadecimal(text[n + 2])) return false;
+      if (n + 2 >= text.size() || !isHexDigit(text[n + 1]) || !isHexDigit(text[n + 2])) return false;
       n += 2;
-    } else if (!alphanumeric(c) && kOthers.find(c) == std::string_view::npos &&
-               more.find(c) == std::string_view::npos) {
+    } else if (!isAlphanumeric(c) && kOthers.find(c) == std::string_view::npos &&
+               extraCharacters.find(c) == std::string_view::npos) {
       return false;
     }
   }
@@ -62,30 +62,30 @@
     if (end == std::string_view::npos) return false;
     host = text.substr(1, end - 1);
     port = text.substr(end + 1);
-    if (host.empty() || !inUri(host, ":")) return false;
+    if (host.empty() || !isUriText(host, ":")) return false;
   } else {
     const std::size_t colon = text.find(':');
     host = text.substr(0, colon);
     if (colon != std::string_view::npos) port = text.substr(colon);
-    if (!inUri(host, "")) return false;
+    if (!isUriText(host, "")) return false;
   }
   if (port.empty()) return true;
   return port.front() == ':' && port.size() <= 6 &&
          std::all_of(port.begin() + 1, port.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-struct Absolute {
+struct AbsoluteTarget {
   std::string_view authority, rest;  // the rest begins with '/' or '?', or is empty
 };
 
-std::optional<Absolute> absoluteForm(std::string_view target) {
+std::optional<AbsoluteTarget> parseAbsoluteForm(std::string_view target) {
   constexpr std::string_view kScheme = "http://";
   if (target.size() < kScheme.size() ||
       !beast::iequals({target.data(), kScheme.size()}, {kScheme.data(), kScheme.size()}))
     return std::nullopt;
   target.remove_prefix(kScheme.size());
   const std::size_t end = std::min(target.find_first_of("/?"), target.size());
-  return Absolute{target.substr(0, end), target.substr(end)};
+  return AbsoluteTarget{target.substr(0, end), target.substr(end)};
 }
 
 std::optional<SyntaxError> findTargetError(const RequestHead& head) {
@@ -94,14 +94,15 @@
   if (target == "*")
     return head.method() == http::verb::options ? SyntaxError{501, "OPTIONS is not served"}
                                                 : SyntaxError{400, "the target * is for OPTIONS only"};
-  if (const auto absolute = absoluteForm(target)) {
+  if (const auto absolute = parseAbsoluteForm(target)) {
     if (absolute->authority.empty() || !isAuthority(absolute->authority))
       return SyntaxError{400, "the target names no valid host"};
     target = absolute->rest;
   } else if (target.empty() || target.front() != '/') {
     return SyntaxError{400, "the target is neither a path nor an http address"};
   }
-  if (!inUri(target, ":@/?")) return SyntaxError{400, "the target has a character that has to be encoded"};
+  if (!isUriText(target, ":@/?"))
+    return SyntaxError{400, "the target has a character that has to be encoded"};
   return std::nullopt;
 }
 
@@ -162,11 +163,11 @@
 
 void toOriginForm(RequestHead& head) {
   const std::string target(head.target());
-  const auto absolute = absoluteForm(target);
+  const auto absolute = parseAbsoluteForm(target);
   if (!absolute) return;
   head.set(http::field::host, beast::string_view(absolute->authority.data(), absolute->authority.size()));
-  const bool bare = absolute->rest.empty() || absolute->rest.front() == '?';
-  head.target((bare ? "/" : "") + std::string(absolute->rest));
+  const bool hasNoPath = absolute->rest.empty() || absolute->rest.front() == '?';
+  head.target((hasNoPath ? "/" : "") + std::string(absolute->rest));
 }
 
 bool expectsContinue(const RequestHead& head) {
@@ -189,9 +190,9 @@
   if (space == std::string_view::npos || line.find(' ') == space) return 400;
   const std::string_view version = line.substr(space + 1);
   const auto digit = [&](std::size_t n) { return version[n] >= '0' && version[n] <= '9'; };
-  const bool formed =
+  const bool isWellFormed =
       version.size() == 8 && version.substr(0, 5) == "HTTP/" && digit(5) && version[6] == '.' && digit(7);
-  return formed && version[5] != '1' ? 505 : 400;
+  return isWellFormed && version[5] != '1' ? 505 : 400;
 }
 
 }  // namespace ivypost
--- a/src/sidecar/request_validator.cpp
+++ b/src/sidecar/request_validator.cpp
@@ -19,7 +19,7 @@
 constexpr std::int64_t kMaxExpiresInMs = 3'600'000;
 // X-Trace-Id is a 64-bit number with all its hexadecimal digits.
 constexpr std::size_t kTraceIdDigits = 16;
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 
 template <class Number>
 std::optional<Number> toNumber(std::string_view text, int base = 10) {
@@ -36,7 +36,7 @@
 }
 
 // Whether a header that the sidecar evaluates occurs more than once: the upstream might take another value.
-bool repeatsAHeader(const RequestHead& head) {
+bool hasRepeatedHeader(const RequestHead& head) {
   for (const char* name : {"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In-Ms", "Idempotency-Key",
                            "X-Size-Hint", "X-Second-Try"}) {
     if (head.count(name) > 1) return true;
@@ -59,8 +59,7 @@
                                         const RequestValidator::IsTraceIdFree& isTraceIdFree,
                                         ClientRequest& request) {
   const auto trace = header(head, "X-Trace-Id").value_or("");
-  const auto id =
-      trace.size() == kTraceIdDigits ? toNumber<std::uint64_t>(trace, kHexadecimal) : std::nullopt;
+  const auto id = trace.size() == kTraceIdDigits ? toNumber<std::uint64_t>(trace, kHexBase) : std::nullopt;
   if (!id) return RequestError{400, "X-Trace-Id is missing or has not 16 hexadecimal digits"};
   if (!isTraceIdFree(*id)) return RequestError{400, "X-Trace-Id is or was lately another request's"};
   request.trace = *id;
@@ -90,7 +89,7 @@
 std::variant<ClientRequest, RequestError> RequestValidator::validate(
     const RequestHead& head, milliseconds unread, Clock::time_point time,
     const IsTraceIdFree& isTraceIdFree) const {
-  if (repeatsAHeader(head)) return RequestError{400, "a header stands there twice"};
+  if (hasRepeatedHeader(head)) return RequestError{400, "a header stands there twice"};
   const std::string_view path = pathOf(head);
   const bool isAbsolute = !path.empty() && path.front() == '/';
   const auto segments = settings::split(path.substr(path.empty() ? 0 : 1), '/');
--- a/src/sidecar/response_writer.cpp
+++ b/src/sidecar/response_writer.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kHttp11 = 11;
 constexpr double kMicrosPerSecond = 1e6;
 
-std::string inSeconds(Micros span) {
+std::string formatSeconds(Micros span) {
   std::array<char, 32> text{};
   const int size =
       std::snprintf(text.data(), text.size(), "%.3f", static_cast<double>(span) / kMicrosPerSecond);
@@ -36,7 +36,7 @@
   const bool hasLength = !answer.stream || answer.length;
   ResponseHead head{statusLineAndType(answer), !hasLength && httpVersion >= kHttp11, closesConnection};
   if (!hasLength && !head.isChunked) head.closesConnection = true;
-  if (answer.retryAfter > 0) head.text += "\r\nRetry-After: " + inSeconds(answer.retryAfter);
+  if (answer.retryAfter > 0) head.text += "\r\nRetry-After: " + formatSeconds(answer.retryAfter);
   if (head.closesConnection) head.text += "\r\nConnection: close";
   if (hasLength) {
     const std::uint64_t length = answer.stream ? *answer.length : answer.body.size();
@@ -49,7 +49,7 @@
 }
 
 std::string formatLastResponse(const Answer& answer) {
-  return statusLineAndType(answer) + "\r\nRetry-After: " + inSeconds(answer.retryAfter) +
+  return statusLineAndType(answer) + "\r\nRetry-After: " + formatSeconds(answer.retryAfter) +
          "\r\nConnection: close\r\nContent-Length: " + std::to_string(answer.body.size()) + "\r\n\r\n" +
          answer.body;
 }
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -159,7 +159,7 @@
   return most > 0 && open_.size() >= most;
 }
 
-std::optional<Answer> Server::ownAnswerTo(const RequestHead& head) const {
+std::optional<Answer> Server::localAnswerTo(const RequestHead& head) const {
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   const bool isGet = head.method() == http::verb::get;
@@ -175,9 +175,9 @@
   return answer;
 }
 
-std::variant<ClientRequest, Answer> Server::check(Message message, milliseconds unread) {
+std::variant<ClientRequest, Answer> Server::validateRequest(Message message, milliseconds unread) {
   toOriginForm(message);
-  if (auto answer = ownAnswerTo(message)) return std::move(*answer);
+  if (auto answer = localAnswerTo(message)) return std::move(*answer);
   if (!effects_.acceptsRequests) return rejection("refused: clients are sent away");
   auto read = validator_.validate(message, unread, Clock::now(),
                                   [this](std::uint64_t trace) { return traceIds_.isFree(trace, now()); });
@@ -213,27 +213,27 @@
   // A client whose request crosses the close retries it on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->hasSettled(time) && session->mayCloseIdle()) {
+    if (session->mayCountAsIdle(time) && session->mayCloseIdle()) {
       session->close();
     } else if (effects_.sendsFinalResponses) {
-      session->answerFinally();
+      session->sendFinalAnswer();
     }
   }
-  if (closeFinally()) return callbacks_.onEnded();
+  if (closeAllAtExit()) return callbacks_.onEnded();
   sweepTimer_.expires_after(kSweepInterval);
   sweepTimer_.async_wait([this](error_code cancelled) {
     if (!cancelled) sweep();
   });
 }
 
-bool Server::closeFinally() {
+bool Server::closeAllAtExit() {
   if (!effects_.mayExit) return false;
   // A connection with unread input has a request that is about to be read.
   const bool allIdle =
-      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isQuiet(); });
+      std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isIdle(); });
   if (!allIdle && !effects_.mustExit) return false;
   const auto sessions = sessions_;
-  for (const auto& [id, session] : sessions) session->closeFinally();
+  for (const auto& [id, session] : sessions) session->closeAtExit();
   return true;
 }
 
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -95,8 +95,8 @@
   [[nodiscard]] const lifecycle::Effects& effects() const override { return effects_; }
   [[nodiscard]] std::optional<Answer> rejectionFromHead(const RequestHead& head,
                                                         std::chrono::milliseconds unread) const override;
-  [[nodiscard]] std::variant<ClientRequest, Answer> check(Message message,
-                                                          std::chrono::milliseconds unread) override;
+  [[nodiscard]] std::variant<ClientRequest, Answer> validateRequest(
+      Message message, std::chrono::milliseconds unread) override;
   [[nodiscard]] Answer rejection(std::string reason) const override;
   void openRequest(std::shared_ptr<ClientSession> session) override;
   void forward(ClientRequest request) override;
@@ -108,10 +108,10 @@
   void sweep();
   // Sends all clients their last answers and closes their connections, if the lifecycle lets the process exit
   // and either no connection is in use or it must exit. False if the process continues.
-  bool closeFinally();
+  bool closeAllAtExit();
 
   // The answer to a request that the sidecar serves without an endpoint: /ready and the status pages.
-  [[nodiscard]] std::optional<Answer> ownAnswerTo(const RequestHead& head) const;
+  [[nodiscard]] std::optional<Answer> localAnswerTo(const RequestHead& head) const;
   [[nodiscard]] bool isAtRequestLimit() const;
 
   boost::asio::io_context& io_;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -51,15 +51,16 @@
       balancer_(config_.site.settings, config_.seed, now()),
       budget_(config_.relayBytes()),
       pool_(io, config_, budget_,
-            {[this](AttemptId id) { onWritten(id); }, [this](AttemptEnd end) { onEnded(std::move(end)); },
-             [this](StreamBegin begin) { onBegan(std::move(begin)); },
-             [this](const ProbeEnd& end) { onProbed(end); },
+            {[this](AttemptId id) { onAttemptWritten(id); },
+             [this](AttemptEnd end) { onAttemptEnded(std::move(end)); },
+             [this](StreamBegin begin) { onAnswerStarted(std::move(begin)); },
+             [this](const ProbeEnd& end) { onProbeEnded(end); },
              [this](RequestId id) { return server_.isClientGone(id); }}),
       membership_(io, config_.seed,
                   {[this](const discovery::EndpointList& list) {
                      selection_.onList();
-                     onList(list,
-                            list.isComplete ? MembershipUpdate::Kind::Full : MembershipUpdate::Kind::Changes);
+                     onEndpointList(list, list.isComplete ? MembershipUpdate::Kind::Full
+                                                          : MembershipUpdate::Kind::Changes);
                      onLifecycle(lifecycle::Event::EndpointListReceived);
                    },
                    [this] {
@@ -67,16 +68,17 @@
                    }}),
       selection_(io, config_, membership_, std::move(makeEtcd), log),
       server_(io, config_, file, budget_,
-              {[this](ClientRequest client) { onTaken(std::move(client)); },
-               [this](RequestId id) { onOver(id); }, [this] { return status(); },
-               [this] { return fleet_ ? fleet_->status().dump() : std::string("{}"); },
+              {[this](ClientRequest client) { onRequest(std::move(client)); },
+               [this](RequestId id) { onRequestEnded(id); }, [this] { return status(); },
+               [this] { return healthView_ ? healthView_->status().dump() : std::string("{}"); },
                [this] {
-                 if (stopped_) stopped_();
+                 if (onStopped_) onStopped_();
                }}),
       executor_(io, {config_, requests_, endpoints_, pool_, membership_, server_},
                 {[this] { handle(balancer::TimerDue{}); }, log}),
-      degradation_(io, config_.cores,
-                   {[this] { return gauges(); }, [this](degradation::Level level) { onLevel(level); }}),
+      degradation_(
+          io, config_.cores,
+          {[this] { return loadMeasurements(); }, [this](degradation::Level level) { onLevel(level); }}),
       lifecycle_({config_.listener.has_value(), config_.known && !config_.known->instances.empty(),
                   longestDeadline(config_.site.settings)},
                  timePoint(now())),
@@ -87,36 +89,36 @@
   if (unixNow() < 0)
     log("the wall clock is before 1970: starts that lists tell count as of when they are told");
   degradation_.apply(file.degradation);
-  peersAs_ = file.peers;
-  fleet_ = viewOf(peersAs_);
+  gossipOptions_ = file.peers;
+  healthView_ = makeHealthView(gossipOptions_);
   selection_.select(file.membership, config_.discovery);
   admin_.loadExclusions();
-  onList(config_.known.value_or(discovery::EndpointList{}), MembershipUpdate::Kind::Saved);
+  onEndpointList(config_.known.value_or(discovery::EndpointList{}), MembershipUpdate::Kind::Saved);
   if (!config_.site.settings.mustSubscribe || selection_.isEtcd()) membership_.watch();
   onLifecycle(lifecycle::Event::TimerExpired);
   admin_.listen();
 }
 
-void Sidecar::stop(std::function<void()> stopped) {
+void Sidecar::stop(std::function<void()> onStopped) {
   if (lifecycle_.state() == lifecycle::State::Stopping) return;
-  stopped_ = std::move(stopped);
-  if (fleet_) fleet_->leave();
+  onStopped_ = std::move(onStopped);
+  if (healthView_) healthView_->leave();
   onLifecycle(lifecycle::Event::TerminationRequested);
 }
 
 void Sidecar::reload(const Config& config, const configuration::OperatorFile& file) {
   server_.admissionController().validate(file);
-  if (file.peers.on && !(file.peers == peersAs_)) GossipHealthView::identityOf(file.peers, config_);
+  if (file.peers.on && !(file.peers == gossipOptions_)) GossipHealthView::identityOf(file.peers, config_);
   selection_.select(file.membership, config.discovery);
-  if (!(file.peers == peersAs_)) {
-    if (fleet_) {
-      fleet_->leave();
+  if (!(file.peers == gossipOptions_)) {
+    if (healthView_) {
+      healthView_->leave();
       // Destroyed from the event loop, after its handlers that are already queued.
-      asio::post(io_, [old = std::move(fleet_)] {});
+      asio::post(io_, [old = std::move(healthView_)] {});
     }
-    peersAs_ = file.peers;
-    fleet_ = viewOf(peersAs_);
-    log(fleet_ ? "peers: on, as the operator's file has it now" : "peers: off");
+    gossipOptions_ = file.peers;
+    healthView_ = makeHealthView(gossipOptions_);
+    log(healthView_ ? "peers: on, as the operator's file has it now" : "peers: off");
   }
   membership_.setPlatformAddress(config.discovery);
   server_.apply(file);
@@ -133,7 +135,7 @@
   executor_.onEventHandled(at);
 }
 
-void Sidecar::onTaken(ClientRequest client) {
+void Sidecar::onRequest(ClientRequest client) {
   balancer::NewRequest event;
   event.request = client.id;
   event.requestClass = client.requestClass;
@@ -150,7 +152,7 @@
   handle(event);
 }
 
-void Sidecar::onOver(RequestId id) {
+void Sidecar::onRequestEnded(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   found->second.isFinished = true;
@@ -159,20 +161,21 @@
   executor_.forget(id);
 }
 
-void Sidecar::onWritten(AttemptId id) {
+void Sidecar::onAttemptWritten(AttemptId id) {
   const auto found = requests_.find(id.request);
   if (found != requests_.end()) found->second.attempts.at(id.number).writtenAt = Clock::now();
 }
 
-void Sidecar::onEnded(AttemptEnd end) {
+void Sidecar::onAttemptEnded(AttemptEnd end) {
   const auto found = requests_.find(end.id.request);
   if (found == requests_.end()) return;
   Request& request = found->second;
   AttemptRecord& attempt = request.attempts.at(end.id.number);
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
   --request.out;
-  if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; fleet_ && endpoint.isListed)
-    fleet_->recordAttempt(incarnationOf(endpoint), end.outcome, duration_cast<microseconds>(end.lag).count());
+  if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; healthView_ && endpoint.isListed)
+    healthView_->recordAttempt(incarnationOf(endpoint), end.outcome,
+                               duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   balancer::AttemptOutcome event;
@@ -198,7 +201,7 @@
 
 // Once the answer has begun to stream to the client, no other answer can replace it, whatever happens to the
 // rest.
-void Sidecar::onBegan(StreamBegin begin) {
+void Sidecar::onAnswerStarted(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
   if (found == requests_.end() || found->second.isFinished) return begin.body->abandon();
   handle(balancer::AttemptStarted{begin.id.request, begin.id.number});
@@ -210,7 +213,7 @@
   executor_.finish(begin.id.request, std::move(answer));
 }
 
-void Sidecar::onProbed(const ProbeEnd& end) {
+void Sidecar::onProbeEnded(const ProbeEnd& end) {
   balancer::ProbeResult event;
   event.upstream = end.upstream;
   event.ok = end.ok;
@@ -220,7 +223,7 @@
   endpoints_.dropUse(end.upstream);
 }
 
-void Sidecar::onList(const discovery::EndpointList& list, MembershipUpdate::Kind kind) {
+void Sidecar::onEndpointList(const discovery::EndpointList& list, MembershipUpdate::Kind kind) {
   const MembershipUpdate update = endpoints_.apply(list, kind, admin_.exclusions(), now());
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Gone)
@@ -267,12 +270,12 @@
   discovery::EndpointList changed;
   changed.instances = endpoints_.received(endpoints);
   changed.previousUntil = timePoint(now());  // the previous list was current until the operators' call
-  if (!changed.instances.empty()) onList(changed, MembershipUpdate::Kind::Changes);
+  if (!changed.instances.empty()) onEndpointList(changed, MembershipUpdate::Kind::Changes);
 }
 
 // ---- Peers ------------------------------------------------------------------------------------------------
 
-std::unique_ptr<GossipHealthView> Sidecar::viewOf(const gossip::Options& options) {
+std::unique_ptr<GossipHealthView> Sidecar::makeHealthView(const gossip::Options& options) {
   if (!options.on) return nullptr;
   return std::make_unique<GossipHealthView>(
       io_, GossipHealthView::identityOf(options, config_), config_.seed,
@@ -298,7 +301,7 @@
   handle(balancer::ReducedService{restrictions.allowsHedging, restrictions.healthCheckFraction});
 }
 
-degradation::Measurements Sidecar::gauges() {
+degradation::Measurements Sidecar::loadMeasurements() {
   const auto& limiter = server_.connectionLimiter();
   degradation::Measurements measurements;
   measurements.openRequestFraction = server_.openRequestFraction();
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -46,9 +46,9 @@
   /// take effect at the next start. Throws settings::FormatError, in which case nothing has changed.
   void reload(const Config& config, const configuration::OperatorFile& file);
 
-  /// Stops the sidecar, as on SIGTERM: answers the accepted requests, then calls `stopped` once. Further
+  /// Stops the sidecar, as on SIGTERM: answers the accepted requests, then calls `onStopped` once. Further
   /// calls are ignored.
-  void stop(std::function<void()> stopped);
+  void stop(std::function<void()> onStopped);
 
   /// The port on which clients connect.
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
@@ -59,7 +59,7 @@
   /// The port of the operators' console; none: there is no console, or its address could not be bound yet.
   [[nodiscard]] std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
   /// The health view shared by gossip; null: peers are off. Valid until the next reload().
-  [[nodiscard]] const GossipHealthView* fleet() const { return fleet_.get(); }
+  [[nodiscard]] const GossipHealthView* fleet() const { return healthView_.get(); }
   /// How long the endpoint list may have been out of date, and whether its source confirms it.
   [[nodiscard]] discovery::Freshness freshness() const { return membership_.freshness(); }
   /// For tests: the size of the endpoint table, with used and free entries.
@@ -70,19 +70,19 @@
  private:
   using Request = OpenRequest;
 
-  void onTaken(ClientRequest client);
-  void onOver(balancer::RequestId id);
-  void onWritten(AttemptId id);
-  void onEnded(AttemptEnd end);
-  void onBegan(StreamBegin begin);
-  void onProbed(const ProbeEnd& end);
-  void onList(const discovery::EndpointList& list, balancer::MembershipUpdate::Kind kind);
+  void onRequest(ClientRequest client);
+  void onRequestEnded(balancer::RequestId id);
+  void onAttemptWritten(AttemptId id);
+  void onAttemptEnded(AttemptEnd end);
+  void onAnswerStarted(StreamBegin begin);
+  void onProbeEnded(const ProbeEnd& end);
+  void onEndpointList(const discovery::EndpointList& list, balancer::MembershipUpdate::Kind kind);
   void onLifecycle(lifecycle::Event event);
   void onExclusionsChanged(const std::vector<std::string>& endpoints);
   void onLevel(degradation::Level level);
-  degradation::Measurements gauges();
+  degradation::Measurements loadMeasurements();
   std::string status() const;
-  std::unique_ptr<GossipHealthView> viewOf(const gossip::Options& options);
+  std::unique_ptr<GossipHealthView> makeHealthView(const gossip::Options& options);
   std::vector<GossipHealthView::Listed> listed() const;
 
   // Passes one event to the decision module and executes the actions that it returns.
@@ -102,9 +102,9 @@
   DegradationManager degradation_;
   lifecycle::Lifecycle lifecycle_;
   boost::asio::steady_timer lifecycleTimer_;
-  std::function<void()> stopped_;
-  gossip::Options peersAs_;                  // from the operator's file
-  std::unique_ptr<GossipHealthView> fleet_;  // null: gossip is off
+  std::function<void()> onStopped_;
+  gossip::Options gossipOptions_;                 // from the operator's file
+  std::unique_ptr<GossipHealthView> healthView_;  // null: gossip is off
   AdminHandler admin_;
 };
 
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -38,53 +38,54 @@
   /// previous message.
   void begin(std::string head, bool chunked) {
     text_ = std::move(head);
-    at_ = 0;
-    chunked_ = chunked;
-    lastChunk_ = false;
+    writtenBytes_ = 0;
+    isChunked_ = chunked;
+    hasLastChunk_ = false;
   }
 
   /// Writes as much as the socket accepts and one turn of the event loop allows. The socket must be
   /// non-blocking.
   [[nodiscard]] Step step(boost::asio::ip::tcp::socket& socket, streaming::Pipe& pipe) {
-    std::size_t inTurn = 0;
+    std::size_t writtenInTurn = 0;
     for (;;) {
-      if (at_ == text_.size()) {
+      if (writtenBytes_ == text_.size()) {
         text_.clear();
-        at_ = 0;
-        if (!next(pipe)) {
+        writtenBytes_ = 0;
+        if (!nextPiece(pipe)) {
           if (pipe.hasFailed()) return Step::Failed;
           return pipe.isComplete() ? Step::Done : Step::Starved;
         }
       }
-      const std::size_t sent =
-          network::writeSome(socket, boost::asio::buffer(text_.data() + at_, text_.size() - at_), blocked_);
-      if (blocked_ && !network::isTransient(blocked_)) return Step::Broken;
-      at_ += sent;
-      inTurn += sent;
-      if (blocked_ || inTurn > kPerTurn) return Step::Blocked;
+      const std::size_t sent = network::writeSome(
+          socket, boost::asio::buffer(text_.data() + writtenBytes_, text_.size() - writtenBytes_),
+          writeError_);
+      if (writeError_ && !network::isTransient(writeError_)) return Step::Broken;
+      writtenBytes_ += sent;
+      writtenInTurn += sent;
+      if (writeError_ || writtenInTurn > kMaxBytesPerTurn) return Step::Blocked;
     }
   }
 
   /// Calls `handler` with an error code when a step that returned Blocked can be repeated.
   template <class Handler>
   void wait(boost::asio::ip::tcp::socket& socket, Handler handler) {
-    network::waitToRetry(socket, boost::asio::ip::tcp::socket::wait_write, blocked_, std::move(handler));
+    network::waitToRetry(socket, boost::asio::ip::tcp::socket::wait_write, writeError_, std::move(handler));
   }
 
  private:
   // Bytes that are copied from the pipe at once, and bytes after which a step ends its turn of the event
   // loop.
-  static constexpr std::size_t kPiece = 16UL * 1024;
-  static constexpr std::size_t kPerTurn = 256UL * 1024;
+  static constexpr std::size_t kMaxPieceSize = 16UL * 1024;
+  static constexpr std::size_t kMaxBytesPerTurn = 256UL * 1024;
 
-  bool next(streaming::Pipe& pipe) {
-    const std::string_view piece = pipe.front().substr(0, kPiece);
+  bool nextPiece(streaming::Pipe& pipe) {
+    const std::string_view piece = pipe.front().substr(0, kMaxPieceSize);
     if (piece.empty()) {
-      if (!chunked_ || !pipe.isComplete() || std::exchange(lastChunk_, true)) return false;
+      if (!isChunked_ || !pipe.isComplete() || std::exchange(hasLastChunk_, true)) return false;
       text_ = "0\r\n\r\n";
       return true;
     }
-    if (chunked_) {
+    if (isChunked_) {
       std::array<char, 16> size{};
       auto* const end = std::to_chars(size.data(), size.data() + size.size(), piece.size(), 16).ptr;
       text_.append(size.data(), end).append("\r\n").append(piece).append("\r\n");
@@ -96,9 +97,9 @@
   }
 
   std::string text_;
-  std::size_t at_ = 0;  // bytes of text_ that have been written
-  bool chunked_ = false, lastChunk_ = false;
-  boost::system::error_code blocked_;  // the result of the last write
+  std::size_t writtenBytes_ = 0;  // bytes of text_ that have been written
+  bool isChunked_ = false, hasLastChunk_ = false;
+  boost::system::error_code writeError_;  // the result of the last write
 };
 
 }  // namespace ivypost
