--- a/tests/admission/admission_queue_test.cpp
+++ b/tests/admission/admission_queue_test.cpp
@@ -166,7 +166,7 @@
 TEST(AdmissionQueue, FavoursTheHighestPriorityUnderOverload) {
   AdmissionQueue queue({}, kPriorityWeights);
   std::map<RequestId, std::uint32_t> classOf;
-  std::map<std::uint32_t, int> came, served;
+  std::map<std::uint32_t, int> arrivedCount, served;
   RequestId id = 0;
   Micros waited = 0;
   std::map<RequestId, Micros> arrived;
@@ -175,7 +175,7 @@
         id % 5 == 0 ? 1 : 0;  // 200 per second of the highest priority, 800 of another class
     classOf[++id] = requestClass;
     arrived[id] = now;
-    ++came[requestClass];
+    ++arrivedCount[requestClass];
     queue.push(request(id, requestClass, now, false, std::nullopt, now + 500 * kMillisecond), now);
     if (now % (4 * kMillisecond) != 0) continue;  // 250 per second are forwarded
     while (const auto decision = queue.next(now)) {
@@ -185,14 +185,14 @@
       break;
     }
   }
-  EXPECT_GE(served[1], came[1] * 95 / 100);
+  EXPECT_GE(served[1], arrivedCount[1] * 95 / 100);
   EXPECT_GE(served[0], 250);  // an eighth of the turns, of which there are 2,500
   EXPECT_LE(waited, AdmissionQueueSettings{}.interval);
 }
 
 // For random sequences of calls: each request gets exactly one decision or is withdrawn, the bounds hold, and
 // the queue ends empty.
-TEST(AdmissionQueueProperty, EachRequestGetsOneDecisionWhateverComes) {
+TEST(AdmissionQueueProperty, EachRequestGetsExactlyOneDecision) {
   EXPECT_TRUE(rc::check("one decision each", [] {
     AdmissionQueueSettings settings;
     settings.maxRequests = 6;
--- a/tests/admission/metastable_overload_test.cpp
+++ b/tests/admission/metastable_overload_test.cpp
@@ -160,7 +160,7 @@
 
 // Shows that the simulated overload is metastable: when served in the order of arrival, the core works on
 // requests whose clients have timed out.
-TEST_P(MetastableOverloadTest, StaysWithoutTheQueue) {
+TEST_P(MetastableOverloadTest, PersistsWithoutTheQueue) {
   const auto served = Simulation(Order::InOrderOfArrival, GetParam()).run(20 * kSecond);
   for (std::size_t second = 1; second < 3; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
   for (std::size_t second = 10; second < 19; ++second) EXPECT_LE(served[second], 0.1 * kUsualRate) << second;
--- a/tests/admission/tcp_state_test.cpp
+++ b/tests/admission/tcp_state_test.cpp
@@ -14,18 +14,18 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-TEST(TcpState, SaysWhatTheKernelKnowsAndNothingOnAnError) {
+TEST(TcpState, ReportsTheKernelsStateAndNothingOnAnError) {
   asio::io_context io;
   tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-  tcp::socket near(io), far(io);
-  far.connect(acceptor.local_endpoint());
-  acceptor.accept(near);
-  EXPECT_FALSE(admission::hasPeerClosed(near.native_handle()));
-  EXPECT_TRUE(admission::isAllAcknowledged(near.native_handle()));
-  asio::write(far, asio::buffer("x", 1));
-  far.shutdown(tcp::socket::shutdown_send);
-  near.wait(tcp::socket::wait_read);
-  EXPECT_TRUE(admission::hasPeerClosed(near.native_handle()));
+  tcp::socket server(io), client(io);
+  client.connect(acceptor.local_endpoint());
+  acceptor.accept(server);
+  EXPECT_FALSE(admission::hasPeerClosed(server.native_handle()));
+  EXPECT_TRUE(admission::isAllAcknowledged(server.native_handle()));
+  asio::write(client, asio::buffer("x", 1));
+  client.shutdown(tcp::socket::shutdown_send);
+  server.wait(tcp::socket::wait_read);
+  EXPECT_TRUE(admission::hasPeerClosed(server.native_handle()));
   // On an error each function returns the value for which its caller takes no action.
   EXPECT_FALSE(admission::hasPeerClosed(-1));
   EXPECT_EQ(admission::timeSinceLastData(-1).count(), 0);
--- a/tests/admission/tenant_quotas_test.cpp
+++ b/tests/admission/tenant_quotas_test.cpp
@@ -32,7 +32,7 @@
   return counts;
 }
 
-TEST(TenantQuotas, NothingIsBeyondAQuotaThatIsKept) {
+TEST(TenantQuotas, NoRequestIsBeyondAQuotaThatIsNotExceeded) {
   TenantQuotas quotas({0.79, 0.21});
   const auto counts = simulate(quotas, 0, 10 * kSecond, 79, 21);
   EXPECT_EQ(counts[0].beyondQuota + counts[1].beyondQuota, 0);
@@ -55,7 +55,7 @@
   EXPECT_EQ(after[0].beyondQuota + after[1].beyondQuota, 0);
 }
 
-TEST(TenantQuotas, NothingIsBeyondOfFewRequestsUnknownTenantsOrNoQuotas) {
+TEST(TenantQuotas, NoRequestIsBeyondAQuotaWithFewRequestsUnknownTenantsOrNoQuotas) {
   TenantQuotas few({0.5, 0.5});
   for (int n = 0; n < 19; ++n) EXPECT_FALSE(few.recordArrival(0, n));
   EXPECT_EQ(few.beyondQuotaFraction(20), 0);
--- a/tests/http_conformance_test.cpp
+++ b/tests/http_conformance_test.cpp
@@ -243,7 +243,7 @@
 
 // RFC 9112, 3.2.2: the host of an absolute target takes precedence over the Host field. RFC 9110, 7.6.1:
 // headers that Connection names are not forwarded.
-TEST_F(SidecarTest, SendsOnInOriginForm) {
+TEST_F(SidecarTest, ForwardsInOriginForm) {
   start(1);
   upstreams[0]->onRequest = [](Peer::Exchange& e) { e.reply(200, "hecho"); };
   const Client from = client();
@@ -257,7 +257,7 @@
 
 // RFC 9110, 10.1.1: a client that waits for 100 (Continue) gets it, sends its body, and gets one final
 // answer.
-TEST_F(SidecarTest, AsksForTheBodyThatAClientHoldsBack) {
+TEST_F(SidecarTest, Sends100ContinueToAClientThatExpectsIt) {
   start(1);
   upstreams[0]->onRequest = [](Peer::Exchange& e) { e.reply(200, "hecho"); };
   tcp::socket socket(io);
@@ -282,7 +282,7 @@
   socket.close();
 }
 
-TEST(RequestForm, TellsBadStartLines) {
+TEST(RequestParser, ClassifiesMalformedStartLines) {
   EXPECT_EQ(statusOfMalformedStartLine("GET / HTTP/3.0\r\n"), 505u);
   EXPECT_EQ(statusOfMalformedStartLine("GET / HTTP/1.5x\r\n"), 400u);
   EXPECT_EQ(statusOfMalformedStartLine("HTTP/2.0\r\n"), 400u);
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -6,7 +6,7 @@
 namespace ivypost {
 namespace {
 
-enum class Leaves { Close, Reset, HalfClose, CloseAfterMuch, ResetAfterMuch };
+enum class CloseKind { Close, Reset, HalfClose, CloseAfterData, ResetAfterData };
 
 configuration::OperatorFile withQueue(std::int64_t perTurn) {
   configuration::OperatorFile file;
@@ -16,23 +16,25 @@
 }
 
 // A client's socket that reads only on request.
-class Visitor {
+class RawClient {
  public:
-  Visitor(asio::io_context& io, std::uint16_t port) : socket_(io) {
+  RawClient(asio::io_context& io, std::uint16_t port) : socket_(io) {
     socket_.connect({asio::ip::address_v4::loopback(), port});
   }
   void send(const std::string& bytes) { asio::write(socket_, asio::buffer(bytes)); }
-  bool sendsAhead(Leaves how) const { return how == Leaves::CloseAfterMuch || how == Leaves::ResetAfterMuch; }
+  bool sendsAhead(CloseKind how) const {
+    return how == CloseKind::CloseAfterData || how == CloseKind::ResetAfterData;
+  }
   // Sends more than the sidecar reads ahead of an answer without budget, and less than the kernel buffers.
   void sendAhead(std::size_t size = 40'000) {
-    std::string much;
-    for (int n = 100; much.size() < size; ++n) {
+    std::string data;
+    for (int n = 100; data.size() < size; ++n) {
       Request request;
       request.trace = traceOf(n);
       request.body.assign(900, 'b');
-      much += request.text();
+      data += request.text();
     }
-    send(much);
+    send(data);
   }
   // Sends the first `size` bytes of a request, or all of it if its body is not larger, as far as the send
   // buffer of this end accepts them without blocking.
@@ -52,12 +54,12 @@
     if (!text.empty()) asio::read(socket_, asio::buffer(text));
     return text;
   }
-  void leave(Leaves how) {
-    if (how == Leaves::HalfClose) {
+  void close(CloseKind how) {
+    if (how == CloseKind::HalfClose) {
       socket_.shutdown(tcp::socket::shutdown_send);
       return;
     }
-    if (how == Leaves::Reset || how == Leaves::ResetAfterMuch)
+    if (how == CloseKind::Reset || how == CloseKind::ResetAfterData)
       socket_.set_option(asio::socket_base::linger(true, 0));
     socket_.close();
   }
@@ -66,43 +68,43 @@
   tcp::socket socket_;
 };
 
-class LeavesTest : public SidecarTest, public testing::WithParamInterface<std::tuple<Leaves, bool>> {
+class LeavesTest : public SidecarTest, public testing::WithParamInterface<std::tuple<CloseKind, bool>> {
  protected:
-  Leaves how() const { return std::get<0>(GetParam()); }
+  CloseKind how() const { return std::get<0>(GetParam()); }
   bool mayCancel() const { return std::get<1>(GetParam()); }
   json patched() const {
     return {{"settings", {{"limits", {{"mayCancel", mayCancel()}, {"connectTimeout", 60'000'000}}}}}};
   }
   void settle() { pollAll(io); }
   // Publishes an endpoint list with this upstream only.
-  void tell(const std::string& address) {
-    json told = list(++generation, true);
-    told["instances"].push_back({{"instanceId", "s-1"},
-                                 {"hostPort", address},
-                                 {"zone", "oviedo"},
-                                 {"lifecycle", "up"},
-                                 {"weight", 1.0},
-                                 {"startedAtMs", 0}});
+  void publishList(const std::string& address) {
+    json endpointList = list(++generation, true);
+    endpointList["instances"].push_back({{"instanceId", "s-1"},
+                                         {"hostPort", address},
+                                         {"zone", "oviedo"},
+                                         {"lifecycle", "up"},
+                                         {"weight", 1.0},
+                                         {"startedAtMs", 0}});
     const auto before = watches();
-    discovery.requests.back().reply(200, told.dump());
+    discovery.requests.back().reply(200, endpointList.dump());
     ASSERT_TRUE(wait([&] { return watches() > before; }));
   }
 };
 
 // The client leaves while the connection to the upstream is being established. When that succeeds later, the
 // request must not be written to it.
-TEST_P(LeavesTest, WhileAConnectionComesUp) {
+TEST_P(LeavesTest, WhileTheUpstreamConnects) {
   FullListener node(io);
   start(0, patched());
-  tell(node.address());
-  Visitor visitor(io, sidecar->port());
-  visitor.send(Request().text());
+  publishList(node.address());
+  RawClient rawClient(io, sidecar->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
-  if (visitor.sendsAhead(how())) {
-    visitor.sendAhead();
+  if (rawClient.sendsAhead(how())) {
+    rawClient.sendAhead();
     settle();  // the sidecar reads ahead as much as it may
   }
-  visitor.leave(how());
+  rawClient.close(how());
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
   EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
@@ -117,22 +119,22 @@
 
 // The connection is established and then the client leaves, both before the event loop runs. So the handler
 // that would write the request runs before the one that detects the client's close.
-TEST_P(LeavesTest, AsItsConnectionHasComeUp) {
+TEST_P(LeavesTest, JustAfterTheUpstreamConnected) {
   FullListener node(io);
   start(0, patched());
-  tell(node.address());
-  Visitor visitor(io, sidecar->port());
-  visitor.send(Request().text());
+  publishList(node.address());
+  RawClient rawClient(io, sidecar->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
-  if (visitor.sendsAhead(how())) {
-    visitor.sendAhead();
+  if (rawClient.sendsAhead(how())) {
+    rawClient.sendAhead();
     settle();
   }
   // The connection's first packets were dropped as the accept queue was full; the kernel retransmits them
   // after 1 s.
   node.emptyTheQueue();
   standStill(milliseconds(1500));
-  visitor.leave(how());
+  rawClient.close(how());
   settle();
   EXPECT_EQ(sidecar->comingUp(), 0u);
   node.readAll();
@@ -146,25 +148,25 @@
 
 // The request waits in the decision module, as its only upstream is at its concurrency limit. The next
 // client's request is sent instead.
-TEST_P(LeavesTest, WhileNobodyIsReady) {
+TEST_P(LeavesTest, WhileNoUpstreamIsReady) {
   start(1, patched());
   const Client first = client();
   Request request;
   request.trace = traceOf(1);
   first.send(request.text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  Visitor visitor(io, sidecar->port());
-  visitor.send(Request().text());
+  RawClient rawClient(io, sidecar->port());
+  rawClient.send(Request().text());
   settle();
-  if (visitor.sendsAhead(how())) {
-    visitor.sendAhead();
+  if (rawClient.sendsAhead(how())) {
+    rawClient.sendAhead();
     settle();
   }
   ASSERT_EQ(arrived(), 1u);  // the request waits
-  visitor.leave(how());
+  rawClient.close(how());
   // The sidecar detects the close and closes its end.
   settle();
-  if (visitor.sendsAhead(how())) {
+  if (rawClient.sendsAhead(how())) {
     const auto until = Clock::now() + milliseconds(300);
     ASSERT_TRUE(wait([&] { return Clock::now() >= until; }));
   }
@@ -184,20 +186,20 @@
   node.bind({asio::ip::address_v4::loopback(), 0});
   node.listen();
   start(0, patched());
-  tell("127.0.0.1:" + std::to_string(node.local_endpoint().port()));
+  publishList("127.0.0.1:" + std::to_string(node.local_endpoint().port()));
   std::optional<tcp::socket> line;
   node.async_accept([&](error_code, tcp::socket socket) { line = std::move(socket); });
-  Visitor visitor(io, sidecar->port());
+  RawClient rawClient(io, sidecar->port());
   Request request;
   request.body.assign(60'000, 'b');
-  visitor.send(request.text());
+  rawClient.send(request.text());
   ASSERT_TRUE(wait([&] { return line && line->available() > 0; }));
   settle();
-  if (visitor.sendsAhead(how())) {
-    visitor.sendAhead();
+  if (rawClient.sendsAhead(how())) {
+    rawClient.sendAhead();
     settle();
   }
-  visitor.leave(how());
+  rawClient.close(how());
   // The upstream continues to read after the sidecar has had time to detect the close.
   const auto until = Clock::now() + milliseconds(300);
   ASSERT_TRUE(wait([&] { return Clock::now() >= until; }));
@@ -218,33 +220,34 @@
 
 // The client leaves during the upload of a large body under backpressure, since its upstream does not read:
 // nothing of the request is sent later.
-TEST_P(LeavesTest, WhileItsUploadIsHeldBack) {
+TEST_P(LeavesTest, WhileItsUploadHasBackpressure) {
   FullListener node(io);
   start(0, patched());
-  tell(node.address());
-  Visitor visitor(io, sidecar->port());
+  publishList(node.address());
+  RawClient rawClient(io, sidecar->port());
   Request request;
   request.body.assign(3'000'000, 'b');
   // More than the sidecar buffers for the request, and no more than the kernel can buffer in addition.
-  visitor.send(request.text().substr(0, 160'000));
+  rawClient.send(request.text().substr(0, 160'000));
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
   settle();
-  visitor.leave(how());
+  rawClient.close(how());
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
   EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));
 }
 
 INSTANTIATE_TEST_SUITE_P(All, LeavesTest,
-                         testing::Combine(testing::Values(Leaves::Close, Leaves::Reset, Leaves::HalfClose,
-                                                          Leaves::CloseAfterMuch, Leaves::ResetAfterMuch),
+                         testing::Combine(testing::Values(CloseKind::Close, CloseKind::Reset,
+                                                          CloseKind::HalfClose, CloseKind::CloseAfterData,
+                                                          CloseKind::ResetAfterData),
                                           testing::Bool()));
 
-class MomentsTest : public SidecarTest {};
+class ClientCloseTest : public SidecarTest {};
 
 // A client leaves before its request is read, as the event loop is blocked: the request must not be
 // forwarded, although its bytes are read before the end of the connection.
-TEST_F(MomentsTest, ARequestThatStoodUnreadUntilItsClientLeftIsNotSent) {
+TEST_F(ClientCloseTest, SendsNoRequestThatWasUnreadWhenItsClientLeft) {
   start(1);
   const Client usual = client();
   Request request;
@@ -259,13 +262,13 @@
     ASSERT_TRUE(wait([&] { return usual.answers() == answers + 1; }));
   };
   serve(traceOf(1));  // leaves an idle connection to the upstream open
-  std::vector<std::unique_ptr<Visitor>> visitors;
-  for (int n = 0; n < 50; ++n) visitors.push_back(std::make_unique<Visitor>(io, sidecar->port()));
+  std::vector<std::unique_ptr<RawClient>> rawClients;
+  for (int n = 0; n < 50; ++n) rawClients.push_back(std::make_unique<RawClient>(io, sidecar->port()));
   serve(traceOf(2));  // the sidecar has accepted the connections by then
-  for (std::size_t n = 0; n < visitors.size(); ++n) {
+  for (std::size_t n = 0; n < rawClients.size(); ++n) {
     request.trace = traceOf(100 + static_cast<int>(n));
-    visitors[n]->send(request.text());
-    visitors[n]->leave(n % 2 == 0 ? Leaves::Close : Leaves::HalfClose);
+    rawClients[n]->send(request.text());
+    rawClients[n]->close(n % 2 == 0 ? CloseKind::Close : CloseKind::HalfClose);
   }
   standStill(milliseconds(30));
   serve(traceOf(3));
@@ -275,7 +278,7 @@
 
 // Hundreds of clients leave at once while their requests wait: none of these requests is sent to an upstream
 // afterwards.
-TEST_F(MomentsTest, OfABurstOfLeaversNoneIsSentOn) {
+TEST_F(ClientCloseTest, SendsNoRequestOfABurstOfClientsThatLeave) {
   start(1, {{"limits", {{"sockets", 1024}}}});
   const Client first = client();
   Request request;
@@ -283,16 +286,16 @@
   first.send(request.text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
   constexpr int kMany = 300;
-  std::vector<std::unique_ptr<Visitor>> visitors;
+  std::vector<std::unique_ptr<RawClient>> rawClients;
   for (int n = 0; n < kMany; ++n) {
-    visitors.push_back(std::make_unique<Visitor>(io, sidecar->port()));
+    rawClients.push_back(std::make_unique<RawClient>(io, sidecar->port()));
     request.trace = traceOf(100 + n);
-    visitors.back()->send(request.text());
+    rawClients.back()->send(request.text());
     io.restart();
     io.poll();
   }
   for (int n = 0; n < kMany; ++n)
-    visitors[static_cast<std::size_t>(n)]->leave(n % 3 == 0 ? Leaves::Reset : Leaves::Close);
+    rawClients[static_cast<std::size_t>(n)]->close(n % 3 == 0 ? CloseKind::Reset : CloseKind::Close);
   // The sidecar serves this client after it has processed the events of the earlier ones.
   const Client last = client();
   last.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -313,24 +316,24 @@
 
 // A client sends more than the kernel buffers and then closes: the sidecar reads ahead within its memory
 // budget, so that it receives the end of the stream.
-TEST_F(MomentsTest, AClientThatClosesBehindAMegabyteIsSeenToLeave) {
+TEST_F(ClientCloseTest, DetectsACloseBehindAMegabyte) {
   FullListener node(io);
   start(0, {{"settings", {{"limits", {{"connectTimeout", 60'000'000}}}}}});
-  json told = list(++generation, true);
-  told["instances"].push_back({{"instanceId", "s-1"},
-                               {"hostPort", node.address()},
-                               {"zone", "oviedo"},
-                               {"lifecycle", "up"},
-                               {"weight", 1.0},
-                               {"startedAtMs", 0}});
+  json endpointList = list(++generation, true);
+  endpointList["instances"].push_back({{"instanceId", "s-1"},
+                                       {"hostPort", node.address()},
+                                       {"zone", "oviedo"},
+                                       {"lifecycle", "up"},
+                                       {"weight", 1.0},
+                                       {"startedAtMs", 0}});
   const auto before = watches();
-  discovery.requests.back().reply(200, told.dump());
+  discovery.requests.back().reply(200, endpointList.dump());
   ASSERT_TRUE(wait([&] { return watches() > before; }));
-  Visitor visitor(io, sidecar->port());
-  visitor.send(Request().text());
+  RawClient rawClient(io, sidecar->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
-  visitor.sendWithoutWaiting(1'000'000);
-  visitor.leave(Leaves::Close);
+  rawClient.sendWithoutWaiting(1'000'000);
+  rawClient.close(CloseKind::Close);
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
   EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
@@ -339,23 +342,23 @@
 // A client closes during the upload of a large streamed body of which the upstream has received nothing:
 // otherwise a connection that is established late, or a retry, would begin an attempt for a client that has
 // left.
-TEST_F(MomentsTest, AClientThatClosesBehindPartOfAnUploadIsSeenToLeave) {
+TEST_F(ClientCloseTest, DetectsACloseBehindPartOfAnUpload) {
   FullListener node(io);
   start(0, {{"settings", {{"limits", {{"connectTimeout", 60'000'000}}}}}});
-  json told = list(++generation, true);
-  told["instances"].push_back({{"instanceId", "s-1"},
-                               {"hostPort", node.address()},
-                               {"zone", "oviedo"},
-                               {"lifecycle", "up"},
-                               {"weight", 1.0},
-                               {"startedAtMs", 0}});
+  json endpointList = list(++generation, true);
+  endpointList["instances"].push_back({{"instanceId", "s-1"},
+                                       {"hostPort", node.address()},
+                                       {"zone", "oviedo"},
+                                       {"lifecycle", "up"},
+                                       {"weight", 1.0},
+                                       {"startedAtMs", 0}});
   const auto before = watches();
-  discovery.requests.back().reply(200, told.dump());
+  discovery.requests.back().reply(200, endpointList.dump());
   ASSERT_TRUE(wait([&] { return watches() > before; }));
-  Visitor visitor(io, sidecar->port());
-  visitor.sendWithoutWaiting(1'500'000, 3'000'000);
+  RawClient rawClient(io, sidecar->port());
+  rawClient.sendWithoutWaiting(1'500'000, 3'000'000);
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
-  visitor.leave(Leaves::Close);
+  rawClient.close(CloseKind::Close);
   pollAll(io);
   node.letGo();  // the kernel retransmits the connection's first packet after about a second
   const auto left = Clock::now();
@@ -371,44 +374,44 @@
 
 // A close behind more unread bytes than the budget allows can't be detected: the request gets an error
 // answer, and is not sent to an upstream.
-TEST_F(ServerTest, WhoMayHaveLeftBehindUnreadBytesIsAnsweredAndNotSentOn) {
+TEST_F(ServerTest, RejectsARequestWhoseClientsCloseCantBeDetected) {
   budget.emplace(0);
   serve();
-  Visitor visitor(io, server->port());
-  visitor.send(Request().text());
+  RawClient rawClient(io, server->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   EXPECT_FALSE(server->isClientGone(taken[0].id));
-  visitor.sendWithoutWaiting(1'000'000);
+  rawClient.sendWithoutWaiting(1'000'000);
   pollAll(io);
   EXPECT_TRUE(server->isClientGone(taken[0].id));
-  EXPECT_EQ(visitor.got(), "");
+  EXPECT_EQ(rawClient.got(), "");
   pollAll(io);
-  EXPECT_EQ(visitor.got().substr(0, 12), "HTTP/1.1 502");
+  EXPECT_EQ(rawClient.got().substr(0, 12), "HTTP/1.1 502");
   EXPECT_EQ(over, std::vector{taken[0].id});
 }
 
 // A client that sends ahead no more than can be read counts as connected.
-TEST_F(ServerTest, WhoSendsAheadWhatCanBeReadIsServed) {
+TEST_F(ServerTest, KeepsARequestWhoseClientSendsAheadWithinTheLimit) {
   budget.emplace(0);
   serve();
-  Visitor visitor(io, server->port());
-  visitor.send(Request().text());
+  RawClient rawClient(io, server->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
-  visitor.sendAhead(10'000);
+  rawClient.sendAhead(10'000);
   pollAll(io);
   EXPECT_FALSE(server->isClientGone(taken[0].id));
 }
 
-class AskedTest : public ServerTest, public testing::WithParamInterface<Leaves> {};
+class IsClientGoneTest : public ServerTest, public testing::WithParamInterface<CloseKind> {};
 
 // isClientGone() detects a client that has left before the event loop has handled the socket's event.
-TEST_P(AskedTest, WhoHasLeftIsKnownToBeGoneWhenAsked) {
+TEST_P(IsClientGoneTest, DetectsACloseBeforeTheEventLoopDoes) {
   serve();
-  Visitor visitor(io, server->port());
-  visitor.send(Request().text());
+  RawClient rawClient(io, server->port());
+  rawClient.send(Request().text());
   ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
   EXPECT_FALSE(server->isClientGone(taken[0].id));
-  visitor.leave(GetParam());
+  rawClient.close(GetParam());
   EXPECT_TRUE(server->isClientGone(taken[0].id));
   EXPECT_TRUE(over.empty()) << "not from within the call";
   pollAll(io);
@@ -416,19 +419,20 @@
   EXPECT_TRUE(server->isClientGone(taken[0].id)) << "it is over";
 }
 
-INSTANTIATE_TEST_SUITE_P(All, AskedTest, testing::Values(Leaves::Close, Leaves::Reset, Leaves::HalfClose));
+INSTANTIATE_TEST_SUITE_P(All, IsClientGoneTest,
+                         testing::Values(CloseKind::Close, CloseKind::Reset, CloseKind::HalfClose));
 
 // Clients leave while their requests are in the admission queue, and the event loop does not run until all
 // have left: the queued requests must not be sent to an upstream.
-TEST_F(MomentsTest, WhoLeavesTheQueueForTheCoreIsNotSentOn) {
+TEST_F(ClientCloseTest, SendsNoRequestWhoseClientLeftTheAdmissionQueue) {
   upstreams.push_back(std::make_unique<Peer>(io));
   states.assign(1, "up");
   sidecar = std::make_unique<Sidecar>(io, configure({{"settings", {{"limits", {{"maxStreams", 1000}}}}}}),
                                       withQueue(1));
   ASSERT_TRUE(wait([this] { return watches() > 0; }));
   constexpr int kMany = 60;
-  std::vector<std::unique_ptr<Visitor>> visitors;
-  for (int n = 0; n < kMany; ++n) visitors.push_back(std::make_unique<Visitor>(io, sidecar->port()));
+  std::vector<std::unique_ptr<RawClient>> rawClients;
+  for (int n = 0; n < kMany; ++n) rawClients.push_back(std::make_unique<RawClient>(io, sidecar->port()));
   pollAll(io);
   Request request;
   request.qos = "consulta";
@@ -436,7 +440,7 @@
   request.body.clear();
   for (int n = 0; n < kMany; ++n) {
     request.trace = traceOf(n);
-    visitors[static_cast<std::size_t>(n)]->send(request.text());
+    rawClients[static_cast<std::size_t>(n)]->send(request.text());
   }
   // All requests have been read, and one or two of them forwarded.
   io.restart();
@@ -444,7 +448,7 @@
   const std::size_t before = arrived();
   ASSERT_LT(before, 20u);
   for (int n = 0; n < kMany; ++n)
-    visitors[static_cast<std::size_t>(n)]->leave(n % 2 == 0 ? Leaves::Close : Leaves::HalfClose);
+    rawClients[static_cast<std::size_t>(n)]->close(n % 2 == 0 ? CloseKind::Close : CloseKind::HalfClose);
   // Requests that were written before may still be in transit.
   const Client last = client();
   last.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -455,20 +459,22 @@
 }
 
 // Requests in the admission queue are not forwarded after their clients have left.
-TEST_F(ServerTest, WhoLeavesTheQueueForTheCoreIsNotHandedOn) {
+TEST_F(ServerTest, ForwardsNoRequestWhoseClientLeftTheAdmissionQueue) {
   serve(withQueue(1));
   constexpr std::size_t kMany = 100;
-  std::vector<std::unique_ptr<Visitor>> visitors;
-  for (std::size_t n = 0; n < kMany; ++n) visitors.push_back(std::make_unique<Visitor>(io, server->port()));
+  std::vector<std::unique_ptr<RawClient>> rawClients;
+  for (std::size_t n = 0; n < kMany; ++n)
+    rawClients.push_back(std::make_unique<RawClient>(io, server->port()));
   ASSERT_TRUE(wait([&] { return inside() == kMany; }));
   Request request;
   for (std::size_t n = 0; n < kMany; ++n) {
     request.trace = traceOf(static_cast<int>(n));
-    visitors[n]->send(request.text());
+    rawClients[n]->send(request.text());
   }
   ASSERT_TRUE(wait([&] { return server->admissionController().queueSize() > kMany / 2; }));
   const std::size_t before = taken.size();
-  for (std::size_t n = 0; n < kMany; ++n) visitors[n]->leave(n % 2 == 0 ? Leaves::Close : Leaves::Reset);
+  for (std::size_t n = 0; n < kMany; ++n)
+    rawClients[n]->close(n % 2 == 0 ? CloseKind::Close : CloseKind::Reset);
   pollAll(io);
   // Allows for the current turn, and one more turn before the event loop handles the sockets' events.
   EXPECT_LE(taken.size(), before + 3);
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -22,20 +22,20 @@
 
 class ReloadTest : public SidecarTest, public testing::WithParamInterface<Reloads> {
  protected:
-  ReloadTest() : others{Peer(io), Peer(io)} {}
+  ReloadTest() : otherDiscoveries{Peer(io), Peer(io)} {}
 
   Peer& discoveryOf(char letter) {
     if (letter == 'a') return discovery;
-    return others.at(static_cast<std::size_t>(letter - 'b'));
+    return otherDiscoveries.at(static_cast<std::size_t>(letter - 'b'));
   }
-  void take(char step) {
+  void runStep(char step) {
     switch (step) {
       case '|':
         io.restart();
         io.poll();
         return;
       case 'T':
-        sidecar->stop([this] { ++ends; });
+        sidecar->stop([this] { ++stops; });
         return;
       case 'x':
         // As in main(): an invalid configuration is rejected and changes nothing.
@@ -47,35 +47,35 @@
     }
   }
 
-  std::array<Peer, 2> others;
+  std::array<Peer, 2> otherDiscoveries;
   char last = 'a';
-  int ends = 0;
+  int stops = 0;
 };
 
-TEST_P(ReloadTest, TheLastOneCountsAndNothingTakenIsLost) {
+TEST_P(ReloadTest, AppliesTheLastConfigurationAndLosesNoRequest) {
   start(2);
   const Client client = this->client();
   client.send(Request().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  for (Peer* other : {&others[0], &others[1]})
+  for (Peer* other : {&otherDiscoveries[0], &otherDiscoveries[1]})
     other->onRequest = [this](Peer::Exchange& call) {
       // Each of the other discovery services answers with a complete list in which the second upstream
       // drains.
       if (call.message.target() != "/v1/endpoints") return;
-      json told = list(generation, true);
-      told["instances"][1]["lifecycle"] = "draining";
-      call.reply(200, told.dump());
+      json endpointList = list(generation, true);
+      endpointList["instances"][1]["lifecycle"] = "draining";
+      call.reply(200, endpointList.dump());
     };
   const std::string steps = GetParam().steps;
   const std::size_t before = discovery.requests.size();
-  for (const char step : steps) take(step);
+  for (const char step : steps) runStep(step);
   const bool stopped = steps.find('T') != std::string::npos;
   if (!stopped) {
-    Peer& counts = discoveryOf(last);
+    Peer& activeDiscovery = discoveryOf(last);
     // The sidecar requests the complete list from it, and then watches it.
     const std::size_t from = last == 'a' ? before : 0;
-    ASSERT_TRUE(wait([&] { return counts.requests.size() >= from + 2; }));
-    EXPECT_EQ(counts.requests[from].message.target(), "/v1/endpoints");
+    ASSERT_TRUE(wait([&] { return activeDiscovery.requests.size() >= from + 2; }));
+    EXPECT_EQ(activeDiscovery.requests[from].message.target(), "/v1/endpoints");
     EXPECT_TRUE(sidecar->freshness().isConfirmed);
     // No connection to the other discovery services stays open.
     for (const char letter : {'a', 'b', 'c'}) {
@@ -87,9 +87,9 @@
   ASSERT_TRUE(wait([&] { return client.answers() == 1; }));
   EXPECT_EQ(client.answer(0).result_int(), 200u);
   if (stopped) {
-    ASSERT_TRUE(wait([&] { return ends > 0; }));
+    ASSERT_TRUE(wait([&] { return stops > 0; }));
     pollAll(io);
-    EXPECT_EQ(ends, 1);
+    EXPECT_EQ(stops, 1);
   }
 }
 
--- a/tests/response_writer_test.cpp
+++ b/tests/response_writer_test.cpp
@@ -63,7 +63,7 @@
             "Connection: close\r\nContent-Length: 9\r\n\r\nstopping\n");
 }
 
-TEST(ResponseWriter, TellsABodyThatIsTooLargeFromAMalformedOne) {
+TEST(ResponseWriter, DistinguishesTooLargeFromMalformedBodies) {
   using boost::beast::http::error;
   EXPECT_EQ(answerToBodyError(make_error_code(error::body_limit)).status, 413U);
   EXPECT_EQ(answerToBodyError(make_error_code(error::bad_chunk)).status, 400U);
