--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -11,9 +11,9 @@
 using admission::Decision;
 using balancer::RequestId;
 
-// The least Retry-After, where the platform wants one.
+// The minimum Retry-After in microseconds, if the platform asks for that header.
 constexpr Micros kMinRetryAfter = 100'000;
-// Rejections cost little, but not nothing: so many count as one request in the number that a turn forwards.
+// A rejection costs less than forwarding a request: this many count as one against the limit per turn.
 constexpr std::int64_t kRejectionsPerForward = 8;
 
 std::vector<double> quotasOf(const Config& config) {
@@ -29,7 +29,7 @@
     : io_(io),
       config_(config),
       callbacks_(std::move(callbacks)),
-      perTurn_(file.admission.perTurn),
+      maxForwardsPerTurn_(file.admission.perTurn),
       quotas_(quotasOf(config)),
       isAlive_(std::make_shared<bool>(true)) {
   apply(file);
@@ -63,7 +63,7 @@
 
 void AdmissionController::apply(const configuration::OperatorFile& file) {
   priorityWeights_ = priorityWeightsOf(file);
-  perTurn_ = file.admission.perTurn;
+  maxForwardsPerTurn_ = file.admission.perTurn;
   countsArrivals_ = file.admission.queue || file.degradation.on;
   queue_.reset();
   if (file.admission.queue) {
@@ -92,8 +92,9 @@
   const Micros at = now();
   const bool isBeyondQuota = countsArrivals_ && quotas_.recordArrival(request.tenant, at);
   if (!queue_) return callbacks_.forward(std::move(request));
-  // Nothing is queued and the turn is not used up: the usual case costs no more than a post to the loop.
-  if (!isOverloaded && queued_.empty() && forwardedInTurn_ < perTurn_) {
+  // The queue is empty and the limit of this turn is not reached: the usual case costs only a post to the
+  // loop.
+  if (!isOverloaded && queued_.empty() && forwardedInTurn_ < maxForwardsPerTurn_) {
     ++forwardedInTurn_;
     scheduleTurn();
     ++counts_.at(static_cast<std::size_t>(admission::Outcome::Forward));
@@ -161,7 +162,7 @@
   isTurnScheduled_ = false;
   forwardedInTurn_ = 0;
   std::int64_t rejected = 0;
-  while (queue_ && forwardedInTurn_ + rejected / kRejectionsPerForward < perTurn_) {
+  while (queue_ && forwardedInTurn_ + rejected / kRejectionsPerForward < maxForwardsPerTurn_) {
     const auto decision = queue_->next(now());
     if (!decision) break;
     ++(decision->outcome == admission::Outcome::Forward ? forwardedInTurn_ : rejected);
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Starts the sidecar, reads its configuration and the operator's file anew at SIGHUP, and ends it at SIGTERM
-// or SIGINT.
+// Starts the sidecar, reloads its configuration and the operator's file on SIGHUP, and stops it on SIGTERM or
+// SIGINT.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -23,7 +23,7 @@
 
 namespace {
 
-// Blocks of this size and more go back to the system when they are freed.
+// Bytes. The C library returns blocks of at least this size to the system when they are freed.
 constexpr int kLargeBlock = 128 * 1024;
 
 ivypost::configuration::OperatorFile readFile(const std::string& path) {
@@ -31,34 +31,36 @@
                       : ivypost::configuration::readOperatorFile(path);
 }
 
-// The configuration is read again so often and so long after one that could not be: whoever sends SIGHUP may
-// still be writing the file, and what it says counts 4 s after the signal.
-constexpr std::chrono::milliseconds kAgain{100};
-constexpr int kTries = 20;
+// A configuration that can't be read is retried at this interval, with this many attempts in all: the file
+// may still be being written when SIGHUP arrives, and must take effect within 4 s of the signal.
+constexpr std::chrono::milliseconds kReloadRetryInterval{100};
+constexpr int kMaxReloadAttempts = 20;
 
-// Guards against a file that is half written or wrong: what the sidecar has stays.
+// Reloads the configuration; while the file is incomplete or invalid, the sidecar keeps its current one.
 class Reload {
  public:
   Reload(boost::asio::io_context& io, ivypost::Sidecar& sidecar, std::string path)
-      : sidecar_(sidecar), path_(std::move(path)), again_(io) {}
+      : sidecar_(sidecar), path_(std::move(path)), retryTimer_(io) {}
 
   void start() {
-    left_ = kTries;
+    attemptsLeft_ = kMaxReloadAttempts;
     attempt();
   }
 
  private:
   void attempt() {
-    again_.cancel();
+    retryTimer_.cancel();
     try {
       const ivypost::Config config = ivypost::readConfig();
       sidecar_.reload(config, readFile(path_));
-      if (left_ < kTries) std::fprintf(stderr, "the configuration could be read now, and counts\n");
+      if (attemptsLeft_ < kMaxReloadAttempts)
+        std::fprintf(stderr, "the configuration could be read now, and counts\n");
     } catch (const std::exception& error) {
-      if (left_ == kTries) std::fprintf(stderr, "the configuration stays as it was: %s\n", error.what());
-      if (--left_ == 0) return;
-      again_.expires_after(kAgain);
-      again_.async_wait([this](const boost::system::error_code& cancelled) {
+      if (attemptsLeft_ == kMaxReloadAttempts)
+        std::fprintf(stderr, "the configuration stays as it was: %s\n", error.what());
+      if (--attemptsLeft_ == 0) return;
+      retryTimer_.expires_after(kReloadRetryInterval);
+      retryTimer_.async_wait([this](const boost::system::error_code& cancelled) {
         if (!cancelled) attempt();
       });
     }
@@ -66,8 +68,8 @@
 
   ivypost::Sidecar& sidecar_;
   const std::string path_;
-  boost::asio::steady_timer again_;
-  int left_ = 0;
+  boost::asio::steady_timer retryTimer_;
+  int attemptsLeft_ = 0;
 };
 
 }  // namespace
@@ -75,10 +77,11 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11's own set-up may throw, and then ends the program.
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  // One that comes before it is waited for tells nothing: the file is read after that anyway.
+  // A SIGHUP that arrives before the signal handler is set can be ignored: the file is read after that
+  // anyway.
   std::signal(SIGHUP, SIG_IGN);
-  // Large bodies come and go. Left to itself the C library keeps what they held for the next ones, in pieces
-  // that fit none of them, and the process grows over its limit.
+  // By default the C library keeps the freed memory of large bodies, fragmented into blocks that fit no
+  // further body, and the process grows over its memory limit.
   mallopt(M_MMAP_THRESHOLD, kLargeBlock);
   mallopt(M_TRIM_THRESHOLD, kLargeBlock);
   CLI::App app("A sidecar that passes an application's requests to booking nodes. Configured by GW_CONFIG.");
