--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -12,7 +12,7 @@
 
 using Kind = MembershipUpdate::Kind;
 
-// ---- The pick -------------------------------------------------------------------------------------------
+// ---- Selection ------------------------------------------------------------------------------------------
 
 TEST(Pick, FirstDrawFillsTheEmptySlot) {
   Rig rig;
@@ -23,8 +23,9 @@
   EXPECT_EQ(rig.balancer.inFlight(to), 1u);
 }
 
-// Replays the rule from outside: given where a request went and the counts before it, only draws that explain
-// it are possible, and the memory must have moved accordingly.
+// Checks the selection rule (a weighted random draw, compared with the remembered upstream) by its effects: a
+// request goes to the remembered upstream only if that has fewer attempts in flight than the drawn one, and
+// the drawn one is remembered from then on only if it has fewer.
 TEST(Pick, FollowsTheRuleOnEveryRequest) {
   Rig rig;
   rig.start(6);
@@ -36,7 +37,7 @@
     const auto slot = rig.balancer.remembered();
     const bool slotReady = slot && rig.balancer.ready(*slot, rig.now);
     rig.request(id);
-    if (rig.count<Send>() == 0) {  // nobody is ready
+    if (rig.count<Send>() == 0) {  // no upstream is ready
       rig.feed(Withdrawn{id});
       continue;
     }
@@ -44,7 +45,8 @@
     out.emplace_back(id, to);
     if (slotReady) {
       const auto after = rig.balancer.remembered();
-      ASSERT_LE(before[to], before[*slot]) << "a heavier draw was served instead of the remembered upstream";
+      ASSERT_LE(before[to], before[*slot])
+          << "the drawn upstream was used though the remembered one had fewer attempts in flight";
       if (to != *slot) {
         ASSERT_EQ(after, before[to] < before[*slot] ? to : *slot);
         ties += before[to] == before[*slot];
@@ -97,12 +99,13 @@
   EXPECT_GT(got[2], 20);
 }
 
-// Found on bilbao: rounds that gave keys a fixed home gained nothing, what an upstream lately served did.
+// Keys are not assigned to fixed upstreams: that gained nothing, unlike weights from recent service times.
 
-// An upstream that was slow once is tried again, and what heavy requests take is no sign of slowness.
+// Learned slowness expires, so that an upstream that was slow is used again; and the time that a heavy
+// request takes (by its work hint) does not count as slowness.
 TEST(Pick, LearnedSlownessIsForgottenAndGoesByTheHint) {
-  // Teaches upstream 0 by requests of work `first` and 1 by `second`, then tells how many of 1000 draws meet
-  // 0.
+  // Upstream 0 serves requests of work `first` in lag0, upstream 1 those of work `second` in lag1. Returns
+  // how many of 1000 requests after `pause` go to upstream 0.
   const auto drawnAfter = [](Micros first, Micros second, Micros lag0, Micros lag1, Micros pause) {
     Rig rig;
     rig.start(2);
@@ -130,7 +133,8 @@
   EXPECT_NEAR(drawnAfter(200 * kMs, 50 * kMs, 50 * kMs, 12 * kMs, 0), 500, 50);
 }
 
-// Found on santander's quiet day: the worth that came late was in heavy requests on small upstreams.
+// Guards against heavy requests that go to small upstreams and miss their latency objective there: at low
+// load they made up most of the value that came late.
 TEST(Pick, HeavyRequestsBendTheDrawFurtherThanLightOnes) {
   Rig rig;
   rig.list(Kind::Saved, {serving(0, 1), serving(2, 3)});
@@ -143,12 +147,13 @@
     (id % 2 == 0 ? heavy : light) += to == 2;
     rig.outcome(id, to, Outcome::Ok);
   }
-  // Hints against their mean are 1.9 and, at the bound, a quarter: odds of 3 to the power of 1.38 and 0.5.
+  // Relative work is 1.9 and, clamped, 0.25. The odds are the size ratio 3 to the power of its root: 1.38 and
+  // 0.5.
   EXPECT_NEAR(heavy, 2000 * 0.820, 100);
   EXPECT_NEAR(light, 2000 * 0.634, 100);
 }
 
-// Found on santander: blind draws at zero counts met slow upstreams as often as quick ones.
+// Guards against draws that, with no attempt in flight anywhere, pick slow upstreams as often as fast ones.
 TEST(Pick, LearnedSlownessBendsTheDrawWithinBounds) {
   Rig rig;
   rig.start(2);
@@ -161,7 +166,7 @@
     rig.wait(kSecond / 10);
   }
   EXPECT_LT(got[0], got[1] * 3 / 4);
-  EXPECT_GT(got[0], 150) << "but it is never left out";
+  EXPECT_GT(got[0], 150) << "a slow upstream still gets some requests";
 }
 
 TEST(Pick, OwnZoneIsPreferredOnlyWhereCrossingHasAPrice) {
@@ -195,15 +200,12 @@
   }
 }
 
-// ---- What may be sent again -----------------------------------------------------------------------------
-
 struct RepeatCase {
   std::uint32_t cls;
   RetryGroup group;
   Outcome outcome;
 };
 
-// For every semantics, group and outcome: may the request go again, where, and with which final answer?
 TEST(Pick, SlotIsEmptiedWhenItsUpstreamIsMissingFromAFullList) {
   Rig rig;
   rig.start(2);
@@ -215,6 +217,9 @@
   EXPECT_FALSE(rig.balancer.ready(gone, rig.now));
 }
 
+// ---- Retries --------------------------------------------------------------------------------------------
+
+// For every semantics, group and outcome: whether the request is retried, where, and its final answer if not.
 TEST(Repeats, TableOverSemanticsGroupAndOutcome) {
   for (const std::uint32_t cls : {kSafe, kKeyed, kUnsafe}) {
     for (const RetryGroup group : {RetryGroup::All, RetryGroup::Zone, RetryGroup::Cell}) {
@@ -245,7 +250,7 @@
               EXPECT_EQ(to / 2, at / 2);
             }
           } else {
-            // A refusal would invite a repeat, so what may have run gets a failure.
+            // A rejection invites the client to retry, so a request that may have run gets a failure.
             EXPECT_EQ(rig.count<Fail>(), 1u);
             EXPECT_EQ(rig.count<Reject>(), 0u);
           }
@@ -255,7 +260,8 @@
   }
 }
 
-// The upstream's clock starts with our send, and ours has steps.
+// The upstream counts the retry window from the first send, and the sidecar's clock advances in steps of
+// Settings::resolution: the last retry has to leave a whole step before the window ends.
 TEST(Repeats, AKeyedRepeatKeepsOneStepInsideTheWindow) {
   const auto repeated = [](Micros after) {
     Rig rig;
@@ -324,7 +330,7 @@
     rig.request(id);
     sends += rig.count<Send>();
     rig.now += 100 * kMs;
-    // Fail every attempt of this request until it has its answer.
+    // Fails every attempt of this request until it gets its final answer.
     std::uint32_t attempt = 0;
     while (rig.count<Send>() > 0) {
       const EndpointId at = rig.first<Send>().upstream;
@@ -332,7 +338,7 @@
       sends += rig.count<Send>();
     }
   }
-  // 20 s are at most five windows of 5 s, each with ten more than a fifth.
+  // 20 s overlap at most five windows of 5 s; each allows 10 retries and a fifth of its requests more.
   EXPECT_LE(sends, 200u + 5u * 10u + 200u / 5u);
   EXPECT_GT(sends, 150u);
 }
@@ -345,8 +351,8 @@
   return s;
 }
 
-// Takes one request, fails its attempts in that way for as long as there are any; tells how many were
-// further.
+// Feeds one request, gives every attempt of it the outcome `how`, and returns the number of attempts after
+// the first one.
 std::size_t furtherOf(Rig& rig, RequestId id, Outcome how) {
   std::size_t sends = 0;
   rig.request(id);
@@ -357,14 +363,14 @@
   return sends > 0 ? sends - 1 : 0;
 }
 
-// Found on the first score of pacifico-puntos: attempts after a refusal or a failed connect were not counted.
+// Guards against a retry budget that leaves out retries after a rejection or a failed connect.
 TEST(Repeats, AStatedBudgetCountsEveryFurtherAttempt) {
   for (const Outcome how : {Outcome::Error, Outcome::Full, Outcome::ConnectFailed}) {
     Rig rig(budgetSettings());
     rig.start(40);
     std::size_t further = 0;
     for (RequestId id = 1; id <= 10; ++id) further += furtherOf(rig, id, how);
-    EXPECT_EQ(further, 3u) << "2 and a tenth of 10";
+    EXPECT_EQ(further, 3u) << "the floor of 2 and a tenth of 10 requests";
   }
 }
 
@@ -373,7 +379,7 @@
   rig.start(40);
   EXPECT_EQ(furtherOf(rig, 1, Outcome::Full), 2u);
   rig.now += 2 * kSecond;
-  EXPECT_EQ(furtherOf(rig, 2, Outcome::Full), 0u) << "the oldest moment still counts for attempts";
+  EXPECT_EQ(furtherOf(rig, 2, Outcome::Full), 0u) << "a retry exactly one window old still counts";
   rig.now += 1;
   EXPECT_EQ(furtherOf(rig, 3, Outcome::Full), 2u);
 }
@@ -393,7 +399,7 @@
   }
 }
 
-// ---- Drains and membership ------------------------------------------------------------------------------
+// ---- Membership and drains ------------------------------------------------------------------------------
 
 TEST(Membership, NothingGoesToADrainingGoneOrUnlistedUpstream) {
   for (const int how : {0, 1, 2}) {
@@ -410,7 +416,7 @@
   }
 }
 
-// Found on the first score of ulaanbaatar-archive: connections stayed open on draining upstreams.
+// Guards against idle connections that stay open to draining upstreams.
 TEST(Membership, IdleConnectionsAreClosedOnDrains) {
   Settings s = plainSettings();
   s.closeDrainingWithin = 800 * kMs;
@@ -422,13 +428,13 @@
     if (how == 0) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, EndpointState::Draining)});
     if (how == 1) rig.list(MembershipUpdate::Kind::Changes, {leaving(to, EndpointState::Gone)});
     if (how == 2) rig.list(MembershipUpdate::Kind::Full, {serving(other)});
-    ASSERT_EQ(rig.count<CloseIdle>(), 1u) << "at the notice";
+    ASSERT_EQ(rig.count<CloseIdle>(), 1u) << "when the list takes the upstream out of service";
     EXPECT_EQ(rig.first<CloseIdle>().upstream, to);
     rig.now += 300 * kMs;
     rig.outcome(1, to, Outcome::Ok);
-    ASSERT_EQ(rig.count<CloseIdle>(), 1u) << "at an outcome there";
+    ASSERT_EQ(rig.count<CloseIdle>(), 1u) << "when an attempt at the upstream ends";
     rig.wait(799 * kMs);
-    EXPECT_GE(rig.count<CloseIdle>(), 1u) << "once more before the time is up";
+    EXPECT_GE(rig.count<CloseIdle>(), 1u) << "once more before closeDrainingWithin ends";
     rig.wait(5 * kSecond);
     EXPECT_EQ(rig.count<CloseIdle>(), 0u);
   }
@@ -462,7 +468,7 @@
   EXPECT_EQ(rig.count<Subscribe>(), 1u);
   for (int n = 0; n < 20; ++n) {
     rig.list(Kind::Failed);
-    EXPECT_EQ(rig.count<Subscribe>(), 0u) << "not at once: discovery is in trouble";
+    EXPECT_EQ(rig.count<Subscribe>(), 0u) << "a failed call must not be repeated at once";
     Micros waited = 0;
     do {
       waited += 50 * kMs;
@@ -497,7 +503,7 @@
   EXPECT_EQ(rig.count<Reject>(), 1u);
   rig.request(2);
   rig.list(Kind::Full, {serving(0)});
-  EXPECT_EQ(rig.count<Send>(), 1u) << "a held request goes as soon as somebody is listed";
+  EXPECT_EQ(rig.count<Send>(), 1u) << "a held request is sent as soon as an upstream is listed";
 }
 
 // ---- Slow start -----------------------------------------------------------------------------------------
@@ -507,7 +513,7 @@
   rig.list(Kind::Saved, {serving(0), serving(1), serving(2), serving(3)});
   rig.list(Kind::Changes, {serving(3, 1, rig.now)});
   std::array<int, 4> got{};
-  for (RequestId id = 1; id <= 100; ++id) {  // one second of a start: warmth 0.3 to 0.39
+  for (RequestId id = 1; id <= 100; ++id) {  // the first second of slow start: capacity 0.3 to 0.39
     const EndpointId to = rig.sent(id);
     ++got[to];
     rig.outcome(id, to, Outcome::Ok);
@@ -544,7 +550,7 @@
   Rig rig;
   rig.list(Kind::Saved, {serving(0), serving(1)});
   rig.list(Kind::Changes, {serving(1, 1, rig.now)});
-  for (RequestId id = 1; id <= 40; ++id) {  // earn credit while upstream 1 stays unchosen or not
+  for (RequestId id = 1; id <= 40; ++id) {  // earn credit, whether upstream 1 is picked or not
     const EndpointId to = rig.sent(id);
     rig.outcome(id, to, Outcome::Ok);
   }
@@ -569,11 +575,11 @@
     for (const Send& send : todo) rig.outcome(send.request, send.upstream, Outcome::Ok);
     rig.now += kMs;
   }
-  EXPECT_GE(sends, 15u) << "it must not stand still either";
+  EXPECT_GE(sends, 15u) << "slow start must not block all requests";
   EXPECT_LE(sends, 60u);
 }
 
-// Sidecars that hear of a start together must not all send to it at once.
+// Sidecars that get the list with a new upstream at the same time must not all send to it at once.
 TEST(SlowStart, ManySidecarsThatHearOfAStartTogetherDoNotAllSend) {
   int toCold = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -581,7 +587,8 @@
     rig.list(Kind::Saved, {serving(0), serving(1, 1, rig.now)});
     toCold += rig.sent(1) == 1;
   }
-  EXPECT_LE(toCold, 200 * 0.3 / 2 + 12) << "its share of one request each, times its warmth";
+  EXPECT_LE(toCold, 200 * 0.3 / 2 + 12)
+      << "half of the requests (two upstreams), times the start capacity of 0.3";
   EXPECT_GE(toCold, 5);
 }
 
@@ -597,7 +604,7 @@
   EXPECT_TRUE(rig.balancer.ready(0, rig.now));
 }
 
-// ---- Limits, pauses and health --------------------------------------------------------------------------
+// ---- Concurrency limits, backoff and outlier detection --------------------------------------------------
 
 TEST(Limits, ARefusingUpstreamDoesNotSoakUpTraffic) {
   Rig rig;
@@ -615,11 +622,12 @@
     }
     if (to != 0) rig.outcome(id, to, Outcome::Ok, attempt);
   }
-  EXPECT_LE(refused, 60) << "4 seconds; blind draws would meet it 100 times";
-  EXPECT_GE(refused, 2) << "it is tried again now and then";
+  EXPECT_LE(refused, 60) << "in 4 s; uniform draws would go there 100 times";
+  EXPECT_GE(refused, 2) << "it is tried again at intervals";
 }
 
-// Sends until upstream 0 takes no more, or `most`, and answers all of it after `answer`; tells how many.
+// Sends requests until upstream 0 is not ready or `most` are sent, answers them all after `answer`, and
+// returns how many were sent.
 std::size_t fillAndAnswer(Rig& rig, RequestId& id, Micros answer, std::size_t most = 100) {
   const RequestId first = id;
   const std::size_t fit = rig.fill(id, most);
@@ -628,12 +636,12 @@
   return fit;
 }
 
-// Found on incident i0998ab: a queue that is full now is full a millisecond later.
+// Guards against retries to an upstream whose queue was full a millisecond ago: it is still full.
 TEST(Limits, ARefusalRestsTheUpstreamForAboutAnAnswerTime) {
   Rig rig;
   rig.start(1);
   RequestId id = 1;
-  for (int round = 0; round < 60; ++round) fillAndAnswer(rig, id, 20 * kMs);  // many fit in the end
+  for (int round = 0; round < 60; ++round) fillAndAnswer(rig, id, 20 * kMs);  // raises the limit
   rig.outcome(id, rig.sent(id), Outcome::Full);
   EXPECT_FALSE(rig.balancer.ready(0, rig.now + 5 * kMs));
   EXPECT_TRUE(rig.balancer.ready(0, rig.now + kSecond));
@@ -644,7 +652,7 @@
   rig.start(1);
   for (RequestId id = 1; id <= 4; ++id) {
     rig.sent(id);
-    rig.now += (id == 1 ? 10 : 350) * kMs;  // the first shows how short an answer can be
+    rig.now += (id == 1 ? 10 : 350) * kMs;  // the first sets the minimum latency
     rig.outcome(id, 0, Outcome::Ok);
     rig.wait(kSecond);
   }
@@ -656,7 +664,8 @@
   EXPECT_EQ(rig.first<Send>().request, 101u);
 }
 
-// Fills upstream 0 round after round, with answers after `answer`, and tells how many attempts then fit.
+// Runs `rounds` of at most `inUse` requests to upstream 0, answered after `answer`; returns how many attempts
+// the limit then allows.
 std::size_t fitAfter(Rig& rig, int rounds, std::size_t inUse, Micros answer = 20 * kMs,
                      Micros pause = kSecond) {
   RequestId id = 1'000'000;
@@ -667,7 +676,7 @@
   return rig.fill(id);
 }
 
-// One crowded round trip is one sign, however many answers tell of it.
+// All slow answers of one round trip are one sign of overload: the limit is cut once.
 TEST(Limits, IsCutOnceARoundTrip) {
   Rig rig;
   rig.start(1);
@@ -678,7 +687,7 @@
   EXPECT_NEAR(static_cast<double>(rig.fill(id)), 0.7 * before, 1.5);
 }
 
-// Found on bilbao: on the small machines an answer takes longer without any crowding.
+// Guards against limits cut for slow answers of small upstreams, which take longer without any overload.
 TEST(Limits, SmallUpstreamsMayTakeLonger) {
   Rig rig;
   rig.list(Kind::Saved, {serving(0, 1), serving(1, 3)});
@@ -693,13 +702,13 @@
   EXPECT_GE(fit, 2u);
 }
 
-// Found on incident i02e630: what many sidecars begin with adds up too.
+// Guards against start limits of many sidecars that overload an upstream together.
 TEST(Limits, ManySidecarsStartUnderOne) {
   Settings s = plainSettings();
   s.sidecars = 16;
   Rig rig(s);
   rig.start(2);
-  const EndpointId first = rig.sent(1);  // until an answer has come the sidecar is blind
+  const EndpointId first = rig.sent(1);  // until the first answer the sidecar is without load information
   rig.now += 10 * kMs;
   rig.outcome(1, first, Outcome::Ok);
   const EndpointId other = 1 - first;
@@ -709,7 +718,7 @@
     rig.now += 10 * kMs;
     rig.outcome(id, to, Outcome::Ok);
   }
-  EXPECT_FALSE(rig.balancer.ready(other, rig.now)) << "a limit under one is kept by a rest";
+  EXPECT_FALSE(rig.balancer.ready(other, rig.now)) << "a limit below one is kept by backoff between attempts";
   EXPECT_TRUE(rig.balancer.ready(other, rig.now + 100 * kMs));
 }
 
@@ -719,8 +728,8 @@
   EXPECT_GE(fitAfter(rig, 60, 100, 20 * kMs, 0), 10u);
 }
 
-// Found on incident i100597: four sidecars that each began with two attempts an upstream left small upstreams
-// slow from the first second on.
+// Guards against a start limit of two: four sidecars with two attempts each at every upstream made small
+// upstreams slow from the first second on.
 TEST(Limits, StartLowUntilTheFirstTimelyAnswer) {
   Rig rig;
   rig.start(1);
@@ -734,7 +743,7 @@
   EXPECT_FALSE(rig.balancer.ready(0, rig.now));
 }
 
-// Found on incident i8490a8: ten sidecars with one attempt each were already too many.
+// Guards against a lower bound of one: ten sidecars with one attempt each already overload an upstream.
 TEST(Limits, MayFallUnderOneAndThenRestBetweenAttempts) {
   Rig rig;
   rig.start(1);
@@ -749,19 +758,19 @@
   rig.now += 350 * kMs;
   rig.outcome(id, 0, Outcome::Ok);
   EXPECT_EQ(rig.balancer.inFlight(0), 0u);
-  EXPECT_FALSE(rig.balancer.ready(0, rig.now)) << "it rests though nothing is in flight";
-  EXPECT_TRUE(rig.balancer.ready(0, rig.now + kSecond)) << "but not for long";
+  EXPECT_FALSE(rig.balancer.ready(0, rig.now)) << "it is in backoff though no attempt is in flight";
+  EXPECT_TRUE(rig.balancer.ready(0, rig.now + kSecond)) << "the backoff is under a second";
 }
 
-// Found on bilbao: a far zone's answers took a fifth of the latencyObjective on an idle upstream.
+// Guards against network latency counted as slowness: answers of an idle upstream in a distant zone took a
+// fifth of the latency objective.
 TEST(Limits, TheNetworksPartDoesNotMakeAnAnswerSlow) {
   Rig rig;
   rig.start(1);
   EXPECT_GE(fitAfter(rig, 40, 100, 150 * kMs, 0), 4u);
 }
 
-// Found on incidents i8490a8 and i085242: limits grew in quiet times, and the next burst crowded every
-// upstream.
+// Guards against limits that grow while they are not reached: the next burst then overloads every upstream.
 TEST(Limits, OnlyABindingLimitGrows) {
   Rig quiet;
   quiet.start(1);
@@ -771,7 +780,7 @@
   EXPECT_GE(fitAfter(busy, 60, 100), 10u);
 }
 
-// Found on the same: the limits of many sidecars add up on the upstream.
+// Guards against fast growth of the limits of many sidecars, which add up at the upstream.
 TEST(Limits, ManySidecarsGrowTheirLimitsSlowly) {
   Settings s = plainSettings();
   s.sidecars = 16;
@@ -784,7 +793,7 @@
   EXPECT_LE(2 * manyFit, fewFit);
 }
 
-// Found on incident i7699b6: slow answers of upstreams with CPU to spare are not crowding.
+// Guards against limits cut for slow answers of upstreams that report idle CPU and so are not overloaded.
 TEST(Limits, ReportedSpareCpuSparesTheLimit) {
   const auto slowAnswers = [](double cpu) {
     Rig rig;
@@ -804,7 +813,8 @@
   EXPECT_LE(slowAnswers(0.95), 1u);
 }
 
-// Settings may let the latencyObjective grow with a request's own work: its hold and its slow line grow too.
+// Where objectiveStretch lets the latency objective grow with a request's work, the request is held longer,
+// and the latency from which its answer counts as slow is higher.
 TEST(Admission, AnAimThatGrowsWithTheWorkLengthensTheHold) {
   const auto heldFor = [](double objectiveStretch) {
     Settings s = plainSettings();
@@ -821,11 +831,11 @@
   };
   EXPECT_EQ(heldFor(0), 400 * kMs);
   EXPECT_EQ(heldFor(2), 600 * kMs);
-  EXPECT_EQ(heldFor(1e9), kSecond) << "never past the deadline";
+  EXPECT_EQ(heldFor(1e9), kSecond) << "at most until the deadline";
 }
 
-// Found on incidents i0998ab and i100597: where work within a class differs much, heavy requests alone cut
-// the limits of upstreams that nobody crowds.
+// Guards against limits cut by heavy requests alone, at upstreams that are not overloaded, where the work
+// within a class differs widely.
 TEST(Limits, AHeavyRequestMayTakeLonger) {
   const auto fitAfterLongAnswers = [](Micros work, Micros lag = 110 * kMs) {
     Rig rig;
@@ -843,11 +853,13 @@
   };
   EXPECT_EQ(fitAfterLongAnswers(200 * kMs), 2u);
   EXPECT_EQ(fitAfterLongAnswers(50 * kMs), 1u);
-  EXPECT_EQ(fitAfterLongAnswers(100 * kSecond, 200 * kMs), 1u) << "nor does an absurd one excuse all";
-  EXPECT_EQ(fitAfterLongAnswers(1), 1u);  // an absurdly small hint does as little harm as it can
+  EXPECT_EQ(fitAfterLongAnswers(100 * kSecond, 200 * kMs), 1u)
+      << "the allowance for heavy requests is bounded";
+  EXPECT_EQ(fitAfterLongAnswers(1), 1u);  // the effect of a tiny hint is bounded, too
 }
 
-// Found on oviedo: one tenant's burst filled the hold, and the others were refused with it.
+// Guards against one tenant's burst that fills the queue of held requests, so that other tenants' requests
+// are rejected with it.
 TEST(Admission, ATenantWithinItsShareGoesBeforeOneBeyondIt) {
   Settings s = plainSettings();
   s.overShareWeight = 0.1;
@@ -862,10 +874,10 @@
     rig.feed(r);
   };
   rig.sent(1000);
-  rig.outcome(1000, 0, Outcome::Ok);  // so that two fit
+  rig.outcome(1000, 0, Outcome::Ok);  // raises the limit to two
   RequestId id = 1;
   std::vector<RequestId> out;
-  while (rig.balancer.ready(0, rig.now)) {  // tenant 0 takes all there is
+  while (rig.balancer.ready(0, rig.now)) {  // tenant 0 uses up the limit
     ask(id, 0);
     out.push_back(id++);
   }
@@ -877,7 +889,7 @@
   EXPECT_EQ(rig.first<Send>().request, quiet);
 }
 
-// A tenant's burst of a minute ago does not count against it.
+// A tenant's usage expires: a burst of a minute ago does not lower its priority.
 TEST(Admission, WhatATenantSentIsForgotten) {
   const auto first = [](Micros since) {
     Settings s = plainSettings();
@@ -905,8 +917,8 @@
     EXPECT_GE(rig.count<Send>(), 1u);
     return rig.first<Send>().request;
   };
-  EXPECT_EQ(first(0), 502u) << "tenant 0 is far beyond its share";
-  EXPECT_EQ(first(60 * kSecond), 501u) << "now tenant 1 is";
+  EXPECT_EQ(first(0), 502u) << "tenant 0 is far above its share";
+  EXPECT_EQ(first(60 * kSecond), 501u) << "now tenant 1 is above its share";
 }
 
 TEST(Admission, TheHoldDoesNotGrowWhileNobodyIsReady) {
@@ -926,7 +938,7 @@
   Rig rig(s);
   rig.start(1);
   rig.sent(1000);
-  rig.outcome(1000, 0, Outcome::Ok);  // so that two fit
+  rig.outcome(1000, 0, Outcome::Ok);  // raises the limit to two
   RequestId id = 1;
   std::vector<RequestId> out;
   while (rig.balancer.ready(0, rig.now)) {
@@ -949,8 +961,8 @@
   EXPECT_EQ(order, (std::vector<RequestId>{101, 102, 100}));
 }
 
-// Found on incident i45d928: repeats of clients, whose latencyObjective was half gone, were served before
-// fresh requests.
+// Guards against clients' retries, with half of their latency objective gone, that are served before fresh
+// requests.
 TEST(Admission, AFreshRequestGoesBeforeANewerRepeat) {
   Rig rig;
   rig.start(1);
@@ -965,17 +977,17 @@
   EXPECT_EQ(rig.first<Send>().request, 10u);
 }
 
-// Found on santander overload: where clients do not mark repeats, a try that their deadline cut short tells
-// that its latencyObjective is gone.
+// Guards against unmarked retries that go first under overload: a request with much less time than its class
+// usually has is a retry, and what its client has waited counts against the latency objective.
 TEST(Admission, ATryCutShortByTheDeadlineCountsAsLate) {
   Rig rig;
   rig.start(1);
   rig.sent(1);
   rig.request(9, kUnsafe, 500 * kMs);
   rig.request(10, kUnsafe, 500 * kMs);
-  rig.request(11, kUnsafe,
-              300 * kMs);  // 700 ms of its client's second are over, and its latencyObjective was 400
-  rig.request(12, kUnsafe, 470 * kMs);  // a little shorter is no sign
+  // The client has waited 700 ms of its 1 s, and the latency objective is 400 ms.
+  rig.request(11, kUnsafe, 300 * kMs);
+  rig.request(12, kUnsafe, 470 * kMs);  // within a tenth of the usual 500 ms: not taken for a retry
   std::vector<RequestId> order = {1};
   for (std::size_t n = 0; n < order.size(); ++n) {
     rig.outcome(order[n], 0, Outcome::Ok);
@@ -984,9 +996,7 @@
   EXPECT_EQ(order, (std::vector<RequestId>{1, 12, 10, 9, 11}));
 }
 
-// Found on bilbao's overload days: what is held can wait for the upstream that its key has warmed.
-
-// Held at all only while an answer can still come in time.
+// A request is held only while an answer can still arrive in time.
 TEST(Admission, WhatIsTooLateOnArrivalIsRefusedAtOnce) {
   Rig rig;
   rig.start(1);
@@ -1002,7 +1012,7 @@
   EXPECT_EQ(rig.count<Reject>(), 0u);
 }
 
-// A held request is refused while its client can still use the time, not at the edge.
+// A held request is rejected before its latency objective ends, while its client can still retry in time.
 TEST(Admission, WhatCannotBeServedInTimeIsRefusedEarly) {
   Rig rig;
   rig.start(1);
@@ -1020,10 +1030,10 @@
     waited += 10 * kMs;
   }
   EXPECT_GE(waited, 200 * kMs);
-  EXPECT_LT(waited, 400 * kMs) << "its aim is 400 ms";
+  EXPECT_LT(waited, 400 * kMs) << "its latency objective is 400 ms";
 }
 
-// Found on oviedo big-2: a hung upstream kept its place until the first time-outs.
+// Guards against a hung upstream that gets requests until its first attempts time out.
 TEST(Health, ASilentUpstreamIsNotReadyUntilItAnswers) {
   Rig rig;
   rig.start(4);
@@ -1059,9 +1069,9 @@
     }
     return got;
   };
-  EXPECT_LE(run(1000, true), 12) << "10 seconds; blind draws would send 250";
+  EXPECT_LE(run(1000, true), 12) << "in 10 s; uniform draws would send 250";
   rig.now += 15 * kSecond;
-  EXPECT_GE(run(400, false), 60) << "back in the ready set";
+  EXPECT_GE(run(400, false), 60) << "it is readmitted";
 }
 
 TEST(Health, NoMoreThanHalfIsEjected) {
@@ -1077,8 +1087,9 @@
   EXPECT_GE(ready, 2);
 }
 
-// Found on corrib-quotes: nine of eighteen answered two thirds of all requests with a quick error. Eight were
-// ejected, the cap on ejections left the ninth, its count was always the lowest, and it got a third of all.
+// Guards against a failing upstream that the cap on ejections keeps in service: it fails fast, so its
+// in-flight count is the lowest and it draws most requests. With nine of 18 upstreams failing and eight
+// ejected, the ninth got a third of all requests, and two thirds of all were answered with an error.
 TEST(Health, OneThatTheCapOnEjectionsLeavesInIsRested) {
   constexpr EndpointId kBroken = 5;
   Rig rig;
@@ -1105,11 +1116,12 @@
   }
   int failed = 0;
   for (EndpointId broken = 0; broken < kBroken; ++broken) failed += got.at(broken);
-  EXPECT_LE(failed, 60) << "of 1000 in 5 s; a fair share of each would be 125";
-  EXPECT_GE(failed, 5) << "it is tried again now and then";
+  EXPECT_LE(failed, 60) << "of 1000 in 5 s; the fair share of each upstream is 125";
+  EXPECT_GE(failed, 5) << "it is tried again at intervals";
 }
 
-// One that fails but answers is better than a refusal; one that is silent is not.
+// A request that would otherwise be rejected is sent to an ejected upstream as a trial, if that upstream
+// still answers (with errors); not to one that resets, times out or refuses connections.
 TEST(Health, WhatWouldBeRefusedIsTheTrialOfAnEjectedOneThatAnswers) {
   struct Row {
     Outcome failure;
@@ -1136,12 +1148,12 @@
       rig.now += 20 * kMs;
     }
     ASSERT_FALSE(rig.balancer.ready(0, rig.now));
-    // The other one takes all it can.
+    // The other upstream is filled to its limit.
     while (rig.balancer.ready(1, rig.now)) ASSERT_EQ(rig.sent(++id, kUnsafe), 1u);
     const RequestId last = ++id;
     rig.request(last, row.cls);
     EXPECT_EQ(rig.count<Send>() + rig.count<Reject>(), 0u)
-        << "it waits for the other as long as there is time";
+        << "it waits for the other upstream while there is time";
     std::size_t sent = 0, refused = 0;
     for (int n = 0; n < 80 && sent + refused == 0; ++n) {
       rig.wait(5 * kMs);
@@ -1152,8 +1164,9 @@
     EXPECT_EQ(refused, row.tried ? 0u : 1u);
     if (!row.tried) continue;
     EXPECT_EQ(rig.first<Send>().upstream, 0u);
-    EXPECT_EQ(rig.balancer.heldRequests(), 0u) << "it is not sent a second time from the hold";
-    // Only one at a time.
+    EXPECT_EQ(rig.balancer.heldRequests(), 0u)
+        << "a request on trial is no longer held, so it is not sent twice";
+    // One trial at a time.
     rig.request(++id, row.cls);
     std::size_t more = 0;
     for (int n = 0; n < 80; ++n) {
@@ -1164,7 +1177,7 @@
   }
 }
 
-// Trials that go well bring it back before its time is over.
+// Successful trials readmit an ejected upstream before its ejection ends.
 TEST(Health, AnEjectedOneIsReadmittedByTrialsOfWhatWouldBeRefused) {
   Rig rig;
   rig.start(2);
@@ -1179,12 +1192,12 @@
   const Micros from = rig.now;
   for (int trials = 0; trials < 5 && !rig.balancer.ready(0, rig.now); ++trials) {
     const RequestId trial = ++id;
-    rig.request(trial, kUnsafe, 40 * kMs);  // not worth holding for longer than about half of it
+    rig.request(trial, kUnsafe, 40 * kMs);  // is held for about half of these 40 ms
     for (int n = 0; n < 8 && rig.count<Send>() == 0; ++n) rig.wait(5 * kMs);
     if (rig.count<Send>() == 1) rig.outcome(trial, 0, Outcome::Ok);
   }
   EXPECT_TRUE(rig.balancer.ready(0, rig.now));
-  EXPECT_LT(rig.now - from, 400 * kMs) << "the ejection lasts 750 ms at least";
+  EXPECT_LT(rig.now - from, 400 * kMs) << "an ejection lasts 750 ms or more";
 }
 
 TEST(Health, UpstreamsThatFailOneAfterAnotherAreNotAllEjected) {
@@ -1201,7 +1214,7 @@
     }
   }
   int ready = 0;
-  // The one that the cap leaves in rests for some answer times at the most.
+  // The failing upstream that the cap keeps in service is in backoff for a few service times at most.
   for (EndpointId u = 0; u < 6; ++u) ready += rig.balancer.ready(u, rig.now + 120 * kMs);
   EXPECT_GE(ready, 3);
 }
@@ -1252,7 +1265,7 @@
   rig.sent(1, kUnsafe);
   rig.wait(kSecond);
   EXPECT_EQ(rig.count<Fail>(), 1u);
-  EXPECT_EQ(rig.count<Cancel>(), 1u) << "what is still out serves nobody";
+  EXPECT_EQ(rig.count<Cancel>(), 1u) << "an attempt whose request is answered is cancelled";
 }
 
 TEST(Answers, ARequestWithoutTimeLeftIsRefusedAtOnce) {
@@ -1275,7 +1288,7 @@
       rig.now += 20 * kMs;
       rig.outcome(id, 0, Outcome::Ok);
     }
-    while (rig.balancer.ready(0, rig.now)) rig.sent(++id);  // all that fits is out
+    while (rig.balancer.ready(0, rig.now)) rig.sent(++id);  // the limit is used up
     for (RequestId n = 0; n < held; ++n) rig.request(++id);
     rig.request(++id, kSafe, 0);
     EXPECT_EQ(rig.count<Reject>(), 1u);
@@ -1291,9 +1304,9 @@
     long_ += refusedAfter(s, 30, seed);
     EXPECT_LE(refusedAfter(s, 1000, seed), s.maxRetryAfter);
   }
-  EXPECT_GE(fewest, 10 * kMs) << "half an answer time at the least";
-  EXPECT_GT(most, 2 * fewest) << "spread, so that not all come at once";
-  EXPECT_GT(long_, 2 * short_) << "the more is held, the later";
+  EXPECT_GE(fewest, 10 * kMs) << "at least half a service time";
+  EXPECT_GT(most, 2 * fewest) << "jittered, so that clients do not return together";
+  EXPECT_GT(long_, 2 * short_) << "grows with the number of held requests";
   s.retryAfter = false;
   EXPECT_EQ(refusedAfter(s, 30, 1), 0);
 }
@@ -1337,7 +1350,8 @@
   EXPECT_EQ(rig.balancer.openRequests(), 0u);
 }
 
-// What is left of it is its client's pace, and says nothing of the upstream.
+// The rest of a stream goes at the client's rate and says nothing about the upstream, so the attempt leaves
+// the in-flight count when the stream starts.
 TEST(Answers, AStreamThatHasBegunLeavesTheCountOnce) {
   Rig rig;
   rig.start(1);
@@ -1352,7 +1366,7 @@
   AttemptOutcome end{1, 0, at, Outcome::Ok, 5 * kSecond, true, std::nullopt};
   end.transfer = 5 * kSecond;
   rig.feed(end);
-  EXPECT_EQ(rig.balancer.inFlight(at), 1u) << "the end of the first must not be counted twice";
+  EXPECT_EQ(rig.balancer.inFlight(at), 1u) << "the end of the stream must not be counted again";
 }
 
 TEST(Answers, AStreamOfAnAttemptThatWasNeverSentIsMisuse) {
@@ -1363,7 +1377,8 @@
   EXPECT_EQ(rig.balancer.inFlight(0), 1u);
 }
 
-// A body that is no longer at hand can't be sent again: a refusal where no attempt has run, else a failure.
+// A request whose body is no longer buffered is not retried: it is rejected where a repeat by the client is
+// harmless, and fails otherwise.
 TEST(Answers, ASpentBodyIsNotSentAgain) {
   struct Case {
     std::uint32_t cls;
@@ -1384,7 +1399,8 @@
   }
 }
 
-// An upstream is not slow for the time that a client takes to write its body or to read its answer.
+// The time that a client takes to send its body or to read its answer does not count as the upstream's
+// latency.
 TEST(Answers, TransferTimeDoesNotCountAsTheUpstreams) {
   const auto servedOf = [](int requests, Micros transfer) {
     Rig rig;
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -1,7 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What a cold upstream may get from all sidecars together in any span of the fall window: N requests of mean
-// work, with N = fallMultiple x present capacity x fallWindow, and an allowance for chance.
+// The budget of an upstream in slow start (cold): in any span of fallWindow all sidecars together may send it
+// at most N requests of mean work, with N = fallMultiple x present capacity x fallWindow, and an allowance
+// for chance.
 #include <cctype>
 #include <cmath>
 #include <ostream>
@@ -14,6 +15,7 @@
 namespace ivypost::balancer {
 namespace {
 
+// Settings of slow start.
 struct Start {
   const char* name;
   Micros slowStartWindow;
@@ -22,6 +24,7 @@
 };
 constexpr Start kStarts[] = {{"usual", 8'500 * kMs, 0.32, 2.5}, {"colder", 8'500 * kMs, 0.15, 2}};
 
+// What happens to the fleet and its load while upstreams are in slow start.
 enum class Course {
   Burst,
   BurstAtOnce,
@@ -71,11 +74,13 @@
   return s;
 }
 
+// The budget N with the allowance for chance.
 double allowedOf(double n) {
   return n + (n < 30 ? 3 * std::sqrt(n) + 3 : 2 * std::sqrt(n) + 2);
 }
 
-// The most that one span of the window brought to this one while it was cold, against what is allowed then.
+// The greatest ratio, over all spans of fallWindow during the node's slow start, of the work that it was sent
+// to the budget at the end of the span.
 double worstSpan(const Fleet::Node& node, const Settings& s, double warmPerSecond) {
   double worst = 0, work = 0;
   std::size_t from = 0;
@@ -99,10 +104,11 @@
 struct Shape {
   std::uint32_t sidecars;
   EndpointId upstreams;
-  Micros work;  // of a request on a warm core, of which an upstream has two
+  Micros work;  // mean of a request on a warm core; an upstream has two cores
 };
 
-// The worst of all cold upstreams, over the course of four seconds and more after their start.
+// Runs one course for four seconds or more after the cold upstreams' start; returns the worst ratio of them
+// all.
 double play(const Start& start, const Shape& shape, Course course, std::uint64_t seed) {
   const Settings s = settingsOf(start, shape.sidecars);
   const double warmPerSecond = 2e6 / static_cast<double>(shape.work);
@@ -156,15 +162,16 @@
   return "unknown";
 }
 
-// Printed by GoogleTest, and so part of the name that ctest has.
+// GoogleTest prints the parameter with it, as part of the name in ctest.
 std::ostream& operator<<(std::ostream& out, Course course) {
   return out << nameOf(course);
 }
 
-// One course a test, so that courses run side by side: together they take minutes under sanitizers.
+// One test for each course, so that they run in parallel: together they take minutes under sanitizers.
 class ColdBudgetTest : public testing::TestWithParam<Course> {};
 
-// All hear of the start at once, so every attempt counts as told.
+// All sidecars get the list with the start within 50 ms, so every attempt after the start counts against the
+// budget.
 TEST_P(ColdBudgetTest, IsKeptOverTheSumOfAllProcesses) {
   constexpr Shape kShapes[] = {{1, 4, 50 * kMs},   {1, 4, 5 * kMs},    {4, 20, 200 * kMs},
                                {12, 4, 50 * kMs},  {12, 10, 10 * kMs}, {40, 4, 50 * kMs},
@@ -186,7 +193,7 @@
   return courses;
 }
 
-// GoogleTest takes letters, digits and underscores alone.
+// GoogleTest allows only letters, digits and underscores in a name.
 std::string testNameOf(const testing::TestParamInfo<Course>& info) {
   std::string name = nameOf(info.param);
   for (char& letter : name) {
@@ -197,8 +204,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Courses, ColdBudgetTest, testing::ValuesIn(allCourses()), testNameOf);
 
-// The more requests a window has, the less the allowance for chance covers. With the lower multiple: the
-// bound of a cold one's share leaves it the least room.
+// The more requests a window has, the less the allowance for chance covers. Uses the lower fallMultiple,
+// which leaves the least margin above the share of an upstream in slow start.
 TEST(ColdBudget, IsKeptWhenAWindowHasManyRequests) {
   constexpr Shape kShapes[] = {{1, 4, kMs}, {1, 20, 2 * kMs}};
   for (const Shape& shape : kShapes) {
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Many balancers and the upstreams they share, in made-up time: what each does alone shows what it adds up
-// to. An upstream serves `cores` requests at once and the rest in turn; a cold one is slower. Everything
-// follows from one seed.
+// Discrete-event simulation of many balancers and the upstreams that they share, for tests of their combined
+// effect. An upstream works on kCores requests at once and queues the rest in order; one in slow start is
+// slower. Deterministic for a seed.
 #ifndef IVYPOST_TESTS_FLEET_RIG_H_
 #define IVYPOST_TESTS_FLEET_RIG_H_
 
@@ -20,25 +20,33 @@
 
 namespace ivypost::balancer {
 
+/// Sidecars, upstreams, arrivals and the simulated clock. Arrivals and amounts of work are exponentially
+/// distributed.
 class Fleet {
  public:
-  enum class Mode { Sound, Hangs, Errors, Quick };  // quick: answers at once, however much it has got
+  /// How an upstream answers: Sound works and queues; Hangs never answers; Errors and Quick answer after 2
+  /// ms, with an error or a success, at any load.
+  enum class Mode { Sound, Hangs, Errors, Quick };
+  /// An upstream and what was sent to it.
   struct Node {
-    double size = 1;  // as the list tells, and the true speed of each of its cores
+    double size = 1;  ///< as in the list; also the speed of each of its cores
     Micros launchedAt = 0;
     Mode mode = Mode::Sound;
     EndpointState state = EndpointState::Serving;
-    std::vector<Micros> sentAt;  // each attempt that went there
-    std::vector<double> work;    // of each of these, against the mean
-    double worst = 0;            // the most attempts of one window, against what it could do at its end
+    std::vector<Micros> sentAt;  ///< time of each attempt that was sent to it
+    std::vector<double> work;    ///< of each of these, relative to the mean
+    double worst = 0;            ///< highest load of one fallWindow, relative to the capacity at its end
   };
+  /// Requests that arrived, and their final answers: within the latency objective, late, rejected, failed.
   struct Count {
     int asked = 0, inTime = 0, late = 0, refused = 0, failed = 0;
+    /// The share of all requests, 0 to 1.
     double part(int of) const { return asked == 0 ? 0 : static_cast<double>(of) / asked; }
   };
 
-  // `perSecond`: requests of all sidecars together, each in proportion to the weight that it has; `firsts` of
-  // them the first one's, if over 0.
+  /// Starts all sidecars at once with the saved list.
+  /// @param perSecond requests a second of all sidecars together, split at random weights from 0.3 to 1.3
+  /// @param firsts the first sidecar's share of them, 0 to 1; 0: by its weight like the others
   Fleet(const Settings& settings, std::vector<Node> nodes, double perSecond, std::uint64_t seed = 1,
         double firsts = 0)
       : now(1000 * kSecond), nodes_(std::move(nodes)), settings_(settings), random_(seed) {
@@ -46,7 +54,7 @@
     double sum = 0;
     for (std::uint32_t n = 0; n < settings_.sidecars; ++n) {
       sidecars_.push_back(std::make_unique<Sidecar>());
-      sidecars_[n]->weight = 0.3 + uniform();  // copies differ in how much they send
+      sidecars_[n]->weight = 0.3 + uniform();  // sidecars differ in their traffic
       sum += sidecars_[n]->weight;
     }
     if (firsts > 0) {
@@ -61,7 +69,7 @@
     }
   }
 
-  // Every process is killed with all that it has in hand, and begins anew with the list as it is.
+  /// Kills every process with its open requests and attempts, and starts it again with the current list.
   void restartAll() {
     for (std::uint32_t n = 0; n < sidecars_.size(); ++n) {
       sidecars_[n]->requests.clear();
@@ -70,8 +78,8 @@
     }
   }
 
-  // A second process beside each, as while one replaces the other; each of the two gets this part of what the
-  // one got.
+  /// Starts a second process beside each, as in a rolling restart; each of the two gets `part` of the one's
+  /// former traffic.
   void doubleAll(double part) {
     const auto before = static_cast<std::uint32_t>(sidecars_.size());
     for (std::uint32_t n = 0; n < before; ++n) {
@@ -82,13 +90,14 @@
     }
   }
 
-  // What happens `after` so long, once.
+  /// Schedules `what` once, `after` from now.
   void at(Micros after, std::function<void()> what) { push(now + after, std::move(what)); }
 
+  /// Advances the simulation by `span`.
   void play(Micros span) {
     const Micros end = now + span;
     while (!events_.empty() && events_.top().at <= end) {
-      // Taken out before it goes: it may push further ones.
+      // Removed before it runs, since it may schedule further events.
       auto what = events_.top().what;
       now = events_.top().at;
       events_.pop();
@@ -97,7 +106,7 @@
     now = end;
   }
 
-  // Everybody hears of the list as it is, within `spread`.
+  /// Sends the current list in full to each sidecar, at a random time within `spread`.
   void tellAll(Micros spread = 0) {
     for (std::uint32_t n = 0; n < sidecars_.size(); ++n) {
       at(static_cast<Micros>(uniform() * static_cast<double>(spread)),
@@ -105,7 +114,7 @@
     }
   }
 
-  // A new process, cold from now on; its number.
+  /// Adds an upstream that starts now, and returns its id; sidecars learn of it with the next list.
   EndpointId launch(double size, Mode mode = Mode::Sound) {
     Node node;
     node.size = size;
@@ -118,23 +127,24 @@
 
   Node& node(EndpointId id) { return nodes_[id]; }
   std::size_t nodes() const { return nodes_.size(); }
+  /// The counts since the last call.
   Count take() { return std::exchange(count_, Count{}); }
 
-  // The attempts of all sidecars there in [from, to).
+  /// Attempts of all sidecars at the upstream in [from, to).
   int sends(EndpointId id, Micros from, Micros to) const {
     const auto& times = nodes_[id].sentAt;
     return static_cast<int>(std::lower_bound(times.begin(), times.end(), to) -
                             std::lower_bound(times.begin(), times.end(), from));
   }
 
-  // Attempts that have no outcome yet, of all sidecars.
+  /// Attempts of all sidecars that are in flight.
   std::size_t outAtAll() const {
     std::size_t out = 0;
     for (const auto& sidecar : sidecars_) out += sidecar->out.size();
     return out;
   }
 
-  // What a node of size one could do at the most, in seconds of work a second, times the warmth of this one.
+  /// Capacity of the node now, in seconds of work a second (of a core of size one), reduced in slow start.
   double capacity(const Node& node) const {
     double warmth = 1;
     if (node.launchedAt > 0 && settings_.slowStartWindow > 0) {
@@ -145,11 +155,11 @@
     return kCores * node.size * warmth;
   }
 
-  Micros now;
-  Micros work = 50 * kMs;  // mean, on a core of size one
-  std::uint32_t requestClass = kKeyed;
-  double burst = 1;    // so many times the rate, for arrivals drawn from now on
-  bool hints = false;  // requests bring their work as a hint
+  Micros now;                           ///< the simulated clock
+  Micros work = 50 * kMs;               ///< mean of a request, on a core of size one
+  std::uint32_t requestClass = kKeyed;  ///< of all requests
+  double burst = 1;                     ///< factor of the arrival rate, for arrivals scheduled from now on
+  bool hints = false;                   ///< whether requests carry their work as a hint
 
  private:
   static constexpr std::size_t kCores = 2;
@@ -165,7 +175,7 @@
     struct Open {
       Micros came;
       std::uint32_t attempts = 0;
-      double work = 0;  // as hinted, 0: not
+      double work = 0;  // seconds, as hinted; 0: no hint
       bool over = false;
     };
     std::unordered_map<RequestId, Open> requests;
@@ -174,7 +184,7 @@
   struct Queue {
     std::deque<Attempt> waiting;
     std::size_t running = 0;
-    std::deque<Micros> lately;  // when attempts were sent in the fall window
+    std::deque<Micros> lately;  // send times of attempts within fallWindow
   };
   struct Entry {
     Micros at;
@@ -274,7 +284,7 @@
       const Attempt attempt = queue.waiting.front();
       queue.waiting.pop_front();
       const auto& out = sidecars_[attempt.sidecar]->out;
-      if (out.count({attempt.request, attempt.number}) == 0) continue;  // it was cancelled while it waited
+      if (out.count({attempt.request, attempt.number}) == 0) continue;  // cancelled while it was queued
       ++queue.running;
       const double speed = capacity(nodes_[id]) / static_cast<double>(kCores);
       at(static_cast<Micros>(1e6 * attempt.work / speed) + 1, [this, id, attempt] {
@@ -299,13 +309,13 @@
             now - open.came <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
                                                                                 : &Count::late);
     }
-    // Later, as on a socket: the balancer is not called from within itself.
+    // As a separate event, as on a socket: the balancer must not be called from within handle().
     push(now, [this, n, event] { feed(n, event); });
   }
 
   void close(std::uint32_t n, RequestId request, int Count::*how) {
     auto& open = sidecars_[n]->requests.at(request);
-    EXPECT_FALSE(open.over) << "a second final answer";
+    EXPECT_FALSE(open.over) << "a second final answer to one request";
     open.over = true;
     ++(count_.*how);
   }
--- a/tests/grown_fleet_test.cpp
+++ b/tests/grown_fleet_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A hundred sidecars before sixty upstreams: what none of them sees alone.
+// A hundred sidecars that share sixty upstreams: effects of their sum, which a test of one balancer cannot
+// show.
 #include <memory>
 #include <tuple>
 #include <utility>
@@ -21,21 +22,23 @@
   return s;
 }
 
+// Nodes that have been warm since the start, in three sizes.
 std::vector<Fleet::Node> warm(std::size_t count) {
   std::vector<Fleet::Node> nodes(count);
   for (std::size_t n = 0; n < count; ++n) nodes[n].size = n % 3 == 0 ? 0.6 : n % 3 == 1 ? 1 : 1.6;
   return nodes;
 }
 
-// What all of them can do when warm, in requests a second.
+// The capacity of all nodes together, in requests a second.
 double rateOf(const Fleet& fleet, const std::vector<Fleet::Node>& nodes) {
   double sum = 0;
   for (const auto& node : nodes) sum += fleet.capacity(node);
   return sum * 1e6 / static_cast<double>(fleet.work);
 }
 
-// Six in ten are replaced. Found on the day join+vast: every sidecar drew a new upstream so seldom that it
-// was warm before its first credit was spent, and the old ones carried the whole load.
+// Six in ten upstreams are replaced in a large fleet. Guards against slow start that starves new upstreams:
+// every sidecar drew one so seldom that it was warm before its first credit was spent, and the old ones
+// carried the whole load.
 TEST(GrownFleet, ColdUpstreamsCarryTheirPartAndNoMoreThanTheyBear) {
   for (const std::uint32_t sidecars : {1u, 5u, 100u}) {
     const auto nodes = warm(60);
@@ -58,7 +61,7 @@
       toCold += sends;
       EXPECT_LT(fleet.node(id).worst, 2.5) << sidecars << " sidecars, upstream " << id;
     }
-    // Their part of what all can do: 0.3 to 0.6 of 36, of these and 24.
+    // Their part of the capacity: 36 new ones at 0.3 to 0.6 of their own, beside 24 warm ones.
     EXPECT_GT(toCold / toAll, 0.25) << sidecars;
     EXPECT_LT(toCold / toAll, 0.5) << sidecars;
     const auto count = fleet.take();
@@ -66,12 +69,13 @@
   }
 }
 
-// One sidecar with six in ten requests, and 99 with one in two or three seconds: the sum stays as it is.
+// One sidecar with six in ten requests, and 99 with a request every two or three seconds each: new upstreams
+// get the same sum.
 TEST(GrownFleet, OneWithMostOfTheTrafficPushesNoColdUpstreamOver) {
   const auto nodes = warm(60);
   const double rate = 0.55 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes) / 14;
   Fleet fleet(grownSettings(), nodes, rate, 1, 0.6);
-  fleet.work *= 14;  // as busy, with fewer requests
+  fleet.work *= 14;  // the same load, with fewer requests
   fleet.play(5 * kSecond);
   for (EndpointId id = 0; id < 36; ++id) {
     fleet.node(id).state = EndpointState::Gone;
@@ -87,12 +91,12 @@
     if (id >= 60) toCold += sends;
   }
   EXPECT_GT(toCold, toAll / 8);
-  EXPECT_LT(toCold, toAll / 2) << "their part is 0.3 to 0.6 of 36, of these and 24";
+  EXPECT_LT(toCold, toAll / 2) << "their part of the capacity: 36 at 0.3 to 0.6, beside 24 warm ones";
 }
 
-// A third of the capacity goes at once, and what is left is hardly enough. Found on the day join+vast: every
-// sidecar had room for a burst of its own, and together they left ten requests waiting at each upstream,
-// where some grow slow for long.
+// A third of the upstreams, with half of the capacity, leave at once, and the load is 1.5 times what is left.
+// Guards against limits that allow every sidecar a burst of its own: together they queued ten requests at
+// each upstream, and some upstreams stay slow for long after that.
 TEST(GrownFleet, WhatAllHaveOutStaysShortOfCrowdingWhenCapacityGoes) {
   const auto nodes = warm(60);
   const double rate = 0.75 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
@@ -105,12 +109,12 @@
     fleet.play(100 * kMs);
     most = std::max(most, static_cast<double>(fleet.outAtAll()) / 40);
   }
-  EXPECT_LE(most, 7.5) << "requests at each upstream, of which two are worked on";
+  EXPECT_LE(most, 7.5) << "requests at each upstream, of which it works on two";
   const auto count = fleet.take();
   EXPECT_GT(count.part(count.inTime), 0.75);
 }
 
-// A third of the upstreams swallow what they get for five seconds, and come back cold.
+// A third of the upstreams answer nothing for five seconds and then restart, so that they are in slow start.
 TEST(GrownFleet, AZoneThatIsLostAndComesBackColdIsUsedAgainAndNotPushedOver) {
   for (const std::uint32_t sidecars : {1u, 5u, 100u}) {
     SCOPED_TRACE(sidecars);
@@ -122,7 +126,7 @@
     fleet.take();
     fleet.play(5 * kSecond);
     const auto lost = fleet.take();
-    // Keyed requests that may have run go again within their group and window only: those that hang are lost.
+    // A keyed request that may have run is retried only within its group and window, so one that hangs fails.
     EXPECT_GT(lost.part(lost.inTime), 0.8);
     for (EndpointId id = 0; id < 20; ++id) {
       Fleet::Node& node = fleet.node(id);
@@ -138,15 +142,15 @@
       EXPECT_LT(fleet.node(id).worst, 2.5) << "upstream " << id;
       used += fleet.sends(id, back + 4 * kSecond, fleet.now) > 0;
     }
-    EXPECT_EQ(used, 20) << "none is shunned";
+    EXPECT_EQ(used, 20) << "every restarted upstream gets requests";
     const auto count = fleet.take();
     EXPECT_GT(count.part(count.inTime), 0.9);
   }
 }
 
-// The same while clients offer twice what the fleet can do. Found on the day zone+mass: cold upstreams earned
-// credit with requests that were refused too, so they got most of what still went out, kept it until it timed
-// out, and the warm ones stood idle behind limits that it filled.
+// The same while clients offer twice the capacity. Guards against slow-start credit earned by rejected
+// requests: upstreams in slow start got most of the attempts and kept them until they timed out, and the warm
+// upstreams were idle, because those attempts used up the limits.
 TEST(GrownFleet, ColdUpstreamsEarnNothingWithWhatIsRefused) {
   for (const std::uint64_t seed : {1u, 2u}) {
     SCOPED_TRACE(seed);
@@ -172,13 +176,15 @@
       cold += fleet.capacity(fleet.node(id));
     }
     const double part = static_cast<double>(toCold) / toAll;
-    EXPECT_LT(part, 1.3 * cold / all) << "of the attempts, against what they can do at the end";
+    EXPECT_LT(part, 1.3 * cold / all)
+        << "share of the attempts, against their share of the capacity at the end";
     const auto count = fleet.take();
-    EXPECT_GT(count.part(count.inTime), 0.25) << "of twice what can be done";
+    EXPECT_GT(count.part(count.inTime), 0.25) << "clients offer twice the capacity";
   }
 }
 
-// Some of the new ones answer with errors at once. Each sidecar sees hardly two attempts a second of any one.
+// Some upstreams answer with errors at once. Each sidecar sends hardly two attempts a second to any single
+// upstream.
 TEST(GrownFleet, UpstreamsThatFailQuicklyDrawNoTraffic) {
   const auto nodes = warm(60);
   const double rate = 0.5 * rateOf(Fleet(grownSettings(1), nodes, 1), nodes);
@@ -193,19 +199,19 @@
     all += sends;
     if (id < 6) bad += sends;
   }
-  EXPECT_LT(bad, all / 50) << "a tenth of the upstreams";
+  EXPECT_LT(bad, all / 50) << "they are a tenth of the upstreams";
   const auto count = fleet.take();
   EXPECT_GT(count.part(count.inTime), 0.9);
 }
 
 // ---- Discovery ------------------------------------------------------------------------------------------
 
-// One service for all sidecars: it works through calls in turn, whether or not somebody still waits, gives
-// one up that has waited too long, and turns one away that would.
+// A discovery service for all sidecars. It serves calls in order, 50 ms each, even those whose caller has
+// timed out (2 s), and rejects a call at once that would finish after twice the timeout.
 class Discovery {
  public:
   enum class Said { Nothing, List, Failed };
-  // When a call that comes now is over, and how.
+  // When a call that arrives now ends, and with which result.
   std::pair<Micros, Said> call(Micros now) {
     constexpr Micros kEach = 50 * kMs, kTimeout = 2 * kSecond;
     const Micros done = std::max(free_, now) + kEach;
@@ -219,9 +225,10 @@
 };
 
 struct Calls {
-  std::vector<Micros> at;      // of each call
-  std::vector<Micros> first;   // when each sidecar called first, 0: never
-  std::vector<Micros> listed;  // when each had its first list, likewise
+  std::vector<Micros> at;      // time of each call
+  std::vector<Micros> first;   // time of each sidecar's first call, 0: never
+  std::vector<Micros> listed;  // time at which each sidecar got its first list, 0: never
+  // The most calls in any `span`.
   int most(Micros span) const {
     int most = 0;
     for (std::size_t n = 0, from = 0; n < at.size(); ++n) {
@@ -232,11 +239,12 @@
   }
 };
 
-// All start within `spread` with an old list; discovery is down until `down`.
+// Starts the sidecars within `spread`, each with a saved list, and records their calls for 40 s; calls fail
+// until `down` after the start.
 Calls callDiscovery(std::uint32_t sidecars, Micros spread, Micros down) {
   Settings s = grownSettings(sidecars);
   s.mustSubscribe = true;
-  s.zones = 2;  // as serving() has them
+  s.zones = 2;  // as serving() assigns them
   const Micros start = 1000 * kSecond, end = start + 40 * kSecond;
   struct Sidecar {
     std::unique_ptr<Rig> rig;
@@ -285,14 +293,15 @@
   return calls;
 }
 
-// Found on the days herd+vast: seventy sidecars started at once, called at once, and those that failed called
-// again in step. Discovery worked off calls that nobody waited for any more, and most had no list for good.
+// Guards against a thundering herd: seventy sidecars started and called together, and those whose calls
+// failed retried in step. Discovery spent its time on calls that had already timed out, and most sidecars
+// never got a list.
 TEST(GrownFleet, SidecarsThatStartTogetherAllHaveTheirListSoon) {
   for (const std::uint32_t sidecars : {1u, 5u, 100u}) {
     const Calls calls = callDiscovery(sidecars, kSecond, 0);
     EXPECT_LE(calls.most(kSecond), 50) << sidecars;
     for (const Micros at : calls.listed) {
-      EXPECT_GT(at, 0) << "one of " << sidecars << " never had a list";
+      EXPECT_GT(at, 0) << "one of " << sidecars << " sidecars never got a list";
       EXPECT_LE(at, 1015 * kSecond) << sidecars;
     }
   }
@@ -302,15 +311,16 @@
   const Calls calls = callDiscovery(100, 0, 12 * kSecond);
   EXPECT_LE(calls.most(100 * kMs), 15);
   EXPECT_LE(calls.most(kSecond), 75);
-  for (const Micros at : calls.listed) EXPECT_GT(at, 0) << "one never had a list";
+  for (const Micros at : calls.listed) EXPECT_GT(at, 0) << "a sidecar never got a list";
 }
 
 TEST(GrownFleet, AHugeFleetStillAsksWithinItsTime) {
   const Calls calls = callDiscovery(1000, 0, 40 * kSecond);
   EXPECT_LE(calls.most(kSecond), 500);
   for (const Micros at : calls.first) {
-    EXPECT_GT(at, 0) << "one never asked";
-    EXPECT_LE(at, 1000 * kSecond + grownSettings().pollWithin) << "its list counted as told before";
+    EXPECT_GT(at, 0) << "a sidecar never called";
+    EXPECT_LE(at, 1000 * kSecond + grownSettings().pollWithin)
+        << "it called later than pollWithin after its start";
   }
 }
 
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What the module does with what other sidecars have found.
+// How the balancer uses health reports: what other sidecars have observed of an upstream.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -22,7 +22,7 @@
   return hearsay;
 }
 
-// Where 40 requests go that are served at once.
+// The upstreams of 40 requests that are answered after 1 ms each.
 std::multiset<EndpointId> draws(Rig& rig, RequestId& id) {
   std::multiset<EndpointId> to;
   for (int n = 0; n < 40; ++n) {
@@ -70,14 +70,15 @@
   int out = 0;
   for (EndpointId id = 0; id < 10; ++id) out += rig.balancer.ready(id, rig.now) ? 0 : 1;
   EXPECT_EQ(out, 2);
-  // All others drain: of the two that are left none is ready, and a third that comes stays whatever is said.
+  // A quarter of three upstreams is none: all stay ready, whatever the reports say.
   Rig few;
   few.start(3);
   for (EndpointId id = 0; id < 3; ++id) few.feed(bad(id, 11));
   for (EndpointId id = 0; id < 3; ++id) EXPECT_TRUE(few.balancer.ready(id, few.now));
 }
 
-// The judgement of an earlier life, or of one that this sidecar has not been told of.
+// A report counts only for the incarnation (launchedAt) that this sidecar's list has, not for an earlier or a
+// later one.
 TEST(HealthReport, CountsForOneLifeAlone) {
   Rig rig;
   rig.start(10);
@@ -89,11 +90,12 @@
   rig.feed(hearsay);
   EXPECT_FALSE(rig.balancer.ready(4, rig.now));
   rig.list(MembershipUpdate::Kind::Changes, {serving(4, 1, rig.now - 50 * kSecond)});
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now)) << "another life";
-  rig.feed(bad(1000, 11));  // nobody has this number
+  EXPECT_TRUE(rig.balancer.ready(4, rig.now)) << "it was restarted";
+  rig.feed(bad(1000, 11));  // no upstream has this id
 }
 
-// Out by hearsay: while it is told, only the one whose turn it is tries it, once it may be tried at all.
+// An upstream ejected by reports: for as long as they last, only the sidecar whose turn it is tries it, after
+// the ejection.
 TEST(HealthReport, ATrialIsOneSidecarsTurn) {
   for (const bool turn : {false, true}) {
     Rig rig;
@@ -119,7 +121,7 @@
   well.well = true;
   rig.feed(well);
   EXPECT_TRUE(rig.balancer.ready(4, rig.now));
-  // One trial at a time, until it has proved itself.
+  // One trial at a time, until the upstream is readmitted.
   RequestId id = 0;
   std::size_t at4 = 0;
   for (int n = 0; n < 60; ++n) {
@@ -130,8 +132,8 @@
   EXPECT_EQ(at4, 1u);
 }
 
-// Deaf, or stopped for a while: nothing is told, and it decides as without others when what was told has
-// lapsed, before any other event.
+// Guards against old reports in a sidecar that gets no new ones because it is isolated or was stopped: once
+// they expire it decides without them, before any other event.
 TEST(HealthReport, LapsesByItself) {
   Rig rig;
   rig.start(10);
@@ -145,10 +147,10 @@
   forever.holds = 3600 * kSecond;
   rig.feed(forever);
   EXPECT_FALSE(rig.balancer.ready(4, rig.now + kSecond));
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now + 2 * kSecond)) << "the longest that it may count";
+  EXPECT_TRUE(rig.balancer.ready(4, rig.now + 2 * kSecond)) << "a report counts for 2 s at most";
 }
 
-// Rules 3 and 4: nothing that is told brings back what drains or lets a cold one have more than its credit.
+// Rules 3 and 4: no report makes a draining upstream ready or gives one in slow start more than its credit.
 TEST(HealthReport, LoosensNoRule) {
   Rig rig;
   rig.start(4);
@@ -180,8 +182,8 @@
   EXPECT_EQ(sent, sentWithout);
 }
 
-// A fleet of sidecars around one upstream that fails four in five: trials a second do not go with their
-// number.
+// Many sidecars and one upstream that fails every attempt: the trials a second do not grow with the number of
+// sidecars.
 TEST(HealthReport, TrialsDoNotGoWithTheNumberOfSidecars) {
   for (const std::size_t sidecars : {3, 12, 48}) {
     std::vector<Rig> rigs;
@@ -198,12 +200,12 @@
           const EndpointId to = rig.sent(++id);
           trials += step >= 20 && to == 4 ? 1 : 0;
           rig.outcome(id, to, to == 4 ? Outcome::Error : Outcome::Ok);
-          if (to == 4)  // goes elsewhere, where it is served
+          if (to == 4)  // the retry goes to another upstream, which answers
             for (const Send& again : rig.all<Send>()) rig.outcome(id, again.upstream, Outcome::Ok, 1);
         }
       }
     }
-    EXPECT_LE(trials, 20u) << sidecars;  // 18 s, and a second and more between two
+    EXPECT_LE(trials, 20u) << sidecars;  // in 18 s, a second or more apart
     EXPECT_GE(trials, 2u) << sidecars;
   }
 }
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What a sidecar does that has little traffic among many: connections and home, looks, rest.
+// One of many sidecars, with little traffic: its connections and connection subset, probes before a send,
+// backoff.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -19,7 +20,8 @@
   return s;
 }
 
-// One request that is answered after `lag`; tells where it was sent, and leaves the actions of its end.
+// Sends one request that is answered after `lag` and returns its upstream; the next one comes `every` after
+// it. The fixture then holds the actions of its outcome.
 EndpointId answered(Rig& rig, RequestId id, Micros lag = 50 * kMs, Micros every = kSecond) {
   const EndpointId to = rig.sent(id);
   rig.now += lag;
@@ -28,13 +30,14 @@
   return to;
 }
 
+// Requests by upstream, of `requests` that are sent one after the other.
 std::map<EndpointId, int> tally(Rig& rig, RequestId& id, int requests) {
   std::map<EndpointId, int> sends;
   for (int n = 0; n < requests; ++n) ++sends[answered(rig, id++)];
   return sends;
 }
 
-// Requests that come evenly and are answered after `lag`; looks find nothing in hand.
+// Requests at even intervals, each answered after `lag`; each probe reports no busy requests.
 class Steady {
  public:
   Steady(Rig& rig, Micros every, Micros answerAfter) : lag(answerAfter), rig_(rig), every_(every) {}
@@ -95,7 +98,7 @@
   return found;
 }
 
-// Found on the grown santander: idle connections of a thousand sidecars filled the upstreams' tables.
+// Guards against idle connections of a thousand sidecars that fill the upstreams' connection tables.
 TEST(Connections, OneThatWillIdleOutUnusedIsClosed) {
   Rig rig(manySettings());
   rig.start(40);
@@ -111,7 +114,7 @@
     rig.now += kSecond;
   }
   EXPECT_GE(closed, 1);
-  EXPECT_LE(closed, 20) << "those of the home are kept";
+  EXPECT_LE(closed, 20) << "connections to the subset are kept";
 }
 
 TEST(Connections, NoneIsClosedThatWillBeUsedOrWhileInUse) {
@@ -137,8 +140,8 @@
   EXPECT_FALSE(rig.balancer.ready(to, rig.now)) << "the second in a row";
 }
 
-// Found on incident i16c616: a room that was gone failed connects at once and soaked up the attempts of the
-// rest.
+// Guards against a group of stopped upstreams that fail connects at once: their in-flight count stays lowest,
+// so they draw the attempts of the others.
 TEST(Connections, AnUpstreamThatFailsConnectsRests) {
   Rig rig(manySettings());
   rig.start(10);
@@ -149,14 +152,14 @@
   EXPECT_TRUE(rig.balancer.ready(to, rig.now + kSecond));
 }
 
-// Found on the grown santander and bilbao: nearly every request opened a connection.
+// Guards against picks over the whole list in large fleets, where nearly every request opens a connection.
 TEST(Home, TakesMostDrawsButLeavesEveryoneSome) {
   Rig rig(manySettings());
   rig.start(40);
   RequestId id = 1;
   tally(rig, id, 50);
   const auto sends = tally(rig, id, 20000);
-  EXPECT_EQ(sends.size(), 40u) << "odds never reach zero";
+  EXPECT_EQ(sends.size(), 40u) << "upstreams outside the subset are drawn, too";
   const auto home = mostUsed(sends, 2000);
   EXPECT_EQ(home.size(), 4u);
   int atHome = 0;
@@ -191,8 +194,8 @@
   }
 }
 
-// Found on varahlutir-main big-2: connections that live long made the whole fleet everyone's home, and the
-// handshakes of the first second choked it.
+// Guards against a subset sized by requests: with long-lived connections it grew to the whole fleet in every
+// sidecar, and the handshakes of the first second overloaded the upstreams.
 TEST(Home, GrowsWithRequestsInFlightNotWithRequests) {
   for (const Micros lag : {5 * kMs, 50 * kMs}) {
     Settings s = manySettings();
@@ -211,7 +214,7 @@
   }
 }
 
-// ---- Looks ----------------------------------------------------------------------------------------------
+// ---- Probes ---------------------------------------------------------------------------------------------
 
 Settings lookingSettings() {
   Settings s = manySettings();
@@ -232,7 +235,8 @@
   return rig.feed(r);
 }
 
-// Found on the grown oviedo: blind picks left queues so uneven that upstreams choked one after the other.
+// Guards against picks without load information: they leave queues so uneven that upstreams become overloaded
+// one after the other.
 TEST(Looks, ThePickedUpstreamIsLookedAtAndThenSentTo) {
   Rig rig(lookingSettings());
   rig.start(10);
@@ -260,7 +264,7 @@
   EXPECT_EQ(rig.count<Send>(), 0u);
   ASSERT_EQ(rig.count<Probe>(), 1u);
   EXPECT_NE(rig.first<Probe>().upstream, to);
-  // The last look's upstream is taken as it is, unless it is crowded.
+  // The upstream of the last probe is accepted though busier than usual, unless it is overloaded.
   for (int looks = 2; looks < 4; ++looks) report(rig, rig.first<Probe>().upstream, 5, 100);
   ASSERT_EQ(rig.count<Probe>(), 1u);
   to = rig.first<Probe>().upstream;
@@ -275,22 +279,22 @@
   rig.request(1);
   for (int looks = 0; looks < 4; ++looks) {
     ASSERT_EQ(rig.count<Probe>(), 1u);
-    report(rig, rig.first<Probe>().upstream,
-           12);  // 300 ms of work in hand, with an latencyObjective of 400 ms
+    // 12 busy requests at 40 served a second: 300 ms of queued work, against a latency objective of 400 ms.
+    report(rig, rig.first<Probe>().upstream, 12);
   }
   EXPECT_EQ(rig.count<Send>(), 0u);
   EXPECT_EQ(rig.count<Reject>(), 1u);
   EXPECT_EQ(rig.balancer.openRequests(), 0u);
 }
 
-// Found on a calm fleet of 12: a request that had met three busy ones, all with room, was refused for the
-// fourth.
+// Guards against rejecting a request for one overloaded upstream: in a fleet of 12 at low load, three probes
+// had found busier upstreams with free capacity, and the fourth one's overload rejected the request.
 TEST(Looks, OneCrowdedAmongBusyOnesIsNoRefusal) {
   for (int crowdedAt = 0; crowdedAt < 4; ++crowdedAt) {
     Rig rig(lookingSettings());
     rig.start(10);
     rig.request(1);
-    report(rig, rig.first<Probe>().upstream, 0, 100);  // what is usual: nothing in hand
+    report(rig, rig.first<Probe>().upstream, 0, 100);  // sets the usual load: no busy requests
     rig.now += 50 * kMs;
     rig.outcome(1, rig.first<Send>().upstream, Outcome::Ok);
     rig.now += kSecond;
@@ -318,7 +322,7 @@
   return rig.feed(r);
 }
 
-// Sends a request whose looks all find this; tells whether it went out, and lets it be answered.
+// Feeds a request whose probes all report these figures; returns whether it was sent, after its answer.
 bool goesOut(Rig& rig, RequestId id, double busy, std::optional<double> cpu, std::optional<double> queued) {
   rig.request(id);
   for (int looks = 0; looks < 4 && rig.count<Probe>() > 0; ++looks)
@@ -333,8 +337,8 @@
   return sent;
 }
 
-// Found on the first score of pacifico-puntos: without a served-per-second column two requests in hand
-// counted as crowding, on four cores too, and the looks refused half the load.
+// Guards against a fixed overload threshold where upstreams report no served-per-second column: two busy
+// requests counted as overload, even with four cores, and probes rejected half the load.
 TEST(Looks, CrowdingGoesByWhatIsWorkedOnAtOnce) {
   for (const bool byQueue : {false, true}) {
     Rig rig(lookingSettings());
@@ -344,14 +348,16 @@
       return byQueue ? goesOut(rig, id++, busy, std::nullopt, queued)
                      : goesOut(rig, id++, busy, cpu, std::nullopt);
     };
-    EXPECT_TRUE(looked(6, 0.75, 1)) << "nothing learned yet";
-    // Eight at once by the CPU, five by the queue: the line lies at that and its root.
+    EXPECT_TRUE(looked(6, 0.75, 1)) << "the parallelism of the upstream is not known yet";
+    // The parallelism is eight by the CPU share, five by the queue; the threshold is that plus its square
+    // root.
     EXPECT_TRUE(looked(byQueue ? 6 : 9, 0.9, 1));
     EXPECT_FALSE(looked(byQueue ? 8 : 11, 0.9, 3));
   }
 }
 
-// Found on varahlutir-main big-2: answers of a second made sidecars take their own jam for knowledge.
+// Guards against sidecars that stop probing under overload: with answers that take a second, their own queued
+// attempts looked like load information.
 TEST(Looks, GoOnWhenAJamStretchesTheAnswers) {
   Settings s = lookingSettings();
   for (RequestClass& cls : s.classes) cls.latencyObjective = cls.deadline = 2 * kSecond;
@@ -359,23 +365,23 @@
   rig.start(10);
   Steady steady(rig, 200 * kMs, 100 * kMs);
   steady.play(60);
-  ASSERT_GT(steady.looks, 50) << "half a request in flight";
+  ASSERT_GT(steady.looks, 50) << "half a request in flight at the usual latency";
   steady.lag = 550 * kMs;
   steady.play(20);
   steady.looks = 0;
   steady.play(40);
-  EXPECT_GT(steady.looks, 20) << "nearly three in flight, by a jam";
+  EXPECT_GT(steady.looks, 20) << "nearly three in flight, by overload alone";
 }
 
-// Found on varahlutir-main overload: the CPU share trails, so while load rose the places read thrice too
-// high.
+// Guards against an overestimated parallelism: the reported CPU share lags behind, so while load rises the
+// estimate is three times too high.
 TEST(Looks, PlacesAreLearnedFromLowReportsSoonerThanFromHighOnes) {
   Rig rig(lookingSettings());
   rig.start(10);
   RequestId id = 1;
   const auto looked = [&](double busy, double cpu) { return goesOut(rig, id++, busy, cpu, std::nullopt); };
-  for (int n = 0; n < 10; ++n) looked(10, 0.4);  // 25 places, as it seems
-  for (int n = 0; n < 20; ++n) looked(5, 0.6);   // 8 places
+  for (int n = 0; n < 10; ++n) looked(10, 0.4);  // an apparent parallelism of 25
+  for (int n = 0; n < 20; ++n) looked(5, 0.6);   // a parallelism of 8
   for (int n = 0; n < 5; ++n) looked(10, 0.4);
   EXPECT_TRUE(looked(9, 0.75));
   EXPECT_FALSE(looked(17, 0.95));
@@ -397,10 +403,10 @@
       rig.feed(ok);
       return to;
     };
-    answer(1, 4, 0.5);  // eight at once
+    answer(1, 4, 0.5);  // a parallelism of eight
     const EndpointId to = answer(2, busy, 0.95);
     EXPECT_EQ(rig.balancer.ready(to, rig.now), busy < 10);
-    EXPECT_TRUE(rig.balancer.ready(to, rig.now + kSecond)) << "for about an answer time";
+    EXPECT_TRUE(rig.balancer.ready(to, rig.now + kSecond)) << "the backoff lasts about one service time";
   }
 }
 
@@ -414,15 +420,16 @@
   EXPECT_NE(rig.first<Probe>().upstream, silent);
 }
 
-// Found on corrib-quotes: data centres 20 ms apart, reports refreshed once a second, and a price that leaves
-// one look a request. Nearly all first looks were given up before they could be back.
+// Guards against a probe timeout below the round trip to a distant zone: with data centres 20 ms apart,
+// reports refreshed once a second and a price that allows one probe a request, nearly all first probes timed
+// out.
 TEST(Looks, AreWaitedForAsLongAsTheUpstreamsZoneIsFar) {
   constexpr Micros kFar = 40 * kMs;
   Settings s = lookingSettings();
   s.connectTimeout = 250 * kMs;
   Rig rig(s);
   rig.start(10);
-  // Whether a look at that one is given up by now: another one follows.
+  // Whether the pending probe timed out within `after`: another probe or a send follows.
   const auto givenUp = [&](Micros after) {
     rig.wait(after);
     return rig.count<Probe>() + rig.count<Send>() > 0;
@@ -433,7 +440,7 @@
     rig.request(id);
     ASSERT_EQ(rig.count<Probe>(), 1u);
     const EndpointId to = rig.first<Probe>().upstream;
-    const std::uint32_t zone = to % 2;  // as serving() has it
+    const std::uint32_t zone = to % 2;  // as serving() assigns it
     const bool first = tried.insert(zone).second;
     const Micros patience = first ? s.connectTimeout : 4 * lagOf[zone];
     EXPECT_FALSE(givenUp(std::max(patience, 2 * s.resolution) - 1)) << "zone " << zone << " request " << id;
@@ -462,11 +469,11 @@
     rig.now += kSecond;
     return sent;
   };
-  EXPECT_TRUE(look(1, true, std::nullopt)) << "its first report may be a second away";
-  EXPECT_FALSE(look(2, false, std::nullopt)) << "it did not answer well";
+  EXPECT_TRUE(look(1, true, std::nullopt)) << "its first report may take a second";
+  EXPECT_FALSE(look(2, false, std::nullopt)) << "the probe failed";
   rig.now += 10 * kSecond;
   EXPECT_TRUE(look(3, true, 0));
-  EXPECT_FALSE(look(4, true, std::nullopt)) << "it had figures before";
+  EXPECT_FALSE(look(4, true, std::nullopt)) << "it has reported figures before";
 }
 
 TEST(Looks, WhereTheyAreDearOneCrowdedLookRefusesNothing) {
@@ -484,7 +491,7 @@
       std::size_t looks = 0;
       for (; rig.count<Probe>() == 1; ++looks) report(rig, rig.first<Probe>().upstream, 12);
       EXPECT_EQ(looks, worthy ? affordable : 1) << price;
-      // What is worth the least gives way after one look at any price.
+      // A request of the lowest weight is rejected after one probe that finds overload, at any price.
       const bool refused = !worthy || affordable == 4;
       EXPECT_EQ(rig.count<Reject>(), refused ? 1u : 0u) << price;
       EXPECT_EQ(rig.count<Send>(), refused ? 0u : 1u) << price;
@@ -527,7 +534,7 @@
     EXPECT_EQ(rig.count<Probe>(), 0u) << off;
     EXPECT_EQ(rig.count<Send>(), 1u) << off;
   }
-  // A sidecar whose own requests fill the upstreams knows by its own counts.
+  // A sidecar with many requests in flight has load information from its own counts.
   Rig rig(lookingSettings());
   rig.start(2);
   RequestId id = 1;
@@ -543,9 +550,9 @@
   EXPECT_EQ(rig.count<Probe>(), 0u);
 }
 
-// ---- Rest and limits ------------------------------------------------------------------------------------
+// ---- Backoff and limits ---------------------------------------------------------------------------------
 
-// Found on incident ia2a2c2: eighteen attempts a request, each turned away by another full upstream.
+// Guards against retry storms: 18 attempts for one request, each rejected by another full upstream.
 TEST(Rest, RefusalsInARowRestABlindSidecar) {
   Settings s = manySettings();
   s.maxAttempts = 6;
@@ -558,13 +565,13 @@
   for (; rig.count<Send>() == 1 && attempt < 6; ++attempt) {
     rig.outcome(id, rig.first<Send>().upstream, Outcome::Full, attempt);
   }
-  EXPECT_EQ(attempt, 3u) << "two refusals are chance, the third rests";
+  EXPECT_EQ(attempt, 3u) << "two rejections may be chance, the third starts a backoff of the sidecar";
   EXPECT_EQ(rig.balancer.heldRequests(), 1u);
   rig.wait(100 * kMs);
-  EXPECT_EQ(rig.count<Send>(), 1u) << "not for long";
+  EXPECT_EQ(rig.count<Send>(), 1u) << "the backoff is under 100 ms";
 }
 
-// Found on incident i1397f5: full queues answered everybody late, and no refusal told.
+// Guards against overload that shows only in late answers: full queues, but no rejections.
 TEST(Rest, LateAnswersInARowRestABlindSidecarAndAQuickOneEndsTheRow) {
   Rig rig(manySettings());
   rig.start(60);
@@ -574,7 +581,7 @@
     const EndpointId to = rig.sent(id);
     rig.now += lag;
     rig.outcome(id++, to, Outcome::Ok);
-    rig.request(id);  // nobody else is in flight
+    rig.request(id);  // the only one in flight
     const bool ready = rig.count<Send>() == 1;
     if (ready) {
       const EndpointId next = rig.first<Send>().upstream;
@@ -593,7 +600,7 @@
   EXPECT_FALSE(readyAfter(300 * kMs));
 }
 
-// Found on incidents ie58059 and i5b3b78: a hundred blind sidecars crowded every upstream in the first
+// Guards against a hundred sidecars without load information that overload every upstream in the first
 // seconds.
 TEST(Rest, ABlindSidecarStartsWithOneInFlightOverAllUpstreamsAndGrowsByTimelyAnswers) {
   Rig rig(manySettings());
@@ -603,14 +610,15 @@
   EXPECT_EQ(rig.balancer.heldRequests(), 1u);
   rig.now += 50 * kMs;
   rig.outcome(1, first, Outcome::Ok);
-  EXPECT_EQ(rig.count<Send>(), 1u) << "the held one follows";
+  EXPECT_EQ(rig.count<Send>(), 1u) << "the held request is sent";
   rig.request(3);
-  EXPECT_EQ(rig.count<Send>(), 1u) << "two may be out after a timely answer";
+  EXPECT_EQ(rig.count<Send>(), 1u) << "a timely answer raises the limit to two";
   rig.request(4);
   EXPECT_EQ(rig.count<Send>(), 0u);
 }
 
-// Found on the grown santander: scarcity met by a blind sidecar fell on all its requests alike.
+// Guards against a sidecar without load information that, when capacity is short, delays requests of all
+// weights alike.
 TEST(Rest, IsLongerForARequestOfLittleWorth) {
   Settings s = manySettings();
   s.maxAttempts = 6;
@@ -639,7 +647,8 @@
   EXPECT_GT(heldFor(kUnsafe), 4 * heldFor(kSafe));
 }
 
-// Found on the grown oviedo: in a tenant's burst all requests met the same crowding.
+// Guards against low-value requests that compete on equal terms: in a tenant's burst all found the same
+// overload.
 TEST(Looks, AreFewerForARequestOfLittleWorth) {
   Settings s = lookingSettings();
   s.weightByWork = true;
@@ -657,7 +666,8 @@
   EXPECT_EQ(looks(kUnsafe), 1);
 }
 
-// Found on the grown bilbao: one of a hundred sidecars with most of the traffic refused a third of it.
+// Guards against limits that shrink with the number of sidecars without bound: one of a hundred sidecars,
+// with most of the traffic, rejected a third of it.
 TEST(Limits, CountTenSidecarsAtMost) {
   const auto fit = [](std::uint32_t sidecars) {
     Settings s = plainSettings();
@@ -683,8 +693,8 @@
 
 // ---- Reports --------------------------------------------------------------------------------------------
 
-// Found on the hunted day h806967: one zone had half the traffic, a fifth of the capacity and all the
-// preference.
+// Guards against a fixed preference for the own zone: one zone had half the traffic and a fifth of the
+// capacity.
 TEST(Pick, TheZonePreferenceYieldsAsTheOwnZoneReportsItsCpuBusy) {
   const auto farShare = [](double ownCpu) {
     Settings s = plainSettings();
