--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -35,37 +35,37 @@
     EndpointState state = EndpointState::Serving;
     std::vector<Micros> sentAt;  ///< time of each attempt that was sent to it
     std::vector<double> work;    ///< of each of these, relative to the mean
-    double worst = 0;            ///< highest load of one fallWindow, relative to the capacity at its end
+    double peakLoad = 0;         ///< highest load of one fallWindow, relative to the capacity at its end
   };
   /// Requests that arrived, and their final answers: within the latency objective, late, rejected, failed.
   struct Count {
-    int asked = 0, inTime = 0, late = 0, refused = 0, failed = 0;
+    int arrived = 0, inTime = 0, late = 0, rejected = 0, failed = 0;
     /// The share of all requests, 0 to 1.
-    double part(int of) const { return asked == 0 ? 0 : static_cast<double>(of) / asked; }
+    double part(int of) const { return arrived == 0 ? 0 : static_cast<double>(of) / arrived; }
   };
 
   /// Starts all sidecars at once with the saved list.
   /// @param perSecond requests a second of all sidecars together, split at random weights from 0.3 to 1.3
-  /// @param firsts the first sidecar's share of them, 0 to 1; 0: by its weight like the others
+  /// @param firstSidecarShare the first sidecar's share of them, 0 to 1; 0: by its weight like the others
   Fleet(const Settings& settings, std::vector<Node> nodes, double perSecond, std::uint64_t seed = 1,
-        double firsts = 0)
+        double firstSidecarShare = 0)
       : now(1000 * kSecond), nodes_(std::move(nodes)), settings_(settings), random_(seed) {
-    state_.resize(nodes_.size());
+    queues_.resize(nodes_.size());
     double sum = 0;
     for (std::uint32_t n = 0; n < settings_.sidecars; ++n) {
       sidecars_.push_back(std::make_unique<Sidecar>());
       sidecars_[n]->weight = 0.3 + uniform();  // sidecars differ in their traffic
       sum += sidecars_[n]->weight;
     }
-    if (firsts > 0) {
+    if (firstSidecarShare > 0) {
       sum -= sidecars_[0]->weight;
-      sidecars_[0]->weight = sum * firsts / (1 - firsts);
+      sidecars_[0]->weight = sum * firstSidecarShare / (1 - firstSidecarShare);
       sum += sidecars_[0]->weight;
     }
     for (std::uint32_t n = 0; n < settings_.sidecars; ++n) {
-      sidecars_[n]->every = 1e6 * sum / (perSecond * sidecars_[n]->weight);
+      sidecars_[n]->meanInterval = 1e6 * sum / (perSecond * sidecars_[n]->weight);
       startProcess(n);
-      arrive(n);
+      scheduleArrival(n);
     }
   }
 
@@ -80,37 +80,37 @@
 
   /// Starts a second process beside each, as in a rolling restart; each of the two gets `part` of the one's
   /// former traffic.
-  void doubleAll(double part) {
+  void startSecondProcesses(double part) {
     const auto before = static_cast<std::uint32_t>(sidecars_.size());
     for (std::uint32_t n = 0; n < before; ++n) {
       sidecars_.push_back(std::make_unique<Sidecar>());
-      sidecars_.back()->every = sidecars_[n]->every /= part;
+      sidecars_.back()->meanInterval = sidecars_[n]->meanInterval /= part;
       startProcess(before + n);
-      arrive(before + n);
+      scheduleArrival(before + n);
     }
   }
 
-  /// Schedules `what` once, `after` from now.
-  void at(Micros after, std::function<void()> what) { push(now + after, std::move(what)); }
+  /// Schedules `callback` once, `after` from now.
+  void at(Micros after, std::function<void()> callback) { push(now + after, std::move(callback)); }
 
   /// Advances the simulation by `span`.
-  void play(Micros span) {
+  void run(Micros span) {
     const Micros end = now + span;
     while (!events_.empty() && events_.top().at <= end) {
       // Removed before it runs, since it may schedule further events.
-      auto what = events_.top().what;
+      auto callback = events_.top().callback;
       now = events_.top().at;
       events_.pop();
-      what();
+      callback();
     }
     now = end;
   }
 
   /// Sends the current list in full to each sidecar, at a random time within `spread`.
-  void tellAll(Micros spread = 0) {
+  void updateAllLists(Micros spread = 0) {
     for (std::uint32_t n = 0; n < sidecars_.size(); ++n) {
       at(static_cast<Micros>(uniform() * static_cast<double>(spread)),
-         [this, n] { tell(n, MembershipUpdate::Kind::Full); });
+         [this, n] { sendList(n, MembershipUpdate::Kind::Full); });
     }
   }
 
@@ -121,14 +121,14 @@
     node.launchedAt = now;
     node.mode = mode;
     nodes_.push_back(node);
-    state_.emplace_back();
+    queues_.emplace_back();
     return static_cast<EndpointId>(nodes_.size() - 1);
   }
 
   Node& node(EndpointId id) { return nodes_[id]; }
   std::size_t nodes() const { return nodes_.size(); }
   /// The counts since the last call.
-  Count take() { return std::exchange(count_, Count{}); }
+  Count takeCounts() { return std::exchange(count_, Count{}); }
 
   /// Attempts of all sidecars at the upstream in [from, to).
   int sends(EndpointId id, Micros from, Micros to) const {
@@ -138,7 +138,7 @@
   }
 
   /// Attempts of all sidecars that are in flight.
-  std::size_t outAtAll() const {
+  std::size_t attemptsInFlight() const {
     std::size_t out = 0;
     for (const auto& sidecar : sidecars_) out += sidecar->out.size();
     return out;
@@ -146,20 +146,20 @@
 
   /// Capacity of the node now, in seconds of work a second (of a core of size one), reduced in slow start.
   double capacity(const Node& node) const {
-    double warmth = 1;
+    double capacityFraction = 1;
     if (node.launchedAt > 0 && settings_.slowStartWindow > 0) {
       const double part =
           static_cast<double>(now - node.launchedAt) / static_cast<double>(settings_.slowStartWindow);
-      warmth = settings_.startCapacity + (1 - settings_.startCapacity) * std::clamp(part, 0.0, 1.0);
+      capacityFraction = settings_.startCapacity + (1 - settings_.startCapacity) * std::clamp(part, 0.0, 1.0);
     }
-    return kCores * node.size * warmth;
+    return kCores * node.size * capacityFraction;
   }
 
   Micros now;                           ///< the simulated clock
   Micros work = 50 * kMs;               ///< mean of a request, on a core of size one
   std::uint32_t requestClass = kKeyed;  ///< of all requests
-  double burst = 1;                     ///< factor of the arrival rate, for arrivals scheduled from now on
-  bool hints = false;                   ///< whether requests carry their work as a hint
+  double rateFactor = 1;                ///< factor of the arrival rate, for arrivals scheduled from now on
+  bool sendsWorkHints = false;          ///< whether requests carry their work as a hint
 
  private:
   static constexpr std::size_t kCores = 2;
@@ -171,12 +171,12 @@
   };
   struct Sidecar {
     std::unique_ptr<Balancer> balancer;
-    double weight = 1, every = 0;
+    double weight = 1, meanInterval = 0;
     struct Open {
-      Micros came;
+      Micros arrivedAt;
       std::uint32_t attempts = 0;
       double work = 0;  // seconds, as hinted; 0: no hint
-      bool over = false;
+      bool isAnswered = false;
     };
     std::unordered_map<RequestId, Open> requests;
     std::map<std::pair<RequestId, std::uint32_t>, EndpointId> out;
@@ -184,13 +184,13 @@
   struct Queue {
     std::deque<Attempt> waiting;
     std::size_t running = 0;
-    std::deque<Micros> lately;  // send times of attempts within fallWindow
+    std::deque<Micros> recentSends;  // send times of attempts within fallWindow
   };
-  struct Entry {
+  struct ScheduledEvent {
     Micros at;
     std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Entry& other) const {
+    std::function<void()> callback;
+    bool operator<(const ScheduledEvent& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
     }
   };
@@ -198,14 +198,14 @@
   void startProcess(std::uint32_t n) {
     settings_.sidecar = n % settings_.sidecars;
     sidecars_[n]->balancer = std::make_unique<Balancer>(settings_, random_(), now);
-    tell(n, MembershipUpdate::Kind::Saved);
+    sendList(n, MembershipUpdate::Kind::Saved);
   }
 
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
   double exponential() { return -std::log1p(-uniform()); }
-  void push(Micros at, std::function<void()> what) { events_.push({at, order_++, std::move(what)}); }
+  void push(Micros at, std::function<void()> callback) { events_.push({at, order_++, std::move(callback)}); }
 
-  void tell(std::uint32_t n, MembershipUpdate::Kind kind) {
+  void sendList(std::uint32_t n, MembershipUpdate::Kind kind) {
     MembershipUpdate update;
     update.kind = kind;
     for (EndpointId id = 0; id < nodes_.size(); ++id) {
@@ -222,21 +222,21 @@
     feed(n, update);
   }
 
-  void arrive(std::uint32_t n) {
-    at(static_cast<Micros>(exponential() * sidecars_[n]->every / burst), [this, n] {
+  void scheduleArrival(std::uint32_t n) {
+    at(static_cast<Micros>(exponential() * sidecars_[n]->meanInterval / rateFactor), [this, n] {
       NewRequest request;
       request.request = ++lastRequest_;
       request.requestClass = requestClass;
       request.expiresIn = settings_.classes[requestClass].deadline;
       auto& open = sidecars_[n]->requests[request.request];
-      open.came = now;
-      if (hints) {
+      open.arrivedAt = now;
+      if (sendsWorkHints) {
         open.work = std::max(1e-6, exponential() * static_cast<double>(work) / 1e6);
         request.work = static_cast<Micros>(1e6 * open.work);
       }
-      ++count_.asked;
+      ++count_.arrived;
       feed(n, request);
-      arrive(n);
+      scheduleArrival(n);
     });
   }
 
@@ -246,9 +246,10 @@
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) sendTo(n, *send);
       if (const auto* cancel = std::get_if<Cancel>(&action))
-        end(n, cancel->request, cancel->attempt, Outcome::Cancelled);
-      if (const auto* refuse = std::get_if<Reject>(&action)) close(n, refuse->request, &Count::refused);
-      if (const auto* fail = std::get_if<Fail>(&action)) close(n, fail->request, &Count::failed);
+        endAttempt(n, cancel->request, cancel->attempt, Outcome::Cancelled);
+      if (const auto* reject = std::get_if<Reject>(&action))
+        recordAnswer(n, reject->request, &Count::rejected);
+      if (const auto* fail = std::get_if<Fail>(&action)) recordAnswer(n, fail->request, &Count::failed);
       if (const auto* timer = std::get_if<SetTimer>(&action))
         at(timer->delay, [this, n] { feed(n, TimerDue{}); });
     }
@@ -256,30 +257,31 @@
 
   void sendTo(std::uint32_t n, const Send& send) {
     auto& open = sidecars_[n]->requests.at(send.request);
-    const double takes = open.work > 0 ? open.work : exponential() * static_cast<double>(work) / 1e6;
-    const Attempt attempt{n, send.request, open.attempts++, takes};
+    const double workSeconds = open.work > 0 ? open.work : exponential() * static_cast<double>(work) / 1e6;
+    const Attempt attempt{n, send.request, open.attempts++, workSeconds};
     sidecars_[n]->out[{send.request, attempt.number}] = send.upstream;
     Node& node = nodes_[send.upstream];
     node.sentAt.push_back(now);
-    node.work.push_back(open.work > 0 ? 1e6 * takes / static_cast<double>(work) : 1);
-    Queue& queue = state_[send.upstream];
-    queue.lately.push_back(now);
-    while (queue.lately.front() <= now - settings_.fallWindow) queue.lately.pop_front();
+    node.work.push_back(open.work > 0 ? 1e6 * workSeconds / static_cast<double>(work) : 1);
+    Queue& queue = queues_[send.upstream];
+    queue.recentSends.push_back(now);
+    while (queue.recentSends.front() <= now - settings_.fallWindow) queue.recentSends.pop_front();
     const double sent =
-        static_cast<double>(queue.lately.size() * work) / static_cast<double>(settings_.fallWindow);
-    node.worst = std::max(node.worst, sent / capacity(node));
+        static_cast<double>(queue.recentSends.size() * work) / static_cast<double>(settings_.fallWindow);
+    node.peakLoad = std::max(node.peakLoad, sent / capacity(node));
     if (node.mode == Mode::Errors || node.mode == Mode::Quick) {
       const Outcome outcome = node.mode == Mode::Quick ? Outcome::Ok : Outcome::Error;
-      return at(2 * kMs,
-                [this, attempt, outcome] { end(attempt.sidecar, attempt.request, attempt.number, outcome); });
+      return at(2 * kMs, [this, attempt, outcome] {
+        endAttempt(attempt.sidecar, attempt.request, attempt.number, outcome);
+      });
     }
     if (node.mode == Mode::Hangs) return;
     queue.waiting.push_back(attempt);
-    begin(send.upstream);
+    startWork(send.upstream);
   }
 
-  void begin(EndpointId id) {
-    Queue& queue = state_[id];
+  void startWork(EndpointId id) {
+    Queue& queue = queues_[id];
     while (queue.running < kCores && !queue.waiting.empty()) {
       const Attempt attempt = queue.waiting.front();
       queue.waiting.pop_front();
@@ -288,44 +290,44 @@
       ++queue.running;
       const double speed = capacity(nodes_[id]) / static_cast<double>(kCores);
       at(static_cast<Micros>(1e6 * attempt.work / speed) + 1, [this, id, attempt] {
-        --state_[id].running;
-        end(attempt.sidecar, attempt.request, attempt.number, Outcome::Ok);
-        begin(id);
+        --queues_[id].running;
+        endAttempt(attempt.sidecar, attempt.request, attempt.number, Outcome::Ok);
+        startWork(id);
       });
     }
   }
 
-  void end(std::uint32_t n, RequestId request, std::uint32_t number, Outcome outcome) {
+  void endAttempt(std::uint32_t n, RequestId request, std::uint32_t number, Outcome outcome) {
     Sidecar& sidecar = *sidecars_[n];
     const auto found = sidecar.out.find({request, number});
     if (found == sidecar.out.end()) return;
     const EndpointId upstream = found->second;
     sidecar.out.erase(found);
     const auto& open = sidecar.requests.at(request);
-    AttemptOutcome event{request, number, upstream, outcome, 0, open.over, std::nullopt};
-    if (outcome == Outcome::Ok && !open.over) {
+    AttemptOutcome event{request, number, upstream, outcome, 0, open.isAnswered, std::nullopt};
+    if (outcome == Outcome::Ok && !open.isAnswered) {
       event.last = true;
-      close(n, request,
-            now - open.came <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
-                                                                                : &Count::late);
+      recordAnswer(n, request,
+                   now - open.arrivedAt <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
+                                                                                            : &Count::late);
     }
     // As a separate event, as on a socket: the balancer must not be called from within handle().
     push(now, [this, n, event] { feed(n, event); });
   }
 
-  void close(std::uint32_t n, RequestId request, int Count::*how) {
+  void recordAnswer(std::uint32_t n, RequestId request, int Count::*how) {
     auto& open = sidecars_[n]->requests.at(request);
-    EXPECT_FALSE(open.over) << "a second final answer to one request";
-    open.over = true;
+    EXPECT_FALSE(open.isAnswered) << "a second final answer to one request";
+    open.isAnswered = true;
     ++(count_.*how);
   }
 
   std::vector<Node> nodes_;
-  std::vector<Queue> state_;
+  std::vector<Queue> queues_;
   Settings settings_;
   std::mt19937_64 random_;
   std::vector<std::unique_ptr<Sidecar>> sidecars_;
-  std::priority_queue<Entry> events_;
+  std::priority_queue<ScheduledEvent> events_;
   std::uint64_t order_ = 0;
   RequestId lastRequest_ = 0;
   Count count_;
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -10,26 +10,26 @@
 namespace ivypost::balancer {
 namespace {
 
-constexpr Micros kHolds = 500 * kMs;
-
-HealthReport bad(EndpointId upstream, std::uint32_t witnesses, bool turn = false) {
-  HealthReport hearsay;
-  hearsay.upstream = upstream;
-  hearsay.sidecars = 12;
-  hearsay.witnesses = witnesses;
-  hearsay.turn = turn;
-  hearsay.holds = kHolds;
-  return hearsay;
+constexpr Micros kValidity = 500 * kMs;
+
+HealthReport failureReport(EndpointId upstream, std::uint32_t witnesses, bool turn = false) {
+  HealthReport report;
+  report.upstream = upstream;
+  report.sidecars = 12;
+  report.witnesses = witnesses;
+  report.turn = turn;
+  report.holds = kValidity;
+  return report;
 }
 
 // The upstreams of 40 requests that are answered after 1 ms each.
-std::multiset<EndpointId> draws(Rig& rig, RequestId& id) {
+std::multiset<EndpointId> sendMany(BalancerFixture& fixture, RequestId& id) {
   std::multiset<EndpointId> to;
   for (int n = 0; n < 40; ++n) {
-    const EndpointId upstream = rig.sent(++id);
+    const EndpointId upstream = fixture.sendRequest(++id);
     to.insert(upstream);
-    rig.now += kMs;
-    rig.outcome(id, upstream, Outcome::Ok);
+    fixture.now += kMs;
+    fixture.outcome(id, upstream, Outcome::Ok);
   }
   return to;
 }
@@ -41,139 +41,139 @@
   } rows[] = {{12, 0, false}, {12, 1, false}, {12, 2, false}, {12, 3, true},
               {3, 1, false},  {3, 2, true},   {300, 2, false}};
   for (const auto& row : rows) {
-    Rig rig;
-    rig.start(10);
-    HealthReport hearsay = bad(4, row.witnesses);
-    hearsay.sidecars = row.sidecars;
-    rig.feed(hearsay);
-    EXPECT_EQ(rig.balancer.ready(4, rig.now), !row.out) << row.sidecars << " " << row.witnesses;
+    BalancerFixture fixture;
+    fixture.start(10);
+    HealthReport report = failureReport(4, row.witnesses);
+    report.sidecars = row.sidecars;
+    fixture.feed(report);
+    EXPECT_EQ(fixture.balancer.ready(4, fixture.now), !row.out) << row.sidecars << " " << row.witnesses;
   }
 }
 
-TEST(HealthReport, AnOwnAnswerCountsForMore) {
-  Rig rig;
-  rig.start(10);
+TEST(HealthReport, AFreshOwnAnswerOverridesReports) {
+  BalancerFixture fixture;
+  fixture.start(10);
   RequestId id = 0;
-  EndpointId served = rig.sent(++id);
-  rig.outcome(id, served, Outcome::Ok);
-  rig.feed(bad(served, 11));
-  EXPECT_TRUE(rig.balancer.ready(served, rig.now));
-  rig.now += kSecond;
-  rig.feed(bad(served, 11));
-  EXPECT_FALSE(rig.balancer.ready(served, rig.now));
+  EndpointId served = fixture.sendRequest(++id);
+  fixture.outcome(id, served, Outcome::Ok);
+  fixture.feed(failureReport(served, 11));
+  EXPECT_TRUE(fixture.balancer.ready(served, fixture.now));
+  fixture.now += kSecond;
+  fixture.feed(failureReport(served, 11));
+  EXPECT_FALSE(fixture.balancer.ready(served, fixture.now));
 }
 
 TEST(HealthReport, TakesOutAQuarterAtTheMostAndNeverTheLastReadyOnes) {
-  Rig rig;
-  rig.start(10);
-  for (EndpointId id = 0; id < 10; ++id) rig.feed(bad(id, 11));
+  BalancerFixture fixture;
+  fixture.start(10);
+  for (EndpointId id = 0; id < 10; ++id) fixture.feed(failureReport(id, 11));
   int out = 0;
-  for (EndpointId id = 0; id < 10; ++id) out += rig.balancer.ready(id, rig.now) ? 0 : 1;
+  for (EndpointId id = 0; id < 10; ++id) out += fixture.balancer.ready(id, fixture.now) ? 0 : 1;
   EXPECT_EQ(out, 2);
   // A quarter of three upstreams is none: all stay ready, whatever the reports say.
-  Rig few;
+  BalancerFixture few;
   few.start(3);
-  for (EndpointId id = 0; id < 3; ++id) few.feed(bad(id, 11));
+  for (EndpointId id = 0; id < 3; ++id) few.feed(failureReport(id, 11));
   for (EndpointId id = 0; id < 3; ++id) EXPECT_TRUE(few.balancer.ready(id, few.now));
 }
 
 // A report counts only for the incarnation (launchedAt) that this sidecar's list has, not for an earlier or a
 // later one.
-TEST(HealthReport, CountsForOneLifeAlone) {
-  Rig rig;
-  rig.start(10);
-  rig.list(MembershipUpdate::Kind::Changes, {serving(4, 1, rig.now - 100 * kSecond)});
-  rig.feed(bad(4, 11));
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now));
-  HealthReport hearsay = bad(4, 11);
-  hearsay.launchedAt = rig.now - 100 * kSecond;
-  rig.feed(hearsay);
-  EXPECT_FALSE(rig.balancer.ready(4, rig.now));
-  rig.list(MembershipUpdate::Kind::Changes, {serving(4, 1, rig.now - 50 * kSecond)});
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now)) << "it was restarted";
-  rig.feed(bad(1000, 11));  // no upstream has this id
+TEST(HealthReport, CountsForOneIncarnationOnly) {
+  BalancerFixture fixture;
+  fixture.start(10);
+  fixture.updateList(MembershipUpdate::Kind::Changes, {serving(4, 1, fixture.now - 100 * kSecond)});
+  fixture.feed(failureReport(4, 11));
+  EXPECT_TRUE(fixture.balancer.ready(4, fixture.now));
+  HealthReport report = failureReport(4, 11);
+  report.launchedAt = fixture.now - 100 * kSecond;
+  fixture.feed(report);
+  EXPECT_FALSE(fixture.balancer.ready(4, fixture.now));
+  fixture.updateList(MembershipUpdate::Kind::Changes, {serving(4, 1, fixture.now - 50 * kSecond)});
+  EXPECT_TRUE(fixture.balancer.ready(4, fixture.now)) << "it was restarted";
+  fixture.feed(failureReport(1000, 11));  // no upstream has this id
 }
 
 // An upstream ejected by reports: for as long as they last, only the sidecar whose turn it is tries it, after
 // the ejection.
 TEST(HealthReport, ATrialIsOneSidecarsTurn) {
   for (const bool turn : {false, true}) {
-    Rig rig;
-    rig.start(10);
+    BalancerFixture fixture;
+    fixture.start(10);
     RequestId id = 0;
-    rig.feed(bad(4, 3, turn));
+    fixture.feed(failureReport(4, 3, turn));
     for (int n = 0; n < 30; ++n) {
-      rig.now += 100 * kMs;
-      rig.feed(bad(4, 3, turn));
+      fixture.now += 100 * kMs;
+      fixture.feed(failureReport(4, 3, turn));
     }
-    const bool ready = rig.balancer.ready(4, rig.now);
+    const bool ready = fixture.balancer.ready(4, fixture.now);
     EXPECT_EQ(ready, turn);
-    EXPECT_EQ(draws(rig, id).count(4) > 0, turn);
+    EXPECT_EQ(sendMany(fixture, id).count(4) > 0, turn);
   }
 }
 
-TEST(HealthReport, ThatSomebodyWasServedPermitsATrialAndNoMore) {
-  Rig rig;
-  rig.start(10);
-  rig.feed(bad(4, 3));
-  ASSERT_FALSE(rig.balancer.ready(4, rig.now));
-  HealthReport well = bad(4, 3);
+TEST(HealthReport, AnAnswerToAnotherSidecarPermitsOnlyATrial) {
+  BalancerFixture fixture;
+  fixture.start(10);
+  fixture.feed(failureReport(4, 3));
+  ASSERT_FALSE(fixture.balancer.ready(4, fixture.now));
+  HealthReport well = failureReport(4, 3);
   well.well = true;
-  rig.feed(well);
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now));
+  fixture.feed(well);
+  EXPECT_TRUE(fixture.balancer.ready(4, fixture.now));
   // One trial at a time, until the upstream is readmitted.
   RequestId id = 0;
   std::size_t at4 = 0;
   for (int n = 0; n < 60; ++n) {
-    const EndpointId to = rig.sent(++id);
+    const EndpointId to = fixture.sendRequest(++id);
     at4 += to == 4 ? 1 : 0;
-    if (to != 4) rig.outcome(id, to, Outcome::Ok);
+    if (to != 4) fixture.outcome(id, to, Outcome::Ok);
   }
   EXPECT_EQ(at4, 1u);
 }
 
 // Guards against old reports in a sidecar that gets no new ones because it is isolated or was stopped: once
 // they expire it decides without them, before any other event.
-TEST(HealthReport, LapsesByItself) {
-  Rig rig;
-  rig.start(10);
+TEST(HealthReport, ExpiresWithoutFurtherEvents) {
+  BalancerFixture fixture;
+  fixture.start(10);
   for (int n = 0; n < 30; ++n) {
-    rig.feed(bad(4, 3));
-    rig.now += 100 * kMs;
+    fixture.feed(failureReport(4, 3));
+    fixture.now += 100 * kMs;
   }
-  EXPECT_FALSE(rig.balancer.ready(4, rig.now));
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now + kHolds));
-  HealthReport forever = bad(4, 3);
+  EXPECT_FALSE(fixture.balancer.ready(4, fixture.now));
+  EXPECT_TRUE(fixture.balancer.ready(4, fixture.now + kValidity));
+  HealthReport forever = failureReport(4, 3);
   forever.holds = 3600 * kSecond;
-  rig.feed(forever);
-  EXPECT_FALSE(rig.balancer.ready(4, rig.now + kSecond));
-  EXPECT_TRUE(rig.balancer.ready(4, rig.now + 2 * kSecond)) << "a report counts for 2 s at most";
+  fixture.feed(forever);
+  EXPECT_FALSE(fixture.balancer.ready(4, fixture.now + kSecond));
+  EXPECT_TRUE(fixture.balancer.ready(4, fixture.now + 2 * kSecond)) << "a report counts for 2 s at most";
 }
 
 // Rules 3 and 4: no report makes a draining upstream ready or gives one in slow start more than its credit.
-TEST(HealthReport, LoosensNoRule) {
-  Rig rig;
-  rig.start(4);
-  rig.list(MembershipUpdate::Kind::Changes, {leaving(2, EndpointState::Draining)});
-  HealthReport well = bad(2, 0, true);
+TEST(HealthReport, OverridesNoRule) {
+  BalancerFixture fixture;
+  fixture.start(4);
+  fixture.updateList(MembershipUpdate::Kind::Changes, {leaving(2, EndpointState::Draining)});
+  HealthReport well = failureReport(2, 0, true);
   well.well = true;
-  rig.feed(well);
-  EXPECT_FALSE(rig.balancer.ready(2, rig.now));
-  Rig cold;
-  std::vector<EndpointEntry> entries = {serving(0, 1, cold.now)};
-  cold.list(MembershipUpdate::Kind::Saved, entries);
+  fixture.feed(well);
+  EXPECT_FALSE(fixture.balancer.ready(2, fixture.now));
+  BalancerFixture slowStartFixture;
+  std::vector<EndpointEntry> entries = {serving(0, 1, slowStartFixture.now)};
+  slowStartFixture.updateList(MembershipUpdate::Kind::Saved, entries);
   RequestId id = 0;
   std::size_t sent = 0;
   for (int n = 0; n < 50; ++n) {
-    HealthReport one = bad(0, 0, true);
-    one.launchedAt = cold.now;
-    one.well = true;
-    cold.feed(one);
-    cold.request(++id);
-    sent += cold.count<Send>();
+    HealthReport report = failureReport(0, 0, true);
+    report.launchedAt = slowStartFixture.now;
+    report.well = true;
+    slowStartFixture.feed(report);
+    slowStartFixture.request(++id);
+    sent += slowStartFixture.count<Send>();
   }
-  Rig without;
-  without.list(MembershipUpdate::Kind::Saved, entries);
+  BalancerFixture without;
+  without.updateList(MembershipUpdate::Kind::Saved, entries);
   std::size_t sentWithout = 0;
   for (id = 1; id <= 50; ++id) {
     without.request(id);
@@ -184,24 +184,24 @@
 
 // Many sidecars and one upstream that fails every attempt: the trials a second do not grow with the number of
 // sidecars.
-TEST(HealthReport, TrialsDoNotGoWithTheNumberOfSidecars) {
+TEST(HealthReport, TrialsDoNotGrowWithTheNumberOfSidecars) {
   for (const std::size_t sidecars : {3, 12, 48}) {
-    std::vector<Rig> rigs;
-    for (std::size_t n = 0; n < sidecars; ++n) rigs.emplace_back(plainSettings(), n + 1);
-    for (Rig& rig : rigs) rig.start(10);
+    std::vector<BalancerFixture> fixtures;
+    for (std::size_t n = 0; n < sidecars; ++n) fixtures.emplace_back(plainSettings(), n + 1);
+    for (BalancerFixture& fixture : fixtures) fixture.start(10);
     std::size_t trials = 0;
     RequestId id = 0;
     for (int step = 0; step < 200; ++step) {
       for (std::size_t n = 0; n < sidecars; ++n) {
-        Rig& rig = rigs[n];
-        rig.now += 100 * kMs;
-        rig.feed(bad(4, 3, n == 1));
+        BalancerFixture& fixture = fixtures[n];
+        fixture.now += 100 * kMs;
+        fixture.feed(failureReport(4, 3, n == 1));
         for (int requests = 0; requests < 5; ++requests) {
-          const EndpointId to = rig.sent(++id);
+          const EndpointId to = fixture.sendRequest(++id);
           trials += step >= 20 && to == 4 ? 1 : 0;
-          rig.outcome(id, to, to == 4 ? Outcome::Error : Outcome::Ok);
+          fixture.outcome(id, to, to == 4 ? Outcome::Error : Outcome::Ok);
           if (to == 4)  // the retry goes to another upstream, which answers
-            for (const Send& again : rig.all<Send>()) rig.outcome(id, again.upstream, Outcome::Ok, 1);
+            for (const Send& again : fixture.all<Send>()) fixture.outcome(id, again.upstream, Outcome::Ok, 1);
         }
       }
     }
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -222,7 +222,7 @@
   std::deque<std::pair<Micros, EndpointId>> recent_;
 };
 
-using Mutation = std::function<void(std::vector<Action>&, Rig&)>;
+using Mutation = std::function<void(std::vector<Action>&, BalancerFixture&)>;
 
 // One random day: a balancer, a handful of upstreams, and everything the wire can bring. Returns the
 // complaints.
@@ -230,7 +230,7 @@
              std::size_t* sends) {
   std::mt19937 dice(seed);
   const auto roll = [&](unsigned sides) { return static_cast<unsigned>(dice() % sides); };
-  Rig rig(settings, seed);
+  BalancerFixture fixture(settings, seed);
   struct Out {
     RequestId request;
     std::uint32_t attempt;
@@ -246,13 +246,13 @@
   RequestId next = 1;
 
   const auto feed = [&](const Event& event) {
-    oracle.in(event, rig.now);
-    rig.feed(event);
-    if (mutate) mutate(rig.actions, rig);
-    for (const Action& action : rig.actions) {
+    oracle.in(event, fixture.now);
+    fixture.feed(event);
+    if (mutate) mutate(fixture.actions, fixture);
+    for (const Action& action : fixture.actions) {
       if (const auto* send = std::get_if<Send>(&action)) {
         if (sends) ++*sends;
-        const Micros limit = send->timeout > 0 ? rig.now + send->timeout : open[send->request];
+        const Micros limit = send->timeout > 0 ? fixture.now + send->timeout : open[send->request];
         out.push_back(
             {send->request, attempts[send->request]++, send->upstream, std::min(limit, open[send->request])});
       } else if (const auto* refuse = std::get_if<Reject>(&action)) {
@@ -262,10 +262,10 @@
       } else if (const auto* probe = std::get_if<Probe>(&action)) {
         probed.push_back(probe->upstream);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        timers.push_back(rig.now + timer->delay);
+        timers.push_back(fixture.now + timer->delay);
       }
     }
-    oracle.out(rig.actions);
+    oracle.out(fixture.actions);
   };
   const auto settle = [&](std::size_t n, Outcome outcome) {
     const Out done = out[n];
@@ -289,9 +289,9 @@
   std::map<EndpointId, Micros> launched;
 
   for (int step = 0; step < 3000; ++step) {
-    rig.now += roll(3) == 0 ? settings.resolution * (1 + roll(3)) : 0;
+    fixture.now += roll(3) == 0 ? settings.resolution * (1 + roll(3)) : 0;
     if (step % 1000 == 999) {
-      rig.balancer = Balancer(settings, seed + 1, rig.now);
+      fixture.balancer = Balancer(settings, seed + 1, fixture.now);
       oracle.restarted();
       out.clear();
       probed.clear();
@@ -301,12 +301,12 @@
       feed(MembershipUpdate{MembershipUpdate::Kind::Saved, oracle.saved()});
     }
     std::sort(timers.begin(), timers.end());
-    while (!timers.empty() && timers.front() <= rig.now) {
+    while (!timers.empty() && timers.front() <= fixture.now) {
       timers.erase(timers.begin());
       feed(TimerDue{});
     }
     for (std::size_t n = 0; n < out.size();) {
-      if (out[n].until <= rig.now && streaming.count(out[n].request) == 0) {
+      if (out[n].until <= fixture.now && streaming.count(out[n].request) == 0) {
         settle(n, Outcome::Timeout);
         n = 0;
       } else {
@@ -323,7 +323,7 @@
       if (roll(2) == 0) r.work = static_cast<Micros>(roll(200)) * kMs;
       r.expiresIn = roll(50) == 0 ? 0 : static_cast<Micros>(20 + roll(900)) * kMs;
       r.isRetry = roll(5) == 0;
-      open[r.request] = rig.now + r.expiresIn;
+      open[r.request] = fixture.now + r.expiresIn;
       feed(r);
     } else if (what < 85) {
       if (out.empty()) continue;
@@ -359,7 +359,7 @@
       const unsigned to = roll(4);
       if (to == 0) e.state = EndpointState::Draining;
       if (to == 1) e.state = EndpointState::Gone;
-      if (to == 2) e.launchedAt = launched[id] = rig.now - static_cast<Micros>(roll(2000)) * kMs;
+      if (to == 2) e.launchedAt = launched[id] = fixture.now - static_cast<Micros>(roll(2000)) * kMs;
       feed(MembershipUpdate{MembershipUpdate::Kind::Changes, {e}});
     } else if (what < 97) {
       std::vector<EndpointEntry> all;
@@ -380,9 +380,9 @@
   }
   // Let everything come to its end.
   for (int n = 0; n < 400; ++n) {
-    rig.now += settings.resolution;
+    fixture.now += settings.resolution;
     for (std::size_t k = 0; k < out.size();) {
-      if (out[k].until <= rig.now) {
+      if (out[k].until <= fixture.now) {
         settle(k, Outcome::Timeout);
         k = 0;
       } else {
@@ -392,8 +392,8 @@
     feed(TimerDue{});
   }
   if (!mutate) {
-    EXPECT_EQ(rig.balancer.openRequests(), 0u);
-    for (EndpointId id = 0; id < 10; ++id) EXPECT_EQ(rig.balancer.inFlight(id), 0u);
+    EXPECT_EQ(fixture.balancer.openRequests(), 0u);
+    for (EndpointId id = 0; id < 10; ++id) EXPECT_EQ(fixture.balancer.inFlight(id), 0u);
   }
 }
 
@@ -540,52 +540,52 @@
   const auto everySo = [&n](int often) { return ++n % often == 0; };
   const std::map<std::string, Mutation> mutations = {
       {"a request was lost",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          erase(a, [&](const Action& x) { return std::holds_alternative<Fail>(x) && everySo(3); });
        }},
       {"two final answers",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (const Action& x : std::vector<Action>(a)) {
            if (std::holds_alternative<Reject>(x)) a.push_back(x);
          }
        }},
       {"sent to an upstream that drains or is gone",
-       [&](std::vector<Action>& a, Rig& rig) {
+       [&](std::vector<Action>& a, BalancerFixture& fixture) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x); send && everySo(20)) {
              for (EndpointId id = 0; id < 8; ++id) {
-               if (!rig.balancer.ready(id, rig.now)) send->upstream = id;
+               if (!fixture.balancer.ready(id, fixture.now)) send->upstream = id;
              }
            }
          }
        }},
       {"an unsafe request that may have run was refused",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (Action& x : a) {
            if (const auto* fail = std::get_if<Fail>(&x)) x = Reject{fail->request, 0};
          }
        }},
       {"an unsafe request ran twice",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (const Action& x : std::vector<Action>(a)) {
            if (std::holds_alternative<Send>(x) && everySo(10)) a.push_back(x);
          }
        }},
       {"two attempts at once",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (const Action& x : std::vector<Action>(a)) {
            if (std::holds_alternative<Send>(x) && everySo(10)) a.push_back(x);
          }
        }},
       {"repeat outside the group",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x))
              send->upstream = static_cast<EndpointId>(everySo(2) ? 0 : 7);
          }
        }},
       {"a cold upstream was pushed",
-       [&](std::vector<Action>& a, Rig&) {
+       [&](std::vector<Action>& a, BalancerFixture&) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x)) send->upstream = 3;
          }
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -72,10 +72,10 @@
 
 /// Owns a Balancer and its clock. Each call that feeds an event replaces `actions` with the actions that the
 /// balancer returned for it.
-class Rig {
+class BalancerFixture {
  public:
-  explicit Rig(const Settings& settings = plainSettings(), std::uint64_t seed = 1,
-               Micros start = 1000 * kSecond)
+  explicit BalancerFixture(const Settings& settings = plainSettings(), std::uint64_t seed = 1,
+                           Micros start = 1000 * kSecond)
       : now(start), balancer(settings, seed, start) {}
 
   /// Handles the event at `now`.
@@ -85,14 +85,14 @@
     return actions;
   }
   /// Feeds a membership update.
-  std::vector<Action>& list(MembershipUpdate::Kind kind, std::vector<EndpointEntry> entries = {}) {
+  std::vector<Action>& updateList(MembershipUpdate::Kind kind, std::vector<EndpointEntry> entries = {}) {
     return feed(MembershipUpdate{kind, std::move(entries)});
   }
   /// Feeds the first (saved) list, with this many serving endpoints, numbered from 0.
   std::vector<Action>& start(EndpointId upstreams) {
     std::vector<EndpointEntry> entries;
     for (EndpointId id = 0; id < upstreams; ++id) entries.push_back(serving(id));
-    return list(MembershipUpdate::Kind::Saved, std::move(entries));
+    return updateList(MembershipUpdate::Kind::Saved, std::move(entries));
   }
   /// Feeds a request of tenant 0.
   std::vector<Action>& request(RequestId id, std::uint32_t cls = kSafe, Micros expiresIn = kSecond) {
@@ -104,18 +104,18 @@
     return feed(r);
   }
   /// Feeds a request, which must be sent at once, and returns the upstream that it was sent to.
-  EndpointId sent(RequestId id, std::uint32_t cls = kSafe) {
+  EndpointId sendRequest(RequestId id, std::uint32_t cls = kSafe) {
     request(id, cls);
     EXPECT_EQ(count<Send>(), 1u);
     return count<Send>() == 1 ? first<Send>().upstream : 0;
   }
   /// Feeds the outcome of an attempt; with Ok the request is complete.
-  std::vector<Action>& outcome(RequestId id, EndpointId upstream, Outcome what, std::uint32_t attempt = 0,
+  std::vector<Action>& outcome(RequestId id, EndpointId upstream, Outcome result, std::uint32_t attempt = 0,
                                Micros lag = 0) {
-    return feed(AttemptOutcome{id, attempt, upstream, what, lag, what == Outcome::Ok, std::nullopt});
+    return feed(AttemptOutcome{id, attempt, upstream, result, lag, result == Outcome::Ok, std::nullopt});
   }
   /// Advances the clock by `span` and feeds TimerDue.
-  std::vector<Action>& wait(Micros span) {
+  std::vector<Action>& advance(Micros span) {
     now += span;
     return feed(TimerDue{});
   }
@@ -124,7 +124,7 @@
   std::vector<T> all() const {
     std::vector<T> found;
     for (const Action& action : actions) {
-      if (const T* is = std::get_if<T>(&action)) found.push_back(*is);
+      if (const T* matching = std::get_if<T>(&action)) found.push_back(*matching);
     }
     return found;
   }
@@ -138,15 +138,15 @@
   }
   /// Sends requests until upstream 0 is not ready or `most` are sent, and returns how many were sent. `id` is
   /// the first request's id and is advanced past the last one.
-  std::size_t fill(RequestId& id, std::size_t most = 100) {
-    std::size_t fit = 0;
-    for (; balancer.ready(0, now) && fit < most; ++fit) {
+  std::size_t fillUpstream0(RequestId& id, std::size_t most = 100) {
+    std::size_t sentCount = 0;
+    for (; balancer.ready(0, now) && sentCount < most; ++sentCount) {
       request(id++);
       if (count<Send>() > 0) continue;
       feed(Withdrawn{id - 1});  // the limit of the whole sidecar holds it back
       break;
     }
-    return fit;
+    return sentCount;
   }
 
   Micros now;  ///< the simulated clock
