--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -26,14 +26,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint32_t kMaxHeader = 8 * 1024;
-// Calls have no body; one that comes along is read and dropped up to this.
+// Calls have no body. One of up to this size is read and discarded.
 constexpr std::size_t kMaxBody = 16UL * 1024;
-// A connection without a complete call is closed after so long, if it was not evicted before.
+// An unanswered connection is closed after this period, if it was not evicted before.
 constexpr milliseconds kCallTimeout{10'000};
-// What a caller still sends after its answer is dropped for so long: closing at once could cost it the
-// answer.
+// After the answer, bytes from the caller are read and discarded for this period: closing at once could reset
+// the connection before the caller has read the answer.
 constexpr milliseconds kLingerTimeout{200};
-// While no connection can be accepted, as when descriptors have run out, it is tried again after this.
+// The retry interval while no connection can be accepted, for example since descriptors have run out.
 constexpr milliseconds kAcceptPause{10};
 constexpr std::size_t kReadAtOnce = 4096;
 
@@ -54,8 +54,9 @@
 
 }  // namespace
 
-// One connection, until its call is answered: it reads, is answered, writes, and lingers. Discovery's
-// connection with one call (membership/platform.cpp) is the other end of the same: it writes, and reads.
+// One connection with one call: reads the call, passes it to the handler, writes the answer, and discards
+// further bytes until it closes. The client side of such a connection is in discovery
+// (membership/platform.cpp).
 class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(AdminServer& owner, tcp::socket socket)
@@ -74,7 +75,7 @@
 
   [[nodiscard]] bool isAnswered() const { return isAnswered_; }
 
-  // Its owner is gone: nobody is called back any more.
+  // Detaches the session from its server, after which it makes no callbacks.
   void orphan() noexcept { owner_ = nullptr; }
 
   void close() {
@@ -99,7 +100,7 @@
     });
   }
 
-  // As a rule the complete call is there already when the connection is.
+  // Reads at once, without waiting for readiness: the complete call has usually arrived with the connection.
   void readAvailable() {
     for (;;) {
       error_code error;
@@ -115,7 +116,7 @@
     }
   }
 
-  // Without an error the call is complete, or more of it has to come.
+  // No error: the call is complete, or more of it must be received.
   error_code parseBuffer() {
     error_code error;
     while (!error && !parser_.is_done() && buffer_.size() > 0)
@@ -123,7 +124,7 @@
     return error == http::error::need_more ? error_code() : error;
   }
 
-  // `error`: what the last read came to.
+  // `error`: the transient error of the last read; no error: the read succeeded.
   void waitToRead(const error_code& error) {
     network::waitToRetry(socket_, tcp::socket::wait_read, error,
                          [self = shared_from_this()](const error_code& failed) {
@@ -159,12 +160,12 @@
     });
   }
 
-  AdminServer* owner_;  // none once it is closed
+  AdminServer* owner_;  // null once the session is closed or the server is destroyed
   tcp::socket socket_;
   asio::steady_timer timer_;
   beast::flat_buffer buffer_;
   http::request_parser<http::string_body> parser_;
-  std::string text_;  // of the answer, while it is written
+  std::string text_;  // the answer, valid while it is being written
   bool isAnswered_ = false;
 };
 
@@ -175,7 +176,7 @@
   acceptor_.bind(address);
   acceptor_.listen();
   acceptor_.non_blocking(true);
-  // Otherwise Asio waits for the next connection behind one that ended in the queue.
+  // Without this option Asio skips a connection that was aborted in the queue and waits for the next one.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   accept();
 }
@@ -191,7 +192,7 @@
       admit(std::move(socket));
       return accept();
     }
-    // Guards against a loop that spins when descriptors have run out.
+    // Prevents a busy loop while descriptors are exhausted.
     acceptTimer_.expires_after(kAcceptPause);
     acceptTimer_.async_wait([this](const error_code& cancelled) {
       if (!cancelled) accept();
@@ -203,10 +204,10 @@
   if (sessions_.size() >= kMaxConnections) evictOne();
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   sessions_.push_back(session);
-  session->start();  // it may end within
+  session->start();  // the session may finish within the call
 }
 
-// The oldest without a complete call; where all have one, the oldest.
+// Closes the oldest connection that has not been answered; if all have been, the oldest one.
 void AdminServer::evictOne() {
   auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
                              [](const auto& session) { return !session->isAnswered(); });
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -15,33 +15,33 @@
 
 namespace ivypost::admin {
 
-/// The operators' second address on sockets: HTTP/1.1, one call to a connection. It shares nothing with the
-/// connections of clients and has few of its own, so that it answers when theirs are at their limit. All on
-/// the event loop's thread.
+/// The HTTP/1.1 server of the operators' admin API; one call per connection. It is separate from the server
+/// for clients and has its own small connection limit, so that it answers while client connections are at
+/// their limit. Not thread-safe: all calls are made on the event loop.
 class AdminServer {
  public:
-  /// Sends the answer of one call; the second time, or when the caller or the server has gone, it does
-  /// nothing.
+  /// Sends the answer to one call. Does nothing if called again, or if the connection has closed or the
+  /// server has been destroyed.
   using Answer = std::function<void(const Reply&)>;
-  /// Takes a call, and answers it at once or later, from the event loop.
+  /// Handles a call and invokes the Answer, at once or later, from the event loop.
   using Handler = std::function<void(const Call&, Answer)>;
-  /// Connections at once: operators are few, and descriptors are for clients. At the limit the one that has
-  /// been without a complete call for longest is closed for the next.
+  /// The most simultaneous connections. Small, since there are few operators and descriptors are needed for
+  /// clients. At the limit the oldest unanswered connection is closed for the next one.
   static constexpr std::size_t kMaxConnections = 24;
 
-  /// Listens at once. Throws boost::system::system_error when it can't. `handler` is called from the event
-  /// loop.
+  /// Starts to listen. `handler` is called from the event loop. Throws boost::system::system_error if the
+  /// address can't be used. `io` must outlive the server.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Handler handler);
   AdminServer(const AdminServer&) = delete;
   AdminServer(AdminServer&&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
   AdminServer& operator=(AdminServer&&) = delete;
-  /// Stops listening; calls that wait for their answer get none.
+  /// Stops listening. Pending calls get no answer.
   ~AdminServer();
 
-  /// The port that it listens on.
+  /// The port on which the server listens.
   [[nodiscard]] std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
-  /// Connections that are open.
+  /// The number of open connections.
   [[nodiscard]] std::size_t connections() const { return sessions_.size(); }
 
  private:
@@ -55,8 +55,8 @@
   Handler handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer acceptTimer_;
-  // The oldest first, kMaxConnections at most. Shared with their asynchronous operations, which outlive them
-  // here.
+  // Oldest first, at most kMaxConnections. Shared with the sessions' asynchronous operations, which may
+  // outlive their entries here.
   std::list<std::shared_ptr<Session>> sessions_;
 };
 
--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned kMethodNotAllowed = 405;
 
 struct Path {
-  std::string_view text;  // ends with a slash if an upstream's id follows
+  std::string_view text;  // ends with a slash if an upstream id follows
   std::string_view method;
   Call::Kind kind;
 
@@ -31,7 +31,7 @@
                                          {"/api/evacuate", "POST", Call::Kind::Evacuate},
                                          {"/api/rejoin", "POST", Call::Kind::Rejoin}}};
 
-// The byte that two hexadecimal digits say; none: they are no two, or no digits.
+// The byte that two hexadecimal digits encode; none: not exactly two digits, or not hexadecimal.
 std::optional<char> toByte(std::string_view digits) {
   constexpr int kHexadecimal = 16;
   unsigned char byte = 0;
@@ -42,7 +42,7 @@
   return static_cast<char>(byte);
 }
 
-// Percent-decoded; none: it can't be.
+// Percent-decodes a text; none: the encoding is invalid.
 std::optional<std::string> decode(std::string_view text) {
   std::string plain;
   for (std::size_t n = 0; n < text.size(); ++n) {
@@ -58,7 +58,7 @@
   return plain;
 }
 
-// Of an upstream, as the path's last part; none: it can't be one.
+// Decodes an upstream id from the last part of the path; none: empty, contains a slash, or wrongly encoded.
 std::optional<std::string> toId(std::string_view part) {
   if (part.find('/') != std::string_view::npos) return std::nullopt;
   auto id = decode(part);
--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What operators may ask: method and target to a call, or to the answer that a wrong one gets. No I/O. Paths
-// are spoken: they stay letter for letter.
+// The calls of the admin API: maps the method and target of a request to a call, or to the error reply of an
+// invalid one. Performs no I/O. The paths are a public interface and must not change.
 #ifndef IVYPOST_ADMIN_CALL_H_
 #define IVYPOST_ADMIN_CALL_H_
 
@@ -14,30 +14,30 @@
 
 /// A call of the operators' admin API.
 struct Call {
-  /// What is asked.
+  /// The operation.
   enum class Kind : std::uint8_t {
     Ready,     ///< GET /api/ready: whether the sidecar is ready.
-    Exclude,   ///< POST /api/exclude/ID: no more requests to this upstream.
-    Include,   ///< POST /api/include/ID: that ends.
-    Evacuate,  ///< POST /api/evacuate: the sidecar drains.
-    Rejoin,    ///< POST /api/rejoin: that ends.
+    Exclude,   ///< POST /api/exclude/ID: sends no more requests to this upstream.
+    Include,   ///< POST /api/include/ID: ends the exclusion.
+    Evacuate,  ///< POST /api/evacuate: drains the sidecar.
+    Rejoin,    ///< POST /api/rejoin: ends the drain.
   };
-  Kind kind = Kind::Ready;  ///< What is asked.
-  std::string upstream;  ///< Of Exclude and Include: the upstream's id, decoded, not empty. Otherwise empty.
+  Kind kind = Kind::Ready;  ///< The operation.
+  std::string upstream;     ///< For Exclude and Include the decoded upstream id, not empty. Otherwise empty.
 };
 
-/// HTTP's status of a call that is granted.
+/// The HTTP status of a successful call.
 constexpr unsigned kOk = 200;
 
 /// The answer to a call.
 struct Reply {
-  unsigned status = kOk;  ///< HTTP's: 2xx is yes, all else no.
-  std::string text;       ///< One line, without its end.
+  unsigned status = kOk;  ///< HTTP status: 2xx is success, all others are failures.
+  std::string text;       ///< One line, without a line break.
 };
 
-/// The call that a request makes, or the reply to one that makes none: 404 for an unknown path or an id that
-/// is empty, holds a slash or is wrongly percent-encoded (RFC 3986, 2.1); 405 for another method. `target`:
-/// as in the request line; its query is passed over.
+/// The call that a request makes, or the error reply to an invalid request: 404 for an unknown path or an id
+/// that is empty, contains a slash or is wrongly percent-encoded (RFC 3986, 2.1); 405 for a wrong method.
+/// `target`: as in the request line; its query is ignored.
 [[nodiscard]] std::variant<Call, Reply> route(std::string_view method, std::string_view target);
 
 }  // namespace ivypost::admin
--- a/src/sidecar/upstream/answer_parser.cpp
+++ b/src/sidecar/upstream/answer_parser.cpp
@@ -26,8 +26,8 @@
   parser_->body_limit(kMaxBody);
 }
 
-// Guards against an answer without end: Boost.Beast 1.74 forgets that a length is over the limit when the
-// body comes along with the header, so the header is read apart.
+// Parses the header separately from the body. Boost.Beast 1.74 does not enforce the body limit on a stated
+// length when header and body are parsed in one call, so that an answer could be unbounded.
 bool AnswerParser::parse() {
   beast::error_code error;
   while (!error && !parser_->is_done() && buffer_.size() > 0) {
@@ -39,12 +39,12 @@
   return !error || error == http::error::need_more;
 }
 
-// A head has come. An informational one makes room for the next.
+// Called for each complete head. After an informational one the parser is reset for the next head.
 bool AnswerParser::acceptHead() {
   const auto& answer = parser_->get();
-  // By the number: Boost.Beast 1.74 has no name for 103.
+  // Classified by number, since Boost.Beast 1.74 has no enumerator for 103.
   if (http::to_status_class(answer.result_int()) == http::status_class::informational) {
-    // A switch of protocols was not asked for, and no answer comes after it.
+    // The sidecar never requests a protocol switch, and no HTTP answer would follow it.
     if (answer.result() == http::status::switching_protocols) return false;
     if (informational_ == kMaxInformational) return false;
     ++informational_;
--- a/src/sidecar/upstream/answer_parser.h
+++ b/src/sidecar/upstream/answer_parser.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Reads one answer after the other from the bytes of a connection, and says what each proves. No I/O and no
-/// clock.
+/// Parses the consecutive answers on a connection and derives the outcome of each. Performs no I/O and reads
+/// no clock.
 #ifndef IVYPOST_UPSTREAM_ANSWER_PARSER_H_
 #define IVYPOST_UPSTREAM_ANSWER_PARSER_H_
 
@@ -19,60 +19,64 @@
 
 namespace ivypost {
 
-/// The parser of one connection. begin() comes first, once an answer.
+/// The parser of one connection. begin() must be called before each answer.
 ///
-/// Bounds: kMaxHeader bytes of a head, kMaxBody of a body, kMaxInformational answers ahead of the final one,
-/// and of bytes that it can't take yet what hasTooMuchUnread() says.
+/// Limits: kMaxHeader bytes for a head, kMaxBody bytes for a body, kMaxInformational informational answers
+/// before the final one. The caller limits the bytes that are buffered and not parsed yet with
+/// hasTooMuchUnread().
 class AnswerParser {
  public:
-  /// So many informational answers (RFC 9110, 15.2) may come ahead of one: none that is known sends more.
+  /// The most informational answers (RFC 9110, 15.2) that are accepted before a final one. No known server
+  /// sends more.
   static constexpr int kMaxInformational = 8;
 
-  /// Begins with the next answer. Bytes that are there already are a part of it.
+  /// Prepares for the next answer. Bytes that are already buffered belong to that answer.
   void begin();
 
-  /// Where `size` bytes can be read to.
+  /// Returns a writable buffer of `size` bytes; valid until the next call that is not const.
   [[nodiscard]] boost::asio::mutable_buffer prepare(std::size_t size) { return buffer_.prepare(size); }
-  /// So many bytes have been read there.
+  /// Appends the first `size` bytes of the prepared buffer to the bytes to be parsed.
   void commit(std::size_t size) { buffer_.commit(size); }
-  /// Reads on through what has come.
-  /// \return false if no answer can follow from it: it is malformed, over a bound, has a length that can be
-  ///     read in two ways, or is a switch of protocols, which nobody has asked for.
+  /// Parses the buffered bytes.
+  /// \return false if the answer is invalid: malformed, over a limit, ambiguous in its length, or a protocol
+  ///     switch, which the sidecar never requests.
   [[nodiscard]] bool parse();
 
-  /// Whether the end of the stream is the end of the answer.
+  /// Whether the answer is delimited by the end of the stream.
   ///
-  /// An answer with neither a length nor chunks is whole when its sender has ended the connection, whether or
-  /// not it has announced that (RFC 9112, 6.3). The end of the stream alone counts: a reset is no end. Where
-  /// an upstream's process dies in the middle, its kernel may end the stream as if it were whole; nothing on
-  /// the wire tells the two apart.
+  /// An answer with neither a length nor chunks is complete when its sender closes the connection, whether or
+  /// not it announced that (RFC 9112, 6.3). A connection reset does not complete it. If the upstream's
+  /// process dies while it sends the answer, its kernel may close the stream in the regular way; the
+  /// truncated answer can't be distinguished from a complete one then.
   [[nodiscard]] bool endsWithConnection() const { return parser_->is_header_done() && parser_->need_eof(); }
-  /// The stream has ended. Only if endsWithConnection().
-  /// \return false if the answer is not whole by that.
+  /// Signals the end of the stream. Requires endsWithConnection().
+  /// \return false if the answer is still incomplete.
   [[nodiscard]] bool end();
 
-  /// Whether the head of the final answer has come.
+  /// Whether the head of the final answer has been parsed.
   [[nodiscard]] bool hasHead() const { return parser_->is_header_done(); }
-  /// Whether the answer has come to its end.
+  /// Whether the answer has been parsed to its end.
   [[nodiscard]] bool isComplete() const { return parser_->is_done(); }
-  /// Whether more bytes wait than the head of a chunk may have.
+  /// Whether more than kMaxHeader + kReadOfStream bytes are buffered without being parsed, which is more than
+  /// the header of a chunk may take.
   [[nodiscard]] bool hasTooMuchUnread() const;
-  /// Whether the connection may carry another request: both sides keep it, and nothing came behind the
-  /// answer.
+  /// Whether the connection may be reused for another request: both sides keep it alive, and no bytes follow
+  /// the answer.
   [[nodiscard]] bool keepsConnection() const { return parser_->keep_alive() && buffer_.size() == 0; }
 
-  /// What an answer with this head proves of an attempt whose last byte has gone out.
+  /// The outcome of a completely sent attempt that received this answer. Requires hasHead().
   ///
-  /// 200 is Ok. A 503 or 504 that says `X-Never-Ran: 1` is Full: the request never ran and can go elsewhere;
-  /// a bare one promises nothing, and is an Error as all others.
+  /// 200 is Ok. A 503 or 504 with `X-Never-Ran: 1` is Full: the request never ran and can be sent to another
+  /// upstream. A 503 or 504 without that header guarantees nothing; it is an Error, as any other status is.
   [[nodiscard]] balancer::Outcome outcome() const;
-  /// In bytes; none: it comes in chunks, or ends with its connection.
+  /// The length of the body in bytes; none: the body is chunked, or delimited by the end of the stream.
   [[nodiscard]] std::optional<std::uint64_t> length() const;
-  /// What has come of the body and was not taken out. The caller may take from it.
+  /// The bytes of the body that have been received and not removed. The caller may remove bytes.
   [[nodiscard]] std::string& body() { return parser_->get().body(); }
-  /// Empty if the answer names none. Valid until the next call that is not const.
+  /// The value of Content-Type; empty if the answer has none. Valid until the next call that is not const.
   [[nodiscard]] std::string_view contentType() const;
-  /// The header with the load report, as received; as contentType().
+  /// The value of the header with the load report, unparsed; empty if the answer has none. Valid until the
+  /// next call that is not const.
   [[nodiscard]] std::string_view loadReport() const;
 
  private:
@@ -81,9 +85,9 @@
   void beginHead();
   [[nodiscard]] bool acceptHead();
 
-  boost::beast::flat_buffer buffer_;  // what was read and not parsed yet
-  std::optional<Parser> parser_;      // none: before the first begin()
-  int informational_ = 0;             // answers ahead of the final one so far
+  boost::beast::flat_buffer buffer_;  // bytes that are not parsed yet
+  std::optional<Parser> parser_;      // empty before the first begin()
+  int informational_ = 0;             // informational answers before the final one so far
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/attempt.h
+++ b/src/sidecar/upstream/attempt.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// What the sidecar asks of the connections to upstreams, and what comes of it.
+/// The requests of the sidecar to the connection pool, and the results that the pool reports.
 #ifndef IVYPOST_UPSTREAM_ATTEMPT_H_
 #define IVYPOST_UPSTREAM_ATTEMPT_H_
 
@@ -16,53 +16,55 @@
 
 namespace ivypost {
 
-/// Names one attempt of a request for as long as the request is known.
+/// Identifies one attempt of a request. Unique while the request exists.
 struct AttemptId {
-  balancer::RequestId request = 0;  ///< the sidecar's own id
-  std::uint32_t number = 0;         ///< of the request's attempts, from 0 on
-  /// By request, and by number among one request's.
-  // NOLINTNEXTLINE(modernize-use-nullptr): the checker mistakes the comparison with a literal 0.
+  balancer::RequestId request = 0;  ///< the sidecar's id of the request
+  std::uint32_t number = 0;         ///< index among the request's attempts, from 0
+  /// Orders by request, then by number.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the generated comparison with a literal 0.
   auto operator<=>(const AttemptId&) const = default;
 };
 
-/// An attempt that is to be made.
+/// The instruction to send an attempt.
 struct AttemptOrder {
-  AttemptId id;                            ///< never given twice
-  EndpointId upstream = 0;                 ///< where it goes
+  AttemptId id;                            ///< never reused
+  EndpointId upstream = 0;                 ///< the destination
   std::shared_ptr<const Message> message;  ///< shared by all attempts of a request
-  std::shared_ptr<Upload> upload;  ///< the body, if it comes in pieces; none: it stands in the message
-  Clock::time_point deadline;      ///< the answer is not waited for any longer
-  /// Its last byte is not sent any later: the upstream would no longer know it for a repeat.
+  std::shared_ptr<Upload> upload;          ///< the body if it is streamed; null: the message holds the body
+  Clock::time_point deadline;              ///< the attempt times out at this time
+  /// The last byte must be sent before this time: later the upstream would no longer recognize the request as
+  /// a repetition.
   Clock::time_point writeBy;
 };
 
-/// How an attempt has ended; each ends once.
+/// The result of an attempt, reported exactly once per attempt.
 struct AttemptEnd {
-  AttemptId id;                                       ///< as ordered
-  balancer::Outcome outcome = balancer::Outcome::Ok;  ///< what the end proves
-  Clock::duration lag{};                              ///< since it was ordered
-  std::string body;                                   ///< of an Ok that was not streamed
-  std::string contentType;                            ///< of an Ok; empty: it named none
-  bool spent = false;                                 ///< some of the body has gone out and can't go again
-  Clock::duration transfer{};                         ///< of the lag, the time of bodies that came in pieces
-  std::optional<balancer::LoadReport> report;         ///< what came along with the answer
+  AttemptId id;                                       ///< of the AttemptOrder
+  balancer::Outcome outcome = balancer::Outcome::Ok;  ///< how the attempt ended
+  Clock::duration lag{};                              ///< time since the attempt was started
+  std::string body;                                   ///< of an Ok whose answer was not streamed
+  std::string contentType;                            ///< of an Ok; empty: the answer has none
+  bool spent = false;          ///< a part of the streamed body has been sent and can't be resent
+  Clock::duration transfer{};  ///< the part of `lag` in which bodies were streamed
+  std::optional<balancer::LoadReport> report;  ///< from the answer's header; none: absent or invalid
 };
 
-/// An answer of status 200 that is too large to be read whole has begun; the rest comes by the pipe.
+/// The start of an answer of status 200 that is too large to be buffered. Its body is streamed through the
+/// pipe.
 struct StreamBegin {
-  AttemptId id;                         ///< as ordered
-  std::string contentType;              ///< empty: it named none
-  std::optional<std::uint64_t> length;  ///< bytes; none: it comes in chunks, or ends with its connection
+  AttemptId id;                         ///< of the AttemptOrder
+  std::string contentType;              ///< empty: the answer has none
+  std::optional<std::uint64_t> length;  ///< bytes; none: chunked, or delimited by the end of the stream
   std::shared_ptr<streaming::Pipe>
-      body;  ///< the consumer's side is the receiver's; it fails if the rest is lost
+      body;  ///< the receiver is its consumer; fails if the rest can't be received
 };
 
-/// How a probe has ended; each ends once.
+/// The result of a probe, reported exactly once per probe.
 struct ProbeEnd {
-  EndpointId upstream = 0;                     ///< that was probed
-  bool ok = false;                             ///< whether it answered 200
-  Clock::duration lag{};                       ///< since it was asked for
-  std::optional<balancer::LoadReport> report;  ///< what the answer said; none: nothing that can be read
+  EndpointId upstream = 0;                     ///< the endpoint that was probed
+  bool ok = false;                             ///< whether the upstream answered 200
+  Clock::duration lag{};                       ///< time since the probe was started
+  std::optional<balancer::LoadReport> report;  ///< none: absent or invalid
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/connection_pool.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -18,14 +18,15 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Of the pools' descriptors, the fraction that connections to upstreams may hold.
+// The fraction of the descriptors for client and upstream connections that upstream connections may use.
 constexpr double kUpstreamFraction = 0.389;
-// Without a connect timeout or an idle time in the settings.
+// Defaults for settings that have no connect timeout or idle timeout.
 constexpr milliseconds kDefaultConnectTimeout{1000};
 constexpr milliseconds kDefaultIdleTime{5000};
-// An idle connection is dropped when this fraction of the upstream's own limit has passed.
+// An idle connection is closed after this fraction of the upstream's idle timeout, before the upstream closes
+// it.
 constexpr double kIdleTimeFraction = 0.9;
-// A probe is given up after this long at the most: by then it tells nothing that is still true.
+// A probe times out after this period, since a load report that arrives later would be outdated.
 constexpr milliseconds kProbeTimeout{300};
 
 Clock::duration connectTimeoutOf(const balancer::Settings& settings) {
@@ -38,7 +39,7 @@
   return microseconds(static_cast<Micros>(kIdleTimeFraction * static_cast<double>(settings.idleTimeout)));
 }
 
-// Of the body, some has gone out and can't go out again.
+// Whether a part of a streamed body has been sent, so that the body can't be resent.
 bool isSpent(const UpstreamJob& job) {
   return job.attempt && job.attempt->upload && job.attempt->upload->pipe.forwardedBytes() > 0;
 }
@@ -68,7 +69,7 @@
     idle_.resize(upstream + 1);
   }
   if (addresses_[upstream] == address) return;
-  closeIdle(upstream);  // they lead to where it was, and so do those that are coming up
+  closeIdle(upstream);  // idle and connecting sockets belong to the previous address
   withdrawComingUp(upstream);
   addresses_[upstream] = address;
 }
@@ -132,14 +133,16 @@
     const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdleConnection(idle, now, since));
     auto chosen = *at;
     idle.erase(at);
-    // Its time may be up, and the timer that says so stand behind this request.
+    // The idle timeout may have passed although its timer has not run: the event loop may have run the
+    // handler of this request first.
     if (now - chosen->idleSince() < context_.idleTime && chosen->isUsable()) return chosen;
     chosen->close();
   }
   return nullptr;
 }
 
-// Guards against running out of descriptors: the connection that was idle longest gives way.
+// Keeps the pool within its share of descriptors: at the limit, closes the connection that was idle longest.
+// Returns false if no connection is idle.
 bool ConnectionPool::ensureCapacity() {
   if (connections_.size() < maxConnections_) return true;
   ConnectionPtr oldest;
@@ -155,7 +158,7 @@
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const auto job = found->second;
-  // One whose time is up has timed out, however late the timer runs.
+  // An attempt past its deadline counts as timed out even if its timer has not run yet.
   const Outcome outcome = Clock::now() >= job->deadline ? Outcome::Timeout : Outcome::Cancelled;
   if (const auto connection = job->connection.lock()) return connection->fail(outcome);
   onEnded(*job, outcome);
@@ -171,7 +174,7 @@
   }
 }
 
-// ---- What connections say ---------------------------------------------------------------------------------
+// ---- Callbacks of connections -----------------------------------------------------------------------------
 
 bool ConnectionPool::isClientGone(const UpstreamJob& job) const {
   return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
@@ -228,7 +231,7 @@
              [this, result = std::move(result)]() mutable { callbacks_.ended(std::move(result)); });
 }
 
-// ---- Figures ----------------------------------------------------------------------------------------------
+// ---- Statistics -------------------------------------------------------------------------------------------
 
 std::size_t ConnectionPool::comingUp() const {
   return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The connections to all upstreams, and attempts and probes over them.
+/// The pool of connections to all upstreams, which carry attempts and probes.
 #ifndef IVYPOST_UPSTREAM_CONNECTION_POOL_H_
 #define IVYPOST_UPSTREAM_CONNECTION_POOL_H_
 
@@ -21,69 +21,73 @@
 
 namespace ivypost {
 
-/// Keeps connections to upstreams and carries attempts and probes over them.
+/// Maintains connections to upstreams and sends attempts and probes over them.
 ///
-/// Each attempt ends in exactly one outcome, each probe in one result, always by a callback from the event
-/// loop and never from within a call. Nothing is sent twice by itself. Connections are bounded by a fraction
-/// of the process's descriptors; at the bound the one that was idle longest is closed for a new one, and if
-/// none is idle an attempt ends unsent. Not thread-safe: all calls are made on the loop.
+/// Each attempt ends in exactly one outcome and each probe in one result, which a callback from the event
+/// loop reports; it is never called from within a call of the pool. The pool does not retry. The number of
+/// connections is limited to a fraction of the process's descriptors: at the limit, the connection that was
+/// idle longest is closed for a new one, and if none is idle the attempt ends without being sent. Not
+/// thread-safe: all calls must be made on the event loop.
 class ConnectionPool final : private UpstreamHost {
  public:
-  /// Called on the event loop. They outlive the pool.
+  /// Called on the event loop. What the callbacks refer to must outlive the pool.
   struct Callbacks {
-    /// Its last byte has gone out; the only one that may be called from within send().
+    /// The attempt's last byte has been handed to the kernel. The only event that may be reported from within
+    /// send().
     std::function<void(AttemptId)> written;
-    /// Once an attempt.
+    /// An attempt has ended. Called once per attempt.
     std::function<void(AttemptEnd)> ended;
-    /// Comes before `ended`; the body that it hands out fails if the rest of the answer does not come.
+    /// An answer is being streamed. Called before `ended`; the body's pipe fails if the rest of the answer
+    /// can't be received.
     std::function<void(StreamBegin)> began;
-    /// Once a probe.
+    /// A probe has ended. Called once per probe.
     std::function<void(ProbeEnd)> probed;
-    /// Whether this request's client has closed its connection. Asked right before an attempt's first byte;
-    /// it must not call back into this class. If so, the attempt ends as Moot and nothing is sent. May be
+    /// Whether this request's client has closed its connection. Called immediately before an attempt's first
+    /// byte is sent; must not call the pool. If true, the attempt ends as Moot without being sent. May be
     /// empty.
     std::function<bool(balancer::RequestId)> isClientGone{};
   };
 
-  /// Takes its bounds and times from `config`, which need not outlive it; `io` and `budget`, that of answers
-  /// that stream, must.
+  /// Reads its limits and timeouts from `config`, which need not outlive the pool. `io` and `budget`, which
+  /// bounds streamed answers, must outlive it.
   ConnectionPool(boost::asio::io_context& io, const Config& config, streaming::ByteBudget& budget,
                  Callbacks callbacks);
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool(ConnectionPool&&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
   ConnectionPool& operator=(ConnectionPool&&) = delete;
-  /// Ends nothing: there are no callbacks any more.
+  /// Makes no callbacks: attempts and probes that are in progress are not reported.
   ~ConnectionPool() override;
 
-  /// Where the endpoint is from now on. If it has moved, it is as with remove() for what leads to where it
-  /// was.
+  /// Sets the endpoint's address. If the address has changed, connections to the previous one are treated as
+  /// in remove().
   void setAddress(EndpointId upstream, const Endpoint& address);
-  /// It has gone: its idle connections are closed, the others when their attempts end; what waits for one
-  /// that is coming up is withdrawn.
+  /// Removes an endpoint: closes its idle connections at once and the busy ones when their attempts end, and
+  /// calls withdrawComingUp().
   void remove(EndpointId upstream);
-  /// Ends, as never sent, what waits for a connection to it to come up. For an upstream that wants nothing
-  /// new: a connection that comes up late would carry a request there after the time in which that is
-  /// allowed.
+  /// Closes the endpoint's connections that are not established yet; their attempts end as ConnectFailed,
+  /// never sent. For an upstream that must get no new requests: a connection that is established late would
+  /// carry a request to it after the time in which that is allowed.
   void withdrawComingUp(EndpointId upstream);
-  /// Closes its connections that carry nothing. The endpoint must have had an address.
+  /// Closes the endpoint's idle connections. The endpoint must have had an address.
   void closeIdle(EndpointId upstream);
 
-  /// Makes an attempt, on an idle connection or a new one. The endpoint must have had an address.
+  /// Sends an attempt over an idle connection or a new one. The endpoint must have had an address.
   void send(AttemptOrder order);
-  /// Closes the attempt's connection at once; ignored when it has ended.
+  /// Closes the attempt's connection at once. The attempt ends as Cancelled, or as Timeout if its deadline
+  /// has passed. Ignored if the attempt has ended.
   void cancel(AttemptId id);
-  /// The request is finished: its attempts of which the last byte has not gone out yet end as never sent,
-  /// whether or not those that run may be cancelled.
+  /// Ends the attempts of a finished request whose last byte has not been sent as Moot, whether or not
+  /// running attempts may be cancelled.
   void withdraw(balancer::RequestId request);
-  /// Asks for the load report. Given up after 300 ms. The endpoint must have had an address.
+  /// Requests the load report. Times out after 300 ms. The endpoint must have had an address.
   void probe(EndpointId upstream);
 
-  /// Connections of all kinds.
+  /// The number of connections in any state.
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
-  /// Of them, those that carry a job but are not up yet.
+  /// The number of connections that have a job and are not established yet.
   [[nodiscard]] std::size_t comingUp() const;
-  /// Connections that carry something, as a fraction of the most that there may be; 0 to 1.
+  /// The connections that carry a job, as a fraction of the connection limit, 0 to 1.
   [[nodiscard]] double busyFraction() const;
 
  private:
@@ -106,10 +110,10 @@
   Callbacks callbacks_;
   const std::size_t maxConnections_;
   const UpstreamContext context_;
-  std::vector<std::optional<Endpoint>> addresses_;  // by endpoint id; none: it has gone
-  std::vector<std::vector<ConnectionPtr>> idle_;    // by endpoint id, the last used at the back
+  std::vector<std::optional<Endpoint>> addresses_;  // by endpoint id; none: unknown or removed
+  std::vector<std::vector<ConnectionPtr>> idle_;    // by endpoint id; most recently used last
   std::map<const UpstreamConnection*, ConnectionPtr> connections_;
-  std::map<AttemptId, std::shared_ptr<UpstreamJob>> attempts_;  // that have not ended
+  std::map<AttemptId, std::shared_ptr<UpstreamJob>> attempts_;  // attempts that have not ended
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/upstream_connection.cpp
+++ b/src/sidecar/upstream/upstream_connection.cpp
@@ -47,7 +47,7 @@
   const UpstreamJob* const job = exchange_.job();
   if (job == nullptr) return;
   if (failed) return fail(Outcome::ConnectFailed);
-  // The client has had time to leave since the attempt was decided on.
+  // The client may have closed its connection while this one was being established.
   if (context_.host.isClientGone(*job)) return fail(Outcome::Moot);
   exchange_.start();
 }
@@ -71,7 +71,7 @@
   deadline_.cancel();
   error_code ignored;
   socket_.close(ignored);
-  context_.host.onClosed(shared_from_this());  // the pool's may have been the last
+  context_.host.onClosed(shared_from_this());  // the pool may drop the last other reference
 }
 
 void UpstreamConnection::fail(Outcome outcome) {
@@ -88,7 +88,7 @@
   }
 }
 
-// Goes back to the pool, and is watched for a close.
+// Returns the connection to the pool and waits for the upstream to close it.
 void UpstreamConnection::becomeIdle() {
   if (!context_.host.isCurrentAddress(upstream_, address_)) return close();
   idleSince_ = Clock::now();
@@ -108,7 +108,8 @@
   isAwaitingReadable_ = false;
   if (isClosed_) return;
   if (exchange_.job() != nullptr) {
-    // Set while it was idle, or for an answer; while a request is being written there is nothing to read yet.
+    // The wait was started while the connection was idle or for an answer. While a request is being written
+    // no answer is expected yet.
     if (exchange_.expectsBytes()) exchange_.onReadable();
     return;
   }
--- a/src/sidecar/upstream/upstream_connection.h
+++ b/src/sidecar/upstream/upstream_connection.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// One connection to an upstream, from its opening to its close.
+/// One connection to an upstream.
 #ifndef IVYPOST_UPSTREAM_UPSTREAM_CONNECTION_H_
 #define IVYPOST_UPSTREAM_UPSTREAM_CONNECTION_H_
 
@@ -15,30 +15,31 @@
 
 namespace ivypost {
 
-/// Carries one job at a time, and while it has none is watched for a close. Owned by the pool until it is
-/// closed, and by the handlers that wait for its socket, which find it closed then.
+/// Carries one job at a time; while it is idle, detects that the upstream closes it. Shared by the pool,
+/// until it is closed, and by the handlers that wait for its socket, which do nothing once it is closed.
 class UpstreamConnection final : public ExchangeConnection,
                                  public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  /// Not open yet. `context` must outlive it.
+  /// Does not connect yet. `context` must outlive the connection.
   UpstreamConnection(const UpstreamContext& context, EndpointId upstream, Endpoint address);
 
-  /// Whose it is.
+  /// The endpoint that it connects to.
   [[nodiscard]] EndpointId upstream() const { return upstream_; }
-  /// When it became idle; for a connection without a job.
+  /// The time at which the connection became idle. Valid while it has no job.
   [[nodiscard]] Clock::time_point idleSince() const { return idleSince_; }
-  /// Whether it has a job of which nothing has been written, since it is not up yet.
+  /// Whether the connection is being established; nothing of its job has been written then.
   [[nodiscard]] bool isComingUp() const { return isComingUp_; }
-  /// Whether an idle connection still stands and has nothing unasked for to read. One system call.
+  /// Whether an idle connection is open and has no unexpected bytes to read. Costs one system call.
   [[nodiscard]] bool isUsable();
 
-  /// Connects, and carries the job as soon as it is up. It fails unsent after the connect timeout.
+  /// Connects, then carries the job. The job ends as ConnectFailed after the connect timeout.
   void open(std::shared_ptr<UpstreamJob> job);
-  /// Carries a job on a connection that is idle.
+  /// Carries a job. Requires an idle connection.
   void carry(std::shared_ptr<UpstreamJob> job);
-  /// Closes at once. Does nothing if it is closed.
+  /// Closes at once. Does nothing if already closed.
   void close();
-  /// Closes and then ends the job, so that no second copy can go out while this one may still arrive.
+  /// Closes the connection and then ends the job, in this order, so that no further attempt is sent while
+  /// this one may still reach the upstream.
   void fail(balancer::Outcome outcome) override;
 
  private:
--- a/src/sidecar/upstream/upstream_exchange.cpp
+++ b/src/sidecar/upstream/upstream_exchange.cpp
@@ -22,11 +22,11 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// What is read of an answer at once.
+// Bytes that one read takes of an answer that is not streamed.
 constexpr std::size_t kReadAtOnce = 8UL * 1024;
-// An upstream that takes nothing of a large body for so long does not read it.
+// An attempt fails if the upstream accepts no byte of a large body for this period.
 constexpr milliseconds kUploadStallTimeout{2000};
-// An answer that streams is given up when its upstream gives nothing more for so long.
+// A streamed answer fails if the upstream sends no byte for this period.
 constexpr milliseconds kAnswerStallTimeout{10'000};
 
 }  // namespace
@@ -63,7 +63,8 @@
   write(message.body(), now);
 }
 
-// The body goes from where it is, as far as the kernel takes it at once.
+// Writes the request directly from the message, without a copy of the body. What the kernel does not accept
+// at once is written by writeRest().
 void UpstreamExchange::write(std::string_view body, Clock::time_point now) {
   const std::array<asio::const_buffer, 2> parts = {asio::buffer(text_),
                                                    asio::buffer(body.data(), body.size())};
@@ -73,8 +74,8 @@
   if (!network::isTransient(error)) return connection_.fail(Outcome::ConnectFailed);
   rest_ = body;
   dropSent(sent);
-  // A repeat's last byte has to go out within the window too. And a body that the kernel can't take at once
-  // waits for an upstream that reads, which is part of coming up.
+  // The last byte of a repeated request must be sent within its window too. A body that exceeds the send
+  // buffer is sent only if the upstream reads, so that the connect timeout covers it as well.
   auto until = std::min(job_->deadline, job_->writeBy);
   if (body.size() > kMaxWhole) {
     until = std::min(until, now + kUploadStallTimeout);
@@ -91,7 +92,7 @@
   rest_.remove_prefix(sent - ofHead);
 }
 
-// `why`: the write before came to no end.
+// `why`: the transient error of the preceding write.
 void UpstreamExchange::awaitWritable(error_code why) {
   const auto ready = [self = keptAlive(), job = job_](error_code error) {
     if (self->job_ == job) self->writeRest(error);
@@ -99,9 +100,9 @@
   network::waitToRetry(connection_.socket(), tcp::socket::wait_write, why, ready);
 }
 
-// What the kernel has not taken yet. Each piece is handed over from here and counted in the same breath: did
-// the loop write it by itself, a time-out could come between the last byte and the news of it, and a request
-// that may run would be taken for one that never did.
+// Writes what the kernel has not accepted yet. Writes here, instead of with an asynchronous write, so that
+// each piece is counted before any other handler runs: otherwise a timeout could run between the write of the
+// last byte and its completion handler, and a request that may run would be reported as never sent.
 void UpstreamExchange::writeRest(error_code error) {
   const std::array<asio::const_buffer, 2> parts = {asio::buffer(text_),
                                                    asio::buffer(rest_.data(), rest_.size())};
@@ -110,13 +111,13 @@
   if (sent == size) return onWritten();
   if (!network::isTransient(error)) return connection_.fail(Outcome::ConnectFailed);
   dropSent(sent);
-  // It reads on, if slowly.
+  // The upstream is still reading, so that the stall timeout starts anew.
   if (job_->attempt && sent > 0 && job_->attempt->message->body().size() > kMaxWhole)
     connection_.setDeadline(std::min({job_->deadline, job_->writeBy, Clock::now() + kUploadStallTimeout}));
   awaitWritable(error);
 }
 
-// The body goes on as it comes in.
+// Streams the body while it is being received.
 void UpstreamExchange::beginUpload() {
   isUploading_ = true;
   Upload& body = *job_->attempt->upload;
@@ -129,7 +130,7 @@
       if (self->job_ && self->isUploading_ && !self->awaitsUpload_) self->upload();
     });
   };
-  beginReading();  // an answer may come before the body's end
+  beginReading();  // the upstream may answer before the end of the body
   upload();
 }
 
@@ -138,7 +139,7 @@
     case StreamWriter::Step::Blocked:
       return awaitUpload();
     case StreamWriter::Step::Starved:
-      return connection_.clearDeadline();  // the client's side has its own
+      return connection_.clearDeadline();  // the client session enforces its own deadline
     case StreamWriter::Step::Failed:
     case StreamWriter::Step::Broken:
       return connection_.fail(Outcome::ConnectFailed);
@@ -149,7 +150,7 @@
 
 void UpstreamExchange::awaitUpload() {
   awaitsUpload_ = true;
-  // An upstream that takes nothing more is as one that does not come up.
+  // An upstream that stops reading is treated as one that can't be connected to.
   connection_.setDeadline(Clock::now() + kUploadStallTimeout);
   writer_.wait(connection_.socket(), [self = keptAlive()](error_code error) {
     self->awaitsUpload_ = false;
@@ -197,9 +198,9 @@
   advance();
 }
 
-// What was read has been parsed.
+// Continues after bytes have been parsed.
 void UpstreamExchange::advance() {
-  // Only what a client will get is worth reading on.
+  // A large body is read only if it will be forwarded to a client.
   const bool serves =
       parser_.hasHead() && job_->attempt && job_->isWritten && parser_.outcome() == Outcome::Ok;
   if (serves) {
@@ -213,13 +214,13 @@
   connection_.awaitReadable({});
 }
 
-// Hands on what has been read of an answer that is too large to be read whole.
+// Forwards the received part of an answer that is too large to be buffered.
 void UpstreamExchange::forwardBody() {
   std::string& body = parser_.body();
   const auto length = parser_.length();
   if (!answer_ && body.size() <= kMaxWhole && (!length || *length <= kMaxWhole || body.empty())) return;
   if (!answer_) beginStream();
-  if (!answer_) return;  // the job was ended within
+  if (!answer_) return;  // beginStream() ended the job
   answer_->push(body);
   body.clear();
   connection_.setDeadline(Clock::now() + kAnswerStallTimeout);
@@ -238,10 +239,10 @@
 
 void UpstreamExchange::pause() {
   isPaused_ = true;
-  connection_.clearDeadline();  // the client's side has its own
+  connection_.clearDeadline();  // the client session enforces its own deadline
 }
 
-// The client's side has taken some of the answer, or wants no more.
+// Called when the client session has consumed a part of the answer, or has abandoned it.
 void UpstreamExchange::onBodyTaken() {
   if (!answer_) return;
   if (answer_->isAbandoned()) return connection_.fail(Outcome::Cancelled);
@@ -267,7 +268,7 @@
   context_.host.onEnded(*job, outcome);
 }
 
-// Nothing that ends an attempt before its last byte has gone out can have made it run.
+// An attempt whose last byte was not sent can't have run, so that it counts as never sent.
 void UpstreamExchange::failBroken() {
   connection_.fail(job_->isWritten ? Outcome::Reset : Outcome::ConnectFailed);
 }
--- a/src/sidecar/upstream/upstream_exchange.h
+++ b/src/sidecar/upstream/upstream_exchange.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// One attempt or probe after the other on one connection: the request is written, the answer read.
+/// Writes the requests of attempts and probes to one connection, one at a time, and reads their answers.
 #ifndef IVYPOST_UPSTREAM_UPSTREAM_EXCHANGE_H_
 #define IVYPOST_UPSTREAM_UPSTREAM_EXCHANGE_H_
 
@@ -19,24 +19,24 @@
 
 namespace ivypost {
 
-/// The connection as its exchange sees it. Holds the exchange, and so outlives it.
+/// The interface of the connection to its exchange. The connection owns the exchange, and so outlives it.
 class ExchangeConnection {
  public:
-  /// Open and not blocking, from the exchange's start to its end.
+  /// The socket. Open and non-blocking from start() to the end of the exchange.
   [[nodiscard]] virtual boost::asio::ip::tcp::socket& socket() = 0;
-  /// Keeps the connection and its exchange alive, for handlers that wait.
+  /// A reference that keeps the connection and its exchange alive, for pending handlers.
   [[nodiscard]] virtual std::shared_ptr<ExchangeConnection> self() = 0;
-  /// The exchange fails at this time, unless this or clearDeadline() is called before.
+  /// The exchange fails at this time, unless setDeadline() or clearDeadline() is called before.
   virtual void setDeadline(Clock::time_point at) = 0;
-  /// Somebody else has the time.
+  /// Removes the deadline, while another component enforces one.
   virtual void clearDeadline() = 0;
-  /// UpstreamExchange::onReadable() is called when there is something to read, once.
-  /// \param why what ended the read before; none: there was none.
+  /// Calls UpstreamExchange::onReadable() once, when the socket is readable.
+  /// \param why the transient error of the preceding read; no error: there was no read that failed.
   virtual void awaitReadable(boost::system::error_code why) = 0;
-  /// Closes, and then ends the exchange with this.
+  /// Closes the connection, then ends the exchange with this outcome.
   virtual void fail(balancer::Outcome outcome) = 0;
-  /// The exchange has come to its end and holds no job any more.
-  /// \param isReusable whether the connection may carry another one; else it closes.
+  /// Called when the exchange is complete and holds no job any more.
+  /// \param isReusable whether the connection may carry another job; if not, it closes.
   virtual void release(bool isReusable) = 0;
 
   ExchangeConnection(const ExchangeConnection&) = delete;
@@ -49,42 +49,43 @@
   ExchangeConnection() = default;
 };
 
-/// Carries one job at a time, from its first byte to the end of its answer. Nothing is sent twice.
+/// Carries one job at a time, from the first byte of the request to the end of the answer. Does not retry.
 ///
-/// What an end proves: as long as the last byte of a request has not been handed to the kernel, it can't have
-/// run, and the end is ConnectFailed; after that it may have, whatever has become of it since, and the end is
-/// Timeout, Reset, or what the answer says. A byte counts as sent in the same breath in which the kernel has
-/// taken it: no other handler can come in between.
+/// The outcome: until the last byte of a request has been handed to the kernel, the request can't have run,
+/// and a failure is ConnectFailed. After that the request may have run, whether or not the byte arrived, and
+/// the outcome is Timeout, Reset, or that of the answer. A byte is counted as sent in the same handler in
+/// which the kernel accepted it: no other handler can run in between.
 class UpstreamExchange {
  public:
-  /// What the kernel may hold of a request that nobody reads, as SO_SNDBUF takes it (Linux doubles it). A
-  /// small buffer lets a large body's write stand still, so that the request is known never to have come
-  /// whole.
+  /// The send buffer of the socket in bytes, as set with SO_SNDBUF (Linux doubles it). It limits the bytes of
+  /// a request that the kernel holds while the upstream does not read. With a small buffer the write of a
+  /// large body blocks then, so that the request is known not to have arrived completely.
   static constexpr int kSendBufferSize = 16 * 1024;
 
-  /// Both must outlive it.
+  /// Both arguments must outlive the exchange.
   UpstreamExchange(ExchangeConnection& connection, const UpstreamContext& context)
       : connection_(connection), context_(context) {}
 
-  /// The job that it carries; null: none.
+  /// The current job; null: none.
   [[nodiscard]] const UpstreamJob* job() const { return job_.get(); }
-  /// Whether what comes now is read: nothing may come before the request is written or its body has begun.
+  /// Whether bytes from the upstream are expected: only once the request is written or its upload has begun.
   [[nodiscard]] bool expectsBytes() const { return job_->isWritten || isUploading_; }
-  /// What it proves if the job's time is up now.
+  /// The outcome if the job times out now. Requires a job.
   [[nodiscard]] balancer::Outcome timeoutOutcome() const;
 
-  /// Takes a job. Nothing is written before start().
+  /// Sets the current job. Nothing is written before start().
   void assign(std::shared_ptr<UpstreamJob> job) { job_ = std::move(job); }
-  /// Writes the request, or fails unsent if the job's time is up. The connection has to be up.
+  /// Writes the request, or ends the job as ConnectFailed if its deadline has passed. The connection must be
+  /// established.
   void start();
-  /// There is something to read, or the stream has ended. Only while it has a job and expectsBytes().
+  /// The socket is readable or the stream has ended. Requires a job and expectsBytes().
   void onReadable();
-  /// Gives the job up. An answer that streams fails.
-  /// \return the job, which has to be ended; null: there was none.
+  /// Detaches the job. A streamed answer fails.
+  /// \return the job, which the caller must end; null: there was none.
   [[nodiscard]] std::shared_ptr<UpstreamJob> abandon();
 
  private:
-  // Of the request.
+  // Sending the request.
   void write(std::string_view body, Clock::time_point now);
   void awaitWritable(boost::system::error_code why);
   void writeRest(boost::system::error_code error);
@@ -95,7 +96,7 @@
   void onUploaded();
   void onWritten();
 
-  // Of the answer.
+  // Receiving the answer.
   void beginReading();
   void advance();
   void beginStream();
@@ -109,15 +110,15 @@
 
   ExchangeConnection& connection_;
   const UpstreamContext& context_;
-  std::shared_ptr<UpstreamJob> job_;  // none: it has nothing to do
-  std::string text_;                  // the request's head, of which this is still to be written
-  std::string_view rest_;             // of a body in the message, what is still to be written behind text_
-  StreamWriter writer_;               // of a request's body that streams
+  std::shared_ptr<UpstreamJob> job_;  // null: no exchange is in progress
+  std::string text_;                  // the unwritten part of the request's head
+  std::string_view rest_;             // the unwritten part of a body in the message; follows text_
+  StreamWriter writer_;               // writes a streamed request body
   AnswerParser parser_;
-  std::shared_ptr<streaming::Pipe> answer_;  // that streams
+  std::shared_ptr<streaming::Pipe> answer_;  // a streamed answer; null: the answer is not streamed
   bool isUploading_ = false;
-  bool awaitsUpload_ = false;  // the kernel takes no more of a body that streams
-  bool isPaused_ = false;      // the client's side takes no more of an answer that streams
+  bool awaitsUpload_ = false;  // waits for the kernel to accept more of a streamed body
+  bool isPaused_ = false;      // reading waits for capacity in the pipe of a streamed answer
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/upstream_job.h
+++ b/src/sidecar/upstream/upstream_job.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// An attempt or a probe on its way, and the pool as connections see it.
+/// An attempt or a probe in progress, and the interface of the pool to its connections.
 #ifndef IVYPOST_UPSTREAM_UPSTREAM_JOB_H_
 #define IVYPOST_UPSTREAM_UPSTREAM_JOB_H_
 
@@ -19,41 +19,42 @@
 
 class UpstreamConnection;
 
-/// An attempt or a probe, until it has ended. Shared by the pool, which lists attempts, and by the connection
-/// that carries it, whose queued handlers may outlive both.
+/// An attempt or a probe in progress. Shared by the pool, which lists attempts, by the connection that
+/// carries the job, and by queued handlers, which may outlive both.
 struct UpstreamJob {
-  std::optional<AttemptOrder> attempt;           ///< none: a probe
-  EndpointId upstream = 0;                       ///< where it goes
-  Clock::time_point startedAt;                   ///< when it was asked for
-  Clock::time_point deadline;                    ///< the answer is not waited for any longer
-  Clock::time_point writeBy;                     ///< the last byte is not sent any later
-  bool isWritten = false;                        ///< the last byte has gone out, so it may run
-  bool hasEnded = false;                         ///< its end has been told
-  std::weak_ptr<UpstreamConnection> connection;  ///< that carries it
-  std::string body;                              ///< of a 200 that was not streamed
-  std::string contentType;                       ///< of a 200
-  std::string load;                              ///< the header with the load report, as received
-  bool isStreamed = false;                       ///< the answer is passed on in pieces
-  Clock::time_point streamsSince;                ///< since when the present body comes in pieces
-  Clock::duration transfer{};                    ///< the time that bodies in pieces have taken
+  std::optional<AttemptOrder> attempt;           ///< none: the job is a probe
+  EndpointId upstream = 0;                       ///< the destination
+  Clock::time_point startedAt;                   ///< when the pool started the job
+  Clock::time_point deadline;                    ///< the job times out at this time
+  Clock::time_point writeBy;                     ///< the last byte must be sent before this time
+  bool isWritten = false;                        ///< the last byte has been sent, so the request may run
+  bool hasEnded = false;                         ///< the end has been reported
+  std::weak_ptr<UpstreamConnection> connection;  ///< the connection that carries the job
+  std::string body;                              ///< of an answer of status 200 that was not streamed
+  std::string contentType;                       ///< of an answer of status 200
+  std::string load;                              ///< the header with the load report, unparsed
+  bool isStreamed = false;                       ///< the answer is streamed
+  Clock::time_point streamsSince;                ///< when the streaming of the current body began
+  Clock::duration transfer{};                    ///< the time in which bodies were streamed
 };
 
-/// The pool as its connections see it. Outlives them but for handlers that find their connection closed.
+/// The interface of the pool to its connections. Outlives them, except for handlers of closed connections,
+/// which do not call it.
 class UpstreamHost {
  public:
-  /// Whether nobody waits for the answer any more, so that nothing of it may be sent.
+  /// Whether the client has closed its connection, so that nothing of the job may be sent. False for a probe.
   [[nodiscard]] virtual bool isClientGone(const UpstreamJob& job) const = 0;
-  /// Whether connections to this address are still wanted for the endpoint: it may have moved or gone.
+  /// Whether this is still the endpoint's address; the endpoint may have moved or been removed.
   [[nodiscard]] virtual bool isCurrentAddress(EndpointId upstream, const Endpoint& address) const = 0;
-  /// The attempt's last byte has gone out. May be called from within the pool's send().
+  /// The attempt's last byte has been sent. May be called from within the pool's send().
   virtual void onWritten(AttemptId id) = 0;
-  /// An answer is passed on in pieces. The receiver may end the job from within.
+  /// The streaming of an answer begins. The receiver may end the job from within the call.
   virtual void onStreamBegin(StreamBegin begin) = 0;
-  /// The connection carries nothing and may be given the next job.
+  /// The connection has become idle and can carry the next job.
   virtual void onIdle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-  /// The connection has closed; it is not used again.
+  /// The connection has been closed and can't be used again.
   virtual void onClosed(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-  /// The job has ended. The first end counts.
+  /// The job has ended. Calls after the first one for a job are ignored.
   virtual void onEnded(UpstreamJob& job, balancer::Outcome outcome) = 0;
 
   UpstreamHost(const UpstreamHost&) = delete;
@@ -66,14 +67,14 @@
   UpstreamHost() = default;
 };
 
-/// What all connections of a pool share.
+/// The state and settings that all connections of a pool share.
 struct UpstreamContext {
   boost::asio::io_context& io;           ///< the event loop; outlives the pool
-  streaming::ByteBudget& budget;         ///< of answers that stream; outlives the pool
+  streaming::ByteBudget& budget;         ///< for streamed answers; outlives the pool
   UpstreamHost& host;                    ///< the pool
-  std::shared_ptr<Deadlines> deadlines;  ///< of the connections
-  Clock::duration connectTimeout{};      ///< for a connection to come up, or a request to be taken
-  Clock::duration idleTime{};            ///< a connection that was idle for so long is closed
+  std::shared_ptr<Deadlines> deadlines;  ///< the deadlines of all connections
+  Clock::duration connectTimeout{};      ///< for connecting, and for a body over the send buffer
+  Clock::duration idleTime{};            ///< an idle connection is closed after this period
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/upstream_request.cpp
+++ b/src/sidecar/upstream/upstream_request.cpp
@@ -16,7 +16,7 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Room for a usual head, so that it is allocated once.
+// Bytes reserved for a head, so that a typical one needs a single allocation.
 constexpr std::size_t kUsualHead = 512;
 
 void setFraming(RequestHead& head, const Message& message, const Upload* upload) {
--- a/src/streaming/body_buffering.cpp
+++ b/src/streaming/body_buffering.cpp
@@ -8,7 +8,8 @@
 std::optional<std::size_t> BodyBuffering::capacityFor(std::size_t received,
                                                       std::optional<std::uint64_t> statedLength) {
   if (received <= freeBytes_) return received;
-  // A stated length is taken at once, so that the buffer need not grow: it would hold twice as much.
+  // Capacity for a stated length is taken at once: a buffer that grows holds twice its bytes while it is
+  // copied.
   const std::uint64_t wanted = std::max<std::uint64_t>(received, statedLength.value_or(0));
   if (wanted > kMaxBuffered) return std::nullopt;
   while (share_.bytes() < wanted) {
--- a/src/streaming/body_buffering.h
+++ b/src/streaming/body_buffering.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Whether a request's body is buffered until it is complete, so that it can be sent again and a client that
-// writes slowly holds up no upstream, or is streamed. Decisions only.
+// Decides whether a request's body is buffered until it is complete or streamed. A buffered body can be
+// resent, and a client that writes it slowly does not occupy an upstream. Performs no I/O.
 #ifndef IVYPOST_STREAMING_BODY_BUFFERING_H_
 #define IVYPOST_STREAMING_BODY_BUFFERING_H_
 
@@ -15,32 +15,33 @@
 
 namespace ivypost::streaming {
 
-/// The buffering of one connection's request bodies, one after the other.
+/// The buffering of the request bodies of one connection, one at a time.
 class BodyBuffering {
  public:
-  /// Bytes of a body, or read ahead of an answer, that are buffered at the most, as far as the budget goes.
+  /// The most bytes that are buffered of a body, or read ahead of an answer, if the budget suffices.
   static constexpr std::size_t kMaxBuffered = 2048UL * 1024;
-  /// The budget is taken in steps of so many bytes.
+  /// Bytes are taken from the budget in multiples of this step.
   static constexpr std::size_t kBudgetStep = 128UL * 1024;
-  /// How much longer than its rate so far lets expect the rest of a body may take, before its request is
-  /// abandoned: so many times as long ...
+  /// A request is abandoned if the rest of its body takes longer than kUploadSlack times the time that is
+  /// expected from the rate so far ...
   static constexpr int kUploadSlack = 2;
-  /// ... and so much more.
+  /// ... plus this allowance.
   static constexpr StallTimer::Duration kUploadAllowance = std::chrono::seconds(3);
 
-  /// `freeBytes`: a body of up to so many bytes is buffered without the budget.
+  /// `freeBytes`: the most bytes of a body that are buffered without taking them from the budget.
   BodyBuffering(const ByteBudget& budget, std::size_t freeBytes) : freeBytes_(freeBytes), share_(budget) {}
 
-  /// Asked as bytes of a body come: the capacity that its buffer needs, in bytes; none: it has to be
-  /// streamed. `received`: bytes so far; `statedLength`: by its head; none: it comes in chunks.
+  /// The capacity in bytes that a body's buffer needs, called as its bytes are received; none: the body must
+  /// be streamed. `received`: bytes so far; `statedLength`: the length from the head, none if the body is
+  /// chunked.
   [[nodiscard]] std::optional<std::size_t> capacityFor(std::size_t received,
                                                        std::optional<std::uint64_t> statedLength);
 
-  /// Gives back what was taken from the budget.
+  /// Returns all bytes to the budget.
   void release() { share_.release(); }
 
-  /// The time that the rest of a streamed body is allowed, by the rate so far. `remaining`: bytes by its
-  /// stated length; none: unknown, and taken for kMaxBuffered.
+  /// The time that is allowed for the rest of a streamed body, derived from the rate so far. `remaining`: the
+  /// remaining bytes according to the stated length; none: unknown, estimated as kMaxBuffered.
   [[nodiscard]] static StallTimer::Duration uploadTime(const StallTimer& rate,
                                                        std::optional<std::uint64_t> remaining);
 
--- a/src/streaming/byte_budget.h
+++ b/src/streaming/byte_budget.h
@@ -8,9 +8,9 @@
 
 namespace ivypost::streaming {
 
-/// The bytes that all bodies in transit may hold in this process. Guards the memory limit against many large
-/// bodies at once. Nobody waits for it: whoever gets nothing makes do with the least that a pipe holds, so
-/// that what has begun can always finish. Of one thread.
+/// The memory budget, in bytes, of all bodies in transit in this process. Protects the memory limit against
+/// many large bodies at the same time. There is no waiting for the budget: a pipe that gets none works with
+/// its minimum capacity, so that a transfer that has begun can always be completed. Not thread-safe.
 class ByteBudget {
  private:
   struct Account {
@@ -19,7 +19,7 @@
   };
 
  public:
-  /// A budget of `capacity` bytes, none of them in use; 0: nobody gets any.
+  /// A budget of `capacity` bytes, none of them in use; with 0, no share can grow.
   explicit ByteBudget(std::size_t capacity) : account_(std::make_shared<Account>(Account{capacity, 0})) {}
   ByteBudget(const ByteBudget&) = delete;
   ByteBudget(ByteBudget&&) = delete;
@@ -27,16 +27,16 @@
   ByteBudget& operator=(ByteBudget&&) = delete;
   ~ByteBudget() = default;
 
-  /// Bytes that may be in use; never exceeded.
+  /// The most bytes that can be in use.
   [[nodiscard]] std::size_t capacity() const { return account_->capacity; }
-  /// Bytes of all shares.
+  /// The sum of the bytes of all shares; at most capacity().
   [[nodiscard]] std::size_t inUse() const { return account_->inUse; }
 
-  /// What one body has of the budget, given back when it goes. It may outlive the budget, as connections do
-  /// in the event loop's handlers.
+  /// The part of the budget that one body uses, returned on destruction. A share may outlive the budget,
+  /// since handlers that are queued in the event loop keep connections alive.
   class Share {
    public:
-    /// A share of no bytes.
+    /// Creates an empty share of `budget`.
     explicit Share(const ByteBudget& budget) : account_(budget.account_) {}
     Share(const Share&) = delete;
     Share(Share&&) = delete;
@@ -44,20 +44,20 @@
     Share& operator=(Share&&) = delete;
     ~Share() { release(); }
 
-    /// Grows by `bytes`; false: there are not so many left, and it stays as it was.
+    /// Grows by `bytes`. Returns false, and changes nothing, if the budget has fewer bytes left.
     [[nodiscard]] bool grow(std::size_t bytes) {
       if (bytes > account_->capacity - account_->inUse) return false;
       account_->inUse += bytes;
       bytes_ += bytes;
       return true;
     }
-    /// Gives back all bytes; the share may grow again.
+    /// Returns all bytes to the budget. The share may grow again.
     void release() { account_->inUse -= std::exchange(bytes_, 0); }
-    /// Bytes of this share.
+    /// The bytes that this share holds.
     [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
    private:
-    // Shared, since a share may outlive the budget.
+    // Shared ownership, since a share may outlive the budget.
     std::shared_ptr<Account> account_;
     std::size_t bytes_ = 0;
   };
--- a/src/streaming/pieces_body.h
+++ b/src/streaming/pieces_body.h
@@ -12,29 +12,29 @@
 
 namespace ivypost::streaming {
 
-/// A body for Boost.Beast's parsers (its concept Body) that gathers what has come in a string, from which
-/// pieces may be taken out while the rest is on its way. Unlike Beast's own string body it reserves nothing
-/// by the length that a head states.
+/// A body type for Boost.Beast's parsers (concept Body) that collects received bytes in a string, from which
+/// the caller may remove bytes while the rest is being received. Unlike Beast's string_body, it does not
+/// reserve memory for the length that the head states.
 struct PiecesBody {
-  // Beast's names.
+  // The concepts of Beast require these names.
   // NOLINTBEGIN(readability-identifier-naming)
 
-  /// What a message holds: the bytes that have come and were not taken out.
+  /// The body of a message: the bytes that have been received and not removed.
   using value_type = std::string;
 
-  /// Fills a message's body (Beast's concept BodyReader).
+  /// Appends received bytes to a message's body (Beast's concept BodyReader).
   class reader {
    public:
-    /// `body` has to outlive the reader, as it does in a parser.
+    /// `body` must outlive the reader; in a parser it does.
     template <bool IsRequest, class Fields>
     reader(boost::beast::http::header<IsRequest, Fields>& /*head*/, value_type& body) : body_(body) {}
 
-    /// Called ahead of the first bytes. The stated length is not trusted with memory.
+    /// Called before the first bytes. Reserves no memory, since the stated length is not trusted.
     static void init(const boost::optional<std::uint64_t>& /*length*/, boost::beast::error_code& error) {
       error = {};
     }
 
-    /// Appends all of the buffers; their size. Never an error.
+    /// Appends all buffers to the body and returns their total size. Never sets an error.
     template <class Buffers>
     std::size_t put(const Buffers& buffers, boost::beast::error_code& error) {
       error = {};
@@ -48,7 +48,7 @@
       return size;
     }
 
-    /// Called behind the last bytes.
+    /// Called after the last bytes.
     static void finish(boost::beast::error_code& error) { error = {}; }
 
    private:
--- a/src/streaming/pipe.cpp
+++ b/src/streaming/pipe.cpp
@@ -15,7 +15,8 @@
 
 void Pipe::push(std::string_view bytes) {
   if (bytes.empty() || abandoned_ || failed_) return;
-  // What has gone on is dropped when it is most of what is kept, so that each byte is moved once or so.
+  // Forwarded bytes are erased once they are at least half of the buffer, so that each byte is moved about
+  // once.
   if (begin_ > 0 && begin_ * 2 >= bytes_.size()) {
     bytes_.erase(0, begin_);
     begin_ = 0;
--- a/src/streaming/pipe.h
+++ b/src/streaming/pipe.h
@@ -12,20 +12,21 @@
 
 namespace ivypost::streaming {
 
-/// A body on its way from one connection to another: the bytes that have come and not gone on, and what
-/// either side may do next. No I/O: a producer reads as much as there is capacity for, a consumer writes what
-/// stands in front, and each is notified when the other has changed something. Of one thread.
+/// A bounded buffer for a body that is streamed from one connection to another. Performs no I/O: the producer
+/// reads as many bytes as there is free capacity, the consumer writes the bytes of front(), and each side is
+/// notified of the other's changes. Not thread-safe.
 ///
-/// Guards memory: a slow consumer makes freeCapacity() 0, so the producer stops reading and its peer stands
-/// still (backpressure).
+/// Bounds memory by backpressure: with a slow consumer freeCapacity() becomes 0, the producer stops reading,
+/// and its peer can't send more.
 class Pipe {
  public:
-  /// Bytes that a pipe holds whatever the budget says: one read of a socket.
+  /// The capacity in bytes of a pipe that gets nothing from the budget: one read of a socket.
   static constexpr std::size_t kMinCapacity = 16UL * 1024;
-  /// Bytes that it holds if the budget gives them: several reads and writes on their way.
+  /// The capacity in bytes if the budget suffices: several reads and writes in flight.
   static constexpr std::size_t kPreferredCapacity = 128UL * 1024;
 
-  /// Takes its capacity from the budget, for as long as it lives.
+  /// Takes kPreferredCapacity from the budget until it is destroyed, or works with kMinCapacity if the budget
+  /// has fewer bytes left.
   explicit Pipe(const ByteBudget& budget);
   Pipe(const Pipe&) = delete;
   Pipe(Pipe&&) = delete;
@@ -33,37 +34,37 @@
   Pipe& operator=(Pipe&&) = delete;
   ~Pipe() = default;
 
-  // Called after each change, from within the call that made it; they must not call the pipe from there.
+  // Called after each change, from within the call that made it. The callbacks must not call the pipe.
 
-  /// Notifies the consumer: there is more, or its end. May be empty.
+  /// Notifies the consumer that bytes were added, or that the body has ended or failed. May be empty.
   std::function<void()> onData;
-  /// Notifies the producer: there is capacity, or nobody wants more. May be empty.
+  /// Notifies the producer that bytes were consumed or the body was abandoned. May be empty.
   std::function<void()> onCapacity;
 
-  /// For the producer: bytes that it may read now; 0 also when nothing more is wanted.
+  /// For the producer: the bytes that it may read now; 0 also after end(), fail() or abandon().
   [[nodiscard]] std::size_t freeCapacity() const;
-  /// For the producer: adds bytes. More than freeCapacity() is taken too, since it has been read already;
-  /// what comes after an abandonment or a failure is dropped.
+  /// For the producer: appends bytes. Accepts more than freeCapacity(), since the bytes have been read
+  /// already. Bytes after an abandonment or a failure are dropped.
   void push(std::string_view bytes);
-  /// For the producer: that was all.
+  /// For the producer: marks the body as complete.
   void end();
-  /// For the producer: the rest will not come. Nothing after end().
+  /// For the producer: marks the body as failed; the rest will not be received. Does nothing after end().
   void fail();
-  /// For the producer: whether the consumer wants no more.
+  /// For the producer: whether the consumer has called abandon().
   [[nodiscard]] bool isAbandoned() const { return abandoned_; }
 
-  /// For the consumer: what is to be written next; valid until the pipe is changed.
+  /// For the consumer: the bytes to be forwarded next; valid until the pipe is changed.
   [[nodiscard]] std::string_view front() const { return std::string_view(bytes_).substr(begin_); }
-  /// For the consumer: the first `size` bytes of front() have gone on.
+  /// For the consumer: removes the first `size` bytes of front(), which have been forwarded.
   void pop(std::size_t size);
-  /// For the consumer: it takes no more.
+  /// For the consumer: accepts no more bytes.
   void abandon();
-  /// For the consumer: whether all bytes have come and gone on.
+  /// For the consumer: whether the body has ended and all its bytes have been forwarded.
   [[nodiscard]] bool isComplete() const { return ended_ && front().empty(); }
-  /// For the consumer: whether the rest will not come; front() may still have some.
+  /// For the consumer: whether the body has failed; front() may still hold bytes.
   [[nodiscard]] bool hasFailed() const { return failed_; }
 
-  /// Bytes that have gone on, of all that came: over 0, the body can't be sent anew.
+  /// The bytes that have been forwarded. If above 0, the body can't be resent.
   [[nodiscard]] std::uint64_t forwardedBytes() const { return forwardedBytes_; }
 
  private:
@@ -74,7 +75,7 @@
   ByteBudget::Share share_;
   std::size_t capacity_ = kMinCapacity;
   std::string bytes_;
-  std::size_t begin_ = 0;  // bytes ahead of it have gone on
+  std::size_t begin_ = 0;  // the bytes before this index have been forwarded
   std::uint64_t forwardedBytes_ = 0;
   bool ended_ = false;
   bool failed_ = false;
--- a/src/streaming/stall_timer.cpp
+++ b/src/streaming/stall_timer.cpp
@@ -21,7 +21,7 @@
   const auto remaining = static_cast<double>(bytes);
   const Micros slowest(remaining * kMicrosPerSecond / kMinBytesPerSecond);
   if (bytes_ == 0) return std::chrono::duration_cast<Duration>(slowest);
-  // Not under a microsecond, in which a first piece may come.
+  // At least a microsecond: the first bytes may be received at begin_, which would give a rate without bound.
   const Micros elapsed = std::max<TimePoint::duration>(Duration(1), last_ - begin_);
   const Micros atRate = elapsed * remaining / static_cast<double>(bytes_);
   return std::chrono::duration_cast<Duration>(std::min(slowest, atRate));
--- a/src/streaming/stall_timer.h
+++ b/src/streaming/stall_timer.h
@@ -7,39 +7,40 @@
 
 namespace ivypost::streaming {
 
-/// By when more of a body has to have come, so that a client which writes slowly is waited for and one that
-/// has stopped is not. It has no clock and no timer of its own: times are given, and the owner waits. Given
-/// times never go back.
+/// Computes the deadline for further bytes of a body, so that a client that writes slowly is served and one
+/// that has stopped is abandoned. Reads no clock and sets no timer: the owner passes the times, which must
+/// not decrease, and waits.
 class StallTimer {
  public:
   using TimePoint = std::chrono::steady_clock::time_point;  ///< Monotonic.
-  using Duration = std::chrono::microseconds;               ///< As fine as is needed here.
+  using Duration = std::chrono::microseconds;               ///< The unit of all computations here.
 
-  /// Clients may write 64 kB a second (the platform's contract); half of that is asked for ...
+  /// The minimum rate: half of the 64 kB per second that the platform's contract allows clients to write at.
   static constexpr std::int64_t kMinBytesPerSecond = 32'000;
-  /// ... after so long, in which nothing need come.
+  /// The period at the start of a body in which no bytes are required.
   static constexpr Duration kGracePeriod = std::chrono::milliseconds(2500);
-  /// Between two pieces, however fast a body came at first: a client that has stopped is owed an error or a
-  /// close within 3 s.
+  /// The longest pause between two reads, however high the rate was before: a client that has stopped must
+  /// get an error or a close within 3 s.
   static constexpr Duration kStallTimeout = std::chrono::milliseconds(2500);
 
-  /// A body that begins now.
+  /// Starts the timer of a body that begins at `now`.
   explicit StallTimer(TimePoint now) : begin_(now), last_(now) {}
 
-  /// Counts bytes that have come.
+  /// Records that `bytes` were received at `now`.
   void received(std::uint64_t bytes, TimePoint now) {
     bytes_ += bytes;
     last_ = now;
   }
-  /// Leaves out a time in which the body was not read, since our side had no capacity for it.
+  /// Excludes a period in which the sidecar did not read the body, since it had no capacity.
   void extendBy(Duration pause) { begin_ += pause; }
-  /// The body is abandoned if nothing comes until then.
+  /// The time at which the body is abandoned if no bytes are received before.
   [[nodiscard]] TimePoint deadline() const;
-  /// How long `bytes` more take at the rate so far, at the slowest that is waited for if none have come.
+  /// The time that `bytes` more take at the rate so far, but no longer than at kMinBytesPerSecond; at that
+  /// rate if no bytes have been received.
   [[nodiscard]] Duration expectedTime(std::uint64_t bytes) const;
 
  private:
-  TimePoint begin_;  // later by what was left out
+  TimePoint begin_;  // the start, moved by the excluded periods
   TimePoint last_;
   std::uint64_t bytes_ = 0;
 };
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The server over loopback sockets: callers that are slow, wrong, many or silent.
+// Tests the server over loopback sockets with slow, invalid, numerous and silent callers.
 #include "admin/admin_server.h"
 
 #include <gtest/gtest.h>
@@ -81,7 +81,7 @@
 
   asio::io_context io;
   std::vector<Call> calls;
-  bool late = false;  // calls are answered by the test
+  bool late = false;  // the handler does not answer; the test does
   std::vector<AdminServer::Answer> answers;
   AdminServer server;
 };
@@ -124,7 +124,7 @@
   EXPECT_TRUE(calls.empty());
 }
 
-// A call without its end is none: its connection may have broken in the middle of an id.
+// A truncated call must not be handled: its connection may have broken in the middle of an id.
 TEST_F(AdminServerTest, ACallThatIsCutShortIsNotHandled) {
   {
     Caller caller(io, server.port());
@@ -135,8 +135,8 @@
   EXPECT_EQ(calls.size(), 1U);
 }
 
-// Hundreds that hold connections with no whole call, and stay: the oldest gives way, and the call is
-// answered.
+// Hundreds of callers hold connections with an incomplete call. The server must close the oldest ones and
+// answer a complete call.
 TEST_F(AdminServerTest, CallersThatHoldConnectionsKeepNobodyOut) {
   std::deque<Caller> holders;
   for (int n = 0; n < 300; ++n) {
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -22,7 +22,7 @@
  protected:
   AnswerParserTest() { parser_.begin(); }
 
-  // False as soon as a piece can't be parsed.
+  // Parses the text in pieces of this size. Returns false at the first piece that is rejected.
   bool parse(const std::string& text, std::size_t piece = std::string::npos) {
     return parse(parser_, text, piece);
   }
@@ -67,7 +67,7 @@
       {"204 No Content\r\n", Outcome::Error},
       {"500 X\r\n", Outcome::Error},
       {"500 X\r\nX-Never-Ran: 1\r\n", Outcome::Error},
-      {"503 X\r\n", Outcome::Error},  // a bare one promises nothing
+      {"503 X\r\n", Outcome::Error},  // without X-Never-Ran it may have run
       {"503 X\r\nX-Never-Ran: 0\r\n", Outcome::Error},
       {"503 X\r\nX-Never-Ran: 1\r\n", Outcome::Full},
       {"504 X\r\nX-Never-Ran: 1\r\n", Outcome::Full},
@@ -105,7 +105,7 @@
   for (int n = 0; n < AnswerParser::kMaxInformational; ++n) hints += hint;
   EXPECT_TRUE(parse(hints + answer));
   EXPECT_TRUE(parser_.isComplete());
-  // They count anew for the next one.
+  // The count starts anew for the next answer.
   parser_.begin();
   EXPECT_TRUE(parse(hints));
   EXPECT_FALSE(parse(hint));
--- a/tests/sidecar/upstream/idle_connection_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -9,17 +9,17 @@
 TEST(IdleConnectionChoice, TakesTheLastUsedThatHasSettled) {
   using std::chrono::milliseconds;
   struct Row {
-    std::vector<int> idleForMs;  // the longest first
+    std::vector<int> idleForMs;  // the longest idle first
     std::size_t chosen;
   };
   const std::vector<Row> table = {
-      {{0}, 0},               // a fresh one is better than a new connection
+      {{0}, 0},               // a fresh idle connection is preferred to a new one
       {{400}, 0},             //
-      {{400, 30}, 1},         // the last used
-      {{400, 30, 24}, 1},     // but not one that may be closing
-      {{400, 25, 24, 0}, 1},  // at the edge
+      {{400, 30}, 1},         // the most recently used
+      {{400, 30, 24}, 1},     // but not one that the upstream may be closing
+      {{400, 25, 24, 0}, 1},  // exactly the settling time
       {{400, 24, 3, 0}, 0},   //
-      {{24, 3, 0}, 2},        // none has settled
+      {{24, 3, 0}, 2},        // none has been idle for the settling time
   };
   const Clock::time_point now{std::chrono::hours(1)};
   for (const Row& row : table) {
--- a/tests/sidecar/upstream/load_report_parser_test.cpp
+++ b/tests/sidecar/upstream/load_report_parser_test.cpp
@@ -44,9 +44,9 @@
       {"inflight=", {}},                       //
       {"inflight=7x", {}},                     //
       {"inflight =7", {}},                     //
-      {"queue=2 inflight=x", {}},              // one bad value spoils the others
+      {"queue=2 inflight=x", {}},              // one invalid value rejects the report
       {"inflight=7 queue=-1", {}},             //
-      {"colour=blue", {}},                     // nothing known
+      {"colour=blue", {}},                     // no known name
       {"", {}},                                //
   };
   for (const Row& row : table) {
--- a/tests/sidecar/upstream/upstream_request_test.cpp
+++ b/tests/sidecar/upstream/upstream_request_test.cpp
@@ -65,7 +65,7 @@
   EXPECT_EQ(attemptHead(post, &upload_, milliseconds(250)), start + "Content-Length: 70000\r\n\r\n");
 }
 
-// Framing is one connection's: what the client's head says of its body counts for nothing here.
+// Framing applies to one connection: the client's framing headers must not be forwarded.
 TEST_F(UploadTest, FramesNothingByTheClientsLength) {
   Message get = message(http::verb::get);
   get.set(http::field::content_length, "0");
@@ -103,7 +103,7 @@
   EXPECT_EQ(attemptHead(post, nullptr, milliseconds(250)),
             "POST /a?b=c HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: 0011223344556677\r\n"
             "X-Expires-In-Ms: 250\r\nContent-Length: 3\r\n\r\n");
-  EXPECT_EQ(post["X-Mine"], "1") << "the client's message stays as it is, for other attempts";
+  EXPECT_EQ(post["X-Mine"], "1") << "the client's message was changed, although other attempts use it";
 }
 
 TEST_F(UploadTest, TheTimeLeftIsTheLeastOfDeadlinesAndWhatTheClientGave) {
--- a/tests/streaming/body_buffering_test.cpp
+++ b/tests/streaming/body_buffering_test.cpp
@@ -24,7 +24,8 @@
   EXPECT_EQ(budget.inUse(), 0U);
 }
 
-// Also one with a long way to go: whether it is streamed is decided when the free bytes are exceeded.
+// This holds for a body with a large stated length too: whether it is streamed is decided once the free bytes
+// are exceeded.
 TEST(BodyBufferingTest, BuffersTheFreeBytesOfALongBody) {
   const ByteBudget budget(0);
   BodyBuffering buffering(budget, kFree);
--- a/tests/streaming/pipe_test.cpp
+++ b/tests/streaming/pipe_test.cpp
@@ -10,7 +10,7 @@
 namespace ivypost::streaming {
 namespace {
 
-// What has begun can always finish: without budget a pipe still holds its least, and passes everything on.
+// A transfer that has begun can always be completed: without budget a pipe still has its minimum capacity.
 TEST(PipeTest, WithoutBudgetItIsSmallAndWorks) {
   ByteBudget budget(Pipe::kPreferredCapacity);
   Pipe large(budget);
@@ -38,7 +38,7 @@
   EXPECT_FALSE(pipe.isComplete());
   pipe.end();
   EXPECT_EQ(data, 2);
-  EXPECT_FALSE(pipe.isComplete()) << "a byte is left";
+  EXPECT_FALSE(pipe.isComplete()) << "one byte is not consumed yet";
   pipe.pop(1);
   EXPECT_TRUE(pipe.isComplete());
   pipe.abandon();
--- a/tests/streaming/stall_timer_test.cpp
+++ b/tests/streaming/stall_timer_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_LT(StallTimer::kGracePeriod, 3s);
 }
 
-// A byte now and then is no body.
+// Guards against clients that hold a connection with single bytes, below the minimum rate.
 TEST(StallTimerTest, OneThatTricklesIsAbandoned) {
   StallTimer timer(kBegin);
   auto now = kBegin;
@@ -50,7 +50,7 @@
 
 TEST(StallTimerTest, ExpectsTheRestAtTheRateSoFar) {
   StallTimer timer(kBegin);
-  EXPECT_EQ(timer.expectedTime(32'000), 1s) << "nothing is known: the slowest that is waited for";
+  EXPECT_EQ(timer.expectedTime(32'000), 1s) << "without received bytes the minimum rate is assumed";
   timer.received(1'000'000, kBegin + 1s);
   EXPECT_EQ(timer.expectedTime(2'000'000), 2s);
 }
