--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -35,7 +35,7 @@
 constexpr milliseconds kLingerTimeout{200};
 // The retry interval while no connection can be accepted, for example since descriptors have run out.
 constexpr milliseconds kAcceptPause{10};
-constexpr std::size_t kReadAtOnce = 4096;
+constexpr std::size_t kReadSize = 4096;
 
 std::string serialize(const Reply& reply) {
   const auto reason = http::obsolete_reason(static_cast<http::status>(reply.status));
@@ -76,10 +76,10 @@
   [[nodiscard]] bool isAnswered() const { return isAnswered_; }
 
   // Detaches the session from its server, after which it makes no callbacks.
-  void orphan() noexcept { owner_ = nullptr; }
+  void detach() noexcept { owner_ = nullptr; }
 
   void close() {
-    orphan();
+    detach();
     timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
@@ -104,7 +104,7 @@
   void readAvailable() {
     for (;;) {
       error_code error;
-      buffer_.commit(network::receiveSome(socket_, buffer_.prepare(kReadAtOnce), error));
+      buffer_.commit(network::receiveSome(socket_, buffer_.prepare(kReadSize), error));
       if (network::isTransient(error)) return waitToRead(error);
       if (error) return finish();
       if (isAnswered_) {
@@ -182,7 +182,7 @@
 }
 
 AdminServer::~AdminServer() {
-  for (const auto& session : sessions_) session->orphan();
+  for (const auto& session : sessions_) session->detach();
 }
 
 void AdminServer::accept() {
@@ -201,14 +201,14 @@
 }
 
 void AdminServer::admit(tcp::socket socket) {
-  if (sessions_.size() >= kMaxConnections) evictOne();
+  if (sessions_.size() >= kMaxConnections) evictSession();
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   sessions_.push_back(session);
   session->start();  // the session may finish within the call
 }
 
 // Closes the oldest connection that has not been answered; if all have been, the oldest one.
-void AdminServer::evictOne() {
+void AdminServer::evictSession() {
   auto oldest = std::find_if(sessions_.begin(), sessions_.end(),
                              [](const auto& session) { return !session->isAnswered(); });
   if (oldest == sessions_.end()) oldest = sessions_.begin();
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -49,7 +49,7 @@
 
   void accept();
   void admit(boost::asio::ip::tcp::socket socket);
-  void evictOne();
+  void evictSession();
 
   boost::asio::io_context& io_;
   Handler handler_;
--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -44,18 +44,18 @@
 
 // Percent-decodes a text; none: the encoding is invalid.
 std::optional<std::string> decode(std::string_view text) {
-  std::string plain;
+  std::string decoded;
   for (std::size_t n = 0; n < text.size(); ++n) {
     if (text[n] != '%') {
-      plain += text[n];
+      decoded += text[n];
       continue;
     }
     const auto byte = toByte(text.substr(n + 1, 2));
     if (!byte) return std::nullopt;
-    plain += *byte;
+    decoded += *byte;
     n += 2;
   }
-  return plain;
+  return decoded;
 }
 
 // Decodes an upstream id from the last part of the path; none: empty, contains a slash, or wrongly encoded.
--- a/src/sidecar/upstream/answer_parser.cpp
+++ b/src/sidecar/upstream/answer_parser.cpp
@@ -63,7 +63,7 @@
   return !error;
 }
 
-bool AnswerParser::hasTooMuchUnread() const {
+bool AnswerParser::hasTooMuchUnparsed() const {
   return buffer_.size() > kMaxHeader + kReadOfStream;
 }
 
--- a/src/sidecar/upstream/answer_parser.h
+++ b/src/sidecar/upstream/answer_parser.h
@@ -23,7 +23,7 @@
 ///
 /// Limits: kMaxHeader bytes for a head, kMaxBody bytes for a body, kMaxInformational informational answers
 /// before the final one. The caller limits the bytes that are buffered and not parsed yet with
-/// hasTooMuchUnread().
+/// hasTooMuchUnparsed().
 class AnswerParser {
  public:
   /// The most informational answers (RFC 9110, 15.2) that are accepted before a final one. No known server
@@ -59,7 +59,7 @@
   [[nodiscard]] bool isComplete() const { return parser_->is_done(); }
   /// Whether more than kMaxHeader + kReadOfStream bytes are buffered without being parsed, which is more than
   /// the header of a chunk may take.
-  [[nodiscard]] bool hasTooMuchUnread() const;
+  [[nodiscard]] bool hasTooMuchUnparsed() const;
   /// Whether the connection may be reused for another request: both sides keep it alive, and no bytes follow
   /// the answer.
   [[nodiscard]] bool keepsConnection() const { return parser_->keep_alive() && buffer_.size() == 0; }
--- a/src/sidecar/upstream/connection_pool.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -40,7 +40,7 @@
 }
 
 // Whether a part of a streamed body has been sent, so that the body can't be resent.
-bool isSpent(const UpstreamJob& job) {
+bool isBodyConsumed(const UpstreamJob& job) {
   return job.attempt && job.attempt->upload && job.attempt->upload->pipe.forwardedBytes() > 0;
 }
 
@@ -82,11 +82,11 @@
 }
 
 void ConnectionPool::withdrawComingUp(EndpointId upstream) {
-  std::vector<ConnectionPtr> comingUp;
+  std::vector<ConnectionPtr> connecting;
   for (const auto& [key, connection] : connections_) {
-    if (connection->upstream() == upstream && connection->isComingUp()) comingUp.push_back(connection);
+    if (connection->upstream() == upstream && connection->isConnecting()) connecting.push_back(connection);
   }
-  for (const auto& connection : comingUp) connection->fail(Outcome::ConnectFailed);
+  for (const auto& connection : connecting) connection->fail(Outcome::ConnectFailed);
 }
 
 void ConnectionPool::closeIdle(EndpointId upstream) {
@@ -115,19 +115,19 @@
 
 void ConnectionPool::start(std::shared_ptr<UpstreamJob> job) {
   job->startedAt = Clock::now();
-  if (isSpent(*job)) return onEnded(*job, Outcome::ConnectFailed);
+  if (isBodyConsumed(*job)) return onEnded(*job, Outcome::ConnectFailed);
   if (isClientGone(*job)) return onEnded(*job, Outcome::Moot);
-  if (const auto open = takeIdle(job->upstream)) return open->carry(std::move(job));
+  if (const auto reused = takeIdle(job->upstream)) return reused->startJob(std::move(job));
   const auto& address = addresses_.at(job->upstream);
   if (!address || !ensureCapacity()) return onEnded(*job, Outcome::ConnectFailed);
-  const auto fresh = std::make_shared<UpstreamConnection>(context_, job->upstream, *address);
-  connections_.emplace(fresh.get(), fresh);
-  fresh->open(std::move(job));
+  const auto connection = std::make_shared<UpstreamConnection>(context_, job->upstream, *address);
+  connections_.emplace(connection.get(), connection);
+  connection->open(std::move(job));
 }
 
 ConnectionPool::ConnectionPtr ConnectionPool::takeIdle(EndpointId upstream) {
   auto& idle = idle_[upstream];
-  const auto since = [](const auto& one) { return one->idleSince(); };
+  const auto since = [](const auto& connection) { return connection->idleSince(); };
   while (!idle.empty()) {
     const auto now = Clock::now();
     const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdleConnection(idle, now, since));
@@ -185,11 +185,11 @@
 }
 
 void ConnectionPool::onWritten(AttemptId id) {
-  callbacks_.written(id);
+  callbacks_.onWritten(id);
 }
 
 void ConnectionPool::onStreamBegin(StreamBegin begin) {
-  callbacks_.began(std::move(begin));
+  callbacks_.onStreamBegin(std::move(begin));
 }
 
 void ConnectionPool::onIdle(const ConnectionPtr& connection) {
@@ -210,9 +210,9 @@
 }
 
 void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration lag) {
-  const std::string& text = job.load.empty() ? job.body : job.load;
+  const std::string& text = job.loadReport.empty() ? job.body : job.loadReport;
   asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, lag, parseLoadReport(text)}] {
-    callbacks_.probed(result);
+    callbacks_.onProbeEnded(result);
   });
 }
 
@@ -223,25 +223,26 @@
   result.lag = lag;
   result.body = std::move(job.body);
   result.contentType = std::move(job.contentType);
-  result.spent = isSpent(job);
+  result.spent = isBodyConsumed(job);
   result.transfer = job.transfer;
-  result.report = parseLoadReport(job.load);
+  result.report = parseLoadReport(job.loadReport);
   attempts_.erase(result.id);
   asio::post(context_.io,
-             [this, result = std::move(result)]() mutable { callbacks_.ended(std::move(result)); });
+             [this, result = std::move(result)]() mutable { callbacks_.onAttemptEnded(std::move(result)); });
 }
 
 // ---- Statistics -------------------------------------------------------------------------------------------
 
 std::size_t ConnectionPool::comingUp() const {
-  return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
-                                                [](const auto& one) { return one.second->isComingUp(); }));
+  return static_cast<std::size_t>(
+      std::count_if(connections_.begin(), connections_.end(),
+                    [](const auto& entry) { return entry.second->isConnecting(); }));
 }
 
 double ConnectionPool::busyFraction() const {
   if (maxConnections_ == 0) return 0;
   std::size_t idle = 0;
-  for (const auto& one : idle_) idle += one.size();
+  for (const auto& ofUpstream : idle_) idle += ofUpstream.size();
   return static_cast<double>(connections_.size() - idle) / static_cast<double>(maxConnections_);
 }
 
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -34,14 +34,14 @@
   struct Callbacks {
     /// The attempt's last byte has been handed to the kernel. The only event that may be reported from within
     /// send().
-    std::function<void(AttemptId)> written;
+    std::function<void(AttemptId)> onWritten;
     /// An attempt has ended. Called once per attempt.
-    std::function<void(AttemptEnd)> ended;
-    /// An answer is being streamed. Called before `ended`; the body's pipe fails if the rest of the answer
-    /// can't be received.
-    std::function<void(StreamBegin)> began;
+    std::function<void(AttemptEnd)> onAttemptEnded;
+    /// An answer is being streamed. Called before `onAttemptEnded`; the body's pipe fails if the rest of the
+    /// answer can't be received.
+    std::function<void(StreamBegin)> onStreamBegin;
     /// A probe has ended. Called once per probe.
-    std::function<void(ProbeEnd)> probed;
+    std::function<void(ProbeEnd)> onProbeEnded;
     /// Whether this request's client has closed its connection. Called immediately before an attempt's first
     /// byte is sent; must not call the pool. If true, the attempt ends as Moot without being sent. May be
     /// empty.
--- a/src/sidecar/upstream/upstream_connection.cpp
+++ b/src/sidecar/upstream/upstream_connection.cpp
@@ -28,7 +28,7 @@
 
 void UpstreamConnection::open(std::shared_ptr<UpstreamJob> job) {
   job->connection = weak_from_this();
-  const UpstreamJob& carried = *job;
+  const UpstreamJob& newJob = *job;
   exchange_.assign(std::move(job));
   error_code error;
   socket_.open(address_.protocol(), error);
@@ -36,14 +36,14 @@
   socket_.set_option(tcp::no_delay(true), error);
   socket_.set_option(asio::socket_base::send_buffer_size(UpstreamExchange::kSendBufferSize), error);
   socket_.non_blocking(true, error);
-  setDeadline(std::min({carried.deadline, carried.writeBy, Clock::now() + context_.connectTimeout}));
-  isComingUp_ = true;
+  setDeadline(std::min({newJob.deadline, newJob.writeBy, Clock::now() + context_.connectTimeout}));
+  isConnecting_ = true;
   socket_.async_connect(address_,
                         [self = shared_from_this()](const error_code& failed) { self->onConnected(failed); });
 }
 
 void UpstreamConnection::onConnected(const error_code& failed) {
-  isComingUp_ = false;
+  isConnecting_ = false;
   const UpstreamJob* const job = exchange_.job();
   if (job == nullptr) return;
   if (failed) return fail(Outcome::ConnectFailed);
@@ -52,7 +52,7 @@
   exchange_.start();
 }
 
-void UpstreamConnection::carry(std::shared_ptr<UpstreamJob> job) {
+void UpstreamConnection::startJob(std::shared_ptr<UpstreamJob> job) {
   job->connection = weak_from_this();
   exchange_.assign(std::move(job));
   exchange_.start();
@@ -97,10 +97,10 @@
   awaitReadable({});
 }
 
-void UpstreamConnection::awaitReadable(error_code why) {
+void UpstreamConnection::awaitReadable(error_code previousError) {
   if (isAwaitingReadable_) return;
   isAwaitingReadable_ = true;
-  network::waitToRetry(socket_, tcp::socket::wait_read, why,
+  network::waitToRetry(socket_, tcp::socket::wait_read, previousError,
                        [self = shared_from_this()](const error_code&) { self->onReadable(); });
 }
 
@@ -123,7 +123,7 @@
 
 void UpstreamConnection::onDeadline() {
   if (isClosed_) return;
-  const auto kept = shared_from_this();
+  const auto self = shared_from_this();
   if (exchange_.job() == nullptr) return close();
   fail(exchange_.timeoutOutcome());
 }
--- a/src/sidecar/upstream/upstream_connection.h
+++ b/src/sidecar/upstream/upstream_connection.h
@@ -28,14 +28,14 @@
   /// The time at which the connection became idle. Valid while it has no job.
   [[nodiscard]] Clock::time_point idleSince() const { return idleSince_; }
   /// Whether the connection is being established; nothing of its job has been written then.
-  [[nodiscard]] bool isComingUp() const { return isComingUp_; }
+  [[nodiscard]] bool isConnecting() const { return isConnecting_; }
   /// Whether an idle connection is open and has no unexpected bytes to read. Costs one system call.
   [[nodiscard]] bool isUsable();
 
   /// Connects, then carries the job. The job ends as ConnectFailed after the connect timeout.
   void open(std::shared_ptr<UpstreamJob> job);
   /// Carries a job. Requires an idle connection.
-  void carry(std::shared_ptr<UpstreamJob> job);
+  void startJob(std::shared_ptr<UpstreamJob> job);
   /// Closes at once. Does nothing if already closed.
   void close();
   /// Closes the connection and then ends the job, in this order, so that no further attempt is sent while
@@ -47,7 +47,7 @@
   std::shared_ptr<ExchangeConnection> self() override { return shared_from_this(); }
   void setDeadline(Clock::time_point at) override;
   void clearDeadline() override { deadline_.cancel(); }
-  void awaitReadable(boost::system::error_code why) override;
+  void awaitReadable(boost::system::error_code previousError) override;
   void release(bool isReusable) override;
 
   void onConnected(const boost::system::error_code& failed);
@@ -62,7 +62,7 @@
   Deadlines::Deadline deadline_;
   UpstreamExchange exchange_;
   Clock::time_point idleSince_;
-  bool isComingUp_ = false;
+  bool isConnecting_ = false;
   bool isAwaitingReadable_ = false;
   bool isClosed_ = false;
 };
--- a/src/sidecar/upstream/upstream_exchange.cpp
+++ b/src/sidecar/upstream/upstream_exchange.cpp
@@ -23,7 +23,7 @@
 using std::chrono::milliseconds;
 
 // Bytes that one read takes of an answer that is not streamed.
-constexpr std::size_t kReadAtOnce = 8UL * 1024;
+constexpr std::size_t kReadSize = 8UL * 1024;
 // An attempt fails if the upstream accepts no byte of a large body for this period.
 constexpr milliseconds kUploadStallTimeout{2000};
 // A streamed answer fails if the upstream sends no byte for this period.
@@ -38,11 +38,11 @@
 std::shared_ptr<UpstreamJob> UpstreamExchange::abandon() {
   auto job = std::exchange(job_, nullptr);
   isUploading_ = false;
-  if (const auto answer = std::exchange(answer_, nullptr)) answer->fail();
+  if (const auto answer = std::exchange(answerPipe_, nullptr)) answer->fail();
   return job;
 }
 
-std::shared_ptr<UpstreamExchange> UpstreamExchange::keptAlive() {
+std::shared_ptr<UpstreamExchange> UpstreamExchange::sharedSelf() {
   return {connection_.self(), this};
 }
 
@@ -53,12 +53,12 @@
   const UpstreamJob& job = *job_;
   if (now >= job.deadline || now >= job.writeBy) return connection_.fail(Outcome::ConnectFailed);
   if (!job.attempt) {
-    text_ = probeHead();
+    unwrittenHead_ = probeHead();
     return write({}, now);
   }
   const Message& message = *job.attempt->message;
   const Upload* const upload = job.attempt->upload.get();
-  text_ = attemptHead(message, upload, timeLeft(job.deadline, upload, now));
+  unwrittenHead_ = attemptHead(message, upload, timeLeft(job.deadline, upload, now));
   if (upload != nullptr) return beginUpload();
   write(message.body(), now);
 }
@@ -66,13 +66,13 @@
 // Writes the request directly from the message, without a copy of the body. What the kernel does not accept
 // at once is written by writeRest().
 void UpstreamExchange::write(std::string_view body, Clock::time_point now) {
-  const std::array<asio::const_buffer, 2> parts = {asio::buffer(text_),
+  const std::array<asio::const_buffer, 2> parts = {asio::buffer(unwrittenHead_),
                                                    asio::buffer(body.data(), body.size())};
   error_code error;
   const std::size_t sent = network::writeSome(connection_.socket(), parts, error);
   if (sent == asio::buffer_size(parts)) return onWritten();
   if (!network::isTransient(error)) return connection_.fail(Outcome::ConnectFailed);
-  rest_ = body;
+  unwrittenBody_ = body;
   dropSent(sent);
   // The last byte of a repeated request must be sent within its window too. A body that exceeds the send
   // buffer is sent only if the upstream reads, so that the connect timeout covers it as well.
@@ -87,25 +87,25 @@
 }
 
 void UpstreamExchange::dropSent(std::size_t sent) {
-  const std::size_t ofHead = std::min(sent, text_.size());
-  text_.erase(0, ofHead);
-  rest_.remove_prefix(sent - ofHead);
+  const std::size_t ofHead = std::min(sent, unwrittenHead_.size());
+  unwrittenHead_.erase(0, ofHead);
+  unwrittenBody_.remove_prefix(sent - ofHead);
 }
 
-// `why`: the transient error of the preceding write.
-void UpstreamExchange::awaitWritable(error_code why) {
-  const auto ready = [self = keptAlive(), job = job_](error_code error) {
+// `previousError`: the transient error of the preceding write.
+void UpstreamExchange::awaitWritable(error_code previousError) {
+  const auto ready = [self = sharedSelf(), job = job_](error_code error) {
     if (self->job_ == job) self->writeRest(error);
   };
-  network::waitToRetry(connection_.socket(), tcp::socket::wait_write, why, ready);
+  network::waitToRetry(connection_.socket(), tcp::socket::wait_write, previousError, ready);
 }
 
 // Writes what the kernel has not accepted yet. Writes here, instead of with an asynchronous write, so that
 // each piece is counted before any other handler runs: otherwise a timeout could run between the write of the
 // last byte and its completion handler, and a request that may run would be reported as never sent.
 void UpstreamExchange::writeRest(error_code error) {
-  const std::array<asio::const_buffer, 2> parts = {asio::buffer(text_),
-                                                   asio::buffer(rest_.data(), rest_.size())};
+  const std::array<asio::const_buffer, 2> parts = {
+      asio::buffer(unwrittenHead_), asio::buffer(unwrittenBody_.data(), unwrittenBody_.size())};
   const std::size_t size = asio::buffer_size(parts);
   const std::size_t sent = error ? 0 : network::writeSome(connection_.socket(), parts, error);
   if (sent == size) return onWritten();
@@ -121,13 +121,13 @@
 void UpstreamExchange::beginUpload() {
   isUploading_ = true;
   Upload& body = *job_->attempt->upload;
-  writer_.begin(std::move(text_), !body.length);
-  job_->streamsSince = Clock::now();
-  body.pipe.onData = [weak = std::weak_ptr<UpstreamExchange>(keptAlive())] {
+  writer_.begin(std::move(unwrittenHead_), !body.length);
+  job_->streamingSince = Clock::now();
+  body.pipe.onData = [weak = std::weak_ptr<UpstreamExchange>(sharedSelf())] {
     const auto self = weak.lock();
     if (!self) return;
     asio::post(self->context_.io, [self] {
-      if (self->job_ && self->isUploading_ && !self->awaitsUpload_) self->upload();
+      if (self->job_ && self->isUploading_ && !self->isAwaitingWritable_) self->upload();
     });
   };
   beginReading();  // the upstream may answer before the end of the body
@@ -149,11 +149,11 @@
 }
 
 void UpstreamExchange::awaitUpload() {
-  awaitsUpload_ = true;
+  isAwaitingWritable_ = true;
   // An upstream that stops reading is treated as one that can't be connected to.
   connection_.setDeadline(Clock::now() + kUploadStallTimeout);
-  writer_.wait(connection_.socket(), [self = keptAlive()](error_code error) {
-    self->awaitsUpload_ = false;
+  writer_.wait(connection_.socket(), [self = sharedSelf()](error_code error) {
+    self->isAwaitingWritable_ = false;
     if (!self->job_ || !self->isUploading_) return;
     if (error) return self->connection_.fail(Outcome::ConnectFailed);
     self->upload();
@@ -162,7 +162,7 @@
 
 void UpstreamExchange::onUploaded() {
   isUploading_ = false;
-  job_->transfer += Clock::now() - job_->streamsSince;
+  job_->transfer += Clock::now() - job_->streamingSince;
   job_->deadline = job_->attempt->upload->deadline;
   connection_.setDeadline(job_->deadline);
   job_->isWritten = true;
@@ -184,10 +184,10 @@
 }
 
 void UpstreamExchange::onReadable() {
-  const std::size_t most = answer_ ? std::min(answer_->freeCapacity(), kReadOfStream) : kReadAtOnce;
-  if (most == 0) return pause();
+  const std::size_t readSize = answerPipe_ ? std::min(answerPipe_->freeCapacity(), kReadOfStream) : kReadSize;
+  if (readSize == 0) return pause();
   error_code error;
-  parser_.commit(network::receiveSome(connection_.socket(), parser_.prepare(most), error));
+  parser_.commit(network::receiveSome(connection_.socket(), parser_.prepare(readSize), error));
   if (network::isTransient(error)) return connection_.awaitReadable(error);
   if (error == asio::error::eof && parser_.endsWithConnection()) {
     if (!parser_.end()) return failBroken();
@@ -201,16 +201,16 @@
 // Continues after bytes have been parsed.
 void UpstreamExchange::advance() {
   // A large body is read only if it will be forwarded to a client.
-  const bool serves =
+  const bool isForwarded =
       parser_.hasHead() && job_->attempt && job_->isWritten && parser_.outcome() == Outcome::Ok;
-  if (serves) {
+  if (isForwarded) {
     forwardBody();
     if (!job_) return;
   } else if (parser_.body().size() > kMaxWhole) {
     return failBroken();
   }
   if (parser_.isComplete()) return complete();
-  if (parser_.hasTooMuchUnread()) return failBroken();
+  if (parser_.hasTooMuchUnparsed()) return failBroken();
   connection_.awaitReadable({});
 }
 
@@ -218,36 +218,36 @@
 void UpstreamExchange::forwardBody() {
   std::string& body = parser_.body();
   const auto length = parser_.length();
-  if (!answer_ && body.size() <= kMaxWhole && (!length || *length <= kMaxWhole || body.empty())) return;
-  if (!answer_) beginStream();
-  if (!answer_) return;  // beginStream() ended the job
-  answer_->push(body);
+  if (!answerPipe_ && body.size() <= kMaxWhole && (!length || *length <= kMaxWhole || body.empty())) return;
+  if (!answerPipe_) beginStream();
+  if (!answerPipe_) return;  // beginStream() ended the job
+  answerPipe_->push(body);
   body.clear();
   connection_.setDeadline(Clock::now() + kAnswerStallTimeout);
 }
 
 void UpstreamExchange::beginStream() {
-  answer_ = std::make_shared<streaming::Pipe>(context_.budget);
-  answer_->onCapacity = [weak = std::weak_ptr<UpstreamExchange>(keptAlive())] {
-    if (const auto self = weak.lock()) asio::post(self->context_.io, [self] { self->onBodyTaken(); });
+  answerPipe_ = std::make_shared<streaming::Pipe>(context_.budget);
+  answerPipe_->onCapacity = [weak = std::weak_ptr<UpstreamExchange>(sharedSelf())] {
+    if (const auto self = weak.lock()) asio::post(self->context_.io, [self] { self->onBodyConsumed(); });
   };
   job_->isStreamed = true;
-  job_->streamsSince = Clock::now();
+  job_->streamingSince = Clock::now();
   context_.host.onStreamBegin(
-      {job_->attempt->id, std::string(parser_.contentType()), parser_.length(), answer_});
+      {job_->attempt->id, std::string(parser_.contentType()), parser_.length(), answerPipe_});
 }
 
 void UpstreamExchange::pause() {
-  isPaused_ = true;
+  isReadingPaused_ = true;
   connection_.clearDeadline();  // the client session enforces its own deadline
 }
 
 // Called when the client session has consumed a part of the answer, or has abandoned it.
-void UpstreamExchange::onBodyTaken() {
-  if (!answer_) return;
-  if (answer_->isAbandoned()) return connection_.fail(Outcome::Cancelled);
-  if (!isPaused_ || answer_->freeCapacity() == 0) return;
-  isPaused_ = false;
+void UpstreamExchange::onBodyConsumed() {
+  if (!answerPipe_) return;
+  if (answerPipe_->isAbandoned()) return connection_.fail(Outcome::Cancelled);
+  if (!isReadingPaused_ || answerPipe_->freeCapacity() == 0) return;
+  isReadingPaused_ = false;
   connection_.setDeadline(Clock::now() + kAnswerStallTimeout);
   connection_.awaitReadable({});
 }
@@ -256,10 +256,10 @@
   const auto job = std::exchange(job_, nullptr);
   Outcome outcome = parser_.outcome();
   if (!job->isWritten && outcome != Outcome::Full) outcome = Outcome::ConnectFailed;
-  if (job->isStreamed) job->transfer += Clock::now() - job->streamsSince;
-  if (const auto streamed = std::exchange(answer_, nullptr)) streamed->end();
+  if (job->isStreamed) job->transfer += Clock::now() - job->streamingSince;
+  if (const auto streamed = std::exchange(answerPipe_, nullptr)) streamed->end();
   isUploading_ = false;
-  job->load = parser_.loadReport();
+  job->loadReport = parser_.loadReport();
   if (outcome == Outcome::Ok) {
     job->contentType = parser_.contentType();
     job->body = parser_.body();
--- a/src/sidecar/upstream/upstream_exchange.h
+++ b/src/sidecar/upstream/upstream_exchange.h
@@ -31,8 +31,8 @@
   /// Removes the deadline, while another component enforces one.
   virtual void clearDeadline() = 0;
   /// Calls UpstreamExchange::onReadable() once, when the socket is readable.
-  /// \param why the transient error of the preceding read; no error: there was no read that failed.
-  virtual void awaitReadable(boost::system::error_code why) = 0;
+  /// \param previousError the transient error of the preceding read; no error: there was no read that failed.
+  virtual void awaitReadable(boost::system::error_code previousError) = 0;
   /// Closes the connection, then ends the exchange with this outcome.
   virtual void fail(balancer::Outcome outcome) = 0;
   /// Called when the exchange is complete and holds no job any more.
@@ -87,7 +87,7 @@
  private:
   // Sending the request.
   void write(std::string_view body, Clock::time_point now);
-  void awaitWritable(boost::system::error_code why);
+  void awaitWritable(boost::system::error_code previousError);
   void writeRest(boost::system::error_code error);
   void dropSent(std::size_t sent);
   void beginUpload();
@@ -102,23 +102,23 @@
   void beginStream();
   void forwardBody();
   void pause();
-  void onBodyTaken();
+  void onBodyConsumed();
   void complete();
   void failBroken();
 
-  [[nodiscard]] std::shared_ptr<UpstreamExchange> keptAlive();
+  [[nodiscard]] std::shared_ptr<UpstreamExchange> sharedSelf();
 
   ExchangeConnection& connection_;
   const UpstreamContext& context_;
   std::shared_ptr<UpstreamJob> job_;  // null: no exchange is in progress
-  std::string text_;                  // the unwritten part of the request's head
-  std::string_view rest_;             // the unwritten part of a body in the message; follows text_
-  StreamWriter writer_;               // writes a streamed request body
+  std::string unwrittenHead_;
+  std::string_view unwrittenBody_;  // of a body in the message; follows unwrittenHead_
+  StreamWriter writer_;             // writes a streamed request body
   AnswerParser parser_;
-  std::shared_ptr<streaming::Pipe> answer_;  // a streamed answer; null: the answer is not streamed
+  std::shared_ptr<streaming::Pipe> answerPipe_;  // a streamed answer; null: the answer is not streamed
   bool isUploading_ = false;
-  bool awaitsUpload_ = false;  // waits for the kernel to accept more of a streamed body
-  bool isPaused_ = false;      // reading waits for capacity in the pipe of a streamed answer
+  bool isAwaitingWritable_ = false;  // waits for the kernel to accept more of a streamed body
+  bool isReadingPaused_ = false;     // reading waits for capacity in the pipe of a streamed answer
 };
 
 }  // namespace ivypost
--- a/src/sidecar/upstream/upstream_job.h
+++ b/src/sidecar/upstream/upstream_job.h
@@ -32,9 +32,9 @@
   std::weak_ptr<UpstreamConnection> connection;  ///< the connection that carries the job
   std::string body;                              ///< of an answer of status 200 that was not streamed
   std::string contentType;                       ///< of an answer of status 200
-  std::string load;                              ///< the header with the load report, unparsed
+  std::string loadReport;                        ///< the header with the load report, unparsed
   bool isStreamed = false;                       ///< the answer is streamed
-  Clock::time_point streamsSince;                ///< when the streaming of the current body began
+  Clock::time_point streamingSince;              ///< when the streaming of the current body began
   Clock::duration transfer{};                    ///< the time in which bodies were streamed
 };
 
--- a/src/sidecar/upstream/upstream_request.cpp
+++ b/src/sidecar/upstream/upstream_request.cpp
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 
 // Bytes reserved for a head, so that a typical one needs a single allocation.
-constexpr std::size_t kUsualHead = 512;
+constexpr std::size_t kTypicalHeadSize = 512;
 
 void setFraming(RequestHead& head, const Message& message, const Upload* upload) {
   head.erase(http::field::transfer_encoding);
@@ -33,7 +33,7 @@
 
 std::string toText(const RequestHead& head) {
   std::string text;
-  text.reserve(kUsualHead);
+  text.reserve(kTypicalHeadSize);
   text.append(view(head.method_string())).append(" ").append(view(head.target())).append(" HTTP/1.1\r\n");
   for (const auto& field : head)
     text.append(view(field.name_string())).append(": ").append(view(field.value())).append("\r\n");
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -21,31 +21,32 @@
 
 class Caller {
  public:
-  Caller(asio::io_context& io, std::uint16_t port) : line_(std::make_shared<Line>(io)) {
-    line_->socket.connect({asio::ip::address_v4::loopback(), port});
-    read(line_);
+  Caller(asio::io_context& io, std::uint16_t port) : connection_(std::make_shared<Connection>(io)) {
+    connection_->socket.connect({asio::ip::address_v4::loopback(), port});
+    read(connection_);
   }
-  void send(const std::string& bytes) const { asio::write(line_->socket, asio::buffer(bytes)); }
-  const std::string& got() const { return line_->got; }
-  bool closed() const { return line_->closed; }
-  std::string status() const { return line_->got.substr(0, 12); }
+  void send(const std::string& bytes) const { asio::write(connection_->socket, asio::buffer(bytes)); }
+  const std::string& received() const { return connection_->received; }
+  bool closed() const { return connection_->closed; }
+  std::string status() const { return connection_->received.substr(0, 12); }
 
  private:
-  struct Line {
-    explicit Line(asio::io_context& io) : socket(io) {}
+  struct Connection {
+    explicit Connection(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
-    std::string got;
+    std::string received;
     std::array<char, 1024> bytes{};
     bool closed = false;
   };
-  static void read(const std::shared_ptr<Line>& line) {
-    line->socket.async_read_some(asio::buffer(line->bytes), [line](error_code error, std::size_t size) {
-      line->got.append(line->bytes.data(), size);
-      line->closed = static_cast<bool>(error);
-      if (!error) read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    connection->socket.async_read_some(asio::buffer(connection->bytes),
+                                       [connection](error_code error, std::size_t size) {
+                                         connection->received.append(connection->bytes.data(), size);
+                                         connection->closed = static_cast<bool>(error);
+                                         if (!error) read(connection);
+                                       });
   }
-  std::shared_ptr<Line> line_;
+  std::shared_ptr<Connection> connection_;
 };
 
 class AdminServerTest : public testing::Test {
@@ -54,7 +55,7 @@
       : server(io, {asio::ip::address_v4::loopback(), 0},
                [this](const Call& call, const AdminServer::Answer& answer) {
                  calls.push_back(call);
-                 if (late) {
+                 if (isDeferred) {
                    answers.push_back(answer);
                    return;
                  }
@@ -81,7 +82,7 @@
 
   asio::io_context io;
   std::vector<Call> calls;
-  bool late = false;  // the handler does not answer; the test does
+  bool isDeferred = false;  // the handler does not answer; the test does
   std::vector<AdminServer::Answer> answers;
   AdminServer server;
 };
@@ -90,15 +91,15 @@
   const std::string text = "POST /api/exclude/s-1 HTTP/1.1\r\nHost: x\r\n\r\n";
   const Caller caller = call(text + text);
   EXPECT_EQ(caller.status(), "HTTP/1.1 200");
-  EXPECT_NE(caller.got().find("Connection: close"), std::string::npos);
+  EXPECT_NE(caller.received().find("Connection: close"), std::string::npos);
   EXPECT_EQ(calls.size(), 1U);
-  EXPECT_EQ(caller.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
+  EXPECT_EQ(caller.received().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
 }
 
 TEST_F(AdminServerTest, AnswersACallInSingleBytesAndOneWithABody) {
   Caller caller(io, server.port());
   for (const char byte : std::string("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")) {
-    EXPECT_TRUE(caller.got().empty());
+    EXPECT_TRUE(caller.received().empty());
     caller.send(std::string(1, byte));
     io.restart();
     io.poll();
@@ -113,7 +114,7 @@
   EXPECT_EQ(calls.size(), 3U);
 }
 
-TEST_F(AdminServerTest, WrongCallsGetTheirStatusAndReachNobody) {
+TEST_F(AdminServerTest, InvalidCallsGetAnErrorStatusAndAreNotHandled) {
   EXPECT_EQ(call("BLAH\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/9.9\r\n\r\n").status(), "HTTP/1.1 400");
   EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\nA: " + std::string(9000, 'a') + "\r\n\r\n").status(),
@@ -137,7 +138,7 @@
 
 // Hundreds of callers hold connections with an incomplete call. The server must close the oldest ones and
 // answer a complete call.
-TEST_F(AdminServerTest, CallersThatHoldConnectionsKeepNobodyOut) {
+TEST_F(AdminServerTest, IncompleteCallsDoNotBlockOtherCallers) {
   std::deque<Caller> holders;
   for (int n = 0; n < 300; ++n) {
     holders.emplace_back(io, server.port());
@@ -151,21 +152,21 @@
 }
 
 TEST_F(AdminServerTest, ALateAnswerIsSentOnceAndOthersAreServedMeanwhile) {
-  late = true;
+  isDeferred = true;
   Caller waits(io, server.port());
   waits.send("POST /api/exclude/s-1 HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(wait([&] { return answers.size() == 1; }));
-  late = false;
+  isDeferred = false;
   EXPECT_EQ(call("GET /api/ready HTTP/1.1\r\n\r\n").status(), "HTTP/1.1 200");
-  EXPECT_TRUE(waits.got().empty());
+  EXPECT_TRUE(waits.received().empty());
   answers[0]({503, "late"});
   answers[0]({200, "again"});
   ASSERT_TRUE(wait([&] { return waits.closed(); }));
   EXPECT_EQ(waits.status(), "HTTP/1.1 503");
-  EXPECT_EQ(waits.got().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
+  EXPECT_EQ(waits.received().find("HTTP/1.1", 1), std::string::npos) << "a second answer";
 }
 
-TEST(AdminServerLifetimeTest, ALateAnswerMayOutliveIt) {
+TEST(AdminServerLifetimeTest, ALateAnswerMayOutliveTheServer) {
   asio::io_context io;
   AdminServer::Answer kept;
   auto server =
@@ -178,7 +179,7 @@
   kept({200, "too late"});
   io.restart();
   io.poll();
-  EXPECT_TRUE(caller.got().empty());
+  EXPECT_TRUE(caller.received().empty());
 }
 
 TEST(AdminServerLifetimeTest, AnAddressInUseIsAnError) {
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -39,7 +39,7 @@
   AnswerParser parser_;
 };
 
-TEST_F(AnswerParserTest, ReadsAnAnswerHoweverItIsCut) {
+TEST_F(AnswerParserTest, ParsesAnAnswerInPiecesOfAnySize) {
   const std::string text =
       "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nEndpoint-Load-Metrics: TEXT qps=2\r\nContent-Length: "
       "5\r\n\r\nhello";
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_F(AnswerParserTest, SaysWhatAHeadProves) {
+TEST_F(AnswerParserTest, DerivesTheOutcomeFromTheHead) {
   struct Row {
     std::string head;
     Outcome outcome;
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_F(AnswerParserTest, RejectsWhatCanBeReadInTwoWaysOrWasNotAskedFor) {
+TEST_F(AnswerParserTest, RejectsInvalidAndUnrequestedAnswers) {
   const std::vector<std::string> table = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -121,7 +121,7 @@
   EXPECT_FALSE(parser_.keepsConnection());
 }
 
-TEST_F(AnswerParserTest, TakesNoOtherAnswerForWholeByTheEndOfTheStream) {
+TEST_F(AnswerParserTest, DoesNotEndAnAnswerWithALengthByTheEndOfTheStream) {
   EXPECT_FALSE(parser_.endsWithConnection());
   ASSERT_TRUE(parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello"));
   EXPECT_FALSE(parser_.endsWithConnection());
--- a/tests/sidecar/upstream/idle_connection_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -6,7 +6,7 @@
 namespace ivypost {
 namespace {
 
-TEST(IdleConnectionChoice, TakesTheLastUsedThatHasSettled) {
+TEST(IdleConnectionChoice, ChoosesTheMostRecentlyUsedThatHasSettled) {
   using std::chrono::milliseconds;
   struct Row {
     std::vector<int> idleForMs;  // the longest idle first
--- a/tests/sidecar/upstream/upstream_request_test.cpp
+++ b/tests/sidecar/upstream/upstream_request_test.cpp
@@ -66,7 +66,7 @@
 }
 
 // Framing applies to one connection: the client's framing headers must not be forwarded.
-TEST_F(UploadTest, FramesNothingByTheClientsLength) {
+TEST_F(UploadTest, IgnoresTheClientsFramingHeaders) {
   Message get = message(http::verb::get);
   get.set(http::field::content_length, "0");
   EXPECT_EQ(attemptHead(get, nullptr, milliseconds(250)),
@@ -78,7 +78,7 @@
             "Transfer-Encoding: chunked\r\n\r\n");
 }
 
-TEST(UpstreamRequest, TellsWholeMillisecondsAndAtLeastOne) {
+TEST(UpstreamRequest, StatesTheTimeLeftInWholeMillisecondsAndAtLeastOne) {
   const std::vector<std::pair<microseconds, std::string>> table = {
       {milliseconds(1000), "1000"}, {microseconds(250'999), "250"}, {microseconds(1999), "1"},
       {microseconds(999), "1"},     {microseconds(0), "1"},         {milliseconds(-50), "1"},
@@ -89,7 +89,7 @@
   }
 }
 
-TEST(UpstreamRequest, DropsWhatIsAboutTheClientsConnection) {
+TEST(UpstreamRequest, DropsHeadersOfTheClientsConnection) {
   Message post = message(http::verb::post, "abc");
   post.set(http::field::connection, "X-Mine, keep-alive");
   post.set("X-Mine", "1");
--- a/tests/streaming/body_buffering_test.cpp
+++ b/tests/streaming/body_buffering_test.cpp
@@ -13,14 +13,14 @@
 using namespace std::chrono_literals;
 
 constexpr StallTimer::TimePoint kBegin{};
-constexpr std::size_t kFree = 1000;
+constexpr std::size_t kFreeBytes = 1000;
 constexpr std::size_t kStep = BodyBuffering::kBudgetStep;
-constexpr std::size_t kMost = BodyBuffering::kMaxBuffered;
+constexpr std::size_t kMaxBuffered = BodyBuffering::kMaxBuffered;
 
 TEST(BodyBufferingTest, BuffersASmallBodyWithoutBudget) {
   const ByteBudget budget(0);
-  BodyBuffering buffering(budget, kFree);
-  EXPECT_EQ(buffering.capacityFor(kFree, std::nullopt), kFree);
+  BodyBuffering buffering(budget, kFreeBytes);
+  EXPECT_EQ(buffering.capacityFor(kFreeBytes, std::nullopt), kFreeBytes);
   EXPECT_EQ(budget.inUse(), 0U);
 }
 
@@ -28,39 +28,39 @@
 // are exceeded.
 TEST(BodyBufferingTest, BuffersTheFreeBytesOfALongBody) {
   const ByteBudget budget(0);
-  BodyBuffering buffering(budget, kFree);
-  EXPECT_EQ(buffering.capacityFor(kFree, kMost + 1), kFree);
-  EXPECT_EQ(buffering.capacityFor(kFree + 1, kMost + 1), std::nullopt);
+  BodyBuffering buffering(budget, kFreeBytes);
+  EXPECT_EQ(buffering.capacityFor(kFreeBytes, kMaxBuffered + 1), kFreeBytes);
+  EXPECT_EQ(buffering.capacityFor(kFreeBytes + 1, kMaxBuffered + 1), std::nullopt);
 }
 
 TEST(BodyBufferingTest, TakesAStatedLengthAtOnceInSteps) {
-  const ByteBudget budget(kMost);
-  BodyBuffering buffering(budget, kFree);
-  EXPECT_EQ(buffering.capacityFor(kFree + 1, kStep + 1), kStep + 1);
+  const ByteBudget budget(kMaxBuffered);
+  BodyBuffering buffering(budget, kFreeBytes);
+  EXPECT_EQ(buffering.capacityFor(kFreeBytes + 1, kStep + 1), kStep + 1);
   EXPECT_EQ(budget.inUse(), 2 * kStep);
   EXPECT_EQ(buffering.capacityFor(kStep, kStep + 1), kStep + 1);
   EXPECT_EQ(budget.inUse(), 2 * kStep);
 }
 
 TEST(BodyBufferingTest, GrowsWithAChunkedBodyUpToTheLimit) {
-  const ByteBudget budget(2 * kMost);
-  BodyBuffering buffering(budget, kFree);
+  const ByteBudget budget(2 * kMaxBuffered);
+  BodyBuffering buffering(budget, kFreeBytes);
   EXPECT_EQ(buffering.capacityFor(kStep, std::nullopt), kStep);
   EXPECT_EQ(budget.inUse(), kStep);
-  EXPECT_EQ(buffering.capacityFor(kMost, std::nullopt), kMost);
-  EXPECT_EQ(budget.inUse(), kMost);
-  EXPECT_EQ(buffering.capacityFor(kMost + 1, std::nullopt), std::nullopt);
+  EXPECT_EQ(buffering.capacityFor(kMaxBuffered, std::nullopt), kMaxBuffered);
+  EXPECT_EQ(budget.inUse(), kMaxBuffered);
+  EXPECT_EQ(buffering.capacityFor(kMaxBuffered + 1, std::nullopt), std::nullopt);
 }
 
 TEST(BodyBufferingTest, StreamsWhereTheBudgetIsSpent) {
   const ByteBudget budget(kStep);
-  BodyBuffering first(budget, kFree);
-  BodyBuffering second(budget, kFree);
-  EXPECT_EQ(first.capacityFor(kFree + 1, std::nullopt), kFree + 1);
-  EXPECT_EQ(second.capacityFor(kFree + 1, std::nullopt), std::nullopt);
+  BodyBuffering first(budget, kFreeBytes);
+  BodyBuffering second(budget, kFreeBytes);
+  EXPECT_EQ(first.capacityFor(kFreeBytes + 1, std::nullopt), kFreeBytes + 1);
+  EXPECT_EQ(second.capacityFor(kFreeBytes + 1, std::nullopt), std::nullopt);
   first.release();
   EXPECT_EQ(budget.inUse(), 0U);
-  EXPECT_EQ(second.capacityFor(kFree + 1, std::nullopt), kFree + 1);
+  EXPECT_EQ(second.capacityFor(kFreeBytes + 1, std::nullopt), kFreeBytes + 1);
 }
 
 TEST(BodyBufferingTest, AllowsTwiceTheExpectedTimeAndAConstantMore) {
--- a/tests/streaming/byte_budget_test.cpp
+++ b/tests/streaming/byte_budget_test.cpp
@@ -6,7 +6,7 @@
 namespace ivypost::streaming {
 namespace {
 
-TEST(ByteBudgetTest, IsNeverExceededAndComesBack) {
+TEST(ByteBudgetTest, IsNeverExceededAndCanBeReused) {
   ByteBudget budget(100);
   {
     ByteBudget::Share a(budget), b(budget);
--- a/tests/streaming/pipe_test.cpp
+++ b/tests/streaming/pipe_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // A transfer that has begun can always be completed: without budget a pipe still has its minimum capacity.
-TEST(PipeTest, WithoutBudgetItIsSmallAndWorks) {
+TEST(PipeTest, WithoutBudgetItHasItsMinimumCapacity) {
   ByteBudget budget(Pipe::kPreferredCapacity);
   Pipe large(budget);
   EXPECT_EQ(large.freeCapacity(), Pipe::kPreferredCapacity);
@@ -46,7 +46,7 @@
   EXPECT_EQ(capacity, 3);
 }
 
-TEST(PipeTest, AFailureAfterTheEndIsNone) {
+TEST(PipeTest, IgnoresAFailureAfterTheEnd) {
   ByteBudget budget(0);
   Pipe ended(budget), failed(budget);
   ended.end();
--- a/tests/streaming/stall_timer_test.cpp
+++ b/tests/streaming/stall_timer_test.cpp
@@ -20,27 +20,27 @@
   }
 }
 
-TEST(StallTimerTest, OneThatSendsNothingIsAbandonedSoon) {
+TEST(StallTimerTest, AClientThatSendsNothingIsAbandonedAfterTheGracePeriod) {
   EXPECT_EQ(StallTimer(kBegin + 7us).deadline(), kBegin + 7us + StallTimer::kGracePeriod);
   EXPECT_LT(StallTimer::kGracePeriod, 3s);
 }
 
 // Guards against clients that hold a connection with single bytes, below the minimum rate.
-TEST(StallTimerTest, OneThatTricklesIsAbandoned) {
+TEST(StallTimerTest, AClientBelowTheMinimumRateIsAbandoned) {
   StallTimer timer(kBegin);
   auto now = kBegin;
   for (; now < timer.deadline(); now += 100ms) timer.received(1, now);
   EXPECT_LT(now, kBegin + StallTimer::kGracePeriod + 1s);
 }
 
-TEST(StallTimerTest, AFastBeginningDoesNotEarnAPauseWithoutEnd) {
+TEST(StallTimerTest, AHighInitialRateDoesNotExtendTheStallTimeout) {
   StallTimer timer(kBegin);
   timer.received(30'000'000, kBegin + 1s);
   EXPECT_EQ(timer.deadline(), kBegin + 1s + StallTimer::kStallTimeout);
   EXPECT_LT(StallTimer::kStallTimeout, 3s);
 }
 
-TEST(StallTimerTest, TimeInWhichWeDidNotReadDoesNotCount) {
+TEST(StallTimerTest, ExcludesTheTimeInWhichTheBodyWasNotRead) {
   StallTimer timer(kBegin);
   timer.received(1000, kBegin + 1s);
   const auto before = timer.deadline();
