--- a/src/sidecar/control/action_executor.cpp
+++ b/src/sidecar/control/action_executor.cpp
@@ -111,7 +111,7 @@
 void ActionExecutor::finish(RequestId id, Answer answer) {
   OpenRequest& request = targets_.requests.at(id);
   request.isFinished = true;
-  if (request.pendingAttempts > 0) targets_.pool.withdraw(id);
+  if (request.pendingAttempts > 0) targets_.pool.cancelUnsent(id);
   targets_.server.answer(id, std::move(answer));
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -157,7 +157,7 @@
   if (found == requests_.end()) return;
   found->second.isFinished = true;
   handle(balancer::Withdrawn{id});
-  pool_.withdraw(id);
+  pool_.cancelUnsent(id);
   executor_.forget(id);
 }
 
@@ -175,7 +175,7 @@
   --request.pendingAttempts;
   if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; healthView_ && endpoint.isListed)
     healthView_->recordAttempt(incarnationOf(endpoint), end.outcome,
-                               duration_cast<microseconds>(end.lag).count());
+                               duration_cast<microseconds>(end.latency).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
     degradation_.onAttemptEnd(end.outcome != Outcome::Ok);
   balancer::AttemptOutcome event;
@@ -183,10 +183,10 @@
   event.attempt = end.id.number;
   event.upstream = attempt.upstream;
   event.outcome = end.outcome;
-  event.latency = duration_cast<microseconds>(end.lag).count();
+  event.latency = duration_cast<microseconds>(end.latency).count();
   event.report = end.report;
   event.clientLimitedTime = duration_cast<microseconds>(end.transfer).count();
-  event.isBodyConsumed = end.spent;
+  event.isBodyConsumed = end.isBodyConsumed;
   if (end.outcome == Outcome::Ok && !request.isFinished) {
     Answer answer;
     answer.status = 200;
@@ -217,7 +217,7 @@
   balancer::ProbeResult event;
   event.upstream = end.upstream;
   event.ok = end.ok;
-  event.latency = duration_cast<microseconds>(end.lag).count();
+  event.latency = duration_cast<microseconds>(end.latency).count();
   event.report = end.report;
   handle(event);
   endpoints_.dropUse(end.upstream);
@@ -238,7 +238,7 @@
   handle(update);
   for (const auto& entry : update.entries) {
     if (entry.state != balancer::EndpointState::Draining) continue;
-    pool_.withdrawComingUp(entry.upstream);
+    pool_.failConnecting(entry.upstream);
     if (admin_.exclusions().isExcluded(endpoints_[entry.upstream].id)) pool_.closeIdle(entry.upstream);
   }
   for (const EndpointId upstream : endpoints_.unlisted()) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -65,7 +65,7 @@
   /// For tests: the size of the endpoint table, with used and free entries.
   [[nodiscard]] std::size_t upstreamNumbers() const { return endpoints_.size(); }
   /// For tests: connections to endpoints that have a request to send and are not established yet.
-  [[nodiscard]] std::size_t comingUp() const { return pool_.comingUp(); }
+  [[nodiscard]] std::size_t comingUp() const { return pool_.connecting(); }
 
  private:
   using Request = OpenRequest;
--- a/src/sidecar/upstream/attempt.h
+++ b/src/sidecar/upstream/attempt.h
@@ -41,11 +41,11 @@
 struct AttemptEnd {
   AttemptId id;                                       ///< of the AttemptOrder
   balancer::Outcome outcome = balancer::Outcome::Ok;  ///< how the attempt ended
-  Clock::duration lag{};                              ///< time since the attempt was started
+  Clock::duration latency{};                          ///< time since the attempt was started
   std::string body;                                   ///< of an Ok whose answer was not streamed
   std::string contentType;                            ///< of an Ok; empty: the answer has none
-  bool spent = false;          ///< a part of the streamed body has been sent and can't be resent
-  Clock::duration transfer{};  ///< the part of `lag` in which bodies were streamed
+  bool isBodyConsumed = false;  ///< a part of the streamed body has been sent and can't be resent
+  Clock::duration transfer{};   ///< the part of `latency` in which bodies were streamed
   std::optional<balancer::LoadReport> report;  ///< from the answer's header; none: absent or invalid
 };
 
@@ -63,7 +63,7 @@
 struct ProbeEnd {
   EndpointId upstream = 0;                     ///< the endpoint that was probed
   bool ok = false;                             ///< whether the upstream answered 200
-  Clock::duration lag{};                       ///< time since the probe was started
+  Clock::duration latency{};                   ///< time since the probe was started
   std::optional<balancer::LoadReport> report;  ///< none: absent or invalid
 };
 
--- a/src/sidecar/upstream/connection_pool.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -70,7 +70,7 @@
   }
   if (addresses_[upstream] == address) return;
   closeIdle(upstream);  // idle and connecting sockets belong to the previous address
-  withdrawComingUp(upstream);
+  failConnecting(upstream);
   addresses_[upstream] = address;
 }
 
@@ -78,10 +78,10 @@
   if (upstream >= addresses_.size()) return;
   addresses_[upstream].reset();
   closeIdle(upstream);
-  withdrawComingUp(upstream);
+  failConnecting(upstream);
 }
 
-void ConnectionPool::withdrawComingUp(EndpointId upstream) {
+void ConnectionPool::failConnecting(EndpointId upstream) {
   std::vector<ConnectionPtr> connecting;
   for (const auto& [key, connection] : connections_) {
     if (connection->upstream() == upstream && connection->isConnecting()) connecting.push_back(connection);
@@ -164,7 +164,7 @@
   onEnded(*job, outcome);
 }
 
-void ConnectionPool::withdraw(balancer::RequestId request) {
+void ConnectionPool::cancelUnsent(balancer::RequestId request) {
   std::vector<std::shared_ptr<UpstreamJob>> unsent;
   for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
        ++at)
@@ -204,26 +204,26 @@
 void ConnectionPool::onEnded(UpstreamJob& job, Outcome outcome) {
   if (job.hasEnded) return;
   job.hasEnded = true;
-  const auto lag = Clock::now() - job.startedAt;
-  if (job.attempt) return reportAttempt(job, outcome, lag);
-  reportProbe(job, outcome == Outcome::Ok, lag);
+  const auto latency = Clock::now() - job.startedAt;
+  if (job.attempt) return reportAttempt(job, outcome, latency);
+  reportProbe(job, outcome == Outcome::Ok, latency);
 }
 
-void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration lag) {
+void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration latency) {
   const std::string& text = job.loadReport.empty() ? job.body : job.loadReport;
-  asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, lag, parseLoadReport(text)}] {
+  asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, latency, parseLoadReport(text)}] {
     callbacks_.onProbeEnded(result);
   });
 }
 
-void ConnectionPool::reportAttempt(UpstreamJob& job, Outcome outcome, Clock::duration lag) {
+void ConnectionPool::reportAttempt(UpstreamJob& job, Outcome outcome, Clock::duration latency) {
   AttemptEnd result;
   result.id = job.attempt->id;
   result.outcome = outcome;
-  result.lag = lag;
+  result.latency = latency;
   result.body = std::move(job.body);
   result.contentType = std::move(job.contentType);
-  result.spent = isBodyConsumed(job);
+  result.isBodyConsumed = isBodyConsumed(job);
   result.transfer = job.transfer;
   result.report = parseLoadReport(job.loadReport);
   attempts_.erase(result.id);
@@ -233,7 +233,7 @@
 
 // ---- Statistics -------------------------------------------------------------------------------------------
 
-std::size_t ConnectionPool::comingUp() const {
+std::size_t ConnectionPool::connecting() const {
   return static_cast<std::size_t>(
       std::count_if(connections_.begin(), connections_.end(),
                     [](const auto& entry) { return entry.second->isConnecting(); }));
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -63,12 +63,12 @@
   /// in remove().
   void setAddress(EndpointId upstream, const Endpoint& address);
   /// Removes an endpoint: closes its idle connections at once and the busy ones when their attempts end, and
-  /// calls withdrawComingUp().
+  /// calls failConnecting().
   void remove(EndpointId upstream);
   /// Closes the endpoint's connections that are not established yet; their attempts end as ConnectFailed,
   /// never sent. For an upstream that must get no new requests: a connection that is established late would
   /// carry a request to it after the time in which that is allowed.
-  void withdrawComingUp(EndpointId upstream);
+  void failConnecting(EndpointId upstream);
   /// Closes the endpoint's idle connections. The endpoint must have had an address.
   void closeIdle(EndpointId upstream);
 
@@ -79,14 +79,14 @@
   void cancel(AttemptId id);
   /// Ends the attempts of a finished request whose last byte has not been sent as Moot, whether or not
   /// running attempts may be cancelled.
-  void withdraw(balancer::RequestId request);
+  void cancelUnsent(balancer::RequestId request);
   /// Requests the load report. Times out after 300 ms. The endpoint must have had an address.
   void probe(EndpointId upstream);
 
   /// The number of connections in any state.
   [[nodiscard]] std::size_t connections() const { return connections_.size(); }
   /// The number of connections that have a job and are not established yet.
-  [[nodiscard]] std::size_t comingUp() const;
+  [[nodiscard]] std::size_t connecting() const;
   /// The connections that carry a job, as a fraction of the connection limit, 0 to 1.
   [[nodiscard]] double busyFraction() const;
 
@@ -104,8 +104,8 @@
   void start(std::shared_ptr<UpstreamJob> job);
   ConnectionPtr takeIdle(EndpointId upstream);
   bool ensureCapacity();
-  void reportProbe(const UpstreamJob& job, bool isOk, Clock::duration lag);
-  void reportAttempt(UpstreamJob& job, balancer::Outcome outcome, Clock::duration lag);
+  void reportProbe(const UpstreamJob& job, bool isOk, Clock::duration latency);
+  void reportAttempt(UpstreamJob& job, balancer::Outcome outcome, Clock::duration latency);
 
   Callbacks callbacks_;
   const std::size_t maxConnections_;
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -113,7 +113,7 @@
   open(json::object());
   pool->setAddress(0, parseEndpoint(node.address()));
   send(1, "x");  // with 60 s
-  ASSERT_EQ(pool->comingUp(), 1u);
+  ASSERT_EQ(pool->connecting(), 1u);
   node.emptyTheQueue();
   standStill(milliseconds(1500));
   node.readAll();
@@ -392,12 +392,12 @@
   pool->setAddress(0, parseEndpoint(upstream.address()));
   send(1, "x");
   ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
-  pool->withdraw(1);
-  pool->withdraw(9);
+  pool->cancelUnsent(1);
+  pool->cancelUnsent(9);
   pool->setAddress(0, parseEndpoint(full.address()));
   send(2, "x");
-  ASSERT_EQ(pool->comingUp(), 1u);
-  pool->withdraw(2);
+  ASSERT_EQ(pool->connecting(), 1u);
+  pool->cancelUnsent(2);
   ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
   EXPECT_EQ(ends[0].id.request, 2u);
   EXPECT_EQ(ends[0].outcome, Outcome::Moot);
