--- a/src/sidecar/upstream/connection_pool.cpp
+++ b/src/sidecar/upstream/connection_pool.cpp
@@ -18,14 +18,15 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-// Of the pools' descriptors, the fraction that connections to upstreams may hold.
+// The fraction of the descriptors for client and upstream connections that upstream connections may use.
 constexpr double kUpstreamFraction = 0.389;
-// Without a connect timeout or an idle time in the settings.
+// Defaults for settings that have no connect timeout or idle timeout.
 constexpr milliseconds kDefaultConnectTimeout{1000};
 constexpr milliseconds kDefaultIdleTime{5000};
-// An idle connection is dropped when this fraction of the upstream's own limit has passed.
+// An idle connection is closed after this fraction of the upstream's idle timeout, before the upstream closes
+// it.
 constexpr double kIdleTimeFraction = 0.9;
-// A probe is given up after this long at the most: by then it tells nothing that is still true.
+// A probe times out after this period, since a load report that arrives later would be outdated.
 constexpr milliseconds kProbeTimeout{300};
 
 Clock::duration connectTimeoutOf(const balancer::Settings& settings) {
@@ -38,8 +39,8 @@
   return microseconds(static_cast<Micros>(kIdleTimeFraction * static_cast<double>(settings.idleTimeout)));
 }
 
-// Of the body, some has gone out and can't go out again.
-bool isSpent(const UpstreamJob& job) {
+// Whether a part of a streamed body has been sent, so that the body can't be resent.
+bool isBodyConsumed(const UpstreamJob& job) {
   return job.attempt && job.attempt->upload && job.attempt->upload->pipe.forwardedBytes() > 0;
 }
 
@@ -68,8 +69,8 @@
     idle_.resize(upstream + 1);
   }
   if (addresses_[upstream] == address) return;
-  closeIdle(upstream);  // they lead to where it was, and so do those that are coming up
-  withdrawComingUp(upstream);
+  closeIdle(upstream);  // idle and connecting sockets belong to the previous address
+  failConnecting(upstream);
   addresses_[upstream] = address;
 }
 
@@ -77,15 +78,15 @@
   if (upstream >= addresses_.size()) return;
   addresses_[upstream].reset();
   closeIdle(upstream);
-  withdrawComingUp(upstream);
+  failConnecting(upstream);
 }
 
-void ConnectionPool::withdrawComingUp(EndpointId upstream) {
-  std::vector<ConnectionPtr> comingUp;
+void ConnectionPool::failConnecting(EndpointId upstream) {
+  std::vector<ConnectionPtr> connecting;
   for (const auto& [key, connection] : connections_) {
-    if (connection->upstream() == upstream && connection->isComingUp()) comingUp.push_back(connection);
+    if (connection->upstream() == upstream && connection->isConnecting()) connecting.push_back(connection);
   }
-  for (const auto& connection : comingUp) connection->fail(Outcome::ConnectFailed);
+  for (const auto& connection : connecting) connection->fail(Outcome::ConnectFailed);
 }
 
 void ConnectionPool::closeIdle(EndpointId upstream) {
@@ -114,32 +115,34 @@
 
 void ConnectionPool::start(std::shared_ptr<UpstreamJob> job) {
   job->startedAt = Clock::now();
-  if (isSpent(*job)) return onEnded(*job, Outcome::ConnectFailed);
+  if (isBodyConsumed(*job)) return onEnded(*job, Outcome::ConnectFailed);
   if (isClientGone(*job)) return onEnded(*job, Outcome::Moot);
-  if (const auto open = takeIdle(job->upstream)) return open->carry(std::move(job));
+  if (const auto reused = takeIdle(job->upstream)) return reused->startJob(std::move(job));
   const auto& address = addresses_.at(job->upstream);
   if (!address || !ensureCapacity()) return onEnded(*job, Outcome::ConnectFailed);
-  const auto fresh = std::make_shared<UpstreamConnection>(context_, job->upstream, *address);
-  connections_.emplace(fresh.get(), fresh);
-  fresh->open(std::move(job));
+  const auto connection = std::make_shared<UpstreamConnection>(context_, job->upstream, *address);
+  connections_.emplace(connection.get(), connection);
+  connection->open(std::move(job));
 }
 
 ConnectionPool::ConnectionPtr ConnectionPool::takeIdle(EndpointId upstream) {
   auto& idle = idle_[upstream];
-  const auto since = [](const auto& one) { return one->idleSince(); };
+  const auto since = [](const auto& connection) { return connection->idleSince(); };
   while (!idle.empty()) {
     const auto now = Clock::now();
     const auto at = idle.begin() + static_cast<std::ptrdiff_t>(chooseIdleConnection(idle, now, since));
     auto chosen = *at;
     idle.erase(at);
-    // Its time may be up, and the timer that says so stand behind this request.
+    // The idle timeout may have passed although its timer has not run: the event loop may have run the
+    // handler of this request first.
     if (now - chosen->idleSince() < context_.idleTime && chosen->isUsable()) return chosen;
     chosen->close();
   }
   return nullptr;
 }
 
-// Guards against running out of descriptors: the connection that was idle longest gives way.
+// Keeps the pool within its share of descriptors: at the limit, closes the connection that was idle longest.
+// Returns false if no connection is idle.
 bool ConnectionPool::ensureCapacity() {
   if (connections_.size() < maxConnections_) return true;
   ConnectionPtr oldest;
@@ -155,13 +158,13 @@
   const auto found = attempts_.find(id);
   if (found == attempts_.end()) return;
   const auto job = found->second;
-  // One whose time is up has timed out, however late the timer runs.
+  // An attempt past its deadline counts as timed out even if its timer has not run yet.
   const Outcome outcome = Clock::now() >= job->deadline ? Outcome::Timeout : Outcome::Cancelled;
   if (const auto connection = job->connection.lock()) return connection->fail(outcome);
   onEnded(*job, outcome);
 }
 
-void ConnectionPool::withdraw(balancer::RequestId request) {
+void ConnectionPool::cancelUnsent(balancer::RequestId request) {
   std::vector<std::shared_ptr<UpstreamJob>> unsent;
   for (auto at = attempts_.lower_bound({request, 0}); at != attempts_.end() && at->first.request == request;
        ++at)
@@ -171,7 +174,7 @@
   }
 }
 
-// ---- What connections say ---------------------------------------------------------------------------------
+// ---- Callbacks of connections -----------------------------------------------------------------------------
 
 bool ConnectionPool::isClientGone(const UpstreamJob& job) const {
   return job.attempt && callbacks_.isClientGone && callbacks_.isClientGone(job.attempt->id.request);
@@ -182,11 +185,11 @@
 }
 
 void ConnectionPool::onWritten(AttemptId id) {
-  callbacks_.written(id);
+  callbacks_.onWritten(id);
 }
 
 void ConnectionPool::onStreamBegin(StreamBegin begin) {
-  callbacks_.began(std::move(begin));
+  callbacks_.onStreamBegin(std::move(begin));
 }
 
 void ConnectionPool::onIdle(const ConnectionPtr& connection) {
@@ -201,44 +204,45 @@
 void ConnectionPool::onEnded(UpstreamJob& job, Outcome outcome) {
   if (job.hasEnded) return;
   job.hasEnded = true;
-  const auto lag = Clock::now() - job.startedAt;
-  if (job.attempt) return reportAttempt(job, outcome, lag);
-  reportProbe(job, outcome == Outcome::Ok, lag);
+  const auto latency = Clock::now() - job.startedAt;
+  if (job.attempt) return reportAttempt(job, outcome, latency);
+  reportProbe(job, outcome == Outcome::Ok, latency);
 }
 
-void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration lag) {
-  const std::string& text = job.load.empty() ? job.body : job.load;
-  asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, lag, parseLoadReport(text)}] {
-    callbacks_.probed(result);
+void ConnectionPool::reportProbe(const UpstreamJob& job, bool isOk, Clock::duration latency) {
+  const std::string& text = job.loadReport.empty() ? job.body : job.loadReport;
+  asio::post(context_.io, [this, result = ProbeEnd{job.upstream, isOk, latency, parseLoadReport(text)}] {
+    callbacks_.onProbeEnded(result);
   });
 }
 
-void ConnectionPool::reportAttempt(UpstreamJob& job, Outcome outcome, Clock::duration lag) {
+void ConnectionPool::reportAttempt(UpstreamJob& job, Outcome outcome, Clock::duration latency) {
   AttemptEnd result;
   result.id = job.attempt->id;
   result.outcome = outcome;
-  result.lag = lag;
+  result.latency = latency;
   result.body = std::move(job.body);
   result.contentType = std::move(job.contentType);
-  result.spent = isSpent(job);
+  result.isBodyConsumed = isBodyConsumed(job);
   result.transfer = job.transfer;
-  result.report = parseLoadReport(job.load);
+  result.report = parseLoadReport(job.loadReport);
   attempts_.erase(result.id);
   asio::post(context_.io,
-             [this, result = std::move(result)]() mutable { callbacks_.ended(std::move(result)); });
+             [this, result = std::move(result)]() mutable { callbacks_.onAttemptEnded(std::move(result)); });
 }
 
-// ---- Figures ----------------------------------------------------------------------------------------------
+// ---- Statistics -------------------------------------------------------------------------------------------
 
-std::size_t ConnectionPool::comingUp() const {
-  return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
-                                                [](const auto& one) { return one.second->isComingUp(); }));
+std::size_t ConnectionPool::connecting() const {
+  return static_cast<std::size_t>(
+      std::count_if(connections_.begin(), connections_.end(),
+                    [](const auto& entry) { return entry.second->isConnecting(); }));
 }
 
 double ConnectionPool::busyFraction() const {
   if (maxConnections_ == 0) return 0;
   std::size_t idle = 0;
-  for (const auto& one : idle_) idle += one.size();
+  for (const auto& ofUpstream : idle_) idle += ofUpstream.size();
   return static_cast<double>(connections_.size() - idle) / static_cast<double>(maxConnections_);
 }
 
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -22,7 +22,7 @@
  protected:
   AnswerParserTest() { parser_.begin(); }
 
-  // False as soon as a piece can't be parsed.
+  // Parses the text in pieces of this size. Returns false at the first piece that is rejected.
   bool parse(const std::string& text, std::size_t piece = std::string::npos) {
     return parse(parser_, text, piece);
   }
@@ -39,7 +39,7 @@
   AnswerParser parser_;
 };
 
-TEST_F(AnswerParserTest, ReadsAnAnswerHoweverItIsCut) {
+TEST_F(AnswerParserTest, ParsesAnAnswerInPiecesOfAnySize) {
   const std::string text =
       "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nEndpoint-Load-Metrics: TEXT qps=2\r\nContent-Length: "
       "5\r\n\r\nhello";
@@ -57,7 +57,7 @@
   }
 }
 
-TEST_F(AnswerParserTest, SaysWhatAHeadProves) {
+TEST_F(AnswerParserTest, DerivesTheOutcomeFromTheHead) {
   struct Row {
     std::string head;
     Outcome outcome;
@@ -67,7 +67,7 @@
       {"204 No Content\r\n", Outcome::Error},
       {"500 X\r\n", Outcome::Error},
       {"500 X\r\nX-Never-Ran: 1\r\n", Outcome::Error},
-      {"503 X\r\n", Outcome::Error},  // a bare one promises nothing
+      {"503 X\r\n", Outcome::Error},  // without X-Never-Ran it may have run
       {"503 X\r\nX-Never-Ran: 0\r\n", Outcome::Error},
       {"503 X\r\nX-Never-Ran: 1\r\n", Outcome::Full},
       {"504 X\r\nX-Never-Ran: 1\r\n", Outcome::Full},
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_F(AnswerParserTest, RejectsWhatCanBeReadInTwoWaysOrWasNotAskedFor) {
+TEST_F(AnswerParserTest, RejectsInvalidAndUnrequestedAnswers) {
   const std::vector<std::string> table = {
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n",
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -105,7 +105,7 @@
   for (int n = 0; n < AnswerParser::kMaxInformational; ++n) hints += hint;
   EXPECT_TRUE(parse(hints + answer));
   EXPECT_TRUE(parser_.isComplete());
-  // They count anew for the next one.
+  // The count starts anew for the next answer.
   parser_.begin();
   EXPECT_TRUE(parse(hints));
   EXPECT_FALSE(parse(hint));
@@ -121,7 +121,7 @@
   EXPECT_FALSE(parser_.keepsConnection());
 }
 
-TEST_F(AnswerParserTest, TakesNoOtherAnswerForWholeByTheEndOfTheStream) {
+TEST_F(AnswerParserTest, DoesNotEndAnAnswerWithALengthByTheEndOfTheStream) {
   EXPECT_FALSE(parser_.endsWithConnection());
   ASSERT_TRUE(parse("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello"));
   EXPECT_FALSE(parser_.endsWithConnection());
--- a/tests/streaming/pipe_test.cpp
+++ b/tests/streaming/pipe_test.cpp
@@ -10,8 +10,8 @@
 namespace ivypost::streaming {
 namespace {
 
-// What has begun can always finish: without budget a pipe still holds its least, and passes everything on.
-TEST(PipeTest, WithoutBudgetItIsSmallAndWorks) {
+// A transfer that has begun can always be completed: without budget a pipe still has its minimum capacity.
+TEST(PipeTest, WithoutBudgetItHasItsMinimumCapacity) {
   ByteBudget budget(Pipe::kPreferredCapacity);
   Pipe large(budget);
   EXPECT_EQ(large.freeCapacity(), Pipe::kPreferredCapacity);
@@ -38,7 +38,7 @@
   EXPECT_FALSE(pipe.isComplete());
   pipe.end();
   EXPECT_EQ(data, 2);
-  EXPECT_FALSE(pipe.isComplete()) << "a byte is left";
+  EXPECT_FALSE(pipe.isComplete()) << "one byte is not consumed yet";
   pipe.pop(1);
   EXPECT_TRUE(pipe.isComplete());
   pipe.abandon();
@@ -46,7 +46,7 @@
   EXPECT_EQ(capacity, 3);
 }
 
-TEST(PipeTest, AFailureAfterTheEndIsNone) {
+TEST(PipeTest, IgnoresAFailureAfterTheEnd) {
   ByteBudget budget(0);
   Pipe ended(budget), failed(budget);
   ended.end();
--- a/tests/streaming/stall_timer_test.cpp
+++ b/tests/streaming/stall_timer_test.cpp
@@ -20,27 +20,27 @@
   }
 }
 
-TEST(StallTimerTest, OneThatSendsNothingIsAbandonedSoon) {
+TEST(StallTimerTest, AClientThatSendsNothingIsAbandonedAfterTheGracePeriod) {
   EXPECT_EQ(StallTimer(kBegin + 7us).deadline(), kBegin + 7us + StallTimer::kGracePeriod);
   EXPECT_LT(StallTimer::kGracePeriod, 3s);
 }
 
-// A byte now and then is no body.
-TEST(StallTimerTest, OneThatTricklesIsAbandoned) {
+// Guards against clients that hold a connection with single bytes, below the minimum rate.
+TEST(StallTimerTest, AClientBelowTheMinimumRateIsAbandoned) {
   StallTimer timer(kBegin);
   auto now = kBegin;
   for (; now < timer.deadline(); now += 100ms) timer.received(1, now);
   EXPECT_LT(now, kBegin + StallTimer::kGracePeriod + 1s);
 }
 
-TEST(StallTimerTest, AFastBeginningDoesNotEarnAPauseWithoutEnd) {
+TEST(StallTimerTest, AHighInitialRateDoesNotExtendTheStallTimeout) {
   StallTimer timer(kBegin);
   timer.received(30'000'000, kBegin + 1s);
   EXPECT_EQ(timer.deadline(), kBegin + 1s + StallTimer::kStallTimeout);
   EXPECT_LT(StallTimer::kStallTimeout, 3s);
 }
 
-TEST(StallTimerTest, TimeInWhichWeDidNotReadDoesNotCount) {
+TEST(StallTimerTest, ExcludesTheTimeInWhichTheBodyWasNotRead) {
   StallTimer timer(kBegin);
   timer.received(1000, kBegin + 1s);
   const auto before = timer.deadline();
@@ -50,7 +50,7 @@
 
 TEST(StallTimerTest, ExpectsTheRestAtTheRateSoFar) {
   StallTimer timer(kBegin);
-  EXPECT_EQ(timer.expectedTime(32'000), 1s) << "nothing is known: the slowest that is waited for";
+  EXPECT_EQ(timer.expectedTime(32'000), 1s) << "without received bytes the minimum rate is assumed";
   timer.received(1'000'000, kBegin + 1s);
   EXPECT_EQ(timer.expectedTime(2'000'000), 2s);
 }
