--- a/src/gossip/options.h
+++ b/src/gossip/options.h
@@ -20,7 +20,7 @@
 /// The highest bytes_per_second, more than any fleet needs.
 constexpr std::int64_t kMaxBytesPerSecond = 1'000'000;
 
-/// The settings in [peers] of the operator's file, not yet validated. Times are microseconds.
+/// The settings in [peers] of the operator's file, as written there. Times are microseconds.
 struct Options {
   bool on = false;                  ///< whether gossip is enabled
   std::string address;              ///< address of this sidecar for the others; empty: the platform's
