--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -56,10 +56,10 @@
 
 // Dead members are left out of the digests: sidecars forget them at different times, and a sidecar that never
 // knew a dead member need not learn of it. Digests differ where only one side considers an incarnation alive.
-Table Members::table() {
+TableSummary Members::table() {
   if (tableChanged_) {
     tableChanged_ = false;
-    table_ = Table();
+    table_ = TableSummary();
     table_.region = settings_.region;
     table_.reachable = static_cast<std::uint16_t>(reachableCount());
     const auto add = [&](const Update& update) {
@@ -75,7 +75,7 @@
 void Members::compareTables(const Message& message, Micros now) {
   if (!message.table) return;
   maxReportedReachable_ = std::max(maxReportedReachable_, message.table->reachable);
-  const Table mine = table();
+  const TableSummary mine = table();
   std::uint8_t ranges = 0;
   for (std::size_t n = 0; n < kRanges; ++n)
     if (mine.digests.at(n) != message.table->digests.at(n)) ranges |= static_cast<std::uint8_t>(1U << n);
--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -244,7 +244,7 @@
   // ---- anti_entropy.cpp ----
   [[nodiscard]] Update ownUpdate() const;
   [[nodiscard]] bool usesAntiEntropy(PeerId id) const;
-  Table table();
+  TableSummary table();
   void compareTables(const Message& message, Micros now);
   [[nodiscard]] bool hasAntiEntropyWork() const;
   [[nodiscard]] bool isJoining(Micros now) const;
@@ -294,10 +294,10 @@
   Micros nextPull_;
   Micros pullInterval_ = kPullInterval;
   Micros startedAt_;                        // or when the first member became reachable after none was
-  std::uint16_t maxReportedReachable_ = 0;  // the highest Table::reachable received
+  std::uint16_t maxReportedReachable_ = 0;  // the highest TableSummary::reachable received
   bool hasPendingUpdates_ = false;          // some member may have transmissions left
   bool tableChanged_ = true;
-  Table table_;
+  TableSummary table_;
   std::vector<OutstandingPull> outstandingPulls_;
   std::vector<PendingAnswer> pendingAnswers_;
   std::vector<DifferingTable> differingTables_;
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -64,7 +64,7 @@
   to.put(message.nonce);
 }
 
-void putTable(Writer& to, const Table& table) {
+void putTable(Writer& to, const TableSummary& table) {
   putSection(to, Tag::Table, kTableBytes);
   for (const std::uint32_t digest : table.digests) to.put(digest);
   to.put(table.reachable);
@@ -102,7 +102,7 @@
 }
 
 bool getTable(Reader& body, Message& message) {
-  Table table;
+  TableSummary table;
   for (std::uint32_t& digest : table.digests) digest = body.get<std::uint32_t>();
   table.reachable = body.get<std::uint16_t>();
   table.region = body.get<std::uint8_t>();
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -89,12 +89,12 @@
 /// The number of ranges of a member table that have a digest each.
 constexpr std::size_t kRanges = 4;
 /// A summary of the sender's member table.
-struct Table {
+struct TableSummary {
   std::array<std::uint32_t, kRanges> digests{};  ///< per range the exclusive or of its incarnations' hashes
   std::uint16_t reachable = 0;                   ///< number of members not dead, the sender included
   std::uint8_t region = 0;                       ///< the sender's Settings::region
   /// Compares all fields.
-  bool operator==(const Table&) const = default;
+  bool operator==(const TableSummary&) const = default;
 };
 
 /// A subset of the members: those whose id, hashed by mix(), begins with a certain prefix.
@@ -132,7 +132,7 @@
   std::optional<Update> target;       ///< Relay only: the member to probe
   std::vector<Update> updates;        ///< kMaxUpdates at the most
   std::vector<std::uint8_t> payload;  ///< Ack only: health reports, encoded by src/health_reports
-  std::optional<Table> table;         ///< only from senders that take part in anti-entropy
+  std::optional<TableSummary> table;  ///< only from senders that take part in anti-entropy
   std::vector<Update> entries;        ///< further updates in the compact encoding of entry_codec.h
   Range range;                        ///< Pull only
   std::vector<std::uint8_t> filter;   ///< Pull only: bytes of a BloomFilter salted with the nonce
--- a/tests/compatibility/peer_messages_test.cpp
+++ b/tests/compatibility/peer_messages_test.cpp
@@ -64,11 +64,11 @@
   one.target = update(4, State::Alive);
   all.emplace_back("relay", one);
   one = message(Kind::Ack);
-  one.table = gossip::Table{{0x01020304, 0x05060708, 0x090a0b0c, 0x0d0e0f10}, 330, 5};
+  one.table = gossip::TableSummary{{0x01020304, 0x05060708, 0x090a0b0c, 0x0d0e0f10}, 330, 5};
   one.payload = {0xfa, 0xc7, 0x05};
   all.emplace_back("ack with table and facts", one);
   one = message(Kind::Pull);
-  one.table = gossip::Table{{1, 2, 3, 4}, 9, 0};
+  one.table = gossip::TableSummary{{1, 2, 3, 4}, 9, 0};
   one.range = {3, 2};
   one.filter = {0xf1, 0x17, 0xe4};
   all.emplace_back("pull", one);
--- a/tests/gossip/anti_entropy_test.cpp
+++ b/tests/gossip/anti_entropy_test.cpp
@@ -48,7 +48,7 @@
   // Receives a ping with a table that differs in every range, and returns the pull that follows.
   std::optional<Message> pullAfterPingOf(PeerId sender, Micros now) {
     Message ping = messageFrom(sender, Kind::Ping);
-    ping.table = Table{{1, 2, 3, 4}, 500, 0};
+    ping.table = TableSummary{{1, 2, 3, 4}, 500, 0};
     members.receive(ping, now, out);
     out.clear();
     members.tick(now + kGossipInterval, out);
