--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -114,7 +114,7 @@
   if (!source) return;
   const auto found = members_.find(source->id);
   if (found == members_.end()) return;
-  Message message = make(Kind::Pull, ++lastNonce_);
+  Message message = makeMessage(Kind::Pull, ++lastNonce_);
   message.table = table();
   message.range = choosePullRange(source->ranges);
   message.filter = filterOver(message.range, message.nonce).bytes();
@@ -200,7 +200,7 @@
   while (!pendingAnswers_.empty()) {
     PendingAnswer pending = std::move(pendingAnswers_.front());
     pendingAnswers_.erase(pendingAnswers_.begin());
-    Message page = make(Kind::Page, pending.nonce);
+    Message page = makeMessage(Kind::Page, pending.nonce);
     const std::size_t sentUntil = fillPage(page, pending);
     const bool isLast = sentUntil >= pending.missing.size();
     if (!send(pending.to, std::move(page), Need::Optional, now, out)) {
@@ -278,7 +278,7 @@
   // The sender considers this member alive; the ping carries its death, which it refutes if it still runs.
   if (doubtful) ping(doubtful->address, doubtful->id, Need::Optional, now, out);
   if (!corrections.empty() && usesAntiEntropy(message.sender)) {
-    Message answer = make(Kind::Rumours, ++lastNonce_);
+    Message answer = makeMessage(Kind::Rumours, ++lastNonce_);
     answer.entries = std::move(corrections);
     send(message.address, std::move(answer), Need::Optional, now, out);
   }
--- a/src/gossip/dissemination.cpp
+++ b/src/gossip/dissemination.cpp
@@ -23,7 +23,7 @@
 void Members::announce(Micros now, std::vector<Outgoing>& out) {
   if (!takeToken(announcementCredit_, announcementAt_, kAnnouncementsPerSecond, now)) return;
   for (const Member* one : pickRandomAlive(kAnnouncementFanOut, settings_.self))
-    send(one->update.address, make(Kind::Announce, ++lastNonce_), Need::Optional, now, out);
+    send(one->update.address, makeMessage(Kind::Announce, ++lastNonce_), Need::Optional, now, out);
 }
 
 void Members::piggyback(Message& message, PeerId about, bool isNewcomer, Micros now) {
@@ -128,7 +128,7 @@
   for (const Member* one : to) {
     if (!one->update.usesAntiEntropy || budget_.credit(now) <= 0 || gossipBudget_.credit(now) < kMaxDatagram)
       continue;
-    Message message = make(Kind::Rumours, ++lastNonce_);
+    Message message = makeMessage(Kind::Rumours, ++lastNonce_);
     addEntries(message, one->update.id, kMaxDatagram);
     if (message.entries.empty()) continue;
     const std::size_t bytes = encode(message).size() + kSealBytes + kDatagramOverhead;
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -68,7 +68,7 @@
 
 void Members::answerIndirectProbe(IndirectProbe& indirect, Kind kind, Micros now,
                                   std::vector<Outgoing>& out) {
-  send(indirect.to, make(kind, indirect.requestNonce), Need::Required, now, out);
+  send(indirect.to, makeMessage(kind, indirect.requestNonce), Need::Required, now, out);
 }
 
 void Members::sweepIndirectProbes(Micros now, std::vector<Outgoing>& out) {
@@ -124,7 +124,7 @@
   // A member that others already suspect is probed to add a witness, for which a direct probe is enough.
   if (target == members_.end() || probe_->isSuspected) return;
   for (const Member* other : pickRandomAlive(settings_.relayCount, probe_->target)) {
-    Message message = make(Kind::Relay, ++lastNonce_);
+    Message message = makeMessage(Kind::Relay, ++lastNonce_);
     message.target = target->second.update;
     const std::uint32_t nonce = message.nonce;
     if (!send(other->update.address, std::move(message), Need::Required, now, out)) continue;
@@ -166,17 +166,17 @@
 }
 
 void Members::reconnect(Micros now, std::vector<Outgoing>& out) {
-  const std::vector<Candidate> candidates = reconnectCandidates();
+  const std::vector<ReconnectCandidate> candidates = reconnectCandidates();
   if (candidates.empty()) return;
-  const Candidate& one =
+  const ReconnectCandidate& one =
       candidates[static_cast<std::size_t>(uniform() * static_cast<double>(candidates.size()))];
   ping(one.address, one.id, Need::Required, now, out);
 }
 
 // Dead members that have not left, and seeds and addresses of forgotten members at which no member is
 // reachable.
-std::vector<Members::Candidate> Members::reconnectCandidates() {
-  std::vector<Candidate> candidates;
+std::vector<Members::ReconnectCandidate> Members::reconnectCandidates() {
+  std::vector<ReconnectCandidate> candidates;
   std::vector<Address> reachable = {settings_.address};
   for (const auto& [id, member] : members_) {
     if (member.update.state != State::Dead) {
--- a/src/gossip/members.cpp
+++ b/src/gossip/members.cpp
@@ -79,7 +79,7 @@
   const Update gone{settings_.self, settings_.incarnation, settings_.address, State::Dead, settings_.self};
   for (const Member* one : pickRandomAlive(transmissionLimit(), settings_.self)) {
     const bool usesAntiEntropy = settings_.antiEntropy && one->update.usesAntiEntropy;
-    Message message = make(usesAntiEntropy ? Kind::Rumours : Kind::Ping, ++lastNonce_);
+    Message message = makeMessage(usesAntiEntropy ? Kind::Rumours : Kind::Ping, ++lastNonce_);
     (usesAntiEntropy ? message.entries : message.updates) = {gone};
     if (!send(one->update.address, std::move(message), Need::Required, now, out)) return;
   }
@@ -115,7 +115,7 @@
 
 // ---- Messages ---------------------------------------------------------------------------------------------
 
-Message Members::make(Kind kind, std::uint32_t nonce) {
+Message Members::makeMessage(Kind kind, std::uint32_t nonce) {
   Message message;
   message.kind = kind;
   message.sender = settings_.self;
@@ -137,7 +137,7 @@
 
 std::optional<std::uint32_t> Members::ping(const Address& to, PeerId about, Need need, Micros now,
                                            std::vector<Outgoing>& out) {
-  Message message = make(Kind::Ping, ++lastNonce_);
+  Message message = makeMessage(Kind::Ping, ++lastNonce_);
   if (settings_.antiEntropy) message.table = table();
   piggyback(message, about, false, now);
   const std::uint32_t nonce = message.nonce;
@@ -207,7 +207,7 @@
 }
 
 void Members::answerPing(const Message& message, Micros now, std::vector<Outgoing>& out) {
-  Message ack = make(Kind::Ack, message.nonce);
+  Message ack = makeMessage(Kind::Ack, message.nonce);
   if (settings_.antiEntropy) ack.table = table();
   // The ack to a newcomer is optional, since newcomers ask again: while a whole fleet starts, the seeds are
   // pinged by all, and their budget must still cover the acks to probes by members that know them.
@@ -225,7 +225,7 @@
         (member.correctedAt != 0 && now - member.correctedAt < settings_.period))
       return false;
     member.correctedAt = now;
-    Message ack = make(Kind::Ack, message.nonce);
+    Message ack = makeMessage(Kind::Ack, message.nonce);
     ack.updates = {member.update};
     send(message.address, std::move(ack), Need::Required, now, out);
     return false;
--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -175,7 +175,7 @@
     Micros at = 0;
   };
   // An address to ping in order to reconnect; id 0: the member there is not known.
-  struct Candidate {
+  struct ReconnectCandidate {
     Address address;
     PeerId id = 0;
   };
@@ -187,7 +187,7 @@
   void dispatch(const Message& message, Micros now, std::vector<Outgoing>& out);
   void answerPing(const Message& message, Micros now, std::vector<Outgoing>& out);
   bool acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out);
-  Message make(Kind kind, std::uint32_t nonce);
+  Message makeMessage(Kind kind, std::uint32_t nonce);
   bool send(const Address& to, Message message, Need need, Micros now, std::vector<Outgoing>& out);
   // Returns the ping's nonce; none if the byte budget did not allow it.
   std::optional<std::uint32_t> ping(const Address& to, PeerId about, Need need, Micros now,
@@ -227,7 +227,7 @@
   void endProbe(Micros now);
   void pingOwnRegion(Micros now, std::vector<Outgoing>& out);
   void reconnect(Micros now, std::vector<Outgoing>& out);
-  std::vector<Candidate> reconnectCandidates();
+  std::vector<ReconnectCandidate> reconnectCandidates();
   [[nodiscard]] Micros period() const;
   [[nodiscard]] Micros timeout() const;
   void adjustLocalHealth(int by);
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -66,25 +66,25 @@
   });
 }
 
-// Guards the proxied requests against a flood of datagrams: beyond the limit of a slice, reading resumes in
-// the next slice.
+// Guards the proxied requests against a flood of datagrams: beyond the limit of an interval, reading resumes
+// in the next one.
 void Transport::readDatagrams() {
-  if (const Micros slice = now() / kSlice; slice != slice_) {
-    slice_ = slice;
-    readInSlice_ = 0;
+  if (const Micros interval = now() / kReadInterval; interval != readInterval_) {
+    readInterval_ = interval;
+    readsInInterval_ = 0;
   }
-  while (readInSlice_ < kMaxPerSlice) {
+  while (readsInInterval_ < kMaxReadsPerInterval) {
     boost::system::error_code error;
     const std::size_t length = socket_.receive_from(asio::buffer(buffer_), from_, 0, error);
     if (error == asio::error::would_block) return waitReadable();
-    ++readInSlice_;
+    ++readsInInterval_;
     // Errors are ignored: an ICMP "port unreachable" for an earlier datagram may be reported here, and other
     // errors concern this one call. They count against the limit, so that a persistent error can't make the
     // loop spin.
     if (!error) handleDatagram(length);
   }
   logThrottled("more datagrams than are looked at");
-  resumeTimer_.expires_at(Clock::time_point(std::chrono::microseconds((slice_ + 1) * kSlice)));
+  resumeTimer_.expires_at(Clock::time_point(std::chrono::microseconds((readInterval_ + 1) * kReadInterval)));
   resumeTimer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled) readDatagrams();
   });
--- a/src/gossip/transport.h
+++ b/src/gossip/transport.h
@@ -21,15 +21,15 @@
 /// Runs Members over UDP, with one socket and one timer.
 ///
 /// Threads: everything runs on the io_context's one thread. Bounds: a datagram has kMaxDatagram bytes at the
-/// most; kMaxPerSlice datagrams are read in each kSlice, and further ones wait in the kernel or are dropped
-/// there. Lifetime: may be destroyed after leave() only when the io_context has run the handlers that leave()
-/// cancelled, or will not run again.
+/// most; kMaxReadsPerInterval datagrams are read in each kReadInterval, and further ones wait in the kernel
+/// or are dropped there. Lifetime: may be destroyed after leave() only when the io_context has run the
+/// handlers that leave() cancelled, or will not run again.
 class Transport {
  public:
-  /// The interval to which kMaxPerSlice applies, in microseconds.
-  static constexpr Micros kSlice = 100'000;
-  /// The maximum number of datagrams read per slice.
-  static constexpr std::uint32_t kMaxPerSlice = 250;
+  /// The interval to which kMaxReadsPerInterval applies, in microseconds.
+  static constexpr Micros kReadInterval = 100'000;
+  /// The maximum number of datagrams read per kReadInterval.
+  static constexpr std::uint32_t kMaxReadsPerInterval = 250;
 
   /// The owner's callbacks, all required; they run on the io_context's thread.
   struct Callbacks {
@@ -101,9 +101,9 @@
   boost::asio::ip::udp::endpoint from_;
   std::array<std::uint8_t, kMaxDatagram + 1> buffer_{};
   Counts counts_;
-  Micros slice_ = 0;
+  Micros readInterval_ = 0;
   Micros loggedAt_ = 0;
-  std::uint32_t readInSlice_ = 0;
+  std::uint32_t readsInInterval_ = 0;
   bool bindFailed_ = false;
 };
 
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -16,7 +16,7 @@
 using settings::bad;
 
 // The maximum number of members, and of health reports, in GET /status/peers.
-constexpr std::size_t kShown = 256;
+constexpr std::size_t kMaxShown = 256;
 // The minimum interval over which the rate of sent bytes is measured, in microseconds.
 constexpr Micros kRateInterval = 1'000'000;
 
@@ -238,7 +238,7 @@
 nlohmann::json GossipHealthView::membersStatus() const {
   nlohmann::json shown = nlohmann::json::array();
   for (const gossip::Update& one : transport_.members().updates()) {
-    if (shown.size() == kShown) break;
+    if (shown.size() == kMaxShown) break;
     shown.push_back(
         {{"id", hex(one.id)}, {"address", gossip::format(one.address)}, {"state", nameOf(one.state)}});
   }
@@ -249,7 +249,7 @@
   nlohmann::json shown = nlohmann::json::array();
   const std::vector<Listed> listed = callbacks_.listed();
   for (const health_reports::HealthReport& one : healthReports_.reports(timePoint(at))) {
-    if (shown.size() == kShown) break;
+    if (shown.size() == kMaxShown) break;
     const auto found = std::find_if(listed.begin(), listed.end(), [&](const Listed& other) {
       return other.incarnation == one.incarnation;
     });
--- a/tests/gossip/members_test.cpp
+++ b/tests/gossip/members_test.cpp
@@ -88,7 +88,7 @@
 }
 
 // A member that receives nothing, one that can't send, and one that receives from a single other one are
-// isolated; one that a single other can't hear is not.
+// isolated; one that can't send to a single other member is not.
 TEST(Members, AreIsolatedByTheirOwnClockWhenCutOff) {
   const struct {
     const char* what;
--- a/tests/gossip/processes_test.cpp
+++ b/tests/gossip/processes_test.cpp
@@ -46,7 +46,7 @@
 }
 
 // A third of the sidecars receives nothing but can send, so the others still reach all of them.
-TEST(GossipProcesses, OnlyWhoReceivesNothingIsIsolated) {
+TEST(GossipProcesses, OnlySidecarsThatReceiveNothingAreIsolated) {
   const FleetRun isolated =
       runFleet("[[event]]\nat = \"3s\"\ndo = \"deafen\"\ngroup = [1, 2, 3, 4]\nfor = \"4s\"\n", 12, 11);
   for (std::uint32_t n = 1; n <= 12; ++n) {
--- a/tests/gossip/regions_test.cpp
+++ b/tests/gossip/regions_test.cpp
@@ -53,7 +53,7 @@
 
 // One of two regions, with six of eighteen sidecars, is cut off for 20 s, and a node does not answer requests
 // of these six.
-TEST(GossipRegions, OneThatIsCutOffDecidesAloneAndAllAgreeAfterwards) {
+TEST(GossipRegions, ARegionThatIsCutOffDecidesAloneAndAllAgreeAfterwards) {
   Plan plan;
   plan.sidecars = 18;
   plan.seconds = 30;
@@ -110,7 +110,7 @@
 }
 
 // First all that sidecar 1 sends is lost; later sidecar 12 receives nothing but can send.
-TEST(GossipRegions, OnlyWhoseMessagesAreLostOneWayIsIsolated) {
+TEST(GossipRegions, OnlySidecarsWithOneWayLossAreIsolated) {
   Plan plan;
   plan.seconds = 15;
   plan.statuses = true;
@@ -129,7 +129,7 @@
 
 // A sidecar is paused for 30 s while it pulls the entry of a member that has just joined; another one joins
 // meanwhile.
-TEST(GossipRegions, APausedSidecarLearnsOfAllWhoJoinedMeanwhile) {
+TEST(GossipRegions, APausedSidecarLearnsOfMembersThatJoinedMeanwhile) {
   std::weak_ptr<Guests> guests;
   std::vector<std::size_t> reachableCounts;
   std::function<void(const std::string&)> joinGuest;
@@ -178,7 +178,7 @@
 
 // Two regions of three sidecars: one sidecar moves to the other region, and later a whole region does, each
 // by SIGHUP under load.
-TEST(GossipRegions, AnotherOneAtSighupKeepsServing) {
+TEST(GossipRegions, AChangeOfRegionAtSighupKeepsServing) {
   Plan plan;
   plan.sidecars = 6;
   plan.seconds = 9;
--- a/tests/health_reports/health_report_table_test.cpp
+++ b/tests/health_reports/health_report_table_test.cpp
@@ -59,7 +59,7 @@
 
 // After a restart with the wall clock set back by an hour, earlier reports have higher versions. Once they
 // are received, new reports exceed them, so that the earlier ones are not valid until they expire.
-TEST(HealthReportTable, OutbidsReportsOfItsEarlierIncarnationWithALaterClock) {
+TEST(HealthReportTable, ExceedsVersionsFromBeforeARestartWithALaterClock) {
   constexpr std::uint64_t kNow = 1'790'000'000'000'000, kHour = 3'600'000'000;
   HealthReportTable other(2, kNow);
   HealthReportTable earlier(1, kNow);
@@ -80,7 +80,7 @@
 }
 
 // A report that was sent before the earlier version was received is sent again with a higher version.
-TEST(HealthReportTable, SendsAgainWhatItSentBeforeItKnewOfTheEarlierIncarnation) {
+TEST(HealthReportTable, ResendsReportsOnceItReceivesVersionsFromBeforeARestart) {
   HealthReportTable other(2, 100), one(1, 100);
   other.merge(reportBy(1, 5000, HealthStatus::Failing), 0s, kStart);
   one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart);
@@ -95,7 +95,7 @@
 }
 
 // A version too high to be a time is ignored: exceeding it would make the own version overflow.
-TEST(HealthReportTable, DoesNotExceedAVersionThatIsNoTime) {
+TEST(HealthReportTable, DoesNotExceedAnImplausibleVersion) {
   HealthReportTable liar(2, 100), one(1, 100), other(4, 100);
   liar.merge(reportBy(1, ~std::uint64_t{0}, HealthStatus::Failing), 0s, kStart);
   one.receive(liar.encodeNext(kRoom, kStart), 0s, kStart);
--- a/tests/health_reports/health_report_test.cpp
+++ b/tests/health_reports/health_report_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(read->age, report.age);
 }
 
-TEST(HealthReport, IsNeverYoungerAfterItsWay) {
+TEST(HealthReport, IsNeverYoungerAfterDecoding) {
   const struct {
     Duration age, read;
   } rows[] = {{0us, 0ms}, {1us, 1ms}, {999us, 1ms}, {1000us, 1ms}, {1001us, 2ms}, {kTimeToLive, kTimeToLive}};
