--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -64,7 +64,7 @@
   to.put(message.nonce);
 }
 
-void putTable(Writer& to, const Table& table) {
+void putTable(Writer& to, const TableSummary& table) {
   putSection(to, Tag::Table, kTableBytes);
   for (const std::uint32_t digest : table.digests) to.put(digest);
   to.put(table.reachable);
@@ -72,7 +72,7 @@
 }
 
 // The bytes left for the body of one more section.
-std::size_t roomBehind(const std::vector<std::uint8_t>& bytes) {
+std::size_t remainingBodyBytes(const std::vector<std::uint8_t>& bytes) {
   const std::size_t used = bytes.size() + kSectionBytes;
   return used < kMaxBody ? kMaxBody - used : 0;
 }
@@ -102,7 +102,7 @@
 }
 
 bool getTable(Reader& body, Message& message) {
-  Table table;
+  TableSummary table;
   for (std::uint32_t& digest : table.digests) digest = body.get<std::uint32_t>();
   table.reachable = body.get<std::uint16_t>();
   table.region = body.get<std::uint8_t>();
@@ -161,7 +161,7 @@
 }
 
 std::size_t roomForPayload(const Message& message) {
-  return roomBehind(encode(message));
+  return remainingBodyBytes(encode(message));
 }
 
 std::size_t roomForEntries(const Message& message) {
@@ -195,12 +195,12 @@
   }
   if (!message.entries.empty()) {
     std::vector<std::uint8_t> packed;
-    if (packEntries(message.entries, roomBehind(bytes), packed) > 0) {
+    if (packEntries(message.entries, remainingBodyBytes(bytes), packed) > 0) {
       putSection(to, Tag::Entries, packed.size());
       bytes.insert(bytes.end(), packed.begin(), packed.end());
     }
   }
-  if (!message.payload.empty() && message.payload.size() <= roomBehind(bytes)) {
+  if (!message.payload.empty() && message.payload.size() <= remainingBodyBytes(bytes)) {
     putSection(to, Tag::Payload, message.payload.size());
     bytes.insert(bytes.end(), message.payload.begin(), message.payload.end());
   }
