--- a/tests/balancer/golden_trace_test.cpp
+++ b/tests/balancer/golden_trace_test.cpp
@@ -1,11 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Golden trace of the decision module. Each stream runs one sidecar under settings of its own against a
-// small simulated fleet (simulated clock, fixed seed) and folds every action with all its fields, doubles by
-// their bits, and what the module shows of its state after each event into a digest. The digests were
-// recorded from 7c357c1; a change that is meant to leave the decisions as they are must leave them as they
-// are, bit for bit. A change of a decision records them anew, by IVYPOST_RECORD_GOLDEN_TRACE=1, and says so
-// in its commit.
+// Golden trace of the decision module. Each stream runs one sidecar with random settings against a small
+// simulated fleet (simulated clock, fixed seed). Every action with all its fields, doubles by their bits, and
+// the module's visible state after each event are hashed into a digest. The digests were recorded from
+// 7c357c1; a change that is not meant to alter decisions must reproduce them bit for bit. A change that
+// alters a decision records them again with IVYPOST_RECORD_GOLDEN_TRACE=1 and says so in its commit.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -49,7 +47,7 @@
   std::uint64_t value_ = 0xcbf29ce484222325u;
 };
 
-/// Random numbers that are the same with every standard library.
+/// Random numbers that are equal with every standard library, unlike those of std distributions.
 class PortableRandom {
  public:
   explicit PortableRandom(std::uint64_t seed) : engine_(seed) {}
@@ -75,7 +73,7 @@
   return cls;
 }
 
-/// Settings of a stream: every field that a decision reads takes several values over the streams.
+/// Random settings of a stream; every field that a decision reads takes several values over the streams.
 Settings randomSettings(PortableRandom& random) {
   Settings s;
   for (std::uint64_t n = 0; n < 4; ++n) s.classes.push_back(randomClass(random, n % 3));
@@ -110,7 +108,7 @@
   s.retryBudgetWindow = random.oneIn(2) ? 0 : static_cast<Micros>(1 + random.below(10)) * kSecond;
   s.retryBudgetFloor = static_cast<double>(random.below(10));
   s.retryBudgetRatio = 0.3 * random.unit();
-  if (random.oneIn(3)) {  // one of many sidecars, with little traffic, that probes before it sends
+  if (random.oneIn(3)) {  // one of many sidecars with little traffic, which probes before it sends
     s.sidecars = random.oneIn(2) ? 40 : 300;
     s.mayProbe = s.reportsBusyRequests = true;
     s.reportSource = ReportSource::Probes;
@@ -120,8 +118,8 @@
   return s;
 }
 
-/// One sidecar with its clients and upstreams on a simulated clock. What happens next depends on the stream's
-/// random numbers and on the module's actions alone.
+/// One sidecar with its clients and upstreams on a simulated clock. The run is determined by the stream's
+/// random numbers and the module's actions.
 class Stream {
  public:
   explicit Stream(std::uint64_t seed)
@@ -160,8 +158,8 @@
     bool listed = true;
     Micros service = 0;
     std::uint64_t workers = 1;
-    std::uint64_t ownInFlight = 0;    // of this sidecar's attempts
-    std::uint64_t otherRequests = 0;  // requests of other sidecars in hand
+    std::uint64_t ownInFlight = 0;    // this sidecar's attempts
+    std::uint64_t otherRequests = 0;  // requests of other sidecars in flight
     enum class Condition { Healthy, Failing, Silent, Unreachable, Full, Slow } condition = Condition::Healthy;
   };
   enum class DueKind { Arrival, Disturbance, Timer, Outcome, Started, Probed, Withdrawal };
@@ -323,7 +321,7 @@
     }
   }
 
-  /// The sidecar's process is replaced: it knows the list alone.
+  /// Restarts the sidecar's process, which keeps only the endpoint list.
   void restart() {
     ++incarnation_;
     balancer_ = Balancer(settings_, seed_ + incarnation_, now_);
@@ -406,7 +404,7 @@
     if (done.endsRequest) client.finished = true;
     --upstream.ownInFlight;
     feed(done);
-    if (random_.oneIn(50)) feed(done);  // reported twice, or late: no effect
+    if (random_.oneIn(50)) feed(done);  // a repeated outcome has no effect
     if (!client.finished && random_.oneIn(50)) {
       done.attempt = client.attempts;
       checkMisuse(done);
@@ -475,7 +473,7 @@
   }
   void execute(const Probe& probe) {
     digest_.fold(static_cast<std::uint64_t>(probe.upstream));
-    if (random_.oneIn(10)) return;  // never answered
+    if (random_.oneIn(10)) return;  // no result
     schedule(static_cast<Micros>(1 + random_.below(random_.oneIn(5) ? 100 : 4)) * kMillisecond,
              DueKind::Probed, 0, 0, probe.upstream);
   }
@@ -521,8 +519,7 @@
     EXPECT_EQ(digest, kRecorded[n]);
   }
   for (std::size_t kind = 0; kind < total.size(); ++kind) {
-    EXPECT_GT(total[kind], 20u) << "the streams must bring about every kind of action, here of index "
-                                << kind;
+    EXPECT_GT(total[kind], 20u) << "the streams must cause every kind of action; too few of index " << kind;
   }
 }
 
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// What an endpoint that is warming up may get from all sidecars together: N requests of mean work in any
-// Settings::fallWindow and an allowance for chance, N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 under 30.
+// Slow start: the load of an endpoint that is warming up, from all sidecars together. It may get N requests
+// of mean work in any Settings::fallWindow plus an allowance for random variation: N + 2 * sqrt(N) + 2, or N
+// + 3 * sqrt(N) + 3 for N below 30.
 #include "balancer/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,8 @@
   return request;
 }
 
-// One sidecar's endpoints, all of one size. The first `starting` of them start at kStart, without a credit.
+// One sidecar and its endpoints, all of equal size. The first `starting` of them are launched at kStart,
+// without credit.
 class Sidecar {
  public:
   Sidecar(const Settings& settings, EndpointId endpoints, EndpointId starting = 1) : slowStart_(settings) {
@@ -51,7 +52,7 @@
 
   Endpoint& warmingUp() { return endpoints_[kWarmingUp]; }
   bool hasCredit(Micros now) { return slowStart_.hasCredit(warmingUp(), now); }
-  // A request that may go out.
+  // Earns the credit for `requests` requests that may be sent.
   void earn(Micros now, int requests = 1) {
     for (int n = 0; n < requests; ++n) {
       Request request = requestOf();
@@ -59,11 +60,11 @@
     }
   }
   void earnFor(Request& request, Micros now) { slowStart_.earnCredit(request, endpoints_, now); }
-  // It goes to the one that is warming up.
+  // Charges an attempt at the endpoint that is warming up.
   void spend(Micros now, double relativeWork = 1) {
     slowStart_.spendCredit(warmingUp(), requestOf(relativeWork), now);
   }
-  // As many requests of mean work as it may get at once.
+  // Sends as many requests of mean work as it may get at once; returns their number.
   int sendAll(Micros now) {
     int sent = 0;
     for (; hasCredit(now) && sent < 1000; ++sent) spend(now);
@@ -79,7 +80,7 @@
 TEST(SlowStart, GrowsEvenlyFromTheStartCapacityToAWarmOne) {
   const Settings settings = startSettings(0.2);
   Sidecar sidecar(settings, 2);
-  EXPECT_DOUBLE_EQ(sidecar.capacityFraction(kStart - kSecond), 0.2) << "its start is yet to come";
+  EXPECT_DOUBLE_EQ(sidecar.capacityFraction(kStart - kSecond), 0.2) << "before its launch";
   EXPECT_DOUBLE_EQ(sidecar.capacityFraction(kStart), 0.2);
   EXPECT_DOUBLE_EQ(sidecar.capacityFraction(kStart + 4 * kSecond), 0.6);
   EXPECT_DOUBLE_EQ(sidecar.capacityFraction(kStart + 8 * kSecond), 1);
@@ -99,7 +100,7 @@
     Sidecar sidecar(settings, 2);
     sidecar.earn(kStart, requests);
     EXPECT_EQ(sidecar.sendAll(kStart), 1) << requests;
-    EXPECT_EQ(sidecar.warmingUp().slowStartCredit, 0) << "no part of a next one";
+    EXPECT_EQ(sidecar.warmingUp().slowStartCredit, 0) << "no credit beyond one attempt is kept";
   }
 }
 
@@ -126,7 +127,7 @@
     for (; !sidecar.hasCredit(kStart) && earned < 1000; ++earned) sidecar.earn(kStart);
     return earned;
   };
-  // A request earns 0.32 * 1.5 / 2.
+  // Each request earns 0.32 * 1.5 / 2.
   EXPECT_EQ(earnedUntilNext(light, 1), 5);
   EXPECT_EQ(earnedUntilNext(heavy, 4), 17);
 }
@@ -147,8 +148,8 @@
   EXPECT_DOUBLE_EQ(sidecar.warmingUp().slowStartCredit, 0.25 / 3.25);
 }
 
-// Of what all clients ask: each may get no more than 1.5 times a warm one's part, for what it can do, and no
-// more than 0.6 of the multiple.
+// The load of each endpoint relative to its capacity may be at most 1.5 times that of a warm one, and at most
+// 0.6 of fallMultiple.
 TEST(SlowStart, EarnsNoMoreThanItCanBearWhereAllAreWarmingUp) {
   struct Row {
     double fallMultiple, loadShare;
@@ -179,12 +180,13 @@
 
 struct Fleet {
   int sidecars;
-  double warmPerSecond;  // requests of mean work that a warm endpoint can serve
+  double warmPerSecond;  // requests of mean work that a warm endpoint can serve per second
 };
 
-// The most work of any window that an endpoint gets which is warming up beside nine warm ones, against what
-// is allowed. Clients ask for as much as all can do when warm. Until `quietUntil` all of it goes elsewhere;
-// from then on it gets a request of `relativeWork` whenever it may.
+// The highest ratio, over all windows, of the work sent to an endpoint that is warming up beside nine warm
+// ones to the allowed work. Clients send as much as all endpoints can serve when warm. Until `quietUntil` all
+// of it goes to the other endpoints; from then on the endpoint gets a request of `relativeWork` whenever it
+// has a credit.
 double worstWindow(const Settings& settings, const Fleet& fleet, double relativeWork, Micros quietUntil) {
   constexpr EndpointId kEndpoints = 10;
   std::vector<Sidecar> sidecars(static_cast<std::size_t>(fleet.sidecars), Sidecar(settings, kEndpoints));
@@ -207,14 +209,14 @@
   return worst;
 }
 
-// A credit of two each would already be too much for the last of them.
+// With a credit of two for each sidecar, the last fleet would already exceed the limit.
 TEST(SlowStart, KeepsTheBudgetOverAllSidecarsAfterAQuietTime) {
   for (const Fleet& fleet : {Fleet{1, 200}, Fleet{12, 40}, Fleet{50, 40}}) {
     EXPECT_LE(worstWindow(startSettings(), fleet, 1, kStart + 5 * kSecond), 1) << fleet.sidecars;
   }
 }
 
-// Four times as much work as the mean: charged like others, they would be too much for each of these.
+// Requests of four times the mean work: if they were charged like others, each fleet would exceed the limit.
 TEST(SlowStart, KeepsTheBudgetOverAllSidecarsWhereItGetsHeavyRequestsAlone) {
   for (const Fleet& fleet : {Fleet{1, 200}, Fleet{4, 200}, Fleet{12, 1000}}) {
     EXPECT_LE(worstWindow(startSettings(), fleet, 4, kStart), 1) << fleet.sidecars;
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,7 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Random legal event streams, judged by an oracle that shares no code with the module. The oracle itself is
-// shown to catch a module that breaks each rule.
+// Random legal event streams, checked by a test oracle that shares no code with the module. Further tests
+// show that the oracle detects a module that breaks a rule.
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -16,14 +15,14 @@
 namespace ivypost::balancer {
 namespace {
 
-// A cold upstream may get so many times what it would of warm ones only.
+// Upper bound of an upstream's load while it warms up, as a multiple of its load among warm ones only.
 constexpr double kWarmingUpShare = 1.5;
 
 bool neverRan(Outcome outcome) {
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
 
-// Written from the wording of the six rules, over what went in and what came out.
+// Checks the six rules on attempts and answers over the module's events and actions, by their wording alone.
 class Oracle {
  public:
   explicit Oracle(const Settings& settings) : settings_(settings) {}
@@ -37,7 +36,7 @@
       for (const EndpointEntry& entry : list->entries) {
         const auto known = entries_.find(entry.upstream);
         if (known == entries_.end() || known->second.launchedAt != entry.launchedAt) {
-          // What went to the process before this one does not count.
+          // Attempts at the upstream's previous process don't count.
           std::erase_if(recent_, [&](const auto& sentTo) { return sentTo.second == entry.upstream; });
         }
         entries_[entry.upstream] = entry;
@@ -48,7 +47,7 @@
         }
       }
       for (const EndpointId id : before) {
-        if (allowed_.count(id) == 0) idleSince_[id] = now;  // the notice
+        if (allowed_.count(id) == 0) idleSince_[id] = now;  // the drain is announced
       }
       for (const EndpointId id : allowed_) idleSince_.erase(id);
     } else if (const auto* r = std::get_if<NewRequest>(&event)) {
@@ -69,7 +68,7 @@
     }
   }
 
-  // The sidecar was killed and comes back with the list it last had: nothing of before is owed any more.
+  // The sidecar was killed and restarts with its last list: no earlier request is open any more.
   void restarted() {
     requests_.clear();
     requestsAt_.clear();
@@ -94,35 +93,35 @@
         const Sent* mayHaveRun = firstThatMayHaveRun(tracked);
         const RequestClass& requestClass = settings_.classes[tracked.requestClass];
         if (mayHaveRun && requestClass.semantics == Semantics::Unsafe)
-          reportViolation("an unsafe request that may have run was refused");
+          reportViolation("an unsafe request that may have run was rejected");
         if (mayHaveRun && requestClass.semantics == Semantics::Keyed &&
             requestClass.group != RetryGroup::All) {
-          reportViolation("a keyed request that may have run was refused");
+          reportViolation("a keyed request that may have run was rejected");
         }
         if (reject->retryAfter > settings_.maxRetryAfter ||
             (reject->retryAfter > 0 && !settings_.retryAfter)) {
-          reportViolation("advice beyond the settings");
+          reportViolation("retry advice that the settings don't permit");
         }
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         finish(requests_.at(fail->request));
       } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-        if (!settings_.mayCancel) reportViolation("cancel against the settings");
+        if (!settings_.mayCancel) reportViolation("cancel that the settings don't permit");
         if (cancel->attempt >= requests_.at(cancel->request).attempts.size())
-          reportViolation("cancel of nothing");
+          reportViolation("cancel of an attempt that was never sent");
       } else if (const auto* close = std::get_if<CloseIdle>(&action)) {
         idleSince_.erase(close->upstream);
       } else if (std::get_if<Probe>(&action) && !settings_.mayProbe) {
-        reportViolation("probe against the settings");
+        reportViolation("probe that the settings don't permit");
       }
     }
     for (const auto& [id, since] : idleSince_) {
       if (settings_.closeDrainingWithin > 0 && now_ > since + settings_.closeDrainingWithin)
-        reportViolation("a connection left open on a drain");
+        reportViolation("idle connections to a draining upstream were not closed in time");
     }
     for (auto at = requests_.begin(); at != requests_.end();) {
       const TrackedRequest& tracked = at->second;
       if (!tracked.isFinished && !tracked.streaming && now_ > tracked.deadline + settings_.answerSlack)
-        reportViolation("a request was lost");
+        reportViolation("a request got no answer by its deadline");
       const bool isPending = std::any_of(tracked.attempts.begin(), tracked.attempts.end(),
                                          [](const Sent& a) { return !a.outcome; });
       at = tracked.isFinished && !isPending ? requests_.erase(at) : std::next(at);
@@ -148,7 +147,7 @@
 
   void finish(TrackedRequest& tracked) {
     if (tracked.isFinished) reportViolation("two final answers");
-    if (now_ > tracked.deadline + settings_.answerSlack) reportViolation("a late answer");
+    if (now_ > tracked.deadline + settings_.answerSlack) reportViolation("an answer after the deadline");
     tracked.isFinished = true;
   }
 
@@ -161,7 +160,7 @@
 
   void sent(const Send& send) {
     TrackedRequest& tracked = requests_.at(send.request);
-    if (tracked.isFinished) reportViolation("sent after the end");
+    if (tracked.isFinished) reportViolation("an attempt after the final answer");
     if (tracked.attempts.size() >= settings_.maxAttempts) reportViolation("too many attempts");
     if (!tracked.attempts.empty()) {
       retriesAt_.push_back(now_);
@@ -174,24 +173,26 @@
       if (settings_.retryBudgetWindow > 0 &&
           static_cast<double>(retries) >
               settings_.retryBudgetFloor + settings_.retryBudgetRatio * static_cast<double>(requests)) {
-        reportViolation("further attempts beyond the budget");
+        reportViolation("retries beyond the budget");
       }
     }
-    if (allowed_.count(send.upstream) == 0) reportViolation("sent to an upstream that drains or is gone");
+    if (allowed_.count(send.upstream) == 0)
+      reportViolation("an attempt at an upstream that is draining or gone");
     const EndpointEntry& to = entries_.at(send.upstream);
     const bool isPending = std::any_of(tracked.attempts.begin(), tracked.attempts.end(),
                                        [](const Sent& a) { return !a.outcome; });
-    if (isPending && !settings_.mayHedge) reportViolation("two attempts at once");
+    if (isPending && !settings_.mayHedge) reportViolation("two attempts in flight without hedging");
     if (const Sent* mayHaveRun = firstThatMayHaveRun(tracked)) {
       const RequestClass& requestClass = settings_.classes[tracked.requestClass];
       if (requestClass.semantics == Semantics::Unsafe) reportViolation("an unsafe request ran twice");
       if (requestClass.semantics == Semantics::Keyed) {
-        if (now_ > mayHaveRun->at + requestClass.retryWindow) reportViolation("repeat after the window");
+        if (now_ > mayHaveRun->at + requestClass.retryWindow)
+          reportViolation("a retry after the retry window");
         if (requestClass.group == RetryGroup::Zone && to.zone != mayHaveRun->to.zone)
-          reportViolation("repeat outside the group");
+          reportViolation("a retry outside the retry group");
         if (requestClass.group == RetryGroup::Cell && to.upstream != mayHaveRun->to.upstream &&
             to.cell != mayHaveRun->to.cell) {
-          reportViolation("repeat outside the group");
+          reportViolation("a retry outside the retry group");
         }
       }
     }
@@ -199,8 +200,8 @@
     checkSlowStart(to);
   }
 
-  // Within any fall window a cold upstream may get its share of all attempts by size, times its warmth and
-  // what the warm ones' lack may add, plus the credit that can have been saved up.
+  // Within any fallWindow, an upstream that is warming up may get its share by size of all requests, times
+  // the fraction of its capacity and kWarmingUpShare, plus the credit that may have been saved.
   void checkSlowStart(const EndpointEntry& to) {
     recent_.push_back({now_, to.upstream});
     while (!recent_.empty() && recent_.front().first + settings_.fallWindow < now_) recent_.pop_front();
@@ -215,7 +216,7 @@
       received += sentTo.second == to.upstream;
     }
     if (received > 1.05 * capacityFraction * share + 3) {
-      reportViolation("a cold upstream was pushed");
+      reportViolation("too many attempts at an upstream that is warming up");
     }
   }
 
@@ -223,17 +224,18 @@
   Micros now_ = 0;
   std::map<EndpointId, EndpointEntry> entries_;
   std::set<EndpointId> allowed_;
-  std::map<EndpointId, Micros> idleSince_;  // draining or gone: the notice or the last outcome there
+  std::map<EndpointId, Micros>
+      idleSince_;  // draining or gone upstreams: since the announcement or the last outcome
   std::vector<Micros> requestsAt_, retriesAt_;
   std::map<RequestId, TrackedRequest> requests_;
-  std::deque<std::pair<Micros, double>> arrivals_;  // with the share of one unit of size then
+  std::deque<std::pair<Micros, double>> arrivals_;  // with the share of an upstream of size 1 then
   std::deque<std::pair<Micros, EndpointId>> recent_;
 };
 
 using Mutation = std::function<void(std::vector<Action>&, Rig&)>;
 
-// One random day: a balancer, a handful of upstreams, and everything the wire can bring. Returns the
-// violations.
+// Runs a balancer with a few upstreams through a random stream of all kinds of events; the oracle records the
+// violations. `mutate` alters the actions, to simulate a broken module.
 void runRandomTrace(Oracle& oracle, const Settings& settings, std::uint32_t seed, const Mutation& mutate,
                     std::size_t* sends) {
   std::mt19937 engine(seed);
@@ -246,11 +248,11 @@
     Micros until;
   };
   std::vector<InFlight> inFlight;
-  std::map<RequestId, Micros> open;  // deadline of each request without an end
+  std::map<RequestId, Micros> open;  // deadline of each open request
   std::map<RequestId, std::uint32_t> attempts;
   std::set<RequestId> streaming;
   std::vector<Micros> timers;
-  std::vector<EndpointId> probed;  // some are answered, late or never
+  std::vector<EndpointId> probed;  // some get a result late or never
   RequestId next = 1;
 
   const auto feed = [&](const Event& event) {
@@ -386,7 +388,7 @@
       feed(p);
     }
   }
-  // Let everything come to its end.
+  // Lets all requests and attempts end.
   for (int n = 0; n < 400; ++n) {
     rig.now += settings.resolution;
     for (std::size_t k = 0; k < inFlight.size();) {
@@ -411,7 +413,7 @@
   try {
     runRandomTrace(oracle, settings, seed, mutate, sends);
   } catch (const std::invalid_argument&) {
-    if (!mutate) throw;  // else the balancer noticed that the world no longer matches what it did
+    if (!mutate) throw;  // the altered actions have made later events inconsistent
   }
   return oracle.violations;
 }
@@ -449,7 +451,7 @@
     const auto violations = violationsOf(variant(n), 100 + n, nullptr, &sends);
     for (const std::string& violation : violations) ADD_FAILURE() << violation;
   }
-  EXPECT_GT(sends, 128u * 300u) << "the days must exercise the module";
+  EXPECT_GT(sends, 128u * 300u) << "the streams must exercise the module";
 }
 
 TEST(Property, ExtremeSettingsKeepTheRules) {
@@ -519,14 +521,14 @@
     judged.maxAttempts = std::max(1u, judged.maxAttempts);
     for (const std::string& violation : violationsOf(s, 900 + n)) {
       if (s.maxAttempts == 0 && violation == "too many attempts")
-        continue;  // none allowed: one is still made
+        continue;  // the first attempt is always made
       ADD_FAILURE() << violation;
     }
   }
 }
 
 TEST(Property, OracleDetectsAMissingRetryBudgetAndOpenConnectionsOnADrain) {
-  const Settings given = variant(14);  // neither is stated
+  const Settings given = variant(14);  // neither rule is configured
   ASSERT_EQ(given.retryBudgetWindow + given.closeDrainingWithin, 0);
   Settings judged = given;
   judged.retryBudgetWindow = kSecond;
@@ -535,11 +537,12 @@
   judged.retryBudgetRatio = 0.02;
   Oracle oracle(judged);
   runRandomTrace(oracle, given, 1, nullptr, nullptr);
-  EXPECT_EQ(oracle.violations, (std::set<std::string>{"a connection left open on a drain",
-                                                      "further attempts beyond the budget"}));
+  EXPECT_EQ(oracle.violations,
+            (std::set<std::string>{"idle connections to a draining upstream were not closed in time",
+                                   "retries beyond the budget"}));
 }
 
-// The oracle is no rubber stamp: each break of a rule is noticed.
+// Each mutation breaks a rule, and the oracle has to detect it.
 TEST(Property, OracleDetectsABrokenModule) {
   const auto erase = [](std::vector<Action>& actions, auto is) {
     actions.erase(std::remove_if(actions.begin(), actions.end(), is), actions.end());
@@ -547,7 +550,7 @@
   int n = 0;
   const auto everyNth = [&n](int interval) { return ++n % interval == 0; };
   const std::map<std::string, Mutation> mutations = {
-      {"a request was lost",
+      {"a request got no answer by its deadline",
        [&](std::vector<Action>& a, Rig&) {
          erase(a, [&](const Action& x) { return std::holds_alternative<Fail>(x) && everyNth(3); });
        }},
@@ -557,7 +560,7 @@
            if (std::holds_alternative<Reject>(x)) a.push_back(x);
          }
        }},
-      {"sent to an upstream that drains or is gone",
+      {"an attempt at an upstream that is draining or gone",
        [&](std::vector<Action>& a, Rig& rig) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x); send && everyNth(20)) {
@@ -567,7 +570,7 @@
            }
          }
        }},
-      {"an unsafe request that may have run was refused",
+      {"an unsafe request that may have run was rejected",
        [&](std::vector<Action>& a, Rig&) {
          for (Action& x : a) {
            if (const auto* fail = std::get_if<Fail>(&x)) x = Reject{fail->request, 0};
@@ -579,20 +582,20 @@
            if (std::holds_alternative<Send>(x) && everyNth(10)) a.push_back(x);
          }
        }},
-      {"two attempts at once",
+      {"two attempts in flight without hedging",
        [&](std::vector<Action>& a, Rig&) {
          for (const Action& x : std::vector<Action>(a)) {
            if (std::holds_alternative<Send>(x) && everyNth(10)) a.push_back(x);
          }
        }},
-      {"repeat outside the group",
+      {"a retry outside the retry group",
        [&](std::vector<Action>& a, Rig&) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x))
              send->upstream = static_cast<EndpointId>(everyNth(2) ? 0 : 7);
          }
        }},
-      {"a cold upstream was pushed",
+      {"too many attempts at an upstream that is warming up",
        [&](std::vector<Action>& a, Rig&) {
          for (Action& x : a) {
            if (auto* send = std::get_if<Send>(&x)) send->upstream = 3;
