--- a/src/degradation/decaying_fraction.h
+++ b/src/degradation/decaying_fraction.h
@@ -8,19 +8,20 @@
 
 namespace ivypost::degradation {
 
-/// The fraction of recent events that have a property. Old events lose weight exponentially by time. Takes
-/// constant memory whatever the number of events.
+/// The fraction of recent events that have a property. The weight of an event decays exponentially with its
+/// age. Uses constant memory regardless of the number of events.
 class DecayingFraction {
  public:
-  /// An event's weight falls to 1/e in so long. Short against the signals' own smoothing, which follows.
+  /// Time in which an event's weight falls to 1/e. Short compared with the smoothing times of the
+  /// signals that are computed from it, which are smoothed again.
   static constexpr Duration kDecayTime = std::chrono::seconds(1);
-  /// Total weight below which the fraction says nothing: one failure of two is no sign of overload.
+  /// Total weight below which value() returns 0: one failure in two events is no sign of overload.
   static constexpr double kMinEvents = 10;
 
-  /// Counts an event. Time that goes back counts as standing still.
+  /// Counts an event. If `now` is earlier than in a previous call, no time is taken to have passed.
   void add(bool hasProperty, TimePoint now);
 
-  /// 0 to 1; 0 while there are fewer recent events than kMinEvents.
+  /// The fraction, 0 to 1; 0 while the total weight of events is below kMinEvents.
   [[nodiscard]] double value(TimePoint now);
 
  private:
--- a/src/degradation/level.h
+++ b/src/degradation/level.h
@@ -9,20 +9,20 @@
 
 namespace ivypost::degradation {
 
-/// How far service is reduced. Each level adds to the restrictions of the one before, so that a greater level
-/// is a stricter one. What each restricts: restrictionsAt().
+/// The degree to which service is degraded. Each level adds restrictions to those of the level before, so
+/// that a greater value is a stricter level. restrictionsAt() returns the restrictions of each level.
 enum class Level : std::uint8_t {
   Normal,   ///< Full service.
   Thrifty,  ///< No hedged requests, fewer health checks.
-  Protect,  ///< Admission in the order of priority weight; tenants over their quota last.
+  Protect,  ///< Admission by priority weight, with tenants over their quota last.
   Shed,     ///< Requests that can't be served in time are rejected before their body is read.
   Cutoff,   ///< Only the class of the greatest priority weight is admitted.
 };
 
-/// All levels, the mildest first.
+/// All levels, mildest first.
 inline constexpr std::array kLevels = {Level::Normal, Level::Thrifty, Level::Protect, Level::Shed,
                                        Level::Cutoff};
-/// The number of levels, for tables that indexOf() indexes.
+/// The number of levels, as the size of tables indexed by indexOf().
 inline constexpr std::size_t kLevelCount = kLevels.size();
 
 /// The level's position in kLevels: 0 is Normal.
@@ -30,7 +30,8 @@
   return static_cast<std::size_t>(level);
 }
 
-/// The level as the operator's file, `GET /status/level` and the log name it. Part of those interfaces.
+/// The level's name in the operator's file, in `GET /status/level` and in the log. The names are part of
+/// these interfaces and must not change.
 [[nodiscard]] std::string_view nameOf(Level level);
 
 /// The level that is one step stricter.
--- a/src/degradation/level_controller.cpp
+++ b/src/degradation/level_controller.cpp
@@ -41,7 +41,7 @@
   return strictest;
 }
 
-// From the level that it requested before: that is the hysteresis.
+// Starts from the level that the signal requested before, which gives the hysteresis.
 Level LevelController::requestedBy(Signal signal) const {
   const double value = averages_[signal].value();
   Level requested = requestedLevels_[signal];
--- a/src/degradation/level_controller.h
+++ b/src/degradation/level_controller.h
@@ -14,44 +14,47 @@
 
 namespace ivypost::degradation {
 
-/// Decides the level of degraded service. It does no I/O and reads no clock: it is given signals and the
-/// time, and the same calls give the same transitions.
+/// Decides the level of degraded service. It does no I/O and reads no clock: signals and the time are
+/// parameters, and the same sequence of calls results in the same transitions.
 ///
-/// Four means, each of its own, keep the level from oscillating: signals are smoothed; each signal requests a
-/// level, and ceases to at a lower threshold than it began (hysteresis); service is reduced one level at a
-/// time, Settings::escalationInterval apart; and it recovers one level at a time, after a delay that doubles
-/// with each recovery that did not hold, as a circuit breaker's half-open state does. The reasons are in
-/// docs/design/reduced-service.md.
+/// Four mechanisms keep the level from oscillating:
+///   - signals are smoothed;
+///   - a signal stops requesting a level at a lower threshold than the one at which it started (hysteresis);
+///   - escalations go one level at a time, at least Settings::escalationInterval apart;
+///   - recoveries go one level at a time, after a delay that doubles with each recovery that did not hold,
+///     as in a circuit breaker's half-open state.
+///
+/// The reasons are in docs/design/reduced-service.md.
 class LevelController {
  public:
-  /// How often the caller evaluates. A sixth of the default Settings::escalationInterval, so that an
-  /// escalation comes little later than it may.
+  /// Interval at which the caller should evaluate. A sixth of the default Settings::escalationInterval, so
+  /// that escalations are hardly delayed beyond that interval.
   static constexpr Duration kEvaluationInterval = std::chrono::milliseconds(50);
 
-  /// Begins at Normal.
+  /// Starts at Normal.
   /// @pre validate(settings) finds no error.
   LevelController(const Settings& settings, TimePoint now);
 
-  /// Takes a sample of a signal.
-  /// @param signal which of the signals was sampled; each is smoothed by a time constant of its own.
-  /// @param value in the signal's unit; ignored where it is negative or not finite.
-  /// @param now time that goes back counts as standing still.
+  /// Adds a sample of a signal.
+  /// @param signal the signal that was sampled; its smoothing time applies.
+  /// @param value in the signal's unit; ignored if negative or not finite.
+  /// @param now if earlier than in a previous call, no time is taken to have passed.
   void observe(Signal signal, double value, TimePoint now);
 
-  /// Decides by what was observed. At most one transition a call, to a neighbouring level.
+  /// Decides the level by the samples so far. Makes at most one transition per call, to an adjacent level.
   /// @param now as for observe().
   [[nodiscard]] std::optional<Transition> evaluate(TimePoint now);
 
-  /// Changes the settings. Level and smoothed signals stay; what the signals request is decided anew, and a
-  /// recovery waits for a whole delay.
+  /// Changes the settings. The level and the smoothed signals stay; the levels that signals request are
+  /// determined anew, and the next recovery waits for a complete delay.
   /// @pre validate(settings) finds no error.
   void apply(const Settings& settings, TimePoint now);
 
-  /// The level in force: Normal at first, changed by evaluate() alone.
+  /// The level in force: initially Normal, changed only by evaluate().
   [[nodiscard]] Level level() const { return level_; }
-  /// Before the first transition: Settings::escalationInterval ahead of the beginning.
+  /// The time of the last transition; before the first one, Settings::escalationInterval before construction.
   [[nodiscard]] TimePoint lastTransitionAt() const { return lastTransitionAt_; }
-  /// In the signal's unit; 0 ahead of its first sample.
+  /// The smoothed signal in its unit; 0 before its first sample.
   [[nodiscard]] double smoothedValue(Signal signal) const { return averages_[signal].value(); }
 
  private:
@@ -66,11 +69,11 @@
   PerSignal<MovingAverage> averages_;
   PerSignal<Level> requestedLevels_;
   Level level_ = Level::Normal;
-  TimePoint now_;  // the latest that was given
+  TimePoint now_;  // latest time passed by the caller
   TimePoint lastTransitionAt_;
-  std::optional<TimePoint> calmSince_;  // no signal has requested the present level since then
+  std::optional<TimePoint> calmSince_;  // since then no signal has requested the present level
   Duration recoveryDelay_;
-  std::optional<TimePoint> unconfirmedRecoveryAt_;  // the last recovery, until it has held
+  std::optional<TimePoint> unconfirmedRecoveryAt_;  // last recovery, until its probation period has passed
 };
 
 }  // namespace ivypost::degradation
--- a/src/degradation/load_monitor.cpp
+++ b/src/degradation/load_monitor.cpp
@@ -32,8 +32,8 @@
   controller_.apply(settings, now);
 }
 
-// Over the time that has passed, so that a clock that jumps ahead makes no peak; one that jumped back says
-// nothing.
+// Divides by the elapsed time, so that a clock that jumps ahead causes no peak. If the clock has jumped back,
+// no sample is taken.
 void LoadMonitor::observeCpu(Duration cpuTime, TimePoint now) {
   const Duration elapsed = now - lastTickAt_;
   if (lastCpuTime_ && elapsed > Duration::zero()) {
--- a/src/degradation/load_monitor.h
+++ b/src/degradation/load_monitor.h
@@ -12,43 +12,44 @@
 
 namespace ivypost::degradation {
 
-/// What the sidecar measures at each tick. Fractions are 0 to 1.
+/// The measurements of one tick. Fractions are 0 to 1.
 struct Measurements {
-  Duration cpuTime{};                 ///< Used by the process since its start.
-  Duration eventLoopLag{};            ///< From when the tick was due to when it ran.
-  double openRequestFraction = 0;     ///< Open requests, of the most that may be; 0 where there is no limit.
-  double busyConnectionFraction = 0;  ///< Connections at work, of the limit; the fuller of the two sides.
-  double overQuotaFraction = 0;       ///< Requests of tenants over their quota, of all.
-  Duration endpointListAge{};         ///< Since the endpoint list was last known to be right.
+  Duration cpuTime{};                 ///< CPU time used by the process since its start.
+  Duration eventLoopLag{};            ///< Delay from when the tick was due until it ran.
+  double openRequestFraction = 0;     ///< Open requests divided by their limit; 0 without a limit.
+  double busyConnectionFraction = 0;  ///< Busy connections divided by their limit; the greater of both sides.
+  double overQuotaFraction = 0;       ///< Requests of tenants over their quota, divided by all.
+  Duration endpointListAge{};         ///< Time since the endpoint list was last known to be current.
 };
 
-/// Turns what the sidecar counts and measures into signals, and has a LevelController decide by them. No I/O,
-/// no clock.
+/// Converts counted events and measurements into signals and passes them to a LevelController. No I/O and no
+/// clock.
 class LoadMonitor {
  public:
-  /// @param settings valid by validate().
-  /// @param cores of processor that the process may use; over 0, may be a part of one.
-  /// @param now the beginning, on the clock of all later calls.
+  /// @param settings must be valid by validate().
+  /// @param cores CPU cores that the process may use; more than 0, may be fractional.
+  /// @param now the present time on the clock that all later calls use.
   LoadMonitor(const Settings& settings, double cores, TimePoint now);
 
-  /// A client's request has arrived.
+  /// Counts a client's request that has arrived.
   /// @param isRetry whether its client marked it as a retry.
-  /// @param now time that goes back counts as standing still.
+  /// @param now if earlier than in a previous call, no time is taken to have passed.
   void onRequest(bool isRetry, TimePoint now);
 
-  /// An attempt on an upstream has ended.
-  /// @param failed it timed out, failed or was rejected. One that the sidecar itself cancelled is not
-  /// reported.
+  /// Counts an attempt on an upstream that has ended.
+  /// @param failed whether it timed out, failed or was rejected. Attempts that the sidecar cancelled must not
+  /// be reported.
   /// @param now as for onRequest().
   void onAttemptEnd(bool failed, TimePoint now);
 
-  /// To be called every LevelController::kEvaluationInterval or so; evaluates once.
+  /// Observes the signals and evaluates the level once. To be called about every
+  /// LevelController::kEvaluationInterval.
   [[nodiscard]] std::optional<Transition> tick(const Measurements& measurements, TimePoint now);
 
-  /// As LevelController::apply().
+  /// Changes the settings as LevelController::apply() does.
   void apply(const Settings& settings, TimePoint now);
 
-  /// The controller that decides by the signals, for reading its level and smoothed values.
+  /// The controller, for reading its level and its smoothed signals.
   [[nodiscard]] const LevelController& controller() const { return controller_; }
 
  private:
@@ -58,7 +59,7 @@
   LevelController controller_;
   DecayingFraction failedAttempts_;
   DecayingFraction retries_;
-  std::optional<Duration> lastCpuTime_;  // none ahead of the first tick
+  std::optional<Duration> lastCpuTime_;  // empty before the first tick
   TimePoint lastTickAt_;
 };
 
--- a/src/degradation/moving_average.h
+++ b/src/degradation/moving_average.h
@@ -6,16 +6,16 @@
 
 namespace ivypost::degradation {
 
-/// An average that is weighted exponentially by time, so that samples may come at any interval.
+/// An exponentially weighted moving average (EWMA) by time, so that samples may arrive at any interval.
 class MovingAverage {
  public:
-  /// Adds a sample. The first one stands for the past, of which nothing is known.
-  /// @param sample finite.
-  /// @param timeConstant a difference falls to 1/e in so long; 0 or less: the sample replaces the average.
-  /// @param now no earlier than in the call before.
+  /// Adds a sample. The first sample sets the average.
+  /// @param sample must be finite.
+  /// @param timeConstant time in which a difference falls to 1/e; 0 or less: the sample replaces the average.
+  /// @param now not earlier than in the previous call.
   void add(double sample, Duration timeConstant, TimePoint now);
 
-  /// In the samples' unit; 0 ahead of the first one.
+  /// The average, in the samples' unit; 0 before the first sample.
   [[nodiscard]] double value() const { return value_; }
 
  private:
--- a/src/degradation/restrictions.cpp
+++ b/src/degradation/restrictions.cpp
@@ -4,7 +4,7 @@
 namespace ivypost::degradation {
 namespace {
 
-// A quarter still finds an upstream that has recovered, only later.
+// Fraction of health checks. A quarter of them still detects that an upstream has recovered, only later.
 constexpr double kReducedHealthChecks = 0.25;
 
 }  // namespace
--- a/src/degradation/restrictions.h
+++ b/src/degradation/restrictions.h
@@ -6,18 +6,17 @@
 
 namespace ivypost::degradation {
 
-/// What a level restricts, as data: whoever owns a restricted function reads it here, and this module calls
-/// none of them. The default is full service.
+/// The restrictions of a level, as data: the components that implement the restricted functions read them,
+/// and this module calls none of those components. The default is full service.
 struct Restrictions {
   bool allowsHedging = true;       ///< Hedged requests may be sent.
-  double healthCheckFraction = 1;  ///< Of the usual health checks; 0 to 1.
-  bool admitsByPriority =
-      false;  ///< Admission in the order of priority weight; tenants over their quota last.
-  bool rejectsBeforeBody = false;  ///< What can't be served in time is rejected before its body is read.
-  double minPriorityWeight = 0;    ///< Of the greatest weight that a class has, 0 to 1: less is rejected.
+  double healthCheckFraction = 1;  ///< Fraction of the usual health checks to send; 0 to 1.
+  bool admitsByPriority = false;   ///< Admission by priority weight, with tenants over their quota last.
+  bool rejectsBeforeBody = false;  ///< Rejects requests that can't be served in time before reading the body.
+  double minPriorityWeight = 0;    ///< Least admitted weight, as a fraction of the greatest one; 0 to 1.
 };
 
-/// The restrictions of a level. A stricter level restricts no less in any of them.
+/// The restrictions of a level. A stricter level relaxes none of the restrictions of a milder one.
 [[nodiscard]] Restrictions restrictionsAt(Level level);
 
 }  // namespace ivypost::degradation
--- a/src/degradation/settings.cpp
+++ b/src/degradation/settings.cpp
@@ -12,16 +12,16 @@
 
 using namespace std::chrono_literals;
 
-// Ten evaluations, so that no single sample decides.
+// Ten evaluation intervals, so that no single sample decides.
 constexpr Duration kUsualSmoothing = 500ms;
-// Half of that: a lagging loop delays every request.
+// Half of the usual time, since a lagging event loop delays every request.
 constexpr Duration kLagSmoothing = 250ms;
-// Traffic comes in bursts, and none of these signals says that the sidecar itself can't carry its load.
+// Longer, since traffic is bursty and these signals do not show that the sidecar itself is overloaded.
 constexpr Duration kTrafficSmoothing = 2s;
-// An age grows evenly by itself.
+// No smoothing, since an age grows steadily.
 constexpr Duration kAgeSmoothing = 0s;
 
-// The thresholds of a signal, from Thrifty on; the levels that are left out it never requests.
+// Sets the thresholds of a signal from Thrifty upwards. The signal never requests the remaining levels.
 void setThresholds(Settings& settings, Signal signal, std::initializer_list<Threshold> fromThrifty) {
   Level level = Level::Normal;
   for (const Threshold& threshold : fromThrifty) {
@@ -68,7 +68,7 @@
                 {{0.50, 0.35}, {0.70, 0.50}, {0.85, 0.65}, {0.97, 0.80}});
   setThresholds(settings, Signal::BusyConnectionFraction,
                 {{0.75, 0.60}, {0.88, 0.75}, {0.95, 0.85}, {0.99, 0.92}});
-  // These end at Protect or Thrifty: none of them says that the sidecar itself can't carry its load.
+  // These signals request Protect or Thrifty at most: they do not show that the sidecar itself is overloaded.
   setThresholds(settings, Signal::FailedAttemptFraction, {{0.12, 0.05}, {0.30, 0.15}});
   setThresholds(settings, Signal::OverQuotaFraction, {{0.25, 0.12}, {0.40, 0.25}});
   setThresholds(settings, Signal::RetryFraction, {{0.20, 0.10}, {0.35, 0.20}});
--- a/src/degradation/settings.h
+++ b/src/degradation/settings.h
@@ -14,21 +14,21 @@
 
 namespace ivypost::degradation {
 
-/// Hysteresis of one level for one signal, in the signal's unit. `exit` lies under `enter`.
+/// Hysteresis of one level for one signal, in the signal's unit. `exit` must be less than `enter`.
 struct Threshold {
-  double enter = 0;  ///< From this value on, the signal requests the level.
-  double exit = 0;   ///< Below this value, it ceases to.
+  double enter = 0;  ///< At or above this value, the signal starts to request the level.
+  double exit = 0;   ///< Below this value, the signal stops requesting the level.
 };
 
-/// The thresholds of each level above Normal, which has none, for each signal.
+/// The thresholds of each signal for each level above Normal. Normal has no thresholds.
 class Thresholds {
  public:
-  /// The threshold at which `signal` requests `level`; none: it never does.
+  /// The threshold at which `signal` requests `level`; empty: it never requests the level.
   /// @pre `level` is not Normal; std::out_of_range otherwise.
   [[nodiscard]] std::optional<Threshold>& at(Level level, Signal signal) {
     return byLevel_.at(indexOf(level) - 1)[signal];
   }
-  /// The same for settings that are only read.
+  /// As above, for reading.
   /// @pre `level` is not Normal; std::out_of_range otherwise.
   [[nodiscard]] const std::optional<Threshold>& at(Level level, Signal signal) const {
     return byLevel_.at(indexOf(level) - 1)[signal];
@@ -38,46 +38,47 @@
   std::array<PerSignal<std::optional<Threshold>>, kLevelCount - 1> byLevel_;
 };
 
-/// What the operator may set, in the section [levels] of the operator's file. The reasons for the defaults
-/// are in docs/design/reduced-service.md.
+/// The settings of section [levels] of the operator's file. The reasons for the defaults are in
+/// docs/design/reduced-service.md.
 struct Settings {
-  /// A stricter level's thresholds lie no lower than those of the next milder one, which has one for each
-  /// signal that the stricter one has.
+  /// A level's threshold for a signal must not be lower than that of the next milder level, which must have a
+  /// threshold for the signal too.
   Thresholds thresholds;
-  /// Time constants of the signals' exponential smoothing, 0 or more. 0: not smoothed.
+  /// Time constants of the signals' exponential smoothing, 0 or more; 0: not smoothed.
   PerSignal<Duration> smoothingTimes;
-  /// Least time between two escalations, over 0; a level's restrictions get to show their effect.
+  /// Minimum time between two escalations, more than 0, so that a level's restrictions can take effect before
+  /// the next one.
   Duration escalationInterval = std::chrono::milliseconds(300);
-  /// How long no signal may request the present level before the first recovery, over 0.
+  /// Time without any signal requesting the present level until the first recovery, more than 0.
   Duration recoveryDelay = std::chrono::seconds(2);
-  /// Bound of the delay, which doubles with each recovery that did not hold; no shorter than recoveryDelay.
+  /// Maximum of the delay, which doubles with each recovery that did not hold; at least recoveryDelay.
   Duration maxRecoveryDelay = std::chrono::seconds(32);
-  /// A recovery that is followed by no escalation for so long has held; over 0.
+  /// Time without escalation after which a recovery has held and the delay is reset; more than 0.
   Duration probationPeriod = std::chrono::seconds(10);
 };
 
-/// The settings of an empty operator's file. Valid.
+/// The settings of an empty operator's file. They are valid.
 [[nodiscard]] Settings defaultSettings();
 
-/// Why settings are invalid, and where.
+/// The reason why settings are invalid, and the level and signal concerned.
 struct SettingsError {
-  /// Which rule is broken; describe() has a text for each.
+  /// The rule that is violated; describe() returns a text for each.
   enum class Kind : std::uint8_t {
-    InvalidThreshold,      ///< Not finite, negative, or `exit` not under `enter`.
-    BelowMilderLevel,      ///< Lies under the threshold of the next milder level.
-    MissingAtMilderLevel,  ///< The next milder level has no threshold for the signal.
-    InvalidInterval,       ///< One of the four spans is not over 0, or the longest delay under the first one.
-    NegativeSmoothingTime,  ///< A time constant under 0.
+    InvalidThreshold,       ///< Not finite, negative, or `exit` not less than `enter`.
+    BelowMilderLevel,       ///< Lower than the threshold of the next milder level.
+    MissingAtMilderLevel,   ///< The next milder level has no threshold for the signal.
+    InvalidInterval,        ///< One of the four durations is not over 0, or maxRecoveryDelay is too short.
+    NegativeSmoothingTime,  ///< A time constant is less than 0.
   };
-  Kind kind = Kind::InvalidThreshold;      ///< Also says whether `level` and `signal` have a meaning.
-  Level level = Level::Normal;             ///< Of the threshold, where `kind` is about one.
-  Signal signal = Signal::CpuUtilization;  ///< Likewise.
+  Kind kind = Kind::InvalidThreshold;      ///< Determines whether `level` and `signal` apply.
+  Level level = Level::Normal;             ///< Level of the threshold, if `kind` concerns one.
+  Signal signal = Signal::CpuUtilization;  ///< Signal of the threshold, if `kind` concerns one.
 };
 
-/// The first error found, by level and signal; none: the settings are valid.
+/// The first error, in the order of levels and then signals; empty if the settings are valid.
 [[nodiscard]] std::optional<SettingsError> validate(const Settings& settings);
 
-/// One line for the operator.
+/// Describes the error in one line for the operator.
 [[nodiscard]] std::string describe(const SettingsError& error);
 
 }  // namespace ivypost::degradation
--- a/src/degradation/signal.h
+++ b/src/degradation/signal.h
@@ -9,17 +9,17 @@
 
 namespace ivypost::degradation {
 
-/// What the level is decided by: one non-negative number each, in the unit that unitOf() gives.
+/// The inputs of the level decision. The value of each is a non-negative number in the unit that unitOf()
+/// returns.
 enum class Signal : std::uint8_t {
-  CpuUtilization,          ///< Processor time used, of what the sidecar may use.
-  EventLoopLag,            ///< Time from when a timer was due to when its handler ran.
-  OpenRequestFraction,     ///< Open requests, of the most that may be open.
-  BusyConnectionFraction,  ///< Connections at work, of the limit; the fuller of the clients' and upstreams'
-                           ///< side.
-  FailedAttemptFraction,   ///< Attempts that timed out, failed or were rejected, of all recent ones.
-  OverQuotaFraction,       ///< Requests of tenants over their quota, of all recent ones.
-  RetryFraction,           ///< Requests that their client marked as retries, of all recent ones.
-  EndpointListAge,         ///< Time since the endpoint list was last known to be right.
+  CpuUtilization,          ///< CPU time used, divided by the CPU time available to the sidecar.
+  EventLoopLag,            ///< Delay from when a timer was due until its handler ran.
+  OpenRequestFraction,     ///< Open requests divided by their limit.
+  BusyConnectionFraction,  ///< Busy connections divided by their limit; the greater of clients and upstreams.
+  FailedAttemptFraction,   ///< Fraction of recent attempts that timed out, failed or were rejected.
+  OverQuotaFraction,       ///< Fraction of recent requests whose tenant is over its quota.
+  RetryFraction,           ///< Fraction of recent requests that their client marked as retries.
+  EndpointListAge,         ///< Time since the endpoint list was last known to be current.
 };
 
 /// All signals, in the order of their enumerators.
@@ -27,7 +27,7 @@
                                         Signal::OpenRequestFraction,   Signal::BusyConnectionFraction,
                                         Signal::FailedAttemptFraction, Signal::OverQuotaFraction,
                                         Signal::RetryFraction,         Signal::EndpointListAge};
-/// The number of signals, for tables that indexOf() indexes.
+/// The number of signals, as the size of tables indexed by indexOf().
 inline constexpr std::size_t kSignalCount = kSignals.size();
 
 /// The signal's position in kSignals.
@@ -35,28 +35,28 @@
   return static_cast<std::size_t>(signal);
 }
 
-/// The signal as `GET /status/level` and the log name it, and, with underscores for spaces, the operator's
-/// file. Part of those interfaces.
+/// The signal's name in `GET /status/level` and in the log, and, with underscores for spaces, in the
+/// operator's file. The names are part of these interfaces and must not change.
 [[nodiscard]] std::string_view nameOf(Signal signal);
 
 /// The unit of a signal's value and of its thresholds.
 enum class Unit : std::uint8_t {
-  Fraction,      ///< Of a whole: 0 to 1, more where the whole is exceeded.
+  Fraction,      ///< Usually 0 to 1; more if a limit is exceeded.
   Microseconds,  ///< 0 or more.
 };
-/// The unit of the signal's samples, smoothed value and thresholds: EventLoopLag and EndpointListAge are
-/// times, all others fractions.
+/// The unit of the signal's samples, smoothed value and thresholds: Microseconds for EventLoopLag and
+/// EndpointListAge, Fraction for all others.
 [[nodiscard]] Unit unitOf(Signal signal);
 
 /// One value for each signal.
 template <class Value>
 class PerSignal {
  public:
-  /// The signal's value; std::out_of_range for what is no enumerator.
+  /// The signal's value. Throws std::out_of_range if `signal` is not an enumerator.
   [[nodiscard]] Value& operator[](Signal signal) { return values_.at(indexOf(signal)); }
-  /// The same for values that are only read.
+  /// As above, for reading.
   [[nodiscard]] const Value& operator[](Signal signal) const { return values_.at(indexOf(signal)); }
-  /// The same value for all of them.
+  /// Sets the values of all signals to `value`.
   void fill(const Value& value) { values_.fill(value); }
 
  private:
--- a/src/degradation/time.h
+++ b/src/degradation/time.h
@@ -6,13 +6,13 @@
 
 namespace ivypost::degradation {
 
-/// A span of time as the decisions take it: whole microseconds.
+/// A duration in whole microseconds.
 using Duration = std::chrono::microseconds;
 
-/// A moment on the caller's monotonic clock. The module reads no clock of its own.
+/// A time on the caller's monotonic clock. This module reads no clock.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-/// A span as a number of microseconds, the unit of the signals that are times.
+/// The duration as a number of microseconds, which is the unit of the signals that are times.
 [[nodiscard]] constexpr double toMicroseconds(Duration duration) {
   return static_cast<double>(duration.count());
 }
--- a/src/degradation/transition.cpp
+++ b/src/degradation/transition.cpp
@@ -7,7 +7,7 @@
 namespace ivypost::degradation {
 namespace {
 
-// Enough to compare a value with its threshold.
+// Enough digits to compare a value with its threshold.
 constexpr int kSignificantDigits = 4;
 
 }  // namespace
--- a/src/degradation/transition.h
+++ b/src/degradation/transition.h
@@ -11,23 +11,24 @@
 
 namespace ivypost::degradation {
 
-/// A change from one level to its neighbour.
+/// A change from one level to an adjacent one.
 struct Transition {
-  /// The signal that led to an escalation: of those that request a stricter level, the one furthest over its
-  /// threshold, by their quotient.
+  /// The signal that caused an escalation: among the signals that request a stricter level, the one with the
+  /// greatest ratio of value to threshold.
   struct Cause {
-    Signal signal = Signal::CpuUtilization;  ///< Says the unit of `value` and `threshold`, by unitOf().
-    double value = 0;                        ///< Smoothed, in the signal's unit.
-    double threshold = 0;                    ///< The value at which the level is entered.
+    Signal signal = Signal::CpuUtilization;  ///< unitOf() returns the unit of `value` and `threshold`.
+    double value = 0;                        ///< Smoothed value, in the signal's unit.
+    double threshold = 0;                    ///< Threshold::enter of the level that is entered.
   };
 
-  Level from = Level::Normal;  ///< The level until then.
+  Level from = Level::Normal;  ///< The level before.
   Level to = Level::Normal;    ///< One step stricter (an escalation) or milder (a recovery) than `from`.
-  TimePoint at;                ///< The time of the evaluation that decided it, on the caller's clock.
-  std::optional<Cause> cause;  ///< Of an escalation; a recovery has none.
+  TimePoint at;                ///< The time of the evaluation, on the caller's clock.
+  std::optional<Cause> cause;  ///< Set for an escalation, empty for a recovery.
 };
 
-/// One line for the log; operators' searches rely on its wording (docs/operators/reduced-service.md).
+/// The transition as one log line. Operators search logs for its wording (docs/operators/reduced-service.md),
+/// so it must not change.
 [[nodiscard]] std::string describe(const Transition& transition);
 
 }  // namespace ivypost::degradation
--- a/src/exclusion/descriptor.h
+++ b/src/exclusion/descriptor.h
@@ -8,16 +8,16 @@
 
 namespace ivypost::exclusion {
 
-/// Owns a file descriptor and closes it at its end, which also lets go of a lock on it.
+/// Owns a file descriptor and closes it on destruction, which also releases a lock held on it.
 class Descriptor {
  public:
-  /// `number`: what open() returned; negative: none. `files` must outlive this object.
+  /// `number`: the result of open(); negative: there is no descriptor. `files` must outlive this object.
   Descriptor(FileOperations& files, int number) : files_(&files), number_(number) {}
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
-  /// Takes the descriptor over; `other` is not open afterwards.
+  /// Takes ownership of the descriptor; `other` is not open afterwards.
   Descriptor(Descriptor&& other) noexcept : files_(other.files_), number_(std::exchange(other.number_, -1)) {}
-  /// Exchanges the two, so that what this object had is closed at the end of `other`.
+  /// Swaps the descriptors, so that the destructor of `other` closes this object's former one.
   Descriptor& operator=(Descriptor&& other) noexcept {
     std::swap(files_, other.files_);
     std::swap(number_, other.number_);
@@ -29,9 +29,10 @@
 
   /// Whether there is a descriptor to close: false after a failed open(), close() or a move.
   [[nodiscard]] bool isOpen() const { return number_ >= 0; }
-  /// Negative if it is not open.
+  /// The descriptor; negative if it is not open.
   [[nodiscard]] int number() const { return number_; }
-  /// Closes it now. False, with errno set, if that failed; it is closed all the same. It has to be open.
+  /// Closes the descriptor, which must be open. Returns false with errno set if close(2) failed; the
+  /// descriptor is not open afterwards in any case.
   [[nodiscard]] bool close() { return files_->close(std::exchange(number_, -1)) == 0; }
 
  private:
--- a/src/exclusion/error.h
+++ b/src/exclusion/error.h
@@ -7,23 +7,23 @@
 
 namespace ivypost::exclusion {
 
-/// What can be wrong beside errors of the operating system, which are in std::generic_category(). Each has a
-/// message of a few words without a line end, made to follow the name of the file.
+/// Errors of this module; those of the operating system are in std::generic_category(). Each message is a few
+/// words without a line end, to be appended to the name of the file.
 enum class Error {
-  NoFolder = 1,    ///< There is no folder to keep the file in.
-  Locked,          ///< Another process holds the file's lock. Nothing was tried; try again later.
-  Empty,           ///< The file has no content.
-  TooLarge,        ///< The file is larger than any set.
-  NotJson,         ///< The text is no JSON object; one that is cut short is none.
-  UnknownVersion,  ///< The text is of another version than this program writes.
-  NoLists,         ///< The text lacks the excluded or the included ids.
-  TooManyEntries,  ///< A list is longer than ExclusionSet::kMaxEntries.
-  IdNotText,       ///< An id is no string.
+  NoFolder = 1,    ///< No folder is configured for the file.
+  Locked,          ///< Another process holds the file's lock. Nothing was changed; try again later.
+  Empty,           ///< The file is empty.
+  TooLarge,        ///< The file is larger than the largest valid set.
+  NotJson,         ///< The text is not a JSON object; it may be truncated.
+  UnknownVersion,  ///< The text's format version differs from the one that this program writes.
+  NoLists,         ///< The list of excluded or of included ids is missing.
+  TooManyEntries,  ///< A list has more than ExclusionSet::kMaxEntries entries.
+  IdNotText,       ///< An id is not a string.
   InvalidId,       ///< An id is empty or longer than ExclusionSet::kMaxIdLength.
-  InvalidTime,     ///< A time is no integer.
+  InvalidTime,     ///< A time is not an integer.
 };
 
-/// Of a category named "ivypost.exclusion".
+/// The error code for `error`, in a category named "ivypost.exclusion".
 [[nodiscard]] std::error_code make_error_code(Error error);
 
 }  // namespace ivypost::exclusion
--- a/src/exclusion/exclusion_file.cpp
+++ b/src/exclusion/exclusion_file.cpp
@@ -13,14 +13,16 @@
 namespace ivypost::exclusion {
 namespace {
 
-// JSON writes a byte of an id as six at the most (\u0000), and the rest of an entry (quotes, a time) in 32.
+// JSON escapes a byte of an id to at most 6 bytes (\u0000); the rest of an entry (quotes, a time) takes at
+// most 32.
 constexpr std::size_t kMaxEntryText = 6 * ExclusionSet::kMaxIdLength + 32;
-// Of the excluded and of the included ids.
+// The file holds the excluded ids and the included ids.
 constexpr std::size_t kMaxText = 2 * ExclusionSet::kMaxEntries * kMaxEntryText;
-// As a rule the whole file; memory for the largest would be a tenth of a small sidecar's.
+// Usually the complete file. A buffer for the largest file would take a tenth of a small sidecar's memory.
 constexpr std::size_t kReadSize = 4096;
-// Files written for one change. A failed sync may be a matter of that file's pages, so one more is written;
-// if that fails too the disk is at fault, and the event loop has waited for it long enough.
+// Number of files written for one change. A failed sync may concern only that file's pages, so a second file
+// is written. If that fails too, the disk is taken to be faulty, and the event loop is not blocked any
+// longer.
 constexpr int kWritesPerChange = 2;
 constexpr mode_t kOwnerOnly = 0600;
 
@@ -39,7 +41,7 @@
   return {};
 }
 
-// Stops behind kMaxText: the rest of a file that is too large makes no difference.
+// Stops reading beyond kMaxText, since a file that is too large is rejected anyway.
 Result<std::string> readAll(FileOperations& files, int file) {
   std::string text;
   std::array<char, kReadSize> piece{};
@@ -63,14 +65,14 @@
   return a.tv_sec == b.tv_sec && a.tv_nsec == b.tv_nsec;
 }
 
-// Times are compared for being the same only, so that a step of the clock either way hides nothing.
+// Times are compared for equality only, so that a step of the clock in either direction hides no change.
 bool isSameVersion(const struct stat& a, const struct stat& b) {
   return a.st_dev == b.st_dev && a.st_ino == b.st_ino && a.st_size == b.st_size &&
          isSameTime(a.st_mtim, b.st_mtim) && isSameTime(a.st_ctim, b.st_ctim);
 }
 
 bool isToBeStored(Outcome outcome) {
-  // Unchanged too: what the file says may be another process's change whose sync has failed.
+  // Unchanged is written too: the file may contain another process's change whose sync has failed.
   return outcome == Outcome::Changed || outcome == Outcome::Unchanged;
 }
 
@@ -88,8 +90,8 @@
 std::optional<ExclusionSet> ExclusionFile::readIfChanged() {
   const bool isFirstRead = !std::exchange(hasRead_, true);
   if (path_.empty() || !mayHaveChanged()) return std::nullopt;
-  // What another process is writing may yet be taken back. A process that starts takes what there is: an
-  // earlier change must be in force from the first request on.
+  // A change that another process is writing may still be reverted, so the file is not read while locked. The
+  // first read ignores the lock, since earlier exclusions must be in force from the first request on.
   const auto lock = tryLock(LockMode::Shared);
   if (!isFirstRead && lock.error() == Error::Locked) return std::nullopt;
   auto stored = load();
@@ -128,7 +130,7 @@
   return outcome;
 }
 
-// Held as long as the descriptor is open.
+// The lock is held until the returned descriptor is closed.
 Result<Descriptor> ExclusionFile::tryLock(LockMode mode) {
   const std::string path = path_ + ".lock";
   const int flags = mode == LockMode::Exclusive ? O_RDWR | O_CREAT : O_RDONLY;
@@ -194,10 +196,10 @@
   return last.error;
 }
 
-// Puts a new file in the place of the one there is.
+// Replaces the file by a new one.
 ExclusionFile::Write ExclusionFile::write(const std::string& text) {
   Write write;
-  // Opened first: what can't be opened can't be synced, and then nothing should be renamed.
+  // Opened first: a folder that can't be opened can't be synced, and then the file must not be renamed.
   const Descriptor folder(files_, files_.open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC, 0));
   if (!folder.isOpen()) {
     write.error = lastError();
@@ -211,7 +213,7 @@
     return write;
   }
   write.isRenamed = true;
-  // A file system that has no sync of folders says EINVAL: it has nothing to be kept that way.
+  // EINVAL is ignored: the file system does not support syncing folders.
   if (files_.sync(folder.number()) != 0 && errno != EINVAL) {
     write.error = lastError();
     write.hasSyncFailed = true;
@@ -219,9 +221,9 @@
   return write;
 }
 
-// A file that was not there before, with its content on the disk.
+// Creates a file with this content and syncs it.
 std::error_code ExclusionFile::writeNewFile(const std::string& path, const std::string& text, Write& write) {
-  files_.unlink(path.c_str());  // of a process that was killed
+  files_.unlink(path.c_str());  // left behind by a process that was killed
   Descriptor file(files_, files_.open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kOwnerOnly));
   if (!file.isOpen()) return lastError();
   if (const auto error = writeAll(files_, file.number(), text)) return error;
@@ -232,7 +234,7 @@
   return file.close() ? std::error_code() : lastError();
 }
 
-// The file holds a change that is going to be reported as failed: the earlier content is put back.
+// Restores the earlier content of a file that contains a change which is going to be reported as failed.
 void ExclusionFile::restore(const Content& before, const std::error_code& cause) {
   std::error_code error;
   if (before) {
@@ -251,7 +253,7 @@
   restoreTo_ = before;
 }
 
-// The file as it is now holds nothing that this process has to read.
+// Records the present version of the file as seen, so that readIfChanged() does not read it.
 void ExclusionFile::rememberVersion() {
   seen_.reset();
   if (auto version = openVersion()) seen_ = std::move(version).value();
--- a/src/exclusion/exclusion_file.h
+++ b/src/exclusion/exclusion_file.h
@@ -16,46 +16,46 @@
 
 namespace ivypost::exclusion {
 
-/// The set of excluded endpoints as a file that outlives its process, and that two processes share while one
-/// replaces the other.
+/// Stores the set of excluded endpoints in a file that persists across processes and is shared by two
+/// processes while one replaces the other.
 ///
-/// Invariant: the file holds a whole set at each moment, the one before a change or the one after it. A
-/// change that was reported as made is on the disk, file and folder entry. One that was reported as failed is
-/// not in force in this process, and the file has its earlier content back. Only where that can't be restored
-/// either, which is logged, may a process that starts later find the change in force. The file's order of
-/// changes is that of its lock; no clock counts. A process that can't read the file goes on with the set that
-/// it has.
+/// Invariant: at any time the file holds a complete set, either the one before a change or the one after it.
+/// A change that was reported as made is durable: both the file and its folder entry are synced. A change
+/// that was reported as failed is not in force in this process, and the file's earlier content has been
+/// restored. Only if that fails too, which is logged, may a process that starts later apply the change. The
+/// lock determines the order of changes, and no clock does. A process that can't read the file keeps the set
+/// that it has.
 ///
-/// Each write makes a new file, syncs it, renames it and syncs the folder, under a lock that excludes other
-/// writers and, but for a process's first read, readers. After a failed sync the pages may be lost though a
-/// second sync of the descriptor succeeds (fsync(2), errors), so the set is written once more into another
-/// file instead.
+/// Each write creates a new file, syncs it, renames it and syncs the folder, under a lock that excludes other
+/// writers and also readers, except for a process's first read. After a failed sync the pages may be lost
+/// although a second sync of the descriptor succeeds (fsync(2), errors), so the set is written again into
+/// another file instead.
 ///
-/// No call waits for the lock. Writes and syncs do wait for the disk.
+/// No call waits for the lock. Writes and syncs block on the disk.
 class ExclusionFile {
  public:
-  /// Takes one line without its end.
+  /// Takes one log line without a line end.
   using Log = std::function<void(const std::string&)>;
 
-  /// `folder`: where `ivypost-excluded.json` and its lock are kept; empty if there is none, and then all
-  /// changes fail. `log` gets one line for each fault, the first here if the folder can't be written to.
+  /// `folder`: the folder of `ivypost-excluded.json` and its lock file; empty if there is none, and then all
+  /// changes fail. `log` receives one line per fault, the first one here if the folder is not writable.
   /// `files` must outlive this object.
   ExclusionFile(std::string folder, Log log, FileOperations& files = systemFiles());
 
-  /// The stored set, if it may differ from what was read or written last. None: nothing new, another process
-  /// is writing, or the file can't be read. The last is logged once for each such file; a file whose read
-  /// failed is read again by the next call, one with invalid content is not.
+  /// Returns the stored set if the file may differ from what was read or written last. Empty: the file has
+  /// not changed, another process is writing it, or it can't be read. The last case is logged once per file;
+  /// a file whose read failed is read again by the next call, one with invalid content is not.
   [[nodiscard]] std::optional<ExclusionSet> readIfChanged();
 
-  /// Makes one change of the stored set, and stores it durably before it returns. `current` stands for a file
-  /// that does not exist or whose content is invalid, and becomes the stored set. An outcome other than
-  /// Changed or Unchanged writes nothing.
+  /// Applies one change to the stored set and makes it durable before returning. If the file does not exist
+  /// or its content is invalid, the change is applied to `current` instead. On success `current` is the
+  /// stored set. Writes nothing if the outcome is neither Changed nor Unchanged.
   ///
-  /// Errors: Error::NoFolder, Error::Locked, or one of the operating system; then `current` is as it was.
+  /// Errors: Error::NoFolder, Error::Locked, or one of the operating system; `current` is unchanged then.
   Result<Outcome> apply(ExclusionSet& current, const Change& change);
 
  private:
-  /// A version of the file. Held open, so that no later version gets the number of its inode.
+  /// A version of the file. It is kept open so that its inode number is not reused for a later version.
   struct Version {
     Descriptor file;
     struct stat status {};
@@ -64,7 +64,7 @@
     Version version;
     std::string text;
   };
-  /// The text of the file; none: there is no file.
+  /// The text of the file; empty: the file does not exist.
   using Content = std::optional<std::string>;
   struct Write {
     std::error_code error;
@@ -86,11 +86,11 @@
   void rememberVersion();
 
   std::string folder_;
-  std::string path_;  // empty: there is no folder
+  std::string path_;  // empty: no folder is configured
   Log log_;
   FileOperations& files_;
-  std::optional<Version> seen_;  // read or written last
-  // Where seen_ holds a change that was reported as failed: what that replaced.
+  std::optional<Version> seen_;  // version that was read or written last
+  // Set if seen_ contains a change that was reported as failed: the content before that change.
   std::optional<Content> restoreTo_;
   bool hasRead_ = false;
   bool hasLoggedReadFailure_ = false;
--- a/src/exclusion/exclusion_set.cpp
+++ b/src/exclusion/exclusion_set.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kVersion = 1;
 
-// Checked before any entry is read.
+// Checks the format version and the types and sizes of the lists, before any entry is read.
 std::error_code checkShape(const json& file) {
   if (!file.is_object()) return Error::NotJson;
   if (!file.contains("version") || file["version"] != kVersion) return Error::UnknownVersion;
@@ -33,7 +33,7 @@
 
 WallTime timeOf(const json& number) {
   constexpr auto kMax = ExclusionSet::kMaxTime.time_since_epoch().count();
-  // A number above the signed range would be read as a negative one.
+  // Read as unsigned, since a number beyond the signed range would become negative.
   if (number.is_number_unsigned())
     return WallTime(milliseconds(std::min<std::uint64_t>(number.get<std::uint64_t>(), kMax)));
   return WallTime(milliseconds(std::clamp<std::int64_t>(number.get<std::int64_t>(), 0, kMax)));
@@ -88,7 +88,8 @@
   json starts = json::object();
   for (const auto& [endpoint, start] : included_) starts[endpoint] = start.time_since_epoch().count();
   const json file = {{"version", kVersion}, {"out", excluded_}, {"back", starts}};
-  // An id is whatever bytes discovery gave; what is not UTF-8 would throw.
+  // An id may hold any bytes that discovery sent; invalid UTF-8 is replaced, since dump() would throw
+  // otherwise.
   return file.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
--- a/src/exclusion/exclusion_set.h
+++ b/src/exclusion/exclusion_set.h
@@ -15,68 +15,72 @@
 
 namespace ivypost::exclusion {
 
-/// Wall-clock time as endpoint lists and the file have it: Unix time in whole milliseconds; 0: long ago.
+/// Wall-clock time as in endpoint lists and in the file: Unix time in whole milliseconds; 0: long ago.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// What an operator asks for, and what is known of the endpoint at that moment.
+/// An operator's change, with what is known of the endpoint at that time.
 struct Change {
-  /// Whether the endpoint is taken out of service or put back.
+  /// Whether the endpoint is excluded from service or included again.
   enum class Kind : std::uint8_t {
-    Exclude,  ///< out until the next Include, across restarts of sidecar and endpoint
-    Include,  ///< back in service, counted as started at this moment, so that it is warmed up
+    Exclude,  ///< excluded until the next Include, even across restarts of sidecar and endpoint
+    Include,  ///< in service again; counts as started now, so that it gets a slow start
   };
-  Kind kind = Kind::Exclude;  ///< set by the operator's command
-  std::string endpoint;       ///< its id
-  bool isListed = false;      ///< whether an endpoint list names it now
-  WallTime listedStart = {};  ///< when it started, as far as is known
-  WallTime now = {};          ///< by this process's wall clock, which may be wrong
+  Kind kind = Kind::Exclude;  ///< the operator's command
+  std::string endpoint;       ///< the id of the endpoint
+  bool isListed = false;      ///< whether the endpoint list names it now
+  WallTime listedStart = {};  ///< when it started according to lists; 0 if unknown
+  WallTime now = {};          ///< this process's wall-clock time, which may be wrong
 };
 
-/// What became of a change.
+/// The outcome of a change.
 enum class Outcome : std::uint8_t {
-  Changed,
-  Unchanged,        ///< it was so already
-  UnknownEndpoint,  ///< no list names it, nor is it excluded
-  Full,             ///< kMaxEntries are excluded, or the id is longer than kMaxIdLength
+  Changed,          ///< the set has changed
+  Unchanged,        ///< the endpoint was in the requested state already
+  UnknownEndpoint,  ///< the endpoint is neither listed nor excluded
+  Full,             ///< kMaxEntries endpoints are excluded, or the id is longer than kMaxIdLength
 };
 
-/// The endpoints that operators have excluded by hand, and those they have included again. The caller
-/// overlays it on each endpoint list, so that the decision module is told of a drain and decides as for any
-/// other. No I/O and no clock.
+/// The endpoints that operators have excluded manually, and those that they have included again. The caller
+/// applies the set to each endpoint list: excluded endpoints are reported to the decision module as draining,
+/// and it handles them like any other drain. No I/O and no clock.
 ///
-/// Invariant: an endpoint is excluded by its id alone, whatever lists say of it and whether they name it,
-/// from an exclude to the next include, however often it was excluded. From then on it counts as started at
-/// the include, since operators restart it meanwhile and lists may not tell that yet. Times are by the wall
-/// clock of the process that was asked. A process that is told of no change goes on with the set that it has.
+/// Invariant: an endpoint is excluded by its id alone, from an exclude to the next include, regardless of the
+/// contents of lists and of the number of excludes. After an include it counts as started at that time, since
+/// operators restart endpoints while they are excluded, and lists may not state the new start yet. Times are
+/// those of the wall clock of the process that received the call. A process that learns of no change keeps
+/// its set.
 class ExclusionSet {
  public:
-  /// Of the excluded ids, and of the included ids that are remembered. The former are rejected beyond it; of
-  /// the latter the one that was included first is forgotten, as it has had the longest time to warm up.
+  /// Maximum number of excluded ids, and of remembered included ids. Further exclusions are rejected. A
+  /// further inclusion evicts the one with the earliest time, whose endpoint has had the longest time to warm
+  /// up.
   static constexpr std::size_t kMaxEntries = 1024;
-  /// In bytes.
+  /// Maximum length of an id, in bytes.
   static constexpr std::size_t kMaxIdLength = 256;
-  /// The latest time that is kept. Far beyond all clocks, and in microseconds still an exact double.
+  /// The latest time that is stored. It is far in the future, and in microseconds still an exact double.
   static constexpr WallTime kMaxTime{std::chrono::milliseconds((std::int64_t{1} << 53) / 1000)};
 
-  /// Leaves the set as it is unless the outcome is Outcome::Changed. An included endpoint counts as started
-  /// at `change.now`, but later than at `change.listedStart`: the clock may be behind.
+  /// Applies a change; the set stays as it is unless the outcome is Outcome::Changed. An included endpoint
+  /// counts as started at `change.now`, or just after `change.listedStart` if that is later, since the clock
+  /// may be behind.
   [[nodiscard]] Outcome apply(const Change& change);
 
-  /// Whether the endpoint of this id is excluded now; false for ids that the set has never met.
+  /// Whether the endpoint with this id is excluded; false for unknown ids.
   [[nodiscard]] bool isExcluded(const std::string& endpoint) const { return excluded_.contains(endpoint); }
-  /// Whether it changes nothing of any list.
+  /// Whether the set has no entries, so that it changes no list.
   [[nodiscard]] bool isEmpty() const { return excluded_.empty() && included_.empty(); }
-  /// When the endpoint counts as started, where the list says `listedStart`: never earlier than that.
+  /// The time at which the endpoint counts as started if the list states `listedStart`; never earlier than
+  /// that.
   [[nodiscard]] WallTime effectiveStart(const std::string& endpoint, WallTime listedStart) const;
-  /// The ids whose state or start differ under `other`, in order, each once.
+  /// The ids whose state or start differs in `other`, sorted and without duplicates.
   [[nodiscard]] std::vector<std::string> differingEndpoints(const ExclusionSet& other) const;
 
   bool operator==(const ExclusionSet&) const = default;
 
-  /// One line of JSON, ended by a line end: {"back":{ID:MILLISECONDS},"out":[ID],"version":1}.
+  /// Returns one line of JSON with a line end: {"back":{ID:MILLISECONDS},"out":[ID],"version":1}.
   [[nodiscard]] std::string serialize() const;
-  /// Reads what serialize() writes. Times out of range are taken as the nearest in range. Errors: NotJson to
-  /// InvalidTime, of Error.
+  /// Reads the output of serialize(). Times out of range are clamped. Errors: those of Error from NotJson to
+  /// InvalidTime.
   static Result<ExclusionSet> parse(std::string_view text);
 
  private:
@@ -84,7 +88,7 @@
   Outcome include(const std::string& endpoint, WallTime start);
 
   std::set<std::string> excluded_;
-  std::map<std::string, WallTime> included_;  // when each was included
+  std::map<std::string, WallTime> included_;  // by id, the time of the inclusion
 };
 
 }  // namespace ivypost::exclusion
--- a/src/exclusion/file_operations.h
+++ b/src/exclusion/file_operations.h
@@ -9,14 +9,15 @@
 
 namespace ivypost::exclusion {
 
-/// Who else may hold a file's lock at the same time.
+/// Which other holders a file's lock allows at the same time.
 enum class LockMode : std::uint8_t {
-  Shared,     ///< other readers
-  Exclusive,  ///< nobody
+  Shared,     ///< other shared locks
+  Exclusive,  ///< none
 };
 
-/// The system calls that change or read the stored file, with POSIX's results and errno. The defaults make
-/// the calls; a test overrides them to fail one, or to end the process behind one.
+/// The system calls that read or change the stored file, with POSIX's results and errno. The default
+/// implementations make the calls; tests override them to inject failures, or to end the process after a
+/// call.
 class FileOperations {
  public:
   FileOperations() = default;
@@ -40,13 +41,13 @@
   virtual int rename(const char* from, const char* to);
   /// unlink(2).
   virtual int unlink(const char* path);
-  /// flock(2) without waiting: fails with EWOULDBLOCK.
+  /// flock(2) without waiting; fails with EWOULDBLOCK if the lock is held.
   virtual int tryLock(int file, LockMode mode);
-  /// access(2) for writing.
+  /// access(2) with W_OK.
   virtual int checkWritable(const char* path);
 };
 
-/// The operating system's calls. Lives as long as the process.
+/// The operating system's calls. The object has static storage duration.
 [[nodiscard]] FileOperations& systemFiles();
 
 }  // namespace ivypost::exclusion
--- a/src/exclusion/result.h
+++ b/src/exclusion/result.h
@@ -9,30 +9,30 @@
 
 namespace ivypost::exclusion {
 
-/// A value, or why there is none. What std::expected<Value, std::error_code> will be with C++23.
+/// A value or an error code; to be replaced by std::expected<Value, std::error_code> with C++23.
 template <typename Value>
 class [[nodiscard]] Result {
  public:
   // The constructors are implicit, so that a function may return a value or an error.
-  /// A result that holds `value`, which is moved in.
+  /// A result that holds a value.
   Result(Value value) : content_(std::move(value)) {}
-  /// `error` must be one: not the code of success.
+  /// A result that holds an error. `error` must not be the code of success.
   Result(std::error_code error) : content_(error) {}
-  /// For enums that are registered as error codes (std::is_error_code_enum), such as Error.
+  /// A result that holds an error of an enum that is registered by std::is_error_code_enum, such as Error.
   template <typename Enum>
   requires std::is_error_code_enum_v<Enum> Result(Enum error) : content_(std::error_code(error)) {}
 
-  /// Whether value() may be called; otherwise error() says why there is none.
+  /// Whether there is a value; otherwise error() returns the reason.
   [[nodiscard]] bool hasValue() const { return std::holds_alternative<Value>(content_); }
   /// As hasValue(), for use in conditions.
   explicit operator bool() const { return hasValue(); }
 
-  /// Throws std::bad_variant_access if there is no value.
+  /// The value. Throws std::bad_variant_access if there is none.
   [[nodiscard]] const Value& value() const& { return std::get<Value>(content_); }
-  /// The same, to move the value out of a result that is used up by it.
+  /// As above; moves the value out of a temporary or moved result.
   [[nodiscard]] Value&& value() && { return std::get<Value>(std::move(content_)); }
 
-  /// The code of success if there is a value.
+  /// The error; the code of success if there is a value.
   [[nodiscard]] std::error_code error() const {
     return hasValue() ? std::error_code() : std::get<std::error_code>(content_);
   }
--- a/src/sidecar/control/action_executor.cpp
+++ b/src/sidecar/control/action_executor.cpp
@@ -12,7 +12,7 @@
 using balancer::RequestId;
 using std::chrono::microseconds;
 
-// HTTP's, of a request without an answer from an upstream.
+// HTTP status codes for requests that no upstream has answered.
 constexpr unsigned kUnavailable = 503;
 constexpr unsigned kBadGateway = 502;
 
@@ -49,7 +49,8 @@
   targets_.pool.cancel({cancel.request, cancel.attempt});
 }
 
-// Of a rejection or failure that the module has decided.
+// Called for each request that the module rejects or fails; logs the start of load shedding if the request
+// had no attempt.
 void ActionExecutor::noteUnsent(RequestId id) {
   if (!targets_.requests.at(id).attempts.empty()) return;
   if (const char* const line = shedding_.onRejected(microsOf(Clock::now()))) callbacks_.log(line);
@@ -76,7 +77,7 @@
 
 void ActionExecutor::perform(const balancer::SetTimer& timer) {
   const auto at = Clock::now() + microseconds(timer.delay);
-  if (at >= armedFor_) return;  // the module asks again whenever it is woken
+  if (at >= armedFor_) return;  // an earlier expiry is pending, after which the module sets the timer again
   armedFor_ = at;
   timer_.expires_at(at);
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
@@ -114,7 +115,7 @@
   targets_.server.answer(id, std::move(answer));
 }
 
-// Guards against forgetting a request whose attempts still report their end.
+// A request with attempts in flight is kept, since the pool still reports their end.
 void ActionExecutor::forget(RequestId id) {
   const auto found = targets_.requests.find(id);
   if (found == targets_.requests.end() || !found->second.isFinished || found->second.out > 0) return;
--- a/src/sidecar/control/action_executor.h
+++ b/src/sidecar/control/action_executor.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Does what the decision module has decided.
+/// Executes the actions that the decision module returns.
 #ifndef IVYPOST_CONTROL_ACTION_EXECUTOR_H_
 #define IVYPOST_CONTROL_ACTION_EXECUTOR_H_
 
@@ -23,42 +23,44 @@
 
 namespace ivypost {
 
-/// Executes the module's actions on the pool, the server, the membership and its own timer, and answers
-/// requests. Nothing in it decides. An action may lead to calls of the pool's `written` callback from within;
-/// to no other. Not thread-safe: all calls are made on the loop.
+/// Executes the decision module's actions on the connection pool, the server, the endpoint source and a
+/// timer, and answers requests. It takes no decisions. execute() may call the pool's `written` callback
+/// before it returns, but no other callback of the pool. Not thread-safe: all calls are made on the event
+/// loop.
 class ActionExecutor {
  public:
-  /// What it acts on; all must outlive it.
+  /// The objects that actions operate on; all must outlive the executor.
   struct Targets {
-    const Config& config;                  ///< its classes
-    OpenRequests& requests;                ///< attempts are added, and requests finished and forgotten
-    EndpointTable& endpoints;              ///< what is in use
-    ConnectionPool& pool;                  ///< attempts and probes
-    discovery::SourceManager& membership;  ///< calls to discovery
-    Server& server;                        ///< answers
+    const Config& config;                  ///< request classes
+    OpenRequests& requests;                ///< receives new attempts; finished requests are erased
+    EndpointTable& endpoints;              ///< counts the uses of each endpoint
+    ConnectionPool& pool;                  ///< sends attempts and probes
+    discovery::SourceManager& membership;  ///< subscribes to discovery and fetches lists
+    Server& server;                        ///< sends answers to clients
   };
 
-  /// Called on the event loop. They outlive the executor.
+  /// Called on the event loop. What they refer to must outlive the executor.
   struct Callbacks {
-    /// The time that the module asked for has come.
+    /// The timer that the module set by balancer::SetTimer has expired.
     std::function<void()> timerDue;
     /// Takes one line for the log.
     std::function<void(const std::string&)> log;
   };
 
-  /// Has no timer running yet.
+  /// Starts with no timer armed.
   ActionExecutor(boost::asio::io_context& io, const Targets& targets, Callbacks callbacks)
       : targets_(targets), callbacks_(std::move(callbacks)), timer_(io) {}
 
-  /// Executes one action. Requests and endpoints that it names must be known.
+  /// Executes one action. The request and the endpoint that it names must be in `requests` and `endpoints`.
   void execute(const balancer::Action& action);
-  /// All actions of an event have been executed.
-  /// \param now by the monotonic clock, in microseconds.
+  /// Called after all actions of an event have been executed; logs the end of load shedding when it is due.
+  /// \param now monotonic time in microseconds.
   void onEventHandled(Micros now);
 
-  /// Gives a request its answer. Its attempts that have not been written are withdrawn. It must be known.
+  /// Sends the answer to the client and withdraws the attempts whose last byte has not been written. The
+  /// request must be in `requests`.
   void finish(balancer::RequestId id, Answer answer);
-  /// Forgets the request if it is finished and nothing of it is out; ignored otherwise.
+  /// Erases the request if it is finished and none of its attempts is in flight; otherwise does nothing.
   void forget(balancer::RequestId id);
 
  private:
@@ -77,7 +79,7 @@
   const Targets targets_;
   Callbacks callbacks_;
   boost::asio::steady_timer timer_;
-  Clock::time_point armedFor_ = Clock::time_point::max();  // the timer; the maximum: it does not run
+  Clock::time_point armedFor_ = Clock::time_point::max();  // expiry of timer_; max(): not armed
   LoadSheddingLog shedding_;
 };
 
--- a/src/sidecar/control/admin_handler.cpp
+++ b/src/sidecar/control/admin_handler.cpp
@@ -13,16 +13,17 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// How soon this process hears of what operators have told the other one, while one replaces the other.
+// Interval at which the file is checked for changes by the other process, while one replaces the other.
 constexpr milliseconds kFilePollInterval{100};
-// The other process of a replacement holds the lock of the exclusions' file for a write and two syncs of the
-// disk, milliseconds as a rule. A call is answered as failed if it has not got the lock within two seconds.
+// While one process replaces another, each holds the lock of the exclusions' file for a write and two syncs
+// of the disk, usually some milliseconds. A call that has not acquired the lock within 2000 ms is answered as
+// failed.
 constexpr milliseconds kLockRetryInterval{5};
 constexpr milliseconds kLockTimeout{2000};
-// The console's address is tried again so often when it can't be bound.
+// Delay between attempts to listen while the console's address can't be bound.
 constexpr milliseconds kListenRetryInterval{1000};
 
-// HTTP's, as the operators' calls are answered.
+// HTTP status codes of the answers to operators' calls.
 constexpr unsigned kOk = 200;
 constexpr unsigned kConflict = 409;
 constexpr unsigned kUnavailable = 503;
@@ -52,7 +53,7 @@
   pollFile();
 }
 
-// Either process may be called while one replaces the other.
+// While one process replaces another, an operator may call either, so each polls the file.
 void AdminHandler::pollFile() {
   pollTimer_.expires_after(kFilePollInterval);
   pollTimer_.async_wait([this](const error_code& cancelled) {
@@ -111,7 +112,7 @@
   if (pendingChanges_.size() == 1) tryNextChange();
 }
 
-// One change a turn: each waits for the disk.
+// Makes at most one change per turn of the event loop, since each change blocks on the disk.
 void AdminHandler::tryNextChange() {
   const auto reply = changeExclusions(pendingChanges_.front().call);
   if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryInterval);
@@ -128,7 +129,7 @@
   });
 }
 
-// None: the other process holds the lock.
+// Returns nothing if the other process holds the lock.
 std::optional<admin::Reply> AdminHandler::changeExclusions(const admin::Call& call) {
   exclusion::ExclusionSet next = exclusions_;
   const auto outcome = file_.apply(next, changeOf(call, endpoints_, wallClockNow()));
--- a/src/sidecar/control/admin_handler.h
+++ b/src/sidecar/control/admin_handler.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Answers the operators' calls, and keeps the endpoints that they have excluded.
+/// Answers the operators' calls on the admin console and holds the set of endpoints that they have excluded.
 #ifndef IVYPOST_CONTROL_ADMIN_HANDLER_H_
 #define IVYPOST_CONTROL_ADMIN_HANDLER_H_
 
@@ -24,47 +24,47 @@
 
 namespace ivypost {
 
-/// The operators' side of the sidecar. Without a console's address in the configuration it does nothing and
-/// excludes nothing.
+/// Handles the operators' calls: readiness, drain and its end, exclusion and inclusion of endpoints. If the
+/// configuration has no console address, it does not listen and excludes no endpoint.
 ///
-/// One change of the exclusions is made in a turn of the loop, since each waits for the disk; at most
-/// AdminServer::kMaxConnections wait, and one more is answered as failed. The set that counts is this
-/// process's; what the other process of a replacement changes is read within 100 ms. Not thread-safe: all
-/// calls are made on the loop.
+/// At most one change of the exclusions is made per turn of the event loop, since each change blocks on the
+/// disk. Up to AdminServer::kMaxConnections changes are queued; a further one is answered as failed. This
+/// process applies its own copy of the set; while one process replaces another, changes made by the other
+/// process are read from the file within 100 ms. Not thread-safe: all calls are made on the event loop.
 class AdminHandler {
  public:
-  /// Called on the event loop. They outlive the handler.
+  /// Called on the event loop. What they refer to must outlive the handler.
   struct Callbacks {
-    /// An operator asks for a drain or for its end.
+    /// An operator has requested a drain or cancelled one.
     std::function<void(lifecycle::Event)> lifecycleEvent;
-    /// exclusions() has changed for the endpoints of these ids.
+    /// exclusions() has changed for the endpoints with these ids.
     std::function<void(const std::vector<std::string>&)> exclusionsChanged;
     /// Takes one line for the log.
     std::function<void(const std::string&)> log;
   };
 
-  /// Finds out whether the folder can be written to, and does nothing else. All that is referred to must
-  /// outlive this object.
+  /// Checks whether the folder of the exclusions' file is writable and logs if it is not; has no other
+  /// effect. `io`, `config`, `endpoints` and `lifecycle` must outlive this object.
   AdminHandler(boost::asio::io_context& io, const Config& config, const EndpointTable& endpoints,
                const lifecycle::Lifecycle& lifecycle, Callbacks callbacks);
 
-  /// Reads the exclusions that were made before, without a callback, and from now on those of the other
-  /// process.
+  /// Reads the stored exclusions without calling exclusionsChanged, then polls the file for changes by the
+  /// other process.
   void loadExclusions();
-  /// Listens; where that fails, again each second.
+  /// Listens on the console address; if that fails, tries again every second.
   void listen();
 
-  /// The endpoints that are excluded now.
+  /// The endpoints that are excluded now, and the start times of those included again.
   [[nodiscard]] const exclusion::ExclusionSet& exclusions() const { return exclusions_; }
-  /// Where it listens; none: nowhere, or not yet.
+  /// The port that the console listens on; empty while it does not listen.
   [[nodiscard]] std::optional<std::uint16_t> port() const;
 
  private:
-  // A call that changes the exclusions, until it is answered.
+  // A call that changes the exclusions and has not been answered.
   struct PendingChange {
     admin::Call call;
     admin::AdminServer::Answer answer;
-    Clock::time_point until;  // the lock is tried for
+    Clock::time_point until;  // after it, a locked file makes the change fail
   };
 
   void onCall(const admin::Call& call, const admin::AdminServer::Answer& answer);
@@ -83,12 +83,12 @@
   Callbacks callbacks_;
   exclusion::ExclusionSet exclusions_;
   exclusion::ExclusionFile file_;
-  std::deque<PendingChange> pendingChanges_;  // the oldest first, AdminServer::kMaxConnections at most
-  boost::asio::steady_timer pollTimer_;       // of the file
-  boost::asio::steady_timer changeTimer_;     // of the oldest pending change
-  boost::asio::steady_timer listenTimer_;     // until it is tried again
+  std::deque<PendingChange> pendingChanges_;  // oldest first; at most AdminServer::kMaxConnections
+  boost::asio::steady_timer pollTimer_;       // next poll of the file
+  boost::asio::steady_timer changeTimer_;     // next try of the oldest pending change
+  boost::asio::steady_timer listenTimer_;     // next try to listen
   bool hasListenFailed_ = false;
-  std::unique_ptr<admin::AdminServer> console_;  // none: it does not listen
+  std::unique_ptr<admin::AdminServer> console_;  // null: not listening
 };
 
 }  // namespace ivypost
--- a/src/sidecar/control/degradation_manager.cpp
+++ b/src/sidecar/control/degradation_manager.cpp
@@ -24,7 +24,7 @@
   return toTimePoint(Clock::now());
 }
 
-// Zero where the system doesn't tell.
+// CPU time that the process has used since its start; zero if the clock can't be read.
 Duration processCpuTime() {
   timespec used{};
   if (clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &used) != 0) return Duration::zero();
--- a/src/sidecar/control/degradation_manager.h
+++ b/src/sidecar/control/degradation_manager.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The degradation module on the event loop.
+/// Runs the degradation module on the event loop.
 #ifndef IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
 #define IVYPOST_CONTROL_DEGRADATION_MANAGER_H_
 
@@ -15,36 +15,36 @@
 
 namespace ivypost {
 
-/// Runs the degradation module on the event loop: ticks, measures, logs each transition to standard error and
-/// reports it. Switched off, it has no timer and counts nothing. Not thread-safe: all calls are made on the
-/// loop.
+/// Periodically collects the measurements, evaluates the degradation level, writes each transition to
+/// standard error and reports it by a callback. While switched off, it runs no timer and ignores events. Not
+/// thread-safe: all calls are made on the event loop.
 class DegradationManager {
  public:
-  /// Called on the event loop. They outlive the manager.
+  /// Called on the event loop. What they refer to must outlive the manager.
   struct Callbacks {
-    /// All measurements but the processor time and the event loop's lag, which the manager takes itself.
+    /// Returns all measurements except the CPU time and the event loop's lag, which the manager measures.
     std::function<degradation::Measurements()> measure;
-    /// After each change of the level, also to Normal when it is switched off.
+    /// Called after each change of the level, also when switching off resets it to Normal.
     std::function<void(degradation::Level)> levelChanged;
   };
 
-  /// Begins switched off. `cores`: of processor that the process may use; over 0.
+  /// Starts switched off. `cores`: CPU cores that the process may use, more than 0; may be fractional.
   DegradationManager(boost::asio::io_context& io, double cores, Callbacks callbacks);
 
-  /// Switches on, goes on with other settings at the present level, or switches off, which ends at Normal.
-  /// The settings are valid, as reading the file has made sure.
+  /// Switches on, changes the settings while keeping the present level, or switches off, which resets the
+  /// level to Normal. The settings must be valid, which reading the operator's file has checked.
   void apply(const configuration::OperatorFile::Degradation& options);
 
-  /// As degradation::LoadMonitor::onRequest(), now; nothing while switched off.
+  /// Calls degradation::LoadMonitor::onRequest() with the current time; ignored while switched off.
   void onRequest(bool isRetry);
-  /// As degradation::LoadMonitor::onAttemptEnd(), now; nothing while switched off.
+  /// Calls degradation::LoadMonitor::onAttemptEnd() with the current time; ignored while switched off.
   void onAttemptEnd(bool failed);
 
-  /// Normal while switched off.
+  /// The level in force; Normal while switched off.
   [[nodiscard]] degradation::Level level() const;
 
-  /// For `GET /status/level`: the level, whether it is on, since when (milliseconds) and each smoothed
-  /// signal.
+  /// The JSON of `GET /status/level`: the level and whether degradation is switched on; if it is, also the
+  /// milliseconds since the last transition and the smoothed value of each signal.
   [[nodiscard]] nlohmann::json status() const;
 
  private:
@@ -54,7 +54,7 @@
   const double cores_;
   Callbacks callbacks_;
   boost::asio::steady_timer timer_;
-  std::optional<degradation::LoadMonitor> monitor_;  // none: off
+  std::optional<degradation::LoadMonitor> monitor_;  // empty: switched off
 };
 
 }  // namespace ivypost
--- a/src/sidecar/control/endpoint_table.cpp
+++ b/src/sidecar/control/endpoint_table.cpp
@@ -11,7 +11,8 @@
 using balancer::EndpointState;
 using balancer::MembershipUpdate;
 
-// An entry as the module hears of it: out by hand is a drain, back by hand a start.
+// Applies the exclusions to an entry: an excluded endpoint is draining, and one that was included again
+// counts as started at its inclusion.
 discovery::Instance overlay(const discovery::Instance& received, const exclusion::ExclusionSet& exclusions) {
   discovery::Instance overlaid = received;
   if (overlaid.state == EndpointState::Serving && exclusions.isExcluded(overlaid.id))
@@ -30,7 +31,8 @@
   startTimes_.beginList(
       previousUntil ? std::optional(previousUntil->time_since_epoch().count()) : std::nullopt, now);
   if (kind == MembershipUpdate::Kind::Full) {
-    for (EndpointRecord& record : records_) record.isListed = false;  // whoever is missing has gone
+    for (EndpointRecord& record : records_)
+      record.isListed = false;  // the list below sets it again for those that it names
   }
   for (const discovery::Instance& received : list.instances) {
     if (exclusions.isEmpty()) {
@@ -47,7 +49,7 @@
   if (instance.state == EndpointState::Gone && !numbers_.contains(instance.id)) return;
   EndpointEntry entry;
   entry.upstream = numberOf(instance.id);
-  // A zone or a kind that the settings don't name says nothing, but the endpoint can serve.
+  // An endpoint whose zone or kind the settings don't name can still serve; the field keeps its default.
   if (const auto zone = site_.zones.find(instance.zone); zone != site_.zones.end()) entry.zone = zone->second;
   if (const auto kind = site_.kinds.find(instance.kind); kind != site_.kinds.end()) entry.kind = kind->second;
   entry.cell = instance.cell;
@@ -98,8 +100,9 @@
   return upstream;
 }
 
-// Guards against sending to a process under the id of the one that stood at its address before: the process
-// that started last has it, the other has gone whatever the list still says. False if that is this one.
+// Prevents requests for an endpoint from reaching another process that now has its address: of two endpoints
+// with one address, the one that started last keeps it, and the other is gone even if the list still names
+// it. Returns false if that is `upstream`.
 bool EndpointTable::claimAddress(EndpointId upstream, MembershipUpdate& update) {
   const EndpointRecord& own = records_[upstream];
   const auto holder = holders_.try_emplace(own.address, upstream).first;
--- a/src/sidecar/control/endpoint_table.h
+++ b/src/sidecar/control/endpoint_table.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// What is known of each endpoint, by its id in the decision module. No I/O and no clock.
+/// Table of the endpoints, by the number that identifies each in the decision module. No I/O and no clock.
 #ifndef IVYPOST_CONTROL_ENDPOINT_TABLE_H_
 #define IVYPOST_CONTROL_ENDPOINT_TABLE_H_
 
@@ -21,62 +21,62 @@
 
 namespace ivypost {
 
-/// What an endpoint id stands for.
+/// What is known of one endpoint.
 struct EndpointRecord {
-  std::string id;                  ///< as lists name the endpoint; empty: the number is free
-  Endpoint address;                ///< of the last list that named it
-  std::int64_t startedAtMs = 0;    ///< Unix time as the module hears of it, with the exclusions; 0: long ago
-  Micros launchedAt = 0;           ///< the same by the monotonic clock; 0: long ago
-  discovery::Instance asReceived;  ///< as the list has it, without the exclusions; only where they can change
-  bool isListed = false;           ///< the list names it, and no later process has its address
-  std::uint32_t uses = 0;          ///< attempts of requests that are not forgotten, and probes that are out
+  std::string id;                  ///< id in endpoint lists; empty: the number is free
+  Endpoint address;                ///< from the last list that named the endpoint
+  std::int64_t startedAtMs = 0;    ///< start in Unix time, after applying the exclusions; 0: long ago
+  Micros launchedAt = 0;           ///< the same start in monotonic time; 0: long ago
+  discovery::Instance asReceived;  ///< before applying the exclusions; only set if the table keeps it
+  bool isListed = false;           ///< the list names it, and no process that started later has its address
+  std::uint32_t uses = 0;          ///< attempts of requests that are not erased yet, and probes in flight
 };
 
-/// Gives endpoints the numbers by which the decision module knows them, and turns lists into its updates.
+/// Assigns endpoints the numbers that identify them in the decision module, and converts endpoint lists into
+/// membership updates for it.
 ///
-/// Invariant: a number is free again when no list names its endpoint and nothing of the sidecar refers to it,
-/// so that ever new endpoints need no ever new numbers. Each address is that of one listed endpoint at the
-/// most: the one that started last. All of it is this process's own view of the last list that it received;
-/// without lists it stays as it is.
+/// Invariant: a number is reused once no list names its endpoint and no attempt or probe refers to it, so
+/// that endpoint churn does not make the table grow. An address belongs to at most one listed endpoint: the
+/// one that started last. The table reflects the last list that this process received and does not change
+/// while no list arrives.
 class EndpointTable {
  public:
-  /// \param site the names that the settings give; must outlive this object.
-  /// \param unixTime by the wall clock at `now`, in microseconds.
-  /// \param now by the monotonic clock, in microseconds.
-  /// \param keepsReceived whether received() will be asked for.
+  /// \param site maps the names of zones and kinds to numbers; must outlive this object.
+  /// \param unixTime wall-clock time at `now`, in microseconds.
+  /// \param now monotonic time in microseconds.
+  /// \param keepsReceived whether received() will be used.
   EndpointTable(const settings::Site& site, Micros unixTime, Micros now, bool keepsReceived)
       : site_(site), startTimes_(unixTime, now), keepsReceived_(keepsReceived) {}
 
-  /// Takes a list or a part of one. The records of the endpoints that it names are current when this returns.
-  /// \param list with `Kind::Full` all that there are; else what has changed.
-  /// \param kind how the module is to take it.
-  /// \param exclusions endpoints that are out by hand, which the module hears of as draining.
-  /// \param now by the monotonic clock, in microseconds.
-  /// \return what the module has to hear, in the list's order. An endpoint that has lost its address to
-  /// another
-  ///     one is in it as gone.
+  /// Applies a complete list or a list of changes to the records.
+  /// \param list with `Kind::Full`, all endpoints; otherwise those that have changed.
+  /// \param kind whether the list is complete; also the kind of the update.
+  /// \param exclusions endpoints that operators have excluded, which the update reports as draining.
+  /// \param now monotonic time in microseconds.
+  /// \return the update for the decision module, in the list's order. It also reports as gone each endpoint
+  ///     whose address a process that started later has taken over.
   [[nodiscard]] balancer::MembershipUpdate apply(const discovery::EndpointList& list,
                                                  balancer::MembershipUpdate::Kind kind,
                                                  const exclusion::ExclusionSet& exclusions, Micros now);
 
-  /// What the last lists said of these, as far as they are listed.
-  /// \param ids as lists name them; unknown ones are left out.
+  /// The listed endpoints among `ids` as the last lists described them, without the exclusions.
+  /// \param ids ids in endpoint lists; unknown and unlisted ones are skipped.
   [[nodiscard]] std::vector<discovery::Instance> received(const std::vector<std::string>& ids) const;
 
-  /// The endpoint of this name; none: the table has none. Valid until it is freed.
+  /// The number of the endpoint with this id; empty if the table has none. Valid until the number is freed.
   [[nodiscard]] std::optional<EndpointId> find(const std::string& id) const;
-  /// What is known of an endpoint; `upstream` must be below size().
+  /// The record of an endpoint; `upstream` must be below size().
   [[nodiscard]] const EndpointRecord& operator[](EndpointId upstream) const { return records_[upstream]; }
-  /// Numbers in use and free ones.
+  /// The count of numbers, both in use and free.
   [[nodiscard]] std::size_t size() const { return records_.size(); }
 
-  /// Something refers to the endpoint from now on, until dropUse().
+  /// Adds a reference to the endpoint, to be removed by dropUse(). Its number is not freed meanwhile.
   void addUse(EndpointId upstream) { ++records_[upstream].uses; }
-  /// It no longer does. The number may be free after this.
+  /// Removes a reference. Frees the number if it was the last one and no list names the endpoint.
   void dropUse(EndpointId upstream);
-  /// The endpoints that no list names any more and whose numbers are not free yet.
+  /// The endpoints that are no longer listed and whose numbers are not free yet.
   [[nodiscard]] std::vector<EndpointId> unlisted() const;
-  /// Frees the number if no list names the endpoint and nothing refers to it.
+  /// Frees the number if the endpoint is not listed and has no references.
   void freeIfUnused(EndpointId upstream);
 
  private:
@@ -92,7 +92,7 @@
   std::vector<EndpointRecord> records_;  // by number
   std::unordered_map<std::string, EndpointId> numbers_;
   std::vector<EndpointId> freeNumbers_;
-  std::map<Endpoint, EndpointId> holders_;  // of each address, the endpoint that was listed there last
+  std::map<Endpoint, EndpointId> holders_;  // by address, the endpoint that was last listed there
 };
 
 }  // namespace ivypost
--- a/src/sidecar/control/exclusion_call.cpp
+++ b/src/sidecar/control/exclusion_call.cpp
@@ -9,7 +9,7 @@
 namespace ivypost {
 namespace {
 
-// HTTP's, as the operators' calls are answered.
+// HTTP status codes of the answers to operators' calls.
 constexpr unsigned kOk = 200;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
--- a/src/sidecar/control/membership_selection.cpp
+++ b/src/sidecar/control/membership_selection.cpp
@@ -11,7 +11,7 @@
 
 using Options = configuration::OperatorFile::Membership;
 
-// Of a source that is not used, the options make no difference.
+// The etcd options are compared only if etcd is the source.
 bool isSameSource(const Options& one, const Options& other) {
   return one.source == other.source && (one.source == Options::Source::Platform || one.etcd == other.etcd);
 }
--- a/src/sidecar/control/membership_selection.h
+++ b/src/sidecar/control/membership_selection.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// Which source endpoint lists come from, as the operator's file has it.
+/// Selects the source of endpoint lists by the operator's file.
 #ifndef IVYPOST_CONTROL_MEMBERSHIP_SELECTION_H_
 #define IVYPOST_CONTROL_MEMBERSHIP_SELECTION_H_
 
@@ -17,12 +17,13 @@
 
 namespace ivypost {
 
-/// Makes the sources that the operator chooses, and hands them to the membership, which changes over with the
-/// first complete list of the new one. Not thread-safe: all calls are made on the loop.
+/// Creates the endpoint source that the operator's file selects and passes it to the
+/// discovery::SourceManager, which switches over at the first complete list of the new source. Not
+/// thread-safe: all calls are made on the event loop.
 class MembershipSelection {
  public:
-  /// Makes the source that watches etcd; empty where this program is built without it. Throws
-  /// settings::FormatError, one line, for options that can't be used.
+  /// Creates the source that watches etcd; empty if this program is built without etcd. Throws
+  /// settings::FormatError, with a message of one line, for unusable options.
   using MakeEtcd = std::function<std::unique_ptr<discovery::Source>(
       boost::asio::io_context&, const discovery::etcd::Options&, std::uint64_t seed,
       discovery::Source::Callbacks)>;
@@ -31,15 +32,15 @@
   MembershipSelection(boost::asio::io_context& io, const Config& config, discovery::SourceManager& membership,
                       MakeEtcd makeEtcd, std::function<void(const std::string&)> log);
 
-  /// Begins with this source, or changes to it. The same source as before stays, and one that was about to
-  /// take over is dropped if the operator wants the present one back.
+  /// Starts with the source `wanted`, or begins the handover to it. Does nothing if it is selected already;
+  /// if it is the present source and a handover to another one is in progress, cancels the handover.
   ///
-  /// Throws settings::FormatError where the source can't be made, and then nothing has changed. `discovery`:
-  /// where the platform's is.
+  /// Throws settings::FormatError if the source can't be created, and then nothing has changed. `discovery`:
+  /// address of the platform's discovery.
   void select(const configuration::OperatorFile::Membership& wanted, const Endpoint& discovery);
-  /// A list has come by the membership.
+  /// To be called when the membership has delivered a list, which may have completed a handover.
   void onList();
-  /// Whether the source that counts is etcd; else it is the platform.
+  /// Whether the source in use is etcd; otherwise it is the platform.
   [[nodiscard]] bool isEtcd() const {
     return current_.source == configuration::OperatorFile::Membership::Source::Etcd;
   }
@@ -54,8 +55,8 @@
   discovery::SourceManager& membership_;
   MakeEtcd makeEtcd_;
   std::function<void(const std::string&)> log_;
-  configuration::OperatorFile::Membership current_;  // of the source that counts
-  configuration::OperatorFile::Membership wanted_;   // of it, or of the one that is to take over
+  configuration::OperatorFile::Membership current_;  // of the source in use
+  configuration::OperatorFile::Membership wanted_;   // of the source that was selected last
 };
 
 }  // namespace ivypost
--- a/src/sidecar/control/open_request.cpp
+++ b/src/sidecar/control/open_request.cpp
@@ -10,7 +10,7 @@
 using balancer::Outcome;
 using std::chrono::microseconds;
 
-// A repeat is written this long before its window ends at the latest: it has to arrive within it.
+// Margin between writing a retry and the end of its window, within which it has to arrive.
 constexpr microseconds kWindowMargin{10'000};
 
 }  // namespace
--- a/src/sidecar/control/open_request.h
+++ b/src/sidecar/control/open_request.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// The sidecar's requests and their attempts. No I/O and no clock.
+/// The sidecar's open requests and their attempts. No I/O and no clock.
 #ifndef IVYPOST_CONTROL_OPEN_REQUEST_H_
 #define IVYPOST_CONTROL_OPEN_REQUEST_H_
 
@@ -15,38 +15,39 @@
 
 namespace ivypost {
 
-/// One attempt of a request, also after its end.
+/// One attempt of a request; kept after the attempt has ended.
 struct AttemptRecord {
-  EndpointId upstream = 0;        ///< where it went
-  Clock::time_point writtenAt{};  ///< its last byte; the epoch: not written
+  EndpointId upstream = 0;        ///< the endpoint that it is sent to
+  Clock::time_point writtenAt{};  ///< when its last byte was written; the epoch: not written
   bool mayHaveRun = true;         ///< until its outcome proves otherwise
 };
 
-/// A request from the time it is taken until it is finished and nothing of it is out.
+/// A request, from its arrival until it is finished and has no attempt in flight.
 struct OpenRequest {
-  ClientRequest client;                 ///< as it was taken
-  std::vector<AttemptRecord> attempts;  ///< by number
+  ClientRequest client;                 ///< as received from the client
+  std::vector<AttemptRecord> attempts;  ///< by attempt number
   std::uint32_t out = 0;                ///< attempts that have not ended
-  bool isFinished = false;              ///< it has its answer, or nobody waits for one
+  bool isFinished = false;              ///< it is answered, or the client has left
 };
 
-/// By the sidecar's id.
+/// The open requests by the id that the sidecar assigned.
 using OpenRequests = std::unordered_map<balancer::RequestId, OpenRequest>;
 
-/// Until when the next attempt may be written.
+/// The latest time at which the next attempt may be written.
 ///
-/// A repeat with an idempotency key has to arrive while upstreams remember the key: the window opens with the
-/// first attempt that may have run, which has been written if so, and the repeat is written 10 ms before the
-/// window ends at the latest. This guards against a connection that comes up slowly.
-/// \param request its earlier attempts count.
-/// \param requestClass the settings' for this request.
-/// \param deadline until when the attempt's answer is waited for.
-/// \return `deadline` or earlier.
+/// A retry with an idempotency key has to arrive while upstreams remember the key. That window begins when
+/// the last byte of the first attempt that may have run was written, and the retry must be written at least
+/// 10 ms before the window ends. Without this bound, a connection that is slow to establish would send a
+/// retry too late.
+/// \param request provides the earlier attempts.
+/// \param requestClass the request's class in the settings.
+/// \param deadline end of the wait for the attempt's answer.
+/// \return `deadline` or an earlier time.
 [[nodiscard]] Clock::time_point writeDeadline(const OpenRequest& request,
                                               const balancer::RequestClass& requestClass,
                                               Clock::time_point deadline);
 
-/// Whether an attempt with this outcome can't have run.
+/// Whether the outcome proves that the upstream did not execute the attempt.
 [[nodiscard]] bool provesNeverRan(balancer::Outcome outcome);
 
 }  // namespace ivypost
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 /// \file
-/// When endpoints started, by this process's monotonic clock, from the Unix time that lists state. No clock
-/// and no I/O: the time is a parameter.
+/// Converts the Unix start times of endpoints in lists into this process's monotonic time. No clock and no
+/// I/O: the time is a parameter.
 #ifndef IVYPOST_CONTROL_START_TIME_ESTIMATOR_H_
 #define IVYPOST_CONTROL_START_TIME_ESTIMATOR_H_
 
@@ -13,45 +13,48 @@
 
 namespace ivypost {
 
-/// Estimates the starts of endpoints.
+/// Estimates when endpoints started, in monotonic time.
 ///
-/// The wall clock may be wrong by any amount, from the start or after a step, here or where lists are made.
-/// So a list's time counts as far as the monotonic clock doesn't contradict it:
-///   - nothing has started later than now;
-///   - a start that was seen to happen, since the list before didn't state it, is no older than that list and
-///     kNoticeDelay. One that is said to be older counts as of now: an endpoint that is still warming up and
-///     is taken for a warm one is overloaded, and the other error ends with the slow start.
+/// The wall clock may be wrong by any amount, from the start or after a step, in this process or in the one
+/// that makes the lists. So the stated time is used only as far as the monotonic clock doesn't contradict it:
+///   - no endpoint has started later than now;
+///   - a start that the previous list did not state happened at most kNoticeDelay before the time until
+///     which that list was known to be current. If the stated time is older, the start counts as now: an
+///     endpoint that is still warming up but taken for warm would be overloaded, while the opposite error
+///     ends with the slow start.
 ///
-/// What is in the first list may have started at any time.
+/// Endpoints of the first list may have started at any time.
 ///
-/// Invariant: a start never moves. The same endpoint with the same stated time has the same estimate for as
-/// long as it is remembered, also if lists leave it out meanwhile; it was not seen to start when it is back.
-/// The clock is this process's monotonic one. Without lists nothing changes.
+/// Invariant: an estimate never changes. The same endpoint with the same stated time has the same estimate
+/// for as long as it is remembered, even if lists omit it meanwhile: an endpoint that is listed again does
+/// not count as newly started. Estimates are in this process's monotonic time.
 class StartTimeEstimator {
  public:
-  /// Microseconds, monotonic if not said otherwise.
+  /// Microseconds; monotonic time unless stated otherwise.
   using Micros = std::int64_t;
 
-  /// How late a list may state a start while its source is in touch. New endpoints are listed up to 2 s after
-  /// their start; a wall clock that is less than this ahead can't be known from that.
+  /// Maximum delay from a start until a list states it, while the source is connected. New endpoints are
+  /// listed up to 2 s after their start; a wall clock that is ahead by less can't be distinguished from such
+  /// a delay.
   static constexpr Micros kNoticeDelay = 2'500'000;
-  /// Starts remembered; beyond that the one that was first stated longest ago is forgotten. Twice the
-  /// endpoints of the largest fleet.
+  /// Maximum number of remembered starts; beyond it the one that was first stated longest ago is evicted.
+  /// Twice the endpoints of the largest fleet.
   static constexpr std::size_t kMaxStarts = 8192;
 
-  /// `unixTime`: by the wall clock, in microseconds, at `now`. Taken once: a later step of the wall clock
-  /// changes nothing.
+  /// `unixTime`: wall-clock time at `now`, in microseconds. Read only once, so that a later step of the wall
+  /// clock has no effect.
   StartTimeEstimator(Micros unixTime, Micros now) : unixToSteady_(now - unixTime) {}
 
-  /// A list has come at `now`, and its starts are asked for next. `previousUntil`: how long the list before
-  /// it was known to be current; none: there was none, so no start was seen.
+  /// Begins a list that arrived at `now`; the following calls of startOf() are for its entries.
+  /// `previousUntil`: until when the previous list was known to be current; empty: this is the first list,
+  /// whose starts were not observed.
   void beginList(std::optional<Micros> previousUntil, Micros now);
 
-  /// The time of the start, 1 or more; 0 for `startedAtMs` 0: long ago. `upstream`: the hash of its id;
-  /// `startedAtMs`: Unix time in milliseconds, as the list states it.
+  /// The estimated start, at least 1; 0 (long ago) if `startedAtMs` is 0. `upstream`: hash of the endpoint's
+  /// id; `startedAtMs`: Unix time in milliseconds, as the list states it.
   Micros startOf(std::uint64_t upstream, std::int64_t startedAtMs);
 
-  /// Starts that are remembered, kMaxStarts at the most.
+  /// The number of remembered starts, at most kMaxStarts.
   [[nodiscard]] std::size_t remembered() const { return starts_.size(); }
 
  private:
@@ -62,18 +65,18 @@
   };
   struct Hash {
     std::size_t operator()(const Start& start) const {
-      // Ids' hashes are mixed already; a multiplier of Fibonacci hashing spreads the time.
+      // The hashes of ids are well distributed; the multiplier of Fibonacci hashing spreads the times.
       constexpr std::uint64_t kMultiplier = 0x9e3779b97f4a7c15U;
       return static_cast<std::size_t>(start.upstream ^
                                       static_cast<std::uint64_t>(start.startedAtMs) * kMultiplier);
     }
   };
 
-  const Micros unixToSteady_;  // added to Unix time
+  const Micros unixToSteady_;  // added to Unix time to get monotonic time
   Micros now_ = 0;
-  std::optional<Micros> earliestSeen_;  // of a start that this list is the first to state
+  std::optional<Micros> earliestSeen_;  // lower bound of the starts that this list is the first to state
   std::unordered_map<Start, Micros, Hash> starts_;
-  std::deque<Start> order_;  // as they were first stated
+  std::deque<Start> order_;  // oldest first, for eviction
 };
 
 }  // namespace ivypost
--- a/tests/degradation/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The decisions on seeded streams of measurements, as one digest that was recorded at 7c357c1: whatever is
-// renamed or moved, the same events give the same transitions at the same times with the same log lines.
+// Compares the decisions on seeded streams of measurements with a digest recorded at commit 7c357c1. Guards
+// against refactoring that changes the transitions, their times or their log lines for the same events.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 class RandomStream {
  public:
   explicit RandomStream(std::uint64_t seed) : state_(seed) {}
-  // 0 to under 1.
+  // Uniform in [0, 1).
   double next() {
     state_ = state_ * 6364136223846793005u + 1442695040888963407u;
     return static_cast<double>(state_ >> 40) * 0x1p-24;
@@ -27,12 +27,12 @@
   std::uint64_t state_;
 };
 
-// Cut to whole microseconds.
+// Truncates to whole microseconds.
 Duration microseconds(double number) {
   return Duration(static_cast<Duration::rep>(number));
 }
 
-// Load that stays at a height of its own for 0.5 to 20 s, with noise; the clock jumps now and then.
+// Random load that stays constant for episodes of 0.5 to 20 s, with noise. The clock jumps occasionally.
 std::string transitionsOf(std::uint64_t seed) {
   RandomStream random(seed);
   LoadMonitor monitor(defaultSettings(), 2, at(Duration::zero()));
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Reduced service in a whole sidecar, over loopback sockets.
+// Tests degradation in a complete sidecar over loopback sockets.
 #include "sidecar_rig.h"
 
 namespace ivypost {
@@ -10,7 +10,8 @@
 
 class DegradationManagerTest : public SidecarTest {
  protected:
-  // A file that leads to this level and stays there: the core is always busier than nothing.
+  // A file with which the sidecar reaches this level and stays there, since CPU utilization is always above
+  // 0.
   static configuration::OperatorFile leadingTo(Level level) {
     configuration::OperatorFile file;
     file.degradation.on = file.admission.queue = file.status.level = true;
@@ -56,7 +57,7 @@
   Config config;
 };
 
-// Without the operator's word nothing of it is there.
+// Unless the operator's file switches degradation on, the level is Normal and its status is not served.
 TEST_F(DegradationManagerTest, IsOffWhenTheFileDoesNotSayOtherwise) {
   start(configuration::OperatorFile{});
   const Client asking = client();
@@ -66,7 +67,8 @@
   EXPECT_EQ(sidecar->level(), Level::Normal);
 }
 
-// A reread that fails changes nothing, at each level; one that succeeds takes effect, and its end is normal.
+// At each level, a failed reload of the operator's file changes nothing. A reload that switches degradation
+// off resets the level to Normal.
 TEST_F(DegradationManagerTest, KeepsItsLevelWhenARereadFails) {
   start(leadingTo(Level::Normal));
   for (std::size_t n = 0; n < degradation::kLevelCount; ++n) {
@@ -78,7 +80,7 @@
     bad.admission.order = {"cambio", "nosuch"};
     try {
       sidecar->reload(config, bad);
-      ADD_FAILURE() << "taken over";
+      ADD_FAILURE() << "an invalid file was applied";
     } catch (const settings::FormatError& error) {
       EXPECT_STREQ(error.what(), "admission.order names a class that the platform doesn't have: 'nosuch'");
     }
@@ -105,13 +107,13 @@
   EXPECT_EQ(seen["waiting"], 0);
 }
 
-// At shed, what can't be served in time is refused from its head: its body is never read. One that can is
-// read.
+// At Shed, a request that can't be served in time is rejected after its header, without reading its body. A
+// request that can be served in time is read.
 TEST_F(DegradationManagerTest, RejectsAtShedBeforeTheBodyIsRead) {
   start(leadingTo(Level::Shed));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Shed; }));
   serveOne("00000000000000a4");
-  serveOne("00000000000000b4");  // by what the first one has taken
+  serveOne("00000000000000b4");  // admitted, by the answer time of the first request
   Request late;
   late.trace = "00000000000000a5";
   late.expiresInMs = 0;
@@ -125,8 +127,8 @@
   EXPECT_EQ(arrived(), 2u);
 }
 
-// At cutoff only the class is taken that the operator put first; the others are told when to come again,
-// where the platform allows that.
+// At Cutoff only the class that is first in the operator's order is admitted. The others are rejected with
+// Retry-After, if the platform allows it.
 TEST_F(DegradationManagerTest, AdmitsAtCutoffTheClassOfTheGreatestWeightOnly) {
   configuration::OperatorFile file = leadingTo(Level::Cutoff);
   file.admission.order = {"cambio"};
@@ -145,8 +147,8 @@
   EXPECT_EQ(refused.answer(0)["Retry-After"], "0.060");
 }
 
-// A client that leaves while its request waits for the core costs no node anything, and a reread that ends
-// the queue hands on what waits.
+// Clients that leave while their requests are queued do not block the others, and a reload that switches the
+// queue off forwards the queued requests.
 TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
   configuration::OperatorFile file = leadingTo(Level::Protect);
   file.admission.perTurn = 1;
--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -24,7 +24,7 @@
 
 using Observe = std::function<void(LevelController&, TimePoint)>;
 
-// Observes and evaluates on a simulated clock, and returns the transitions.
+// Observes and evaluates at each interval of a simulated clock; returns the transitions.
 std::vector<Transition> run(LevelController& controller, Duration from, Duration until,
                             const Observe& observe) {
   std::vector<Transition> transitions;
@@ -96,8 +96,8 @@
   EXPECT_EQ(describe(transitions[3]), "level normal, was thrifty: calm");
 }
 
-// How far a signal may swing around a threshold, relative to it, without reaching a neighbouring level's,
-// whose crossing would be a transition of its own.
+// Largest amplitude, relative to the threshold, with which a signal may oscillate around it without crossing
+// the threshold of an adjacent level, which would cause further transitions.
 double largestSwing(const Settings& settings, Level level, Signal signal) {
   const double enter = settings.thresholds.at(level, signal)->enter;
   double swing = 0.2;
@@ -110,7 +110,7 @@
   return swing;
 }
 
-// Ten periods of a sine around `middle`, with noise by a fixed pattern.
+// Ten periods of a sine around `middle`, with deterministic noise.
 std::vector<Transition> runSine(LevelController& controller, Signal signal, double middle, double swing,
                                 double noise, Duration period) {
   const TimePoint start = at(5s);
@@ -125,11 +125,11 @@
   const Settings settings = defaultSettings();
   const double enter = settings.thresholds.at(level, signal)->enter;
   LevelController controller(settings, at(0s));
-  // To the next milder level first, as it goes one level at a time.
+  // Reaches the next milder level first, since a transition changes the level by one.
   run(controller, 0s, 5s, constantly(signal, enter * 0.999));
   ASSERT_EQ(controller.level(), nextMilder(level)) << nameOf(signal);
   const auto transitions = runSine(controller, signal, enter, swing, noise, period);
-  // It begins in the middle of a swing: 21 of them.
+  // The sine starts in the middle of a swing, so that there are 21 swings.
   EXPECT_LE(transitions.size(), 21u) << nameOf(level) << ", " << nameOf(signal) << ", swing " << swing
                                      << ", period " << period.count();
   EXPECT_GE(transitions.size(), 1u);
@@ -162,8 +162,8 @@
   EXPECT_EQ(transitions.size(), 1u);
 }
 
-// Calm and overload in turns. The recovery delay doubles, so that transitions become rare whatever the
-// bursts' length.
+// Calm and overload alternate. The recovery delay doubles, so that transitions become rare whatever the
+// length of the bursts.
 TEST(LevelController, ChangesRarelyWhenLoadComesInBursts) {
   for (const Duration burst : {Duration(100ms), Duration(1s), Duration(10s)}) {
     LevelController controller(defaultSettings(), at(0s));
@@ -188,7 +188,7 @@
   EXPECT_EQ(controller.level(), Level::Normal);
 }
 
-// The stricter level holds, and its exit is the one that counts.
+// The strictest requested level applies, until its signal falls below the exit threshold.
 TEST_F(LevelControllerTest, AppliesTheStricterOfTwoSignals) {
   const auto both = [](double cpu, double lag) {
     return [=](LevelController& observed, TimePoint now) {
@@ -198,7 +198,7 @@
   };
   run(0s, 10s, both(0.80, 200e3));
   EXPECT_EQ(controller.level(), Level::Shed);
-  // They cross: one falls while the other rises.
+  // One signal falls while the other one rises.
   run(10s, 40s, both(0.90, 0));
   EXPECT_EQ(controller.level(), Level::Protect);
   run(40s, 70s, both(0.1, 0));
@@ -230,7 +230,7 @@
   EXPECT_EQ(controller.level(), Level::Thrifty);
 }
 
-// Checks each transition of a controller on a simulated clock as it comes.
+// Runs a controller on a simulated clock and checks each transition.
 class CheckedRun {
  public:
   void observe(Signal signal, double value) { controller_.observe(signal, value, at(now_)); }
@@ -249,8 +249,8 @@
     RC_ASSERT(controller_.level() == level_);
   }
 
-  // Escalations are escalationInterval apart, and each recovery needs a delay of its own, so that both
-  // together are bounded by twice the recoveries and the levels there are.
+  // Each recovery takes at least the recovery delay, so that there are at most 30 in a minute. Escalations
+  // and recoveries together are bounded by twice the recoveries plus the number of levels.
   void assertBoundedInAnyMinute() const {
     for (std::size_t first = 0; first < transitions_.size(); ++first) {
       std::size_t recoveries = 0;
@@ -281,7 +281,7 @@
   std::vector<Transition> transitions_;
 };
 
-// Some signal at a value, relative to its lowest threshold, for some evaluations.
+// A signal, its value relative to its lowest threshold, and the number of evaluations for which it lasts.
 using Episode = std::tuple<Signal, double, int>;
 
 rc::Gen<std::vector<Episode>> episodes() {
@@ -293,7 +293,7 @@
 
 TEST(LevelControllerProperty, SkipsNoLevelChangesBoundedlyAndReturnsToNormalWhateverTheSignalsDo) {
   const Settings settings = defaultSettings();
-  EXPECT_TRUE(rc::check("bounded transitions, no skipped level, never stuck", [&] {
+  EXPECT_TRUE(rc::check("bounded transitions, no skipped level, return to Normal", [&] {
     CheckedRun checked;
     for (const auto& [signal, value, evaluations] : *episodes()) {
       const auto& lowest = settings.thresholds.at(Level::Thrifty, signal);
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -16,10 +16,10 @@
 
 using namespace std::chrono_literals;
 
-// Sets what a tick measures, and counts events ahead of it.
+// Sets the measurements of a tick and counts the events before it.
 using Load = std::function<void(LoadMonitor&, Measurements&, TimePoint)>;
 
-// Ticks on a simulated clock, the end included, and returns the level.
+// Ticks from `from` to `to` inclusive on a simulated clock; returns the level.
 Level run(LoadMonitor& monitor, Duration from, Duration to, const Load& load) {
   forEachEvaluation(from, to + 1us, [&](TimePoint now) {
     Measurements measurements;
@@ -65,7 +65,7 @@
 
 class LoadMonitorLevel : public testing::TestWithParam<LoadCase> {};
 
-// As far as its signal's thresholds lead, and no further.
+// The level rises to the strictest one whose threshold is reached, and not beyond.
 TEST_P(LoadMonitorLevel, IsWhatTheMeasurementLeadsToAndNormalAgainAfterwards) {
   LoadMonitor monitor(defaultSettings(), 2, at(0s));
   EXPECT_EQ(run(monitor, 0s, 20s, GetParam().load), GetParam().level);
@@ -100,7 +100,7 @@
   EXPECT_LT(monitor.controller().smoothedValue(Signal::CpuUtilization), 0.3);
 }
 
-// The level stays, and what the new settings request decides from then on.
+// New settings keep the level at first; the following evaluations use them.
 TEST(LoadMonitor, AppliesOtherSettingsAtEachLevel) {
   constexpr std::array kBusyFractions = {0.0, 0.8, 0.9, 0.96, 1.0};
   for (const Level level : kLevels) {
--- a/tests/degradation/names_test.cpp
+++ b/tests/degradation/names_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// What operators read in the log and in `GET /status/level`, and write in their file.
+// The names in the log, in `GET /status/level` and in the operator's file.
 #include <gtest/gtest.h>
 
 #include <string_view>
--- a/tests/degradation/restrictions_test.cpp
+++ b/tests/degradation/restrictions_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_TRUE(restrictionsAt(Level::Normal).allowsHedging);
 }
 
-// As docs/operators/reduced-service.md has it.
+// The restrictions that docs/operators/reduced-service.md lists.
 TEST(Restrictions, AreAsOperatorsKnowThem) {
   struct Row {
     Level level;
--- a/tests/degradation/settings_test.cpp
+++ b/tests/degradation/settings_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(error(), "");
 }
 
-// It grows evenly by itself, and says nothing of whether the sidecar can carry its load.
+// The age grows steadily and does not show whether the sidecar is overloaded.
 TEST_F(SettingsTest, HaveThresholdsForTheListsAgeAtThriftyAlone) {
   const auto& thrifty = settings.thresholds.at(Level::Thrifty, Signal::EndpointListAge);
   ASSERT_TRUE(thrifty);
--- a/tests/degradation/simulated_time.h
+++ b/tests/degradation/simulated_time.h
@@ -9,12 +9,13 @@
 
 namespace ivypost::degradation {
 
-/// The moment so long after the start of a simulated clock.
+/// The time at this duration after the start of a simulated clock.
 constexpr TimePoint at(Duration sinceStart) {
   return TimePoint(sinceStart);
 }
 
-/// Calls `step(moment)` at each evaluation from `from` until ahead of `until`, both since the clock's start.
+/// Calls `step(time)` at each evaluation interval in [from, until); both are durations since the clock's
+/// start.
 template <class Step>
 void forEachEvaluation(Duration from, Duration until, const Step& step) {
   for (Duration now = from; now < until; now += LevelController::kEvaluationInterval) step(at(now));
--- a/tests/degradation/transition_test.cpp
+++ b/tests/degradation/transition_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The log lines that docs/operators/reduced-service.md shows.
+// Checks the log lines that docs/operators/reduced-service.md shows.
 #include "degradation/transition.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   EXPECT_EQ(describe(transition), "level thrifty, was protect: calm");
 }
 
-// As printf's %.4g, which wrote these lines first.
+// The format of printf's %.4g, on which operators' searches rely.
 TEST(Transition, ShowsFourSignificantDigits) {
   const auto shown = [](double value, double threshold) {
     return describe({Level::Normal, Level::Thrifty, at(Duration::zero()),
--- a/tests/exclusion/exclusion_file_test.cpp
+++ b/tests/exclusion/exclusion_file_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The file of excluded upstreams: two processes, and all that can be wrong with a file.
+// Tests the file of excluded endpoints: sharing by two processes, invalid files, failing disks and crashes.
 #include "exclusion/exclusion_file.h"
 
 #include <fcntl.h>
@@ -25,20 +25,20 @@
 namespace ivypost::exclusion {
 namespace {
 
-// The system's calls, one line for each, and some of them made to fail. A path is told by its last part's
-// ending.
+// Records the system calls, one line for each, and injects failures. Names a path by its extension, or
+// "folder" if it has none.
 class TestFiles : public FileOperations {
  public:
   struct Fault {
     std::string call;  // "write .new"
     int error = EIO;
     int times = 1;
-    int after = 0;  // calls that go well before
+    int after = 0;  // calls that succeed before the failures
   };
 
   std::vector<std::string> calls;
   std::vector<Fault> faults;
-  std::function<void()> onCall = [] {};  // behind each call
+  std::function<void()> onCall = [] {};  // called after each call
 
   int open(const char* path, int flags, mode_t mode) override {
     if (fails("open " + ending(path))) return -1;
@@ -46,7 +46,7 @@
     if (file >= 0) names_[file] = ending(path);
     return done("open " + ending(path), file);
   }
-  // Reads and writes in pieces, as a system may.
+  // Reads and writes at most 16 bytes at a time, since read(2) and write(2) may transfer less than requested.
   ssize_t read(int file, void* bytes, std::size_t size) override {
     if (fails("read " + names_[file])) return -1;
     return done("read " + names_[file], FileOperations::read(file, bytes, std::min<std::size_t>(size, 16)));
@@ -126,12 +126,12 @@
     text << std::ifstream(path(), std::ios::binary).rdbuf();
     return text.str();
   }
-  // What a process that starts now takes as excluded.
+  // Whether a process that starts now has the endpoint excluded.
   bool isExcludedAfterAStart(const std::string& id) {
     const auto read = file().readIfChanged();
     return read && read->isExcluded(id);
   }
-  // Of an endpoint that lists name.
+  // Excludes an endpoint that lists name.
   static std::error_code exclude(ExclusionFile& file, ExclusionSet& set, const std::string& id) {
     return file.apply(set, {Change::Kind::Exclude, id, true, {}, {}}).error();
   }
@@ -146,14 +146,14 @@
   EXPECT_FALSE(yours.readIfChanged());
   ExclusionSet exclusions;
   ASSERT_FALSE(exclude(mine, exclusions, "a"));
-  EXPECT_FALSE(mine.readIfChanged()) << "its own change is no news";
+  EXPECT_FALSE(mine.readIfChanged()) << "its own change is not read again";
   const auto heard = yours.readIfChanged();
   ASSERT_TRUE(heard);
   EXPECT_TRUE(heard->isExcluded("a"));
   EXPECT_FALSE(yours.readIfChanged());
 }
 
-// Each changes what the other has written, and not what it remembers.
+// Each process applies its change to the stored set that the other has written, not to its own copy.
 TEST_F(ExclusionFileTest, ChangesOfTwoProcessesAddUp) {
   ExclusionFile mine = file();
   ExclusionFile yours = file();
@@ -178,7 +178,7 @@
     ASSERT_FALSE(exclude(mine, exclusions, "b"));
     const auto read = file().readIfChanged();
     ASSERT_TRUE(read);
-    EXPECT_TRUE(read->isExcluded("kept")) << "what the process had stays";
+    EXPECT_TRUE(read->isExcluded("kept")) << "the exclusions of the process must stay";
     EXPECT_TRUE(read->isExcluded("b"));
   }
   lines.clear();
@@ -203,8 +203,8 @@
   EXPECT_FALSE(std::filesystem::exists(path()));
 }
 
-// A process that stands still with the lock held must not hold up this one's loop: nothing waits, and the
-// caller is told to come again.
+// A process that is stopped while it holds the lock must not block this one's event loop: apply() fails
+// without waiting, and the caller tries again.
 TEST_F(ExclusionFileTest, ALockThatIsHeldIsBusyAtOnce) {
   const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
   ASSERT_GE(held, 0);
@@ -219,7 +219,8 @@
   EXPECT_FALSE(exclude(mine, exclusions, "a"));
 }
 
-// What the other process is writing may yet be taken back; but a process that starts waits for nobody.
+// A change that another process is writing may still be reverted, so a running process does not read it. A
+// process that starts reads it without waiting for the lock.
 TEST_F(ExclusionFileTest, AChangeInTheMakingIsReadAtAStartOnly) {
   ExclusionFile running = file();
   EXPECT_FALSE(running.readIfChanged());
@@ -236,7 +237,7 @@
   EXPECT_TRUE(read->isExcluded("a"));
 }
 
-// ---- A disk that fails ------------------------------------------------------------------------------------
+// ---- Failing disks ----------------------------------------------------------------------------------------
 
 struct DiskFault {
   const char* name;
@@ -248,8 +249,8 @@
 
 class FailingDiskTest : public ExclusionFileTest, public testing::WithParamInterface<DiskFault> {};
 
-// Answered as not made: not in this process, not in the other one, not after a start, and nothing is left
-// over.
+// A change that was reported as failed is not in force in this process, in the other process or after a
+// start, and no temporary file is left.
 TEST_P(FailingDiskTest, AChangeThatCannotBeKeptIsNotInForceAnywhere) {
   for (const bool hasFile : {true, false}) {
     std::filesystem::remove(path());
@@ -276,7 +277,7 @@
     EXPECT_FALSE(read && read->isExcluded("a"));
     EXPECT_FALSE(isExcludedAfterAStart("a"));
     EXPECT_EQ(isExcludedAfterAStart("kept"), hasFile);
-    // And the next one is made.
+    // The next change succeeds.
     EXPECT_FALSE(exclude(mine, exclusions, "b"));
     EXPECT_TRUE(isExcludedAfterAStart("b"));
     EXPECT_FALSE(isExcludedAfterAStart("a"));
@@ -304,7 +305,7 @@
             "FolderThenFile", {{"sync folder", EIO, 1}, {"sync .new", EIO, 1, 1}}, std::errc::io_error}),
     [](const auto& one) { return one.param.name; });
 
-// Nothing is promised, so nothing is written.
+// A rejected change does not have to be durable, so no file is written.
 TEST_F(ExclusionFileTest, ARejectedChangeWritesNothing) {
   TestFiles files;
   ExclusionFile mine = file(files);
@@ -330,7 +331,7 @@
   EXPECT_EQ(order, (std::vector<std::string>{"write .new", "sync .new", "rename .json", "sync folder"}));
 }
 
-// The pages may be lost with the first failure, and then a second sync says that all is well.
+// A failed sync may lose the pages, and a second sync of the same file would still succeed.
 TEST_F(ExclusionFileTest, AfterAFailedSyncTheSetIsWrittenIntoAnotherFile) {
   for (const char* call : {"sync .new", "sync folder"}) {
     TestFiles files;
@@ -352,8 +353,9 @@
   EXPECT_TRUE(isExcludedAfterAStart("a"));
 }
 
-// The folder's sync fails, and the disk is full when the earlier set is to be put back: the file holds what
-// was answered as not made. This process leaves it out, and the next change that is kept mends it.
+// The sync of the folder fails, and so does the rename that would restore the earlier set, so that the file
+// contains a change that was reported as failed. This process ignores that change, and its next stored change
+// removes it.
 TEST_F(ExclusionFileTest, AFileThatCannotBeRestoredIsLoggedAndLeftOut) {
   TestFiles files;
   ExclusionFile mine = file(files);
@@ -363,11 +365,12 @@
   files.calls.clear();
   files.faults = {{"sync folder", EIO, 2}, {"rename .json", EIO, 1, 2}};
   EXPECT_TRUE(exclude(mine, exclusions, "a"));
-  EXPECT_GT(std::count(files.calls.begin(), files.calls.end(), "write .new"), 2 * writes) << "it was tried";
+  EXPECT_GT(std::count(files.calls.begin(), files.calls.end(), "write .new"), 2 * writes)
+      << "the restore was not tried";
   ASSERT_EQ(lines.size(), 1U);
   EXPECT_NE(lines[0].find("can't be restored"), std::string::npos);
   EXPECT_FALSE(exclusions.isExcluded("a"));
-  EXPECT_FALSE(mine.readIfChanged()) << "it would bring the change into force";
+  EXPECT_FALSE(mine.readIfChanged()) << "it would apply the failed change";
   ASSERT_FALSE(exclude(mine, exclusions, "b"));
   EXPECT_FALSE(exclusions.isExcluded("a"));
   EXPECT_TRUE(isExcludedAfterAStart("kept"));
@@ -393,7 +396,7 @@
   EXPECT_EQ(lines.size(), 1U);
 }
 
-// A read that fails says nothing of the file: it is tried until it goes well.
+// After a failed read the content is unknown, so the file is read again until a read succeeds.
 TEST_F(ExclusionFileTest, AReadThatFailsIsLoggedOnceAndTriedAgain) {
   ExclusionFile writer = file();
   ExclusionSet exclusions;
@@ -419,7 +422,8 @@
   ASSERT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0);
 }
 
-// The clock is stepped back between two changes of one size, so that both bear one time.
+// The clock is stepped back between changes of the same size, so that their files have the same modification
+// time.
 TEST_F(ExclusionFileTest, AStepOfTheClockHidesNoChange) {
   const timespec once{1'700'000'000, 0};
   const auto text = [](char id) {
@@ -434,15 +438,15 @@
   publish('a');
   ASSERT_TRUE(mine.readIfChanged());
   for (const char id : {'b', 'c', 'd', 'e'}) {
-    // Two renames with one read: the first frees the number of the inode that was read, the second would get
-    // it.
+    // Two renames for each read: the first one could free the inode number of the file that was read, and the
+    // second one's file could then get it.
     publish('z');
     publish(id);
     const auto read = mine.readIfChanged();
     ASSERT_TRUE(read) << id;
     EXPECT_TRUE(read->isExcluded(std::string(1, id)));
   }
-  // In place, by an editor.
+  // The file is changed in place, as an editor may do.
   write(text('f'));
   stepBack(path(), once);
   const auto read = mine.readIfChanged();
@@ -450,10 +454,10 @@
   EXPECT_TRUE(read->isExcluded("f"));
 }
 
-// ---- Processes that are killed ----------------------------------------------------------------------------
+// ---- Killed processes -------------------------------------------------------------------------------------
 
-// A process makes the change of `id` and is killed behind its nth call; true: it was not, there are fewer.
-// What it answered is in `kept`.
+// Excludes "new" in a child process that is killed after its nth system call. Returns true if it made fewer
+// calls and was not killed. `kept`: whether it reported the change as made.
 bool changeAndBeKilled(const std::string& folder, const std::vector<TestFiles::Fault>& faults, int nth,
                        bool& kept) {
   int line[2];
@@ -498,11 +502,11 @@
       ended = changeAndBeKilled(folder, faults, ++nth, kept);
       ASSERT_LT(nth, 200);
       const auto found = ExclusionSet::parse(content());
-      ASSERT_TRUE(found) << "half a file behind call " << nth;
+      ASSERT_TRUE(found) << "incomplete file after call " << nth;
       EXPECT_TRUE(found.value().isExcluded("old")) << nth;
       EXPECT_TRUE(!kept || found.value().isExcluded("new"))
-          << "answered as made, and gone behind call " << nth;
-      // Its lock went with it, and what it left over is in nobody's way.
+          << "reported as made, but lost after call " << nth;
+      // The lock was released with the process, and files that it left behind do not prevent the next change.
       ASSERT_FALSE(exclude(mine, exclusions, "next")) << nth;
       EXPECT_TRUE(isExcludedAfterAStart("old") && isExcludedAfterAStart("next"));
     }
@@ -510,8 +514,8 @@
   }
 }
 
-// The machine stops behind each call. Of a file that was not synced nothing is on the disk, and of a rename
-// whose folder was not synced it is anybody's guess.
+// Simulates a crash of the machine after each call. The content of a file that was not synced is lost, and a
+// rename before a sync of the folder may or may not be on the disk.
 TEST_F(ExclusionFileTest, AStopOfTheMachineLeavesTheOldSetOrTheNewOne) {
   for (int nth = 1;; ++nth) {
     std::filesystem::remove(path());
@@ -519,9 +523,9 @@
     ExclusionSet exclusions;
     ASSERT_FALSE(exclude(before, exclusions, "old"));
     TestFiles files;
-    std::string disk = content();  // what the name surely stands for
-    std::string fresh;             // what has been synced of the file to be renamed
-    std::vector<std::string> mayBe{disk};
+    std::string disk = content();          // content of the file before the change
+    std::string fresh;                     // synced content of the file that is going to be renamed
+    std::vector<std::string> mayBe{disk};  // contents that may be on the disk
     std::vector<std::string> atStop;
     int calls = 0;
     files.onCall = [&] {
@@ -542,9 +546,9 @@
     if (answered) atStop = mayBe;
     for (const std::string& text : atStop) {
       const auto found = ExclusionSet::parse(text);
-      ASSERT_TRUE(found) << "nothing is left behind call " << nth;
+      ASSERT_TRUE(found) << "no valid file after call " << nth;
       EXPECT_TRUE(found.value().isExcluded("old"));
-      EXPECT_TRUE(!answered || found.value().isExcluded("new")) << "answered as made, and lost";
+      EXPECT_TRUE(!answered || found.value().isExcluded("new")) << "reported as made, but lost";
     }
     if (answered) break;
   }
--- a/tests/exclusion/exclusion_set_test.cpp
+++ b/tests/exclusion/exclusion_set_test.cpp
@@ -15,7 +15,7 @@
   return WallTime(std::chrono::milliseconds(milliseconds));
 }
 
-// Of an endpoint that lists name.
+// Excludes an endpoint that lists name.
 Outcome exclude(ExclusionSet& set, const std::string& endpoint) {
   return set.apply({Change::Kind::Exclude, endpoint, true, {}, at(1)});
 }
@@ -33,7 +33,7 @@
   EXPECT_FALSE(set.isExcluded("a"));
   EXPECT_EQ(include(set, "a", 9), Outcome::Unchanged);
   EXPECT_EQ(set.effectiveStart("a", at(0)), at(5))
-      << "a call that changes nothing must not make it cold anew";
+      << "a call that changes nothing must not restart the slow start";
 }
 
 TEST(ExclusionSet, RejectsWhatIsNeitherListedNorExcluded) {
@@ -44,7 +44,7 @@
   exclude(set, "a");
   EXPECT_EQ(set.apply({Change::Kind::Exclude, "a", false, {}, at(1)}), Outcome::Unchanged);
   EXPECT_EQ(set.apply({Change::Kind::Include, "a", false, {}, at(2)}), Outcome::Changed)
-      << "lists left it out";
+      << "it is excluded, though not listed";
   EXPECT_EQ(set.apply({Change::Kind::Include, "a", false, {}, at(3)}), Outcome::UnknownEndpoint);
 }
 
@@ -60,7 +60,7 @@
   EXPECT_EQ(set.effectiveStart("b", at(3)), at(3));
 }
 
-// The wall clock of the process is behind that of whoever writes the lists, or before 1970.
+// The wall clock of this process may be behind that of the process that makes the lists, or before 1970.
 TEST(ExclusionSet, AnIncludedEndpointStartsLaterThanListedWhateverTheClock) {
   for (const std::int64_t now : {std::int64_t{-5000}, std::int64_t{0}, std::int64_t{6999}}) {
     ExclusionSet set;
@@ -80,7 +80,7 @@
     ASSERT_EQ(exclude(set, "s" + std::to_string(n)), Outcome::Changed);
   EXPECT_EQ(exclude(set, "one more"), Outcome::Full);
   EXPECT_FALSE(set.isExcluded("one more"));
-  // Those that were included first are forgotten first.
+  // The earliest inclusions are evicted first.
   for (std::size_t n = 0; n < ExclusionSet::kMaxEntries; ++n)
     ASSERT_EQ(include(set, "s" + std::to_string(n), 100 + static_cast<int>(n)), Outcome::Changed);
   exclude(set, "late");
@@ -106,7 +106,7 @@
   EXPECT_TRUE(a.differingEndpoints(a).empty());
 }
 
-// What lies in the folders of running sidecars.
+// Guards the format of the files that deployed sidecars have stored.
 TEST(ExclusionSet, TheStoredFormIsFixed) {
   ExclusionSet set;
   exclude(set, "b");
@@ -154,7 +154,7 @@
   }
 }
 
-// They must not run over when they are taken as microseconds.
+// Stored times must not overflow when converted to microseconds.
 TEST(ExclusionSet, StoredTimesOutOfRangeAreTakenAsTheNearest) {
   const auto startOf = [](const std::string& number) {
     const auto set = ExclusionSet::parse("{\"version\":1,\"out\":[],\"back\":{\"a\":" + number + "}}");
@@ -179,7 +179,7 @@
   const auto complete = ExclusionSet::parse(text);
   RC_ASSERT(complete.hasValue());
   RC_ASSERT(complete.value() == set);
-  // Without its last brace; a missing line end is all the same.
+  // Cuts at least the last brace, since a text that lacks only the line end is valid.
   const auto length = *rc::gen::inRange<std::size_t>(0, text.size() - 1);
   RC_ASSERT(ExclusionSet::parse(text.substr(0, length)).error() == Error::NotJson);
 }
--- a/tests/sidecar/control/endpoint_table_test.cpp
+++ b/tests/sidecar/control/endpoint_table_test.cpp
@@ -84,7 +84,7 @@
   table_.addUse(a);
   apply({}, Kind::Full);
   table_.freeIfUnused(a);
-  EXPECT_EQ(table_.find("a"), std::optional(a)) << "an attempt is out";
+  EXPECT_EQ(table_.find("a"), std::optional(a)) << "freed while an attempt is in flight";
   apply({instance("b", "10.0.0.2:80")});
   EXPECT_NE(table_.find("b"), std::optional(a));
   table_.dropUse(a);
@@ -111,7 +111,7 @@
   EXPECT_EQ(update.entries[0].state, EndpointState::Gone);
   EXPECT_EQ(update.entries[1].state, EndpointState::Serving);
   EXPECT_FALSE(table_[old].isListed);
-  // The list still says the old one.
+  // A later list that still names the old endpoint does not take the address back.
   const MembershipUpdate again = apply({instance("old", "10.0.0.1:80", EndpointState::Serving, kStart)});
   ASSERT_EQ(again.entries.size(), 1u);
   EXPECT_EQ(again.entries[0].state, EndpointState::Gone);
@@ -127,7 +127,7 @@
   const MembershipUpdate update = apply({instance("a", "10.0.0.1:80")});
   ASSERT_EQ(update.entries.size(), 1u);
   EXPECT_EQ(update.entries[0].state, EndpointState::Draining);
-  // As received, for when it is included again.
+  // received() returns the entry without the exclusion, for when the endpoint is included again.
   const std::vector<discovery::Instance> received = table_.received({"a", "unknown"});
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0].state, EndpointState::Serving);
--- a/tests/sidecar/control/start_time_estimator_test.cpp
+++ b/tests/sidecar/control/start_time_estimator_test.cpp
@@ -13,17 +13,17 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kHour = 3600 * kSecond;
 constexpr Micros kDelay = StartTimeEstimator::kNoticeDelay;
-constexpr Micros kUnix = 1'790'000'000 * kSecond;  // the true Unix time when the process starts
-constexpr Micros kBoot = 50'000 * kSecond;         // the monotonic time then
+constexpr Micros kUnix = 1'790'000'000 * kSecond;  // true Unix time at the start of the process
+constexpr Micros kBoot = 50'000 * kSecond;         // monotonic time at the start of the process
 
-// An upstream is listed for the first time, with the true Unix time of its start.
+// A list is the first to state the start of an upstream. Times are relative to the arrival of that list.
 struct Case {
   std::string name;
-  Micros clockError;                  // of the wall clock, at the start of the process
-  std::optional<Micros> previousAgo;  // the list before was current so long before this one; none: the first
-  Micros startedAgo;                  // before this list
-  Micros listedError;                 // of the clock by which the list tells the start
-  Micros expectedAgo;                 // what the estimate is, before this list
+  Micros clockError;                  // of this process's wall clock when it starts
+  std::optional<Micros> previousAgo;  // when the previous list was last current; empty: no previous list
+  Micros startedAgo;                  // true start of the upstream
+  Micros listedError;                 // of the clock that the stated start was taken from
+  Micros expectedAgo;                 // the estimated start
 };
 std::ostream& operator<<(std::ostream& out, const Case& one) {
   return out << one.name;
@@ -34,7 +34,7 @@
 TEST_P(StartTimeTest, IsTheTrueOneAsFarAsTheMonotonicClockTells) {
   const Case& one = GetParam();
   StartTimeEstimator starts(kUnix + one.clockError, kBoot);
-  const Micros listed = 600 * kSecond;  // since the process started
+  const Micros listed = 600 * kSecond;  // arrival of the list, since the process started
   const auto previous =
       one.previousAgo ? std::optional(kBoot + listed - *one.previousAgo) : std::optional<Micros>();
   starts.beginList(previous, kBoot + listed);
@@ -45,30 +45,30 @@
 INSTANTIATE_TEST_SUITE_P(
     Clocks, StartTimeTest,
     testing::Values(
-        // A right clock: what the list tells, however late it comes.
-        Case{"right", 0, 0, 50'000, 0, 50'000}, Case{"right, told at once", 0, 0, 0, 0, 0},
+        // The wall clock is right: the stated start is used, even if the list arrives late.
+        Case{"right", 0, 0, 50'000, 0, 50'000}, Case{"right, listed at once", 0, 0, 0, 0, 0},
         Case{"right, listed 2 s late", 0, 0, 2 * kSecond, 0, 2 * kSecond},
-        Case{"right, behind an outage", 0, 30 * kSecond, 20 * kSecond, 0, 20 * kSecond},
+        Case{"right, after an outage", 0, 30 * kSecond, 20 * kSecond, 0, 20 * kSecond},
         Case{"right, as late as may be", 0, 0, kDelay, 0, kDelay},
         Case{"right, first list", 0, std::nullopt, kHour, 0, kHour},
         Case{"right, first list, just started", 0, std::nullopt, kSecond, 0, kSecond},
-        // Ahead, here: what was seen to start is cold.
+        // The wall clock of this process is ahead: an observed start counts as now.
         Case{"an hour ahead", kHour, 0, 50'000, 0, 0}, Case{"5 s ahead", 5 * kSecond, 0, 50'000, 0, 0},
-        Case{"an hour ahead, behind an outage", kHour, 30 * kSecond, 20 * kSecond, 0, 0},
-        Case{"2 s ahead, not to be told from a late list", 2 * kSecond, 0, 50'000, 0, 2'050'000},
+        Case{"an hour ahead, after an outage", kHour, 30 * kSecond, 20 * kSecond, 0, 0},
+        Case{"2 s ahead, indistinguishable from a late list", 2 * kSecond, 0, 50'000, 0, 2'050'000},
         Case{"an hour ahead, first list", kHour, std::nullopt, 50'000, 0, kHour + 50'000},
-        // Behind, here: nothing starts later than now.
+        // The wall clock of this process is behind: no start is later than now.
         Case{"an hour behind", -kHour, 0, 50'000, 0, 0}, Case{"3 s behind", -3 * kSecond, 0, kSecond, 0, 0},
         Case{"an hour behind, first list", -kHour, std::nullopt, kSecond, 0, 0},
         Case{"an hour behind, first list, started long ago", -kHour, std::nullopt, 3 * kHour, 0, 2 * kHour},
         Case{"before 1970", -kUnix - kHour, 0, 50'000, 0, 0},
         Case{"before 1970, first list", -kUnix - kHour, std::nullopt, 9 * kHour, 0, 0},
-        // Stepped where the list is made, while this process runs.
+        // The clock of the process that makes the lists is stepped while this process runs.
         Case{"lists step an hour back", 0, 0, 50'000, -kHour, 0},
-        Case{"lists step an hour on", 0, 0, 50'000, kHour, 0},
+        Case{"lists step an hour ahead", 0, 0, 50'000, kHour, 0},
         Case{"lists step 5 s back", 0, 0, 50'000, -5 * kSecond, 0}));
 
-// The time that lists tell names a start, and the estimate of one doesn't move.
+// An endpoint with the same stated start keeps its estimate.
 TEST(StartTime, StaysWhereItIsWhateverListsComeLater) {
   for (const Micros error : {Micros{0}, kHour, -kHour, 5 * kSecond}) {
     StartTimeEstimator starts(kUnix + error, kBoot);
@@ -87,16 +87,16 @@
   }
 }
 
-// One that lists left out for a while and name again with the same start has not been seen to start.
+// An endpoint that lists omit for a while and then name again with the same start does not count as new.
 TEST(StartTime, OfOneThatIsBackIsTheOneItHad) {
   StartTimeEstimator starts(kUnix, kBoot);
   starts.beginList(std::nullopt, kBoot);
   const std::int64_t startedAtMs = (kUnix - kHour) / 1000;
   const Micros before = starts.startOf(1, startedAtMs);
-  starts.beginList(kBoot, kBoot + 60 * kSecond);  // without it
+  starts.beginList(kBoot, kBoot + 60 * kSecond);  // a list without the endpoint
   starts.beginList(kBoot + 70 * kSecond, kBoot + 70 * kSecond);
   EXPECT_EQ(starts.startOf(1, startedAtMs), before);
-  // With a new start it is another matter.
+  // With another stated start it counts as started now.
   EXPECT_EQ(starts.startOf(1, startedAtMs + 1), kBoot + 70 * kSecond);
 }
 
@@ -107,7 +107,7 @@
   EXPECT_EQ(starts.remembered(), 0u);
 }
 
-// A start from before the machine's own, and the largest time that a list may tell.
+// A start before the machine's boot, and the latest time that a list may state.
 TEST(StartTime, IsAPointInTimeForAnyFigure) {
   for (const Micros clock : {kUnix, Micros{-kUnix}, Micros{0}}) {
     StartTimeEstimator starts(clock, 5);
