--- a/src/exclusion/exclusion_file.cpp
+++ b/src/exclusion/exclusion_file.cpp
@@ -71,7 +71,7 @@
          isSameTime(a.st_mtim, b.st_mtim) && isSameTime(a.st_ctim, b.st_ctim);
 }
 
-bool isToBeStored(Outcome outcome) {
+bool mustBeStored(Outcome outcome) {
   // Unchanged is written too: the file may contain another process's change whose sync has failed.
   return outcome == Outcome::Changed || outcome == Outcome::Unchanged;
 }
@@ -123,7 +123,7 @@
       log_("the file of excluded upstreams is replaced: " + stored.error().message());
   }
   const Outcome outcome = next.apply(change);
-  if (isToBeStored(outcome)) {
+  if (mustBeStored(outcome)) {
     if (const auto error = replace(next.serialize(), before.value())) return error;
   }
   current = std::move(next);
--- a/src/sidecar/control/action_executor.cpp
+++ b/src/sidecar/control/action_executor.cpp
@@ -51,13 +51,13 @@
 
 // Called for each request that the module rejects or fails; logs the start of load shedding if the request
 // had no attempt.
-void ActionExecutor::noteUnsent(RequestId id) {
+void ActionExecutor::logLoadShedding(RequestId id) {
   if (!targets_.requests.at(id).attempts.empty()) return;
   if (const char* const line = shedding_.onRejected(microsOf(Clock::now()))) callbacks_.log(line);
 }
 
 void ActionExecutor::perform(const balancer::Reject& rejection) {
-  noteUnsent(rejection.request);
+  logLoadShedding(rejection.request);
   Answer answer;
   answer.status = kUnavailable;
   answer.body = "refused\n";
@@ -67,7 +67,7 @@
 }
 
 void ActionExecutor::perform(const balancer::Fail& failure) {
-  noteUnsent(failure.request);
+  logLoadShedding(failure.request);
   Answer answer;
   answer.status = kBadGateway;
   answer.body = "failed\n";
--- a/src/sidecar/control/action_executor.h
+++ b/src/sidecar/control/action_executor.h
@@ -74,7 +74,7 @@
   void perform(const balancer::Subscribe& subscribe);
   void perform(const balancer::Fetch& fetch);
   void perform(const balancer::Log& line) const;
-  void noteUnsent(balancer::RequestId id);
+  void logLoadShedding(balancer::RequestId id);
 
   const Targets targets_;
   Callbacks callbacks_;
--- a/src/sidecar/control/admin_handler.cpp
+++ b/src/sidecar/control/admin_handler.cpp
@@ -115,7 +115,8 @@
 // Makes at most one change per turn of the event loop, since each change blocks on the disk.
 void AdminHandler::tryNextChange() {
   const auto reply = changeExclusions(pendingChanges_.front().call);
-  if (!reply && Clock::now() < pendingChanges_.front().until) return scheduleNextChange(kLockRetryInterval);
+  if (!reply && Clock::now() < pendingChanges_.front().lockDeadline)
+    return scheduleNextChange(kLockRetryInterval);
   const PendingChange done = std::move(pendingChanges_.front());
   pendingChanges_.pop_front();
   if (!pendingChanges_.empty()) scheduleNextChange(Clock::duration::zero());
--- a/src/sidecar/control/admin_handler.h
+++ b/src/sidecar/control/admin_handler.h
@@ -64,7 +64,7 @@
   struct PendingChange {
     admin::Call call;
     admin::AdminServer::Answer answer;
-    Clock::time_point until;  // after it, a locked file makes the change fail
+    Clock::time_point lockDeadline;  // after it, a locked file makes the change fail
   };
 
   void onCall(const admin::Call& call, const admin::AdminServer::Answer& answer);
--- a/src/sidecar/control/endpoint_table.cpp
+++ b/src/sidecar/control/endpoint_table.cpp
@@ -48,7 +48,7 @@
                                   MembershipUpdate& update) {
   if (instance.state == EndpointState::Gone && !numbers_.contains(instance.id)) return;
   EndpointEntry entry;
-  entry.upstream = numberOf(instance.id);
+  entry.upstream = findOrAddNumber(instance.id);
   // An endpoint whose zone or kind the settings don't name can still serve; the field keeps its default.
   if (const auto zone = site_.zones.find(instance.zone); zone != site_.zones.end()) entry.zone = zone->second;
   if (const auto kind = site_.kinds.find(instance.kind); kind != site_.kinds.end()) entry.kind = kind->second;
@@ -86,7 +86,7 @@
   return found == numbers_.end() ? std::nullopt : std::optional(found->second);
 }
 
-EndpointId EndpointTable::numberOf(const std::string& id) {
+EndpointId EndpointTable::findOrAddNumber(const std::string& id) {
   if (const auto known = find(id)) return *known;
   if (freeNumbers_.empty()) {
     freeNumbers_.push_back(static_cast<EndpointId>(records_.size()));
--- a/src/sidecar/control/endpoint_table.h
+++ b/src/sidecar/control/endpoint_table.h
@@ -82,7 +82,7 @@
  private:
   void applyInstance(const discovery::Instance& instance, const discovery::Instance& asReceived,
                      balancer::MembershipUpdate& update);
-  EndpointId numberOf(const std::string& id);
+  EndpointId findOrAddNumber(const std::string& id);
   bool claimAddress(EndpointId upstream, balancer::MembershipUpdate& update);
   void releaseAddress(EndpointId upstream);
 
--- a/src/sidecar/control/membership_selection.cpp
+++ b/src/sidecar/control/membership_selection.cpp
@@ -42,8 +42,8 @@
     current_ = wanted;
     return;
   }
-  const bool isToBeEtcd = wanted.source == Options::Source::Etcd;
-  log_(std::string("membership is to come from ") + (isToBeEtcd ? "etcd" : "the platform"));
+  const bool usesEtcd = wanted.source == Options::Source::Etcd;
+  log_(std::string("membership is to come from ") + (usesEtcd ? "etcd" : "the platform"));
 }
 
 std::unique_ptr<discovery::Source> MembershipSelection::make(const Options& wanted, const Endpoint& discovery,
--- a/src/sidecar/control/start_time_estimator.cpp
+++ b/src/sidecar/control/start_time_estimator.cpp
@@ -24,12 +24,12 @@
   const bool contradicted = earliestSeen_ && at < *earliestSeen_;
   if (contradicted || at > now_) at = now_;
   at = std::max<Micros>(1, at);
-  if (order_.size() >= kMaxStarts) {
-    starts_.erase(order_.front());
-    order_.pop_front();
+  if (insertionOrder_.size() >= kMaxStarts) {
+    starts_.erase(insertionOrder_.front());
+    insertionOrder_.pop_front();
   }
   starts_.emplace(start, at);
-  order_.push_back(start);
+  insertionOrder_.push_back(start);
   return at;
 }
 
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -76,7 +76,7 @@
   Micros now_ = 0;
   std::optional<Micros> earliestSeen_;  // lower bound of the starts that this list is the first to state
   std::unordered_map<Start, Micros, Hash> starts_;
-  std::deque<Start> order_;  // oldest first, for eviction
+  std::deque<Start> insertionOrder_;  // oldest first, for eviction
 };
 
 }  // namespace ivypost
--- a/tests/degradation/decision_trace_test.cpp
+++ b/tests/degradation/decision_trace_test.cpp
@@ -79,7 +79,7 @@
   return hash;
 }
 
-TEST(DecisionTrace, IsAsRecordedWhateverIsRenamedOrMoved) {
+TEST(DecisionTrace, MatchesTheRecordedDigest) {
   std::string lines;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) lines += transitionsOf(seed);
   EXPECT_EQ(std::count(lines.begin(), lines.end(), '\n'), 1037);
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -12,7 +12,7 @@
  protected:
   // A file with which the sidecar reaches this level and stays there, since CPU utilization is always above
   // 0.
-  static configuration::OperatorFile leadingTo(Level level) {
+  static configuration::OperatorFile fileForLevel(Level level) {
     configuration::OperatorFile file;
     file.degradation.on = file.admission.queue = file.status.level = true;
     file.degradation.settings.escalationInterval = std::chrono::milliseconds(1);
@@ -58,7 +58,7 @@
 };
 
 // Unless the operator's file switches degradation on, the level is Normal and its status is not served.
-TEST_F(DegradationManagerTest, IsOffWhenTheFileDoesNotSayOtherwise) {
+TEST_F(DegradationManagerTest, IsOffByDefault) {
   start(configuration::OperatorFile{});
   const Client asking = client();
   asking.send("GET /status/level HTTP/1.1\r\nHost: s\r\n\r\n");
@@ -69,13 +69,13 @@
 
 // At each level, a failed reload of the operator's file changes nothing. A reload that switches degradation
 // off resets the level to Normal.
-TEST_F(DegradationManagerTest, KeepsItsLevelWhenARereadFails) {
-  start(leadingTo(Level::Normal));
+TEST_F(DegradationManagerTest, KeepsItsLevelWhenAReloadFails) {
+  start(fileForLevel(Level::Normal));
   for (std::size_t n = 0; n < degradation::kLevelCount; ++n) {
     const auto level = static_cast<Level>(n);
-    sidecar->reload(config, leadingTo(level));
+    sidecar->reload(config, fileForLevel(level));
     ASSERT_TRUE(wait([&] { return sidecar->level() == level; })) << n;
-    configuration::OperatorFile bad = leadingTo(Level::Normal);
+    configuration::OperatorFile bad = fileForLevel(Level::Normal);
     bad.degradation.on = bad.status.level = false;
     bad.admission.order = {"cambio", "nosuch"};
     try {
@@ -87,7 +87,7 @@
     EXPECT_EQ(sidecar->level(), level);
     EXPECT_EQ(status()["level"], degradation::nameOf(level));
   }
-  configuration::OperatorFile off = leadingTo(Level::Cutoff);
+  configuration::OperatorFile off = fileForLevel(Level::Cutoff);
   off.degradation.on = false;
   sidecar->reload(config, off);
   EXPECT_EQ(sidecar->level(), Level::Normal);
@@ -95,7 +95,7 @@
 }
 
 TEST_F(DegradationManagerTest, ShowsItsStatusWhenTheFileAsksForIt) {
-  start(leadingTo(Level::Protect));
+  start(fileForLevel(Level::Protect));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Protect; }));
   serveOne("00000000000000a3", "X-Second-Try: 1\r\n");
   const json seen = status();
@@ -110,7 +110,7 @@
 // At Shed, a request that can't be served in time is rejected after its header, without reading its body. A
 // request that can be served in time is read.
 TEST_F(DegradationManagerTest, RejectsAtShedBeforeTheBodyIsRead) {
-  start(leadingTo(Level::Shed));
+  start(fileForLevel(Level::Shed));
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Shed; }));
   serveOne("00000000000000a4");
   serveOne("00000000000000b4");  // admitted, by the answer time of the first request
@@ -130,7 +130,7 @@
 // At Cutoff only the class that is first in the operator's order is admitted. The others are rejected with
 // Retry-After, if the platform allows it.
 TEST_F(DegradationManagerTest, AdmitsAtCutoffTheClassOfTheGreatestWeightOnly) {
-  configuration::OperatorFile file = leadingTo(Level::Cutoff);
+  configuration::OperatorFile file = fileForLevel(Level::Cutoff);
   file.admission.order = {"cambio"};
   start(file, {{"settings", {{"limits", {{"retryAfter", true}, {"maxRetryAfter", 60'000}}}}}});
   ASSERT_TRUE(wait([&] { return sidecar->level() == Level::Cutoff; }));
@@ -150,7 +150,7 @@
 // Clients that leave while their requests are queued do not block the others, and a reload that switches the
 // queue off forwards the queued requests.
 TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
-  configuration::OperatorFile file = leadingTo(Level::Protect);
+  configuration::OperatorFile file = fileForLevel(Level::Protect);
   file.admission.perTurn = 1;
   start(file);
   upstreams[0]->onRequest = [](Peer::Exchange& exchange) { exchange.reply(200, "served"); };
--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -291,7 +291,7 @@
       rc::gen::inRange(1, 400)));
 }
 
-TEST(LevelControllerProperty, SkipsNoLevelChangesBoundedlyAndReturnsToNormalWhateverTheSignalsDo) {
+TEST(LevelControllerProperty, SkipsNoLevelBoundsTransitionsAndReturnsToNormalForAnySignals) {
   const Settings settings = defaultSettings();
   EXPECT_TRUE(rc::check("bounded transitions, no skipped level, return to Normal", [&] {
     CheckedRun checked;
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -47,7 +47,7 @@
   return [=](LoadMonitor&, Measurements& measurements, TimePoint) { measurements.*field = value; };
 }
 
-Load coresBusy(int cores) {
+Load busyCores(int cores) {
   return [=](LoadMonitor&, Measurements& measurements, TimePoint now) {
     measurements.cpuTime = cores * now.time_since_epoch();
   };
@@ -75,8 +75,8 @@
 INSTANTIATE_TEST_SUITE_P(
     EachMeasurement, LoadMonitorLevel,
     testing::Values(
-        LoadCase{"HalfOfTwoCores", Level::Normal, coresBusy(1)},
-        LoadCase{"AllOfTwoCores", Level::Shed, coresBusy(2)},
+        LoadCase{"HalfOfTwoCores", Level::Normal, busyCores(1)},
+        LoadCase{"AllOfTwoCores", Level::Shed, busyCores(2)},
         LoadCase{"LateTicks", Level::Cutoff, measured(&Measurements::eventLoopLag, 1s)},
         LoadCase{"OpenRequests", Level::Protect, measured(&Measurements::openRequestFraction, 0.8)},
         LoadCase{"BusyConnections", Level::Cutoff, measured(&Measurements::busyConnectionFraction, 1)},
@@ -88,7 +88,7 @@
         LoadCase{"Retries", Level::Protect, ofTenEvents(4, &LoadMonitor::onRequest)}),
     [](const testing::TestParamInfo<LoadCase>& instance) { return instance.param.name; });
 
-TEST(LoadMonitor, KeepsTheProcessorsShareWhenTheClockJumps) {
+TEST(LoadMonitor, HasNoPeakOfCpuUtilizationWhenTheClockJumps) {
   LoadMonitor monitor(defaultSettings(), 1, at(0s));
   Duration used{};
   const auto aFifthOfACore = [&](LoadMonitor&, Measurements& measurements, TimePoint) {
--- a/tests/degradation/restrictions_test.cpp
+++ b/tests/degradation/restrictions_test.cpp
@@ -23,7 +23,7 @@
 }
 
 // The restrictions that docs/operators/reduced-service.md lists.
-TEST(Restrictions, AreAsOperatorsKnowThem) {
+TEST(Restrictions, AreTheDocumentedOnes) {
   struct Row {
     Level level;
     bool allowsHedging;
--- a/tests/degradation/settings_test.cpp
+++ b/tests/degradation/settings_test.cpp
@@ -34,7 +34,7 @@
 }
 
 // The age grows steadily and does not show whether the sidecar is overloaded.
-TEST_F(SettingsTest, HaveThresholdsForTheListsAgeAtThriftyAlone) {
+TEST_F(SettingsTest, HaveAThresholdForEndpointListAgeAtThriftyOnly) {
   const auto& thrifty = settings.thresholds.at(Level::Thrifty, Signal::EndpointListAge);
   ASSERT_TRUE(thrifty);
   EXPECT_EQ(thrifty->enter, 6e6);
--- a/tests/degradation/smoothing_test.cpp
+++ b/tests/degradation/smoothing_test.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-TEST(MovingAverage, TakesTheFirstSampleForThePast) {
+TEST(MovingAverage, IsSetByTheFirstSample) {
   MovingAverage average;
   EXPECT_EQ(average.value(), 0);
   average.add(3, 1s, at(5s));
   EXPECT_EQ(average.value(), 3);
 }
 
-TEST(MovingAverage, KeepsAnEthOfADifferenceAfterItsTimeConstant) {
+TEST(MovingAverage, ReducesADifferenceTo1OverEInItsTimeConstant) {
   MovingAverage average;
   average.add(1, 2s, at(0s));
   average.add(0, 2s, at(2s));
@@ -43,14 +43,14 @@
   DecayingFraction fraction;
 };
 
-TEST_F(DecayingFractionTest, SaysNothingBelowTheLeastNumberOfEvents) {
+TEST_F(DecayingFractionTest, IsZeroBelowTheMinimumNumberOfEvents) {
   add(9, 9, 1s);
   EXPECT_EQ(fraction.value(at(1s)), 0);
   add(1, 1, 1s);
   EXPECT_EQ(fraction.value(at(1s)), 1);
 }
 
-TEST_F(DecayingFractionTest, ForgetsEventsByTheirAge) {
+TEST_F(DecayingFractionTest, DecaysEventsByTheirAge) {
   add(100, 100, 1s);
   add(0, 100, 2s);
   EXPECT_NEAR(fraction.value(at(2s)), std::exp(-1) / (1 + std::exp(-1)), 1e-12);
--- a/tests/degradation/transition_test.cpp
+++ b/tests/degradation/transition_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(describe(transition), "level protect, was thrifty: cpu share 0.9012 over 0.88");
 }
 
-TEST(Transition, TellsARecoveryAsCalm) {
+TEST(Transition, DescribesARecoveryAsCalm) {
   const Transition transition{Level::Protect, Level::Thrifty, at(Duration::zero()), std::nullopt};
   EXPECT_EQ(describe(transition), "level thrifty, was protect: calm");
 }
--- a/tests/exclusion/exclusion_file_test.cpp
+++ b/tests/exclusion/exclusion_file_test.cpp
@@ -140,31 +140,31 @@
   std::vector<std::string> lines;
 };
 
-TEST_F(ExclusionFileTest, TheOtherProcessHearsOfAChange) {
+TEST_F(ExclusionFileTest, TheOtherProcessReadsAChange) {
   ExclusionFile mine = file();
-  ExclusionFile yours = file();
-  EXPECT_FALSE(yours.readIfChanged());
+  ExclusionFile other = file();
+  EXPECT_FALSE(other.readIfChanged());
   ExclusionSet exclusions;
   ASSERT_FALSE(exclude(mine, exclusions, "a"));
   EXPECT_FALSE(mine.readIfChanged()) << "its own change is not read again";
-  const auto heard = yours.readIfChanged();
-  ASSERT_TRUE(heard);
-  EXPECT_TRUE(heard->isExcluded("a"));
-  EXPECT_FALSE(yours.readIfChanged());
+  const auto read = other.readIfChanged();
+  ASSERT_TRUE(read);
+  EXPECT_TRUE(read->isExcluded("a"));
+  EXPECT_FALSE(other.readIfChanged());
 }
 
 // Each process applies its change to the stored set that the other has written, not to its own copy.
 TEST_F(ExclusionFileTest, ChangesOfTwoProcessesAddUp) {
   ExclusionFile mine = file();
-  ExclusionFile yours = file();
+  ExclusionFile other = file();
   ExclusionSet a, b;
   ASSERT_FALSE(exclude(mine, a, "a"));
-  ASSERT_FALSE(exclude(yours, b, "b"));
+  ASSERT_FALSE(exclude(other, b, "b"));
   EXPECT_TRUE(b.isExcluded("a"));
   EXPECT_TRUE(mine.readIfChanged()->isExcluded("b"));
 }
 
-TEST_F(ExclusionFileTest, BadFilesAreLoggedOnceAndReplacedByTheNextChange) {
+TEST_F(ExclusionFileTest, InvalidFilesAreLoggedOnceAndReplacedByTheNextChange) {
   for (const char* text :
        {"", "{\"version\":1,\"out\":[\"a\"", "garbage", "{\"version\":9,\"out\":[],\"back\":{}}"}) {
     lines.clear();
@@ -187,7 +187,7 @@
   EXPECT_EQ(lines.size(), 1U);
 }
 
-TEST_F(ExclusionFileTest, WhatCannotBeKeptIsANo) {
+TEST_F(ExclusionFileTest, AChangeThatCannotBeStoredIsAnError) {
   ExclusionSet exclusions;
   ExclusionFile nowhere(folder + "/missing", [](const std::string&) {});
   EXPECT_EQ(exclude(nowhere, exclusions, "a"), std::errc::no_such_file_or_directory);
@@ -205,7 +205,7 @@
 
 // A process that is stopped while it holds the lock must not block this one's event loop: apply() fails
 // without waiting, and the caller tries again.
-TEST_F(ExclusionFileTest, ALockThatIsHeldIsBusyAtOnce) {
+TEST_F(ExclusionFileTest, AHeldLockIsAnErrorWithoutWaiting) {
   const int held = open((path() + ".lock").c_str(), O_RDWR | O_CREAT, 0600);
   ASSERT_GE(held, 0);
   ASSERT_EQ(flock(held, LOCK_EX), 0);
@@ -221,7 +221,7 @@
 
 // A change that another process is writing may still be reverted, so a running process does not read it. A
 // process that starts reads it without waiting for the lock.
-TEST_F(ExclusionFileTest, AChangeInTheMakingIsReadAtAStartOnly) {
+TEST_F(ExclusionFileTest, AChangeInProgressIsReadAtAStartOnly) {
   ExclusionFile running = file();
   EXPECT_FALSE(running.readIfChanged());
   ExclusionSet exclusions;
@@ -251,7 +251,7 @@
 
 // A change that was reported as failed is not in force in this process, in the other process or after a
 // start, and no temporary file is left.
-TEST_P(FailingDiskTest, AChangeThatCannotBeKeptIsNotInForceAnywhere) {
+TEST_P(FailingDiskTest, AChangeThatCannotBeStoredIsNotInForceAnywhere) {
   for (const bool hasFile : {true, false}) {
     std::filesystem::remove(path());
     TestFiles files;
@@ -318,7 +318,7 @@
   EXPECT_EQ(std::count(files.calls.begin(), files.calls.end(), "open .new"), 0);
 }
 
-TEST_F(ExclusionFileTest, AChangeIsSyncedBeforeAndBehindItsRename) {
+TEST_F(ExclusionFileTest, AChangeIsSyncedBeforeAndAfterItsRename) {
   TestFiles files;
   ExclusionFile mine = file(files);
   ExclusionSet exclusions;
@@ -344,7 +344,7 @@
   }
 }
 
-TEST_F(ExclusionFileTest, AFileSystemWithoutSyncOfFoldersKeepsChangesAsItCan) {
+TEST_F(ExclusionFileTest, AFileSystemWithoutSyncOfFoldersStoresChanges) {
   TestFiles files;
   ExclusionFile mine = file(files);
   ExclusionSet exclusions;
@@ -356,7 +356,7 @@
 // The sync of the folder fails, and so does the rename that would restore the earlier set, so that the file
 // contains a change that was reported as failed. This process ignores that change, and its next stored change
 // removes it.
-TEST_F(ExclusionFileTest, AFileThatCannotBeRestoredIsLoggedAndLeftOut) {
+TEST_F(ExclusionFileTest, AFileThatCannotBeRestoredIsLoggedAndIgnored) {
   TestFiles files;
   ExclusionFile mine = file(files);
   ExclusionSet exclusions;
@@ -378,7 +378,7 @@
   EXPECT_FALSE(isExcludedAfterAStart("a"));
 }
 
-TEST_F(ExclusionFileTest, AFolderThatCannotBeWrittenToIsNamedAtTheStartAndItsFileCounts) {
+TEST_F(ExclusionFileTest, AnUnwritableFolderIsLoggedAtTheStartAndItsFileIsRead) {
   ExclusionFile writer = file();
   ExclusionSet exclusions;
   ASSERT_FALSE(exclude(writer, exclusions, "a"));
@@ -417,7 +417,7 @@
 
 // ---- Times ------------------------------------------------------------------------------------------------
 
-void stepBack(const std::string& path, const timespec& to) {
+void setModificationTime(const std::string& path, const timespec& to) {
   const timespec times[2] = {to, to};
   ASSERT_EQ(utimensat(AT_FDCWD, path.c_str(), times, 0), 0);
 }
@@ -425,13 +425,13 @@
 // The clock is stepped back between changes of the same size, so that their files have the same modification
 // time.
 TEST_F(ExclusionFileTest, AStepOfTheClockHidesNoChange) {
-  const timespec once{1'700'000'000, 0};
+  const timespec sameTime{1'700'000'000, 0};
   const auto text = [](char id) {
     return std::string("{\"version\":1,\"out\":[\"") + id + "\"],\"back\":{}}";
   };
   const auto publish = [&](char id) {
     std::ofstream(path() + ".new", std::ios::binary) << text(id);
-    stepBack(path() + ".new", once);
+    setModificationTime(path() + ".new", sameTime);
     std::filesystem::rename(path() + ".new", path());
   };
   ExclusionFile mine = file();
@@ -448,7 +448,7 @@
   }
   // The file is changed in place, as an editor may do.
   write(text('f'));
-  stepBack(path(), once);
+  setModificationTime(path(), sameTime);
   const auto read = mine.readIfChanged();
   ASSERT_TRUE(read);
   EXPECT_TRUE(read->isExcluded("f"));
@@ -458,8 +458,8 @@
 
 // Excludes "new" in a child process that is killed after its nth system call. Returns true if it made fewer
 // calls and was not killed. `kept`: whether it reported the change as made.
-bool changeAndBeKilled(const std::string& folder, const std::vector<TestFiles::Fault>& faults, int nth,
-                       bool& kept) {
+bool changeInKilledProcess(const std::string& folder, const std::vector<TestFiles::Fault>& faults, int nth,
+                           bool& kept) {
   int line[2];
   EXPECT_EQ(pipe(line), 0);
   const pid_t child = fork();
@@ -487,7 +487,7 @@
   return WIFEXITED(status) && WEXITSTATUS(status) == 0;
 }
 
-TEST_F(ExclusionFileTest, AKillBehindAnyCallLeavesTheOldSetOrTheNewOne) {
+TEST_F(ExclusionFileTest, AKillAfterAnyCallLeavesTheOldSetOrTheNewOne) {
   const std::vector<std::vector<TestFiles::Fault>> disks = {
       {}, {{"sync .new", EIO, 1}}, {{"sync folder", EIO, 1}}, {{"sync folder", EIO, 2}}};
   for (const auto& faults : disks) {
@@ -499,7 +499,7 @@
       ExclusionSet exclusions;
       ASSERT_FALSE(exclude(mine, exclusions, "old"));
       bool kept = false;
-      ended = changeAndBeKilled(folder, faults, ++nth, kept);
+      ended = changeInKilledProcess(folder, faults, ++nth, kept);
       ASSERT_LT(nth, 200);
       const auto found = ExclusionSet::parse(content());
       ASSERT_TRUE(found) << "incomplete file after call " << nth;
@@ -516,41 +516,41 @@
 
 // Simulates a crash of the machine after each call. The content of a file that was not synced is lost, and a
 // rename before a sync of the folder may or may not be on the disk.
-TEST_F(ExclusionFileTest, AStopOfTheMachineLeavesTheOldSetOrTheNewOne) {
+TEST_F(ExclusionFileTest, ACrashOfTheMachineLeavesTheOldSetOrTheNewOne) {
   for (int nth = 1;; ++nth) {
     std::filesystem::remove(path());
     ExclusionFile before = file();
     ExclusionSet exclusions;
     ASSERT_FALSE(exclude(before, exclusions, "old"));
     TestFiles files;
-    std::string disk = content();          // content of the file before the change
-    std::string fresh;                     // synced content of the file that is going to be renamed
-    std::vector<std::string> mayBe{disk};  // contents that may be on the disk
-    std::vector<std::string> atStop;
+    std::string disk = content();  // content of the file before the change
+    std::string syncedText;        // synced content of the file that is going to be renamed
+    std::vector<std::string> possibleContents{disk};  // contents that may be on the disk
+    std::vector<std::string> contentsAtCrash;
     int calls = 0;
     files.onCall = [&] {
       const std::string& call = files.calls.back();
-      if (call == "open .new") fresh.clear();
+      if (call == "open .new") syncedText.clear();
       if (call == "sync .new") {
         std::ostringstream text;
         text << std::ifstream(path() + ".new", std::ios::binary).rdbuf();
-        fresh = text.str();
+        syncedText = text.str();
       }
-      if (call == "rename .json") mayBe.push_back(fresh);
-      if (call == "sync folder") mayBe.assign(1, mayBe.back());
-      if (++calls == nth) atStop = mayBe;
+      if (call == "rename .json") possibleContents.push_back(syncedText);
+      if (call == "sync folder") possibleContents.assign(1, possibleContents.back());
+      if (++calls == nth) contentsAtCrash = possibleContents;
     };
     ExclusionFile mine = file(files);
     ASSERT_FALSE(exclude(mine, exclusions, "new"));
-    const bool answered = atStop.empty();
-    if (answered) atStop = mayBe;
-    for (const std::string& text : atStop) {
+    const bool hasCompleted = contentsAtCrash.empty();
+    if (hasCompleted) contentsAtCrash = possibleContents;
+    for (const std::string& text : contentsAtCrash) {
       const auto found = ExclusionSet::parse(text);
       ASSERT_TRUE(found) << "no valid file after call " << nth;
       EXPECT_TRUE(found.value().isExcluded("old"));
-      EXPECT_TRUE(!answered || found.value().isExcluded("new")) << "reported as made, but lost";
+      EXPECT_TRUE(!hasCompleted || found.value().isExcluded("new")) << "reported as made, but lost";
     }
-    if (answered) break;
+    if (hasCompleted) break;
   }
 }
 
--- a/tests/exclusion/exclusion_set_test.cpp
+++ b/tests/exclusion/exclusion_set_test.cpp
@@ -24,7 +24,7 @@
   return set.apply({Change::Kind::Include, endpoint, true, {}, at(now)});
 }
 
-TEST(ExclusionSet, TwoExcludesNeedOneInclude) {
+TEST(ExclusionSet, OneIncludeEndsRepeatedExcludes) {
   ExclusionSet set;
   EXPECT_EQ(exclude(set, "a"), Outcome::Changed);
   EXPECT_EQ(exclude(set, "a"), Outcome::Unchanged);
@@ -36,7 +36,7 @@
       << "a call that changes nothing must not restart the slow start";
 }
 
-TEST(ExclusionSet, RejectsWhatIsNeitherListedNorExcluded) {
+TEST(ExclusionSet, RejectsAnEndpointThatIsNeitherListedNorExcluded) {
   ExclusionSet set;
   for (const auto kind : {Change::Kind::Exclude, Change::Kind::Include})
     EXPECT_EQ(set.apply({kind, "a", false, {}, at(1)}), Outcome::UnknownEndpoint);
@@ -48,7 +48,7 @@
   EXPECT_EQ(set.apply({Change::Kind::Include, "a", false, {}, at(3)}), Outcome::UnknownEndpoint);
 }
 
-TEST(ExclusionSet, AnIncludedEndpointStartsThenOrAtALaterStart) {
+TEST(ExclusionSet, AnIncludedEndpointStartsAtTheIncludeOrAtALaterListedStart) {
   ExclusionSet set;
   EXPECT_EQ(set.effectiveStart("a", at(7)), at(7));
   exclude(set, "a");
@@ -107,7 +107,7 @@
 }
 
 // Guards the format of the files that deployed sidecars have stored.
-TEST(ExclusionSet, TheStoredFormIsFixed) {
+TEST(ExclusionSet, HasAFixedStoredFormat) {
   ExclusionSet set;
   exclude(set, "b");
   exclude(set, "a");
@@ -121,7 +121,7 @@
   EXPECT_EQ(stored.value(), set);
 }
 
-TEST(ExclusionSet, BadTextsAreErrorsOfOneLine) {
+TEST(ExclusionSet, InvalidTextsGiveErrorsOfOneLine) {
   const std::string tooMany = [] {
     std::string ids = "\"0\"";
     for (std::size_t n = 1; n <= ExclusionSet::kMaxEntries; ++n) ids += ",\"" + std::to_string(n) + "\"";
@@ -155,7 +155,7 @@
 }
 
 // Stored times must not overflow when converted to microseconds.
-TEST(ExclusionSet, StoredTimesOutOfRangeAreTakenAsTheNearest) {
+TEST(ExclusionSet, ClampsStoredTimesThatAreOutOfRange) {
   const auto startOf = [](const std::string& number) {
     const auto set = ExclusionSet::parse("{\"version\":1,\"out\":[],\"back\":{\"a\":" + number + "}}");
     return set ? set.value().effectiveStart("a", at(0)) : at(-1);
@@ -165,7 +165,7 @@
   EXPECT_EQ(startOf("18446744073709551615"), ExclusionSet::kMaxTime);
 }
 
-RC_GTEST_PROP(ExclusionSetText, CutAnywhereIsAnError, ()) {
+RC_GTEST_PROP(ExclusionSetText, IsInvalidWhenTruncatedAnywhere, ()) {
   ExclusionSet set;
   const auto ids =
       *rc::gen::container<std::vector<std::string>>(rc::gen::nonEmpty(rc::gen::string<std::string>()));
--- a/tests/sidecar/control/endpoint_table_test.cpp
+++ b/tests/sidecar/control/endpoint_table_test.cpp
@@ -42,7 +42,7 @@
   EndpointTable table_{site_, kUnixTime, kNow, true};
 };
 
-TEST_F(EndpointTableTest, GivesTheModuleWhatTheListSays) {
+TEST_F(EndpointTableTest, ConvertsAListIntoAnUpdate) {
   site_.zones["z"] = 3;
   site_.kinds["k"] = 4;
   discovery::Instance listed = instance("a", "10.0.0.1:80", EndpointState::Draining);
@@ -65,12 +65,12 @@
   EXPECT_EQ(table_[entry.upstream].address, listed.address);
 }
 
-TEST_F(EndpointTableTest, PassesOverAnUnknownEndpointThatHasGone) {
+TEST_F(EndpointTableTest, IgnoresAnUnknownEndpointThatIsGone) {
   EXPECT_TRUE(apply({instance("a", "10.0.0.1:80", EndpointState::Gone)}).entries.empty());
   EXPECT_EQ(table_.size(), 0u);
 }
 
-TEST_F(EndpointTableTest, TakesAnEndpointThatACompleteListLeavesOutForGone) {
+TEST_F(EndpointTableTest, UnlistsAnEndpointMissingFromACompleteList) {
   apply({instance("a", "10.0.0.1:80"), instance("b", "10.0.0.2:80")});
   const EndpointId b = *table_.find("b");
   apply({instance("a", "10.0.0.1:80")}, Kind::Full);
@@ -118,7 +118,7 @@
   EXPECT_TRUE(table_[*table_.find("new")].isListed);
 }
 
-TEST_F(EndpointTableTest, TellsTheModuleOfAnExclusionAsADrain) {
+TEST_F(EndpointTableTest, ReportsAnExcludedEndpointAsDraining) {
   exclusion::Change change;
   change.kind = exclusion::Change::Kind::Exclude;
   change.endpoint = "a";
--- a/tests/sidecar/control/exclusion_call_test.cpp
+++ b/tests/sidecar/control/exclusion_call_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr exclusion::WallTime kNow{std::chrono::milliseconds(1'700'000'000'000)};
 
-TEST(ExclusionCall, AsksForTheChangeWithWhatListsKnow) {
+TEST(ExclusionCall, BecomesAChangeWithTheListedState) {
   settings::Site site;
   EndpointTable endpoints(site, 0, 1, true);
   discovery::EndpointList list;
--- a/tests/sidecar/control/load_shedding_log_test.cpp
+++ b/tests/sidecar/control/load_shedding_log_test.cpp
@@ -9,7 +9,7 @@
 namespace ivypost {
 namespace {
 
-TEST(LoadSheddingLog, IsOneLineWhenItBeginsAndOneWhenItEnds) {
+TEST(LoadSheddingLog, HasOneLineForTheBeginAndOneForTheEnd) {
   LoadSheddingLog sheddingLog;
   std::vector<std::string> lines;
   const auto take = [&](const char* line) {
--- a/tests/sidecar/control/open_request_test.cpp
+++ b/tests/sidecar/control/open_request_test.cpp
@@ -17,7 +17,7 @@
     keyed_.semantics = balancer::Semantics::Keyed;
     keyed_.retryWindow = 500'000;
   }
-  void attempt(milliseconds writtenAfter, bool mayHaveRun) {
+  void addAttempt(milliseconds writtenAfter, bool mayHaveRun) {
     request_.attempts.push_back({0, start_ + writtenAfter, mayHaveRun});
   }
 
@@ -27,30 +27,30 @@
   OpenRequest request_;
 };
 
-TEST_F(WriteDeadlineTest, IsTheAttemptsOwnForAFirstOne) {
+TEST_F(WriteDeadlineTest, IsTheAttemptsDeadlineForAFirstAttempt) {
   EXPECT_EQ(writeDeadline(request_, keyed_, deadline_), deadline_);
 }
 
-TEST_F(WriteDeadlineTest, EndsAheadOfTheWindowOfTheFirstThatMayHaveRun) {
-  attempt(milliseconds(100), true);
-  attempt(milliseconds(300), true);
+TEST_F(WriteDeadlineTest, IsBeforeTheEndOfTheWindowOfTheFirstAttemptThatMayHaveRun) {
+  addAttempt(milliseconds(100), true);
+  addAttempt(milliseconds(300), true);
   EXPECT_EQ(writeDeadline(request_, keyed_, deadline_), start_ + milliseconds(590));
   EXPECT_EQ(writeDeadline(request_, keyed_, start_ + milliseconds(200)), start_ + milliseconds(200));
 }
 
-TEST_F(WriteDeadlineTest, TakesNoNoticeOfWhatNeverRan) {
-  attempt(milliseconds(100), false);
+TEST_F(WriteDeadlineTest, IgnoresAttemptsThatNeverRan) {
+  addAttempt(milliseconds(100), false);
   request_.attempts.push_back({});  // not written
   EXPECT_EQ(writeDeadline(request_, keyed_, deadline_), deadline_);
 }
 
-TEST_F(WriteDeadlineTest, IsTheAttemptsOwnWithoutAKey) {
-  attempt(milliseconds(100), true);
+TEST_F(WriteDeadlineTest, IsTheAttemptsDeadlineWithoutAKey) {
+  addAttempt(milliseconds(100), true);
   keyed_.semantics = balancer::Semantics::Unsafe;
   EXPECT_EQ(writeDeadline(request_, keyed_, deadline_), deadline_);
 }
 
-TEST(ProvesNeverRan, OnlyWhereNoLastByteWentOutOrTheUpstreamSaysSo) {
+TEST(ProvesNeverRan, OnlyIfNotCompletelySentOrTheUpstreamSaysSo) {
   EXPECT_TRUE(provesNeverRan(Outcome::Full));
   EXPECT_TRUE(provesNeverRan(Outcome::ConnectFailed));
   EXPECT_TRUE(provesNeverRan(Outcome::Moot));
--- a/tests/sidecar/control/start_time_estimator_test.cpp
+++ b/tests/sidecar/control/start_time_estimator_test.cpp
@@ -31,7 +31,7 @@
 
 class StartTimeTest : public testing::TestWithParam<Case> {};
 
-TEST_P(StartTimeTest, IsTheTrueOneAsFarAsTheMonotonicClockTells) {
+TEST_P(StartTimeTest, IsTheStatedOneUnlessTheMonotonicClockContradictsIt) {
   const Case& one = GetParam();
   StartTimeEstimator starts(kUnix + one.clockError, kBoot);
   const Micros listed = 600 * kSecond;  // arrival of the list, since the process started
@@ -69,7 +69,7 @@
         Case{"lists step 5 s back", 0, 0, 50'000, -5 * kSecond, 0}));
 
 // An endpoint with the same stated start keeps its estimate.
-TEST(StartTime, StaysWhereItIsWhateverListsComeLater) {
+TEST(StartTime, IsNotChangedByLaterLists) {
   for (const Micros error : {Micros{0}, kHour, -kHour, 5 * kSecond}) {
     StartTimeEstimator starts(kUnix + error, kBoot);
     starts.beginList(std::nullopt, kBoot);
@@ -88,7 +88,7 @@
 }
 
 // An endpoint that lists omit for a while and then name again with the same start does not count as new.
-TEST(StartTime, OfOneThatIsBackIsTheOneItHad) {
+TEST(StartTime, IsKeptForAnEndpointThatIsListedAgain) {
   StartTimeEstimator starts(kUnix, kBoot);
   starts.beginList(std::nullopt, kBoot);
   const std::int64_t startedAtMs = (kUnix - kHour) / 1000;
@@ -100,7 +100,7 @@
   EXPECT_EQ(starts.startOf(1, startedAtMs + 1), kBoot + 70 * kSecond);
 }
 
-TEST(StartTime, OfLongAgoIsNone) {
+TEST(StartTime, IsZeroForAnUnknownStart) {
   StartTimeEstimator starts(kUnix, kBoot);
   starts.beginList(kBoot, kBoot);
   EXPECT_EQ(starts.startOf(1, 0), 0);
@@ -108,7 +108,7 @@
 }
 
 // A start before the machine's boot, and the latest time that a list may state.
-TEST(StartTime, IsAPointInTimeForAnyFigure) {
+TEST(StartTime, IsInRangeForAnyStatedTime) {
   for (const Micros clock : {kUnix, Micros{-kUnix}, Micros{0}}) {
     StartTimeEstimator starts(clock, 5);
     starts.beginList(std::nullopt, 10);
@@ -117,7 +117,7 @@
   }
 }
 
-TEST(StartTime, RemembersABoundedNumberAndTheNewestOfThem) {
+TEST(StartTime, RemembersABoundedNumberOfTheNewestStarts) {
   StartTimeEstimator starts(kUnix, kBoot);
   starts.beginList(std::nullopt, kBoot);
   for (std::size_t n = 0; n < 2 * StartTimeEstimator::kMaxStarts; ++n)
