--- a/src/sidecar/control/action_executor.cpp
+++ b/src/sidecar/control/action_executor.cpp
@@ -40,7 +40,7 @@
   AttemptRecord attempt;
   attempt.upstream = send.upstream;
   request.attempts.push_back(attempt);
-  ++request.out;
+  ++request.pendingAttempts;
   targets_.endpoints.addUse(send.upstream);
   targets_.pool.send(std::move(order));
 }
@@ -111,14 +111,15 @@
 void ActionExecutor::finish(RequestId id, Answer answer) {
   OpenRequest& request = targets_.requests.at(id);
   request.isFinished = true;
-  if (request.out > 0) targets_.pool.withdraw(id);
+  if (request.pendingAttempts > 0) targets_.pool.withdraw(id);
   targets_.server.answer(id, std::move(answer));
 }
 
 // A request with attempts in flight is kept, since the pool still reports their end.
 void ActionExecutor::forget(RequestId id) {
   const auto found = targets_.requests.find(id);
-  if (found == targets_.requests.end() || !found->second.isFinished || found->second.out > 0) return;
+  if (found == targets_.requests.end() || !found->second.isFinished || found->second.pendingAttempts > 0)
+    return;
   const auto attempts = std::move(found->second.attempts);
   targets_.requests.erase(found);
   for (const AttemptRecord& attempt : attempts) targets_.endpoints.dropUse(attempt.upstream);
--- a/src/sidecar/control/open_request.h
+++ b/src/sidecar/control/open_request.h
@@ -26,7 +26,7 @@
 struct OpenRequest {
   ClientRequest client;                 ///< as received from the client
   std::vector<AttemptRecord> attempts;  ///< by attempt number
-  std::uint32_t out = 0;                ///< attempts that have not ended
+  std::uint32_t pendingAttempts = 0;    ///< attempts that have not ended
   bool isFinished = false;              ///< it is answered, or the client has left
 };
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -170,7 +170,7 @@
   Request& request = found->second;
   AttemptRecord& attempt = request.attempts.at(end.id.number);
   attempt.mayHaveRun = !provesNeverRan(end.outcome);
-  --request.out;
+  --request.pendingAttempts;
   if (const EndpointRecord& endpoint = endpoints_[attempt.upstream]; fleet_ && endpoint.isListed)
     fleet_->recordAttempt(incarnationOf(endpoint), end.outcome, duration_cast<microseconds>(end.lag).count());
   if (end.outcome != Outcome::Cancelled && end.outcome != Outcome::Moot)
