--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -42,12 +42,12 @@
   }
   if (request.attempts.empty()) return eligible_;
   // A retry goes to an endpoint that this request has not been sent to, if there is one.
-  const auto met = [&](EndpointId id) {
+  const auto wasTried = [&](EndpointId id) {
     return std::any_of(request.attempts.begin(), request.attempts.end(),
                        [id](const Attempt& attempt) { return attempt.endpoint == id; });
   };
-  const auto fresh = std::stable_partition(eligible_.begin(), eligible_.end(), std::not_fn(met));
-  if (fresh != eligible_.begin()) eligible_.erase(fresh, eligible_.end());
+  const auto firstTried = std::stable_partition(eligible_.begin(), eligible_.end(), std::not_fn(wasTried));
+  if (firstTried != eligible_.begin()) eligible_.erase(firstTried, eligible_.end());
   return eligible_;
 }
 
@@ -56,9 +56,9 @@
   eligible_.clear();
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    const bool free = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
-                      EndpointReadiness::mayGetTrial(endpoint, now);
-    if (free && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now)) eligible_.push_back(id);
+    const bool isFree = endpoint.isHalfOpen && endpoint.isAnswering && endpoint.inFlight == 0 &&
+                        EndpointReadiness::mayGetTrial(endpoint, now);
+    if (isFree && retryPolicy_.mayGoTo(id, endpoint, request, allowed, now)) eligible_.push_back(id);
   }
   return eligible_;
 }
@@ -72,27 +72,29 @@
                                    const EventContext& context) {
   const Micros now = context.now;
   odds_.clear();
-  double inside = 0;
-  double outside = 0;
+  double subsetOdds = 0;
+  double otherOdds = 0;
   const double meanSize = endpoints_.meanSize();
   const double exponent = std::sqrt(request.relativeWork);
   for (const EndpointId id : eligible) {
     const Endpoint& endpoint = endpoints_[id];
     odds_.push_back(suitability(endpoint, meanSize, exponent, now) * zoneOdds(endpoint));
     if (slowStart_.capacityFraction(endpoint, now) >= 1)
-      (endpoint.isInSubset ? inside : outside) += odds_.back();
+      (endpoint.isInSubset ? subsetOdds : otherOdds) += odds_.back();
   }
-  const bool isDivided = inside > 0 && outside > 0 && subset_.isPartial(now);
-  const double outsideFactor =
-      isDivided ? std::min(1.0, kOutsideSubsetShare / (1 - kOutsideSubsetShare) * inside / outside) : 1;
-  const double warming = kWarmingOdds * (inside + outside * outsideFactor);
+  const bool limitsOtherOdds = subsetOdds > 0 && otherOdds > 0 && subset_.isPartial(now);
+  const double otherFactor =
+      limitsOtherOdds
+          ? std::min(1.0, kOutsideSubsetShare / (1 - kOutsideSubsetShare) * subsetOdds / otherOdds)
+          : 1;
+  const double grantedOdds = kWarmingOdds * (subsetOdds + otherOdds * otherFactor);
   double sum = 0;
   for (std::size_t n = 0; n < eligible.size(); ++n) {
     const Endpoint& endpoint = endpoints_[eligible[n]];
-    const bool isDue = slowStart_.capacityFraction(endpoint, now) < 1 ||
-                       (endpoint.isHalfOpen && now < endpoint.reportsValidUntil);
-    sum += isDue ? std::max(odds_[n], warming * zoneOdds(endpoint))
-                 : odds_[n] * (endpoint.isInSubset ? 1 : outsideFactor);
+    const bool hasGrantedAttempt = slowStart_.capacityFraction(endpoint, now) < 1 ||
+                                   (endpoint.isHalfOpen && now < endpoint.reportsValidUntil);
+    sum += hasGrantedAttempt ? std::max(odds_[n], grantedOdds * zoneOdds(endpoint))
+                             : odds_[n] * (endpoint.isInSubset ? 1 : otherFactor);
     odds_[n] = sum;
   }
   const auto at =
@@ -103,12 +105,14 @@
 EndpointId EndpointSelection::pick(const std::vector<EndpointId>& eligible, const Request& request,
                                    const EventContext& context) {
   const EndpointId drawn = draw(eligible, request, context);
-  const bool comparable = std::find(eligible.begin(), eligible.end(), remembered_) != eligible.end();
-  const bool rememberedLighter = comparable && endpoints_[remembered_].inFlight < endpoints_[drawn].inFlight;
-  const bool drawnLighter =
+  const bool isRememberedEligible =
+      std::find(eligible.begin(), eligible.end(), remembered_) != eligible.end();
+  const bool isRememberedLighter =
+      isRememberedEligible && endpoints_[remembered_].inFlight < endpoints_[drawn].inFlight;
+  const bool isDrawnLighter =
       remembered_ == kNoEndpoint || endpoints_[drawn].inFlight < endpoints_[remembered_].inFlight;
-  const EndpointId picked = rememberedLighter ? remembered_ : drawn;
-  if (drawnLighter) remembered_ = drawn;
+  const EndpointId picked = isRememberedLighter ? remembered_ : drawn;
+  if (isDrawnLighter) remembered_ = drawn;
   return picked;
 }
 
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -230,9 +230,10 @@
 void RequestLifecycle::on(const ProbeResult& event, const EventContext& context) {
   if (!decisions_.endpoints.contains(event.upstream)) return;
   decisions_.healthCheck.learn(event);
-  std::vector<RequestId> ended = decisions_.healthCheck.waiting();
-  std::erase_if(ended, [&](RequestId id) { return requests_.at(id).probedEndpoint != event.upstream; });
-  for (const RequestId id : ended)
+  std::vector<RequestId> probedRequests = decisions_.healthCheck.waiting();
+  std::erase_if(probedRequests,
+                [&](RequestId id) { return requests_.at(id).probedEndpoint != event.upstream; });
+  for (const RequestId id : probedRequests)
     finishProbe(id, decisions_.healthCheck.judge(event, requests_.at(id)), context);
 }
 
@@ -242,8 +243,9 @@
   decisions_.healthCheck.stopWaiting(id);
   Request& request = requests_.at(id);
   const auto& choice = eligible(request, permission(request, context), context);
-  const bool stillReady = std::find(choice.begin(), choice.end(), request.probedEndpoint) != choice.end();
-  if (stillReady && decisions_.healthCheck.acceptsPick(request, verdict))
+  const bool isStillEligible =
+      std::find(choice.begin(), choice.end(), request.probedEndpoint) != choice.end();
+  if (isStillEligible && decisions_.healthCheck.acceptsPick(request, verdict))
     return send(id, request, request.probedEndpoint, context);
   if (decisions_.healthCheck.rejectPick(request, verdict,
                                         decisions_.latency.typicalLatency(request.requestClass), context)) {
@@ -260,8 +262,8 @@
   switch (wake.kind) {
     case Wake::Kind::ProbeTimeout: {
       const auto& waiting = decisions_.healthCheck.waiting();
-      const bool waits = std::find(waiting.begin(), waiting.end(), wake.request) != waiting.end();
-      if (waits && request.probeDeadline <= context.now)
+      const bool isWaiting = std::find(waiting.begin(), waiting.end(), wake.request) != waiting.end();
+      if (isWaiting && request.probeDeadline <= context.now)
         finishProbe(wake.request, HealthCheck::Verdict::Overloaded, context);
       return;
     }
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -30,8 +30,9 @@
   /// Sends in the time for which an idle connection is kept, extrapolated while less than that has passed
   /// since the start.
   [[nodiscard]] double sendsInIdleTime(Micros now) const {
-    const double seen = 1 - std::exp(-static_cast<double>(now - startedAt_ + resolution_) / idleTime_);
-    return sends_ * retainedFraction(sendsAt_, idleTime_, now) / seen;
+    const double observedFraction =
+        1 - std::exp(-static_cast<double>(now - startedAt_ + resolution_) / idleTime_);
+    return sends_ * retainedFraction(sendsAt_, idleTime_, now) / observedFraction;
   }
 
   /// Requests that this sidecar has in flight when answers take `latency` microseconds (Little's law).
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -31,15 +31,15 @@
                                        const EventContext& context) {
   const double threshold = kOverloadedObjectiveFraction * static_cast<double>(request.latencyObjective) *
                            (1 + request.relativeWork) / 2;
-  const bool overloaded = outcome == Outcome::Full || outcome == Outcome::Timeout ||
-                          (outcome == Outcome::Ok && static_cast<double>(latency) > threshold);
-  if (outcome == Outcome::Ok && !overloaded) {
+  const bool isOverloaded = outcome == Outcome::Full || outcome == Outcome::Timeout ||
+                            (outcome == Outcome::Ok && static_cast<double>(latency) > threshold);
+  if (outcome == Outcome::Ok && !isOverloaded) {
     consecutiveOverloads_ = 0;
     if (inFlight_ + 2 > limit_) limit_ += 1 / limit_;
     const double typicalInFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), context.now);
     limit_ = std::clamp(kTypicalMultiple * typicalInFlight + kAttemptHeadroom, 1.0, limit_);
   }
-  if (!overloaded || ++consecutiveOverloads_ <= kOverloadsBeforeBackoff || !context.lacksLoadInformation)
+  if (!isOverloaded || ++consecutiveOverloads_ <= kOverloadsBeforeBackoff || !context.lacksLoadInformation)
     return false;
   limit_ = std::max(1.0, limit_ * kLimitBackoff);
   const int doublings =
@@ -56,11 +56,11 @@
 // Attempts at silent endpoints don't count: they say nothing about the load of the others.
 bool SidecarLimit::isAtLimit(const EventContext& context) const {
   if (!context.lacksLoadInformation || inFlight_ + 1 <= limit_) return false;
-  double working = inFlight_;
+  double countedInFlight = inFlight_;
   for (const EndpointId id : endpoints_.listed()) {
-    if (readiness_.isSilent(endpoints_[id], context.now)) working -= endpoints_[id].inFlight;
+    if (readiness_.isSilent(endpoints_[id], context.now)) countedInFlight -= endpoints_[id].inFlight;
   }
-  return working > 0 && working + 1 > limit_;
+  return countedInFlight > 0 && countedInFlight + 1 > limit_;
 }
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -21,22 +21,22 @@
 void SlowStart::earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const {
   if (request.hasEarnedCredit) return;
   request.hasEarnedCredit = true;
-  double present = 0;
-  double total = 0;
+  double presentCapacity = 0;
+  double totalSize = 0;
   for (const EndpointId id : endpoints.listed()) {
     const Endpoint& endpoint = endpoints[id];
-    present += endpoint.size * capacityFraction(endpoint, now);
-    total += endpoint.size;
+    presentCapacity += endpoint.size * capacityFraction(endpoint, now);
+    totalSize += endpoint.size;
   }
-  if (present == total) return;  // common case: all endpoints are warm
+  if (presentCapacity == totalSize) return;  // common case: all endpoints are warm
   const double maxLoadShare = std::min(kMaxLoadShare, kMaxFallMultipleFraction * settings_.fallMultiple);
-  const double share = std::min(1 / present, maxLoadShare / total);
+  const double creditPerSize = std::min(1 / presentCapacity, maxLoadShare / totalSize);
   for (const EndpointId id : endpoints.listed()) {
     Endpoint& endpoint = endpoints[id];
-    const double part = capacityFraction(endpoint, now);
-    if (part < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.backoffUntil))
+    const double fraction = capacityFraction(endpoint, now);
+    if (fraction < 1 && now >= std::max(endpoint.ejectedUntil, endpoint.backoffUntil))
       endpoint.slowStartCredit =
-          std::min(kMaxCredit, endpoint.slowStartCredit + part * endpoint.size * share);
+          std::min(kMaxCredit, endpoint.slowStartCredit + fraction * endpoint.size * creditPerSize);
   }
 }
 
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -29,8 +29,8 @@
     if (settings_.fallMultiple <= 0 || settings_.slowStartWindow <= 0 || endpoint.launchedAt <= 0) return 1;
     const Micros age = std::max<Micros>(0, now - endpoint.launchedAt);
     if (age >= settings_.slowStartWindow) return 1;
-    const double part = static_cast<double>(age) / static_cast<double>(settings_.slowStartWindow);
-    return settings_.startCapacity + (1 - settings_.startCapacity) * part;
+    const double elapsedFraction = static_cast<double>(age) / static_cast<double>(settings_.slowStartWindow);
+    return settings_.startCapacity + (1 - settings_.startCapacity) * elapsedFraction;
   }
 
   /// Whether the endpoint is warm or has a credit for an attempt.
