--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Attempts and idle connections at the moments when a time runs out.
+// Tests of attempts and idle connections at the expiry of deadlines and timeouts.
 #include <sys/resource.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -14,7 +14,7 @@
 namespace ivypost {
 namespace {
 
-// Of this process's socket at this address.
+// Enlarges the send buffer of this process's socket that is bound to the address, to 200'000 bytes.
 void growSendBuffer(const tcp::endpoint& of) {
   for (int descriptor = 3; descriptor < 256; ++descriptor) {
     tcp::endpoint at;
@@ -24,7 +24,7 @@
     ASSERT_EQ(::setsockopt(descriptor, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes), 0);
     return;
   }
-  FAIL() << "no such socket";
+  FAIL() << "no socket is bound to the address";
 }
 
 class PoolTest : public SidecarTest {
@@ -57,11 +57,11 @@
   std::optional<Config> config;
   std::optional<ConnectionPool> pool;
   std::vector<AttemptEnd> ends;
-  std::set<balancer::RequestId> gone;  // whose clients have left
+  std::set<balancer::RequestId> gone;  // requests whose clients have left
 };
 
-// First attempts, retries and hedged requests all begin here: nobody's goes out on an idle connection, and
-// that connection is still there for the next one.
+// First attempts, retries and hedged requests all begin in send(): for a client that has left nothing is sent
+// on an idle connection, and that connection stays available for the next attempt.
 TEST_F(PoolTest, NothingIsSentOnAnIdleConnectionForAClientThatHasLeft) {
   Peer upstream(io);
   open(json::object());
@@ -72,7 +72,7 @@
   ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
   gone = {2};
   send(2, "x");
-  EXPECT_EQ(ends.size(), 1u) << "not from within the call";
+  EXPECT_EQ(ends.size(), 1u) << "the callback must not run within the call";
   ASSERT_TRUE(wait([&] { return ends.size() == 2; }));
   EXPECT_EQ(ends[1].id.request, 2u);
   EXPECT_EQ(ends[1].outcome, Outcome::Moot);
@@ -82,7 +82,7 @@
   EXPECT_EQ(upstream.lines.size(), 1u);
 }
 
-// It leaves while a connection comes up, and nobody has said so by then.
+// The client leaves while a connection is being established, and the pool has not been notified.
 TEST_F(PoolTest, NothingIsSentOnANewConnectionForAClientThatHasLeft) {
   Peer upstream(io);
   open(json::object());
@@ -96,7 +96,7 @@
   EXPECT_EQ(upstream.requests[0].message["X-Trace-Id"], traceOf(2));
 }
 
-// What an upstream is told of the time that is left, in a request as it was received.
+// The remaining time, in ms, that a received request states; -1 if it states none.
 int toldMs(const std::string& text) {
   const std::string name = "X-Expires-In-Ms: ";
   const std::size_t at = text.find(name);
@@ -106,13 +106,14 @@
   return std::stoi(std::string(exchange.message["X-Expires-In-Ms"]));
 }
 
-// Each way in which time passes between a client's last byte and an attempt's first; in each the loop stands
-// still for so long, and what is told must be less by that.
+// The following tests delay an attempt in each way that is possible between the client's last byte and the
+// attempt's first byte. Each blocks the event loop, and the remaining time sent to the upstream must be
+// reduced by that span.
 TEST_F(PoolTest, AConnectionThatComesUpLateIsToldWhatIsLeftByThen) {
   FullListener node(io);
   open(json::object());
   pool->setAddress(0, parseEndpoint(node.address()));
-  send(1, "x");  // with 60 s
+  send(1, "x");  // has 60 s until its deadline
   ASSERT_EQ(pool->comingUp(), 1u);
   node.emptyTheQueue();
   standStill(milliseconds(1500));
@@ -160,7 +161,7 @@
   EXPECT_LE(toldMs(busy().requests[0]), 4800 + 20);  // the kernel's tick, both ways
 }
 
-// It waits in the module, for want of an upstream that may get more.
+// The request waits in the balancer, since its only upstream is at its concurrency limit.
 TEST_F(ToldTest, ARequestThatWaitedForAnUpstreamIsToldWhatIsLeftByThen) {
   start(1);
   const Client first = client();
@@ -176,7 +177,8 @@
   EXPECT_LE(toldMs(busy().requests[1]), 4800);
 }
 
-// In the queue for the core, one a turn of the loop, which stands still when all of them have been read.
+// Requests wait in the admission queue, which admits one per turn of the event loop. The loop is blocked when
+// all of them have been read.
 class QueuedTest : public ToldTest {
  protected:
   static constexpr std::size_t kMany = 30;
@@ -193,7 +195,7 @@
     sidecar = std::make_unique<Sidecar>(io, configure(json::object()), file);
     ASSERT_TRUE(wait([this] { return watches() > 0; }));
   }
-  // The last of them has `expiresInMs`, the others 20 s.
+  // The last request has `expiresInMs`, the others 20 s.
   void sendAll(int expiresInMs) {
     for (std::size_t n = 0; n < kMany; ++n) clients.push_back(client());
     pollAll(io);
@@ -219,8 +221,8 @@
   std::deque<Client> clients;
 };
 
-// The module counts from its client's last byte too: when that time is over it sends no further attempt,
-// which could only fail on a connection that is good.
+// The balancer also counts the deadline from the client's last byte: after it no further attempt is sent,
+// which could only fail and cost a usable connection.
 TEST_F(QueuedTest, NoAttemptFollowsOneThatFailedAtTheDeadline) {
   startWithQueue(3);
   std::optional<Peer::Exchange> silent;
@@ -232,7 +234,7 @@
   }
   sendAll(1000);
   ASSERT_TRUE(wait([&] { return silent && arrived() == kMany; }));
-  ASSERT_LE(toldMs(*silent), 500) << "it has waited";
+  ASSERT_LE(toldMs(*silent), 500) << "it has waited in the queue";
   pollAll(io);
   const int before = open();
   ASSERT_GE(before, 3) << "two of them idle";
@@ -240,10 +242,10 @@
   EXPECT_GE(clients.back().answer(0).result_int(), 500u);
   pollAll(io);
   EXPECT_EQ(arrived(), kMany);
-  EXPECT_EQ(open(), before - 1) << "the one of the attempt that had no answer";
+  EXPECT_EQ(open(), before - 1) << "only the connection of the unanswered attempt is closed";
 }
 
-// Nor does it hold one for longer than its client waits: what has not run is refused.
+// The balancer holds no request beyond its deadline: a request that has not run is refused.
 TEST_F(QueuedTest, WhatIsHeldUntilItsDeadlineIsRefused) {
   startWithQueue(1);
   const Client first = client();
@@ -257,7 +259,8 @@
   EXPECT_EQ(arrived(), 1u);
 }
 
-// With very little left: what could no longer be answered is not sent, and each has its answer in time.
+// With a remaining time of 0 to 100 ms, requests that could not be answered in time are not sent, and each
+// client gets its answer in time.
 TEST_F(ToldTest, WithHardlyAnyTimeLeftEachIsAnswered) {
   start(1);
   busy().onRequest = [](Peer::Exchange& call) {
@@ -289,8 +292,8 @@
   }
 }
 
-// The network forgets an idle connection without a word to us: what is written there goes nowhere, and the
-// request has its answer by its deadline all the same. Nor does the connection carry another one.
+// The network drops an idle connection's state without a reset: bytes written to it are lost, and the request
+// is still answered by its deadline. The connection is not used for another request.
 class ForgottenTest : public ToldTest, public testing::WithParamInterface<const char*> {};
 
 TEST_P(ForgottenTest, AnIdleConnectionThatIsForgottenCostsNobodyItsAnswer) {
@@ -326,9 +329,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Classes, ForgottenTest, testing::Values("consulta", "cambio", "reserva"));
 
-// The kernel takes the rest of a request in the turn in which its upstream is given up as one that does not
-// read: a first piece before the handler of that time, and the last one with it already queued. Whatever has
-// gone out whole may run, so the attempt must not end as one that never did.
+// The kernel accepts the rest of a request in the turn in which the write times out since the upstream does
+// not read: a first part before the timeout's handler, and the last part with that handler already queued. A
+// request that was written completely may run, so the attempt must not be reported as never run.
 TEST_F(PoolTest, WhatHasGoneOutWholeIsNeverTakenForUnsent) {
   tcp::acceptor node(io, tcp::v4());
   node.set_option(asio::socket_base::receive_buffer_size(2048));
@@ -343,7 +346,7 @@
   send(1, body, std::string(60'000, 'h'));
   ASSERT_TRUE(wait([&] { return line && line->available() > 0; }));
   pollAll(io);
-  // While the loop stands still the kernel gets room for all of the rest, and the time runs out.
+  // While the event loop is blocked, the send buffer gets room for the rest, and the timeout expires.
   growSendBuffer(line->remote_endpoint());
   standStill(sentAt + milliseconds(110) - Clock::now());
   pollAll(io);
@@ -367,8 +370,8 @@
   }
 }
 
-// The idle time runs out while the loop stands still, and a request comes ahead of the handler that would
-// close the connection: its upstream may be closing it just then.
+// The idle timeout expires while the event loop is blocked, and a request is sent ahead of the handler that
+// would close the connection: the upstream may be closing the connection at the same time.
 TEST_F(PoolTest, AConnectionIsNotUsedPastItsIdleTime) {
   Peer upstream(io);
   open({{"settings", {{"limits", {{"idleClose", 200'000}}}}}});
@@ -384,7 +387,7 @@
   EXPECT_NE(upstream.requests[1].line, upstream.requests[0].line);
 }
 
-// What is over is taken back only as far as it has not gone out, and ends as never sent.
+// withdraw() cancels only attempts that have not been written, and these end as never sent.
 TEST_F(PoolTest, WithdrawingTakesBackWhatHasNotGoneOut) {
   Peer upstream(io);
   FullListener full(io);
@@ -406,7 +409,7 @@
   EXPECT_EQ(ends[1].outcome, Outcome::Ok);
 }
 
-// Faults at upstreams and of other clients free no request of its final answer.
+// Each request gets its final answer despite faults of upstreams and of other clients.
 class FinalAnswerTest : public SidecarTest {
  protected:
   struct Asked {
@@ -414,7 +417,7 @@
     std::string qos;
     Clock::time_point at{};
   };
-  // Clients that are in, of each class in turn.
+  // Connects `count` clients, with the classes in rotation.
   void connect(int count) {
     for (int n = 0; n < count; ++n)
       asked.push_back(
@@ -433,7 +436,7 @@
       asked[n].client.send(request.text());
     }
   }
-  // Each has one, in time; who has it leaves, or stays.
+  // Expects one answer per client in time. A client closes after its answer if `leave` is set.
   void expectAnswers(int expiresInMs, bool leave = true) {
     std::vector<bool> done(asked.size());
     ASSERT_TRUE(wait([&] {
@@ -473,15 +476,15 @@
 
 TEST_F(FinalAnswerTest, ComesWhenTheKernelHasNoDescriptors) {
   start(2);
-  // The first time that an object's type is checked, the sanitizer asks the kernel for a pipe, and takes the
-  // object for a bad one where there is none. So another sidecar goes the same ways ahead of this one.
+  // At the first check of an object's type the sanitizer opens a pipe, and reports the object as invalid if
+  // that fails. So another sidecar runs the same code before the descriptors are exhausted.
   connect(3);
   ask(300);
   expectAnswers(300);
   asked.clear();
   const std::size_t arrivedBefore = arrived();
   const std::size_t watchesBefore = watches();
-  const auto first = std::move(sidecar);  // its handlers may still come
+  const auto first = std::move(sidecar);  // its handlers may still run
   sidecar = std::make_unique<Sidecar>(io, configure(json::object()));
   ASSERT_TRUE(wait([&] { return watches() > watchesBefore; }));
   for (const auto& upstream : upstreams) {
@@ -498,8 +501,8 @@
   ask(600);
   expectAnswers(600, false);
   EXPECT_EQ(::setrlimit(RLIMIT_NOFILE, &before), 0);
-  EXPECT_EQ(arrived(), arrivedBefore) << "there was a descriptor left";
-  // And it serves again.
+  EXPECT_EQ(arrived(), arrivedBefore) << "a descriptor was still available";
+  // The sidecar serves again.
   const Client next = client();
   Request request;
   request.trace = traceOf(1000);
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The server as it ends, and the time of a request that runs out as it comes.
+// Tests of the shutdown, and of read timeouts that expire while a request arrives.
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
 
@@ -9,7 +9,8 @@
 namespace ivypost {
 namespace {
 
-// A request reaches the kernel after the loop has looked and before it looks whether all is done.
+// A request reaches the kernel after the event loop's last poll, and before the server checks whether it may
+// end.
 TEST_F(ServerTest, ARequestInTheLastTickIsAnsweredBeforeTheEnd) {
   serve();
   const Client late(io, server->port());
@@ -24,7 +25,7 @@
   EXPECT_EQ(late.answer(0).result_int(), 200u);
 }
 
-// So does one behind another that was an error, in the pause in which the client is not read.
+// The same for a request that follows an invalid one, during the pause in which the client is not read.
 TEST_F(ServerTest, ARequestBehindAnErrorIsAnsweredBeforeTheEnd) {
   serve();
   const Client wrong(io, server->port());
@@ -38,7 +39,8 @@
   ASSERT_TRUE(wait([&] { return wrong.answers() == 2 && ended; }));
 }
 
-// Read ahead of an answer, or unread behind it: while the process ends the connection is not ended between.
+// Pipelined requests, read ahead of an answer or still unread at it, are answered during shutdown: the
+// connection is not closed between them.
 TEST_F(ServerTest, WhatWasSentAheadIsAnsweredWhileTheProcessEnds) {
   serve();
   const Client ahead(io, server->port());
@@ -61,8 +63,8 @@
   EXPECT_EQ(ahead.answer(2)[http::field::connection], "close");
 }
 
-// A client that takes its last answer slowly, and sends on: the connection is not closed over what it sends
-// before the answer has arrived, since that would reset it.
+// A client reads its last answer slowly, and continues to send: the connection is not closed with unread
+// input before the answer has arrived, since that would reset the connection.
 TEST_F(ServerTest, ALastAnswerThatIsTakenSlowlyArrivesWhole) {
   serve();
   tcp::socket slow(io);
@@ -78,7 +80,8 @@
   answer.status = 200;
   answer.body = body;
   server->answer(taken[0].id, std::move(answer));
-  // More than is read and dropped; it stands still for longer than the pause ahead of the close.
+  // More than the server reads and discards; the client does not read for longer than the pause before the
+  // close.
   const std::string much(100'000, 'm');
   std::size_t at = 0;
   error_code error;
@@ -98,7 +101,7 @@
   EXPECT_GT(got.size(), body.size()) << error.message();
 }
 
-// A head that has come in part, or an answer on its way, is no end either.
+// The server does not end while a request's head is partly received or an answer is being sent.
 TEST_F(ServerTest, ARequestHalfReadIsAnsweredBeforeTheEnd) {
   serve();
   const Client slow(io, server->port());
@@ -114,13 +117,13 @@
   ASSERT_TRUE(wait([&] { return slow.answers() == 1 && ended; }));
 }
 
-// The acceptor closes when a connection has been accepted whose handler is still queued.
+// The acceptor is closed when a connection has been accepted and its handler is still queued.
 TEST_F(ServerTest, WhoWasAcceptedAsTheDoorClosedIsServed) {
   serve();
   const Client first(io, server->port());
   const Client second(io, server->port());
   second.send(Request().text());
-  // With the first one let in, the second has been accepted in the same call.
+  // When the first connection is admitted, the second has been accepted in the same call.
   while (inside() == 0) {
     io.restart();
     io.run_one();
@@ -134,8 +137,8 @@
 
 class LastByteTest : public ServerTest {
  protected:
-  // A request of which so much has been read; this much more of it comes in the turn in which its time is up,
-  // ahead of the handler that would close it.
+  // Sends the first `first` bytes of a request, and `more` bytes of it in the turn in which the read timeout
+  // expires, ahead of the handler that would close the connection.
   void sendAsItsTimeIsUp(std::size_t more, std::size_t first = 30) {
     serve();
     slow.emplace(io, server->port());
@@ -148,7 +151,7 @@
         return server->connectionLimiter().count(admission::ConnectionLimiter::State::Active) == 1;
       }));
     }
-    // A handler that is due a little earlier, and so runs right before, however late the loop is.
+    // Is due earlier than the read timeout, and so runs before its handler even if the event loop is late.
     asio::steady_timer before(io);
     before.expires_at(in + milliseconds(2400));
     before.async_wait([&](error_code) { slow->send(text.substr(first, more)); });
@@ -165,7 +168,7 @@
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
-// Nor does a new connection that has been silent so far lose the request that comes in that turn.
+// The same for a new connection that has sent nothing before.
 TEST_F(LastByteTest, AFirstRequestThatComesWhenItsTimeIsUpIsTaken) {
   sendAsItsTimeIsUp(std::string::npos, 0);
   ASSERT_EQ(taken.size(), 1u);
@@ -173,15 +176,15 @@
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
-// One that has come to nothing more by then is closed all the same.
+// A request that is still incomplete at the timeout is not waited for: its connection is closed.
 TEST_F(LastByteTest, ARequestThatIsNotWholeWhenItsTimeIsUpIsNotWaitedFor) {
   sendAsItsTimeIsUp(10);
   EXPECT_TRUE(slow->closed());
   EXPECT_TRUE(taken.empty());
 }
 
-// The whole sidecar, told to end while all of its upstreams hang. SIGKILL comes 0.7 s after the longest
-// deadline; 0.15 s of that the process may be held up.
+// Stops the complete sidecar while none of its upstreams answers. SIGKILL follows 0.7 s after the longest
+// deadline; 0.15 s of that are reserved for delays of the process.
 class StopTest : public SidecarTest {
  protected:
   static constexpr milliseconds kBound{1700 - 150};
@@ -224,7 +227,7 @@
     request.expiresInMs = expiresInMs;
     return request;
   }
-  // Clients go on sending whether the connection stands or not.
+  // Sends, and ignores the error if the connection is closed.
   static void sendOrNot(const Client& client, const std::string& bytes) {
     try {
       client.send(bytes);
@@ -232,7 +235,7 @@
     }
   }
 
-  // From SIGTERM to the end of the process, with each of these done at its time.
+  // Runs from SIGTERM to the end of the process, with the actions that were scheduled by at().
   void stop() {
     begun = Clock::now();
     sidecar->stop([this] {
@@ -260,7 +263,7 @@
   bool ended = false;
 };
 
-// Requests from before SIGTERM and all through the stop, on new connections as long as these are accepted.
+// Requests arrive before SIGTERM and during the shutdown, on new connections as long as these are accepted.
 TEST_F(StopTest, AnswersEveryRequestInTimeWhileAllUpstreamsHang) {
   startHung(3);
   int n = 0;
@@ -285,7 +288,7 @@
     EXPECT_EQ(clients[client]->answers(), 1u) << "client " << client;
 }
 
-// Kept connections on which clients go on sending: behind a request that is out, and behind its answer.
+// Clients continue to send on persistent connections, while a request is open and after its answer.
 TEST_F(StopTest, BytesBehindARequestCostItsClientNoAnswer) {
   startHung(2);
   for (int n = 0; n < 8; ++n) add().send(request(n + 1, 20000).text());
@@ -301,7 +304,7 @@
   for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
 }
 
-// A head, a short body and a long body that have come in part, and never come whole.
+// A head, a short body and a long body are received in part, and never completely.
 TEST_F(StopTest, AnswersRequestsThatAreStillBeingRead) {
   startHung(2);
   const std::string head = request(1, 20000).text();
@@ -309,7 +312,8 @@
   longer.body.assign(30'000, 'b');
   Request large = request(3, 20000);
   large.body.assign(6'000'000, 'b');
-  // Beyond what is held whole, so that half of it is at an upstream already.
+  // The large body exceeds the limit for complete buffering, so that a part of it has been sent to an
+  // upstream.
   at(milliseconds(250), [&] {
     add().send(head.substr(0, 30));
     add().send(longer.text().substr(0, 15'000));
@@ -324,7 +328,7 @@
   for (std::size_t n = 0; n < clients.size(); ++n) EXPECT_GE(clients[n]->answers(), 1u) << "client " << n;
 }
 
-// A connection to the only upstream comes up when the end is near.
+// The connection to the only upstream is established shortly before the end.
 TEST_F(StopTest, AnswersWhatWaitsForAConnectionThatComesUpLate) {
   withLate = true;
   startHung(0);
@@ -336,7 +340,7 @@
   for (const auto& client : clients) EXPECT_EQ(client->answers(), 1u);
 }
 
-// The loop stands still as the final answers are due, and clients send meanwhile.
+// The event loop is blocked when the final answers are due, and clients send meanwhile.
 TEST_F(StopTest, AHoldUpAsTheFinalAnswersAreDueLosesNothing) {
   startHung(2);
   for (int n = 0; n < 6; ++n) add().send(request(n + 1, 20000).text());
@@ -351,8 +355,8 @@
   for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
 }
 
-// Clients that send so much of a request and then nothing more, and stay: within 3 s each has an error or is
-// closed, on a new connection and behind an earlier request, also while the process drains.
+// Clients that send a part of a request and then nothing more, without closing: within 3 s each gets an error
+// or is closed, on a new connection and after an earlier request, also while the process drains.
 struct Stop {
   const char* where;
   std::string sent;
@@ -361,7 +365,7 @@
 std::vector<Stop> stops() {
   const std::string start = "POST /cambio/7 HTTP/1.1\r\n";
   int n = 0;
-  // Each with an id of its own.
+  // Each request has a separate trace id.
   const auto fields = [&] {
     return "Host: s\r\nX-Qos: cambio\r\nX-Customer: nalon\r\nX-Trace-Id: " + traceOf(++n) +
            "\r\nX-Expires-In-Ms: 20000\r\n";
@@ -425,12 +429,12 @@
   }
   ASSERT_TRUE(wait([&] {
     bool done = true;
-    // Upstreams take what comes.
+    // Consumes the uploads, as upstreams do.
     for (const ClientRequest& request : taken) {
       if (request.upload) request.upload->pipe.pop(request.upload->pipe.front().size());
     }
     for (Stopped& one : all) {
-      // Being asked for the body is no answer.
+      // 100 Continue does not count as an answer.
       if (one.client.answers() > one.before && one.client.answer(one.before).result_int() == 100)
         ++one.before;
       if (!one.took && (one.client.answers() > one.before || one.client.closed()))
@@ -441,7 +445,7 @@
   }));
   for (const Stopped& one : all) {
     SCOPED_TRACE(one.stop.where);
-    ASSERT_TRUE(one.took) << "neither";
+    ASSERT_TRUE(one.took) << "neither answered nor closed";
     EXPECT_LT(*one.took, std::chrono::seconds(3));
     if (one.client.answers() > one.before) {
       EXPECT_GE(one.client.answer(one.before).result_int(), 400u);
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -413,10 +413,10 @@
   EXPECT_FALSE(server->isClientGone(taken[0].id));
   rawClient.close(GetParam());
   EXPECT_TRUE(server->isClientGone(taken[0].id));
-  EXPECT_TRUE(over.empty()) << "not from within the call";
+  EXPECT_TRUE(over.empty()) << "the callback must not run within the call";
   pollAll(io);
   EXPECT_EQ(over, std::vector{taken[0].id});
-  EXPECT_TRUE(server->isClientGone(taken[0].id)) << "it is over";
+  EXPECT_TRUE(server->isClientGone(taken[0].id)) << "the request has finished";
 }
 
 INSTANTIATE_TEST_SUITE_P(All, IsClientGoneTest,
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// For tests of rare moments: the orders in which a request, an answer, a client's leaving, a deadline and the
-// end of the process can cross each other, on real connections. The bad order comes every time: by the bytes
-// that a peer holds back, by what is written while the loop stands still, or by a handler that is queued
-// ahead of the tested one.
+// Fixtures for tests of race conditions on real connections: the interleavings of a request, an answer, a
+// client's close, a deadline and the end of the process. Each test forces its interleaving deterministically:
+// a peer holds bytes back, bytes are written while the event loop is blocked, or a handler is queued ahead of
+// the tested one.
 #ifndef IVYPOST_MOMENTS_H_
 #define IVYPOST_MOMENTS_H_
 
@@ -27,7 +27,7 @@
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-// Everything that is ready is handled, and what comes of it.
+// Runs all handlers that are ready, and those that become ready as a consequence, in up to 50 polls.
 inline void pollAll(asio::io_context& io) {
   for (int n = 0; n < 50; ++n) {
     io.restart();
@@ -35,12 +35,13 @@
   }
 }
 
-// The loop stands still until then; what the peers do meanwhile it finds when it goes on.
+// Blocks the event loop for `span`. It processes the events of that time only afterwards.
 inline void standStill(Clock::duration span) {
   std::this_thread::sleep_until(Clock::now() + span);
 }
 
-// A listener whose queue is full, so that connections to it come up only when it is let go.
+// A listener whose accept queue is full, so that connections to it are established only after a call of
+// letGo() or emptyTheQueue().
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : acceptor_(io) {
@@ -54,7 +55,7 @@
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
-  // Takes everybody from now on, and keeps what they write.
+  // Accepts all connections from now on, and stores the bytes that they receive.
   void letGo() {
     fillers_.clear();
     accept();
@@ -65,8 +66,8 @@
     return all;
   }
   std::size_t connections() const { return lines_.size(); }
-  // Takes those that stand in the queue, without the loop, so that the next one's connection comes up while
-  // it stands still.
+  // Accepts the queued connections without running the event loop, so that the next connection is established
+  // while the loop is blocked.
   void emptyTheQueue() {
     error_code error;
     acceptor_.non_blocking(true, error);
@@ -107,7 +108,7 @@
   std::vector<std::shared_ptr<Line>> lines_;
 };
 
-// The client side alone: what it takes, a test answers by hand.
+// Runs only the sidecar's server for clients; the test answers the requests that the server hands over.
 class ServerTest : public SidecarTest {
  protected:
   void serve(const configuration::OperatorFile& file = {}) {
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Daily operation over loopback sockets: the operators' console, upstreams out by hand, drains, and two
-// sidecars on one listening socket. Tests wait for events, never for a time.
+// Tests of operation over loopback sockets: the operators' console, manual exclusions of upstreams, drains,
+// and two sidecars on one listening socket. Tests wait for events, never for a fixed time.
 #include <fcntl.h>
 #include <sys/file.h>
 #include <unistd.h>
@@ -34,7 +34,7 @@
     start(count, file);
   }
 
-  // One call, and its status.
+  // Calls the console, and returns the status of its answer.
   unsigned call(const std::string& method, const std::string& path, const Sidecar& at) {
     Client caller(io, at.consolePort().value());
     caller.send(method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -51,7 +51,7 @@
     return client.answer(before).result_int();
   }
 
-  // Serves one request of a client's and tells which upstream got it.
+  // Serves one client request, and returns the index of the upstream that received it.
   std::size_t serve(const std::string& trace) {
     std::vector<std::size_t> before;
     for (const auto& upstream : upstreams) before.push_back(upstream->requests.size());
@@ -76,21 +76,22 @@
     return std::string(16 - text.size(), '0') + text;
   }
 
-  // A call whose answer may be late.
+  // Sends a call to the console without waiting for its answer.
   Client caller(const std::string& path) {
     Client one(io, sidecar->consolePort().value());
     one.send("POST " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
     return one;
   }
 
-  // Holds the lock of the exclusions' file, as the other process of a replacement does, until it is closed.
+  // Locks the exclusions' file, as the other process of a replacement does, until the returned descriptor is
+  // closed.
   int holdLock() const {
     const int file = open((folder + "/ivypost-excluded.json.lock").c_str(), O_RDWR | O_CREAT, 0600);
     EXPECT_EQ(flock(file, LOCK_EX), 0);
     return file;
   }
 
-  // A list that discovery tells now.
+  // Publishes an endpoint list, complete or as an update, and waits until the sidecar has applied it.
   void tell(bool whole) {
     const std::size_t before = watches();
     discovery.requests.back().reply(200, list(++generation, whole).dump());
@@ -110,7 +111,7 @@
   operate(2);
   EXPECT_EQ(post("/api/exclude/s-9"), 404U);
   EXPECT_EQ(post("/api/include/s-9"), 404U);
-  EXPECT_EQ(post("/api/include/s-1"), 200U) << "it is in use already";
+  EXPECT_EQ(post("/api/include/s-1"), 200U) << "it is not excluded";
   EXPECT_EQ(call("GET", "/api/ready"), 200U);
 }
 
@@ -120,7 +121,7 @@
   ASSERT_EQ(post("/api/exclude/s%2D0"), 200U);
   int n = 1;
   for (; n <= 8; ++n) EXPECT_EQ(serve(trace(n)), 1U);
-  // A whole list, one without it, and one where it is back under its own id.
+  // A complete list, an update that removes the upstream, and one that adds it again under the same id.
   tell(true);
   for (; n <= 16; ++n) EXPECT_EQ(serve(trace(n)), 1U);
   states[0] = "removed";
@@ -128,7 +129,7 @@
   states[0] = "up";
   tell(false);
   for (; n <= 24; ++n) EXPECT_EQ(serve(trace(n)), 1U);
-  // One call back is enough, and it is used again.
+  // One include call is enough to use it again.
   ASSERT_EQ(post("/api/include/s-0"), 200U);
   bool used = false;
   for (; n <= 200 && !used; ++n) used = serve(trace(n)) == 0;
@@ -143,7 +144,7 @@
   EXPECT_TRUE(wait([&] { return upstreams[0]->open() == 0; }));
 }
 
-// What is out at the call may finish.
+// Attempts that are open at the call may finish.
 TEST_F(OperationsTest, AnExclusionLetsFinishWhatIsOut) {
   operate(1);
   Client client = this->client();
@@ -183,7 +184,7 @@
     ASSERT_TRUE(wait([&] { return client.answers() == count; }));
   }
   EXPECT_EQ(upstreams[0]->requests.size(), 0U);
-  // Called at the new one, heard by the old one.
+  // A call to the new process also takes effect in the old one.
   ASSERT_EQ(call("POST", "/api/exclude/s-1", second), 200U);
   int n = 100;
   ASSERT_TRUE(wait([&] {
@@ -207,7 +208,7 @@
   EXPECT_EQ(post("/api/exclude/s-0"), 503U);
   bool used = false;
   for (int n = 1; n <= 200 && !used; ++n) used = serve(trace(n)) == 0;
-  EXPECT_TRUE(used) << "a no must change nothing";
+  EXPECT_TRUE(used) << "a rejected call must change nothing";
 }
 
 TEST_F(OperationsTest, AFolderThatCannotBeWrittenToIsNamedOnceAtTheStart) {
@@ -223,7 +224,8 @@
   EXPECT_EQ(said.find("exclusions can't be changed", at + 1), std::string::npos);
 }
 
-// The other process writes: the call is answered when it has ended, and the loop runs on meanwhile.
+// The other process holds the lock for a write: the call is answered after that, and the event loop is not
+// blocked meanwhile.
 TEST_F(OperationsTest, ACallWaitsForTheLockWhileOthersAreServed) {
   operate(1);
   const int held = holdLock();
@@ -245,24 +247,24 @@
   const auto start = std::chrono::steady_clock::now();
   EXPECT_EQ(post("/api/exclude/s-0"), 503U);
   EXPECT_GE(std::chrono::steady_clock::now() - start, std::chrono::seconds(2));
-  EXPECT_EQ(serve(trace(1)), 0U) << "a no must change nothing";
+  EXPECT_EQ(serve(trace(1)), 0U) << "a rejected call must change nothing";
   close(held);
   EXPECT_EQ(post("/api/exclude/s-0"), 200U);
 }
 
-// More calls than the console has connections, while the lock is held.
+// The console gets more calls than it has connections, while the lock is held.
 TEST_F(OperationsTest, CallsThatWaitForTheLockAreBounded) {
   operate(1);
   const int held = holdLock();
   std::deque<Client> waiting;
   for (std::size_t n = 0; n < admin::AdminServer::kMaxConnections; ++n)
     waiting.push_back(caller("/api/exclude/s-0"));
-  // They are with the sidecar when a call behind them is answered.
+  // The sidecar has received them when a later call is answered.
   const Client tooMany = caller("/api/include/s-0");
   ASSERT_TRUE(wait([&] { return tooMany.answers() == 1; }));
   EXPECT_EQ(tooMany.answer(0).result_int(), 503U);
   close(held);
-  // The first has given its connection to the one too many.
+  // The connection of the first call was closed in favour of the excess call.
   ASSERT_TRUE(wait([&] { return waiting.back().answers() == 1; }));
   for (std::size_t n = 1; n < waiting.size(); ++n) EXPECT_EQ(waiting[n].answer(0).result_int(), 200U) << n;
 }
@@ -275,7 +277,7 @@
   ASSERT_EQ(ready(idle), 200U);
   ASSERT_EQ(post("/api/evacuate"), 200U);
   EXPECT_EQ(call("GET", "/api/ready"), 503U);
-  EXPECT_EQ(ready(client()), 503U) << "it still answers those that come";
+  EXPECT_EQ(ready(client()), 503U) << "it still answers new connections";
   // A request on a kept connection is served, and its answer ends the connection.
   kept.send(Request().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
@@ -283,7 +285,7 @@
   ASSERT_TRUE(wait([&] { return kept.closed(); }));
   EXPECT_EQ(kept.answer(1).result_int(), 200U);
   EXPECT_EQ(kept.answer(1)["Connection"], "close");
-  // Who sends nothing is closed on.
+  // Idle connections are closed.
   EXPECT_TRUE(wait([&] { return idle.closed(); }));
   ASSERT_EQ(post("/api/evacuate"), 200U);
   ASSERT_EQ(post("/api/rejoin"), 200U);
@@ -327,7 +329,7 @@
   EXPECT_EQ(client.answer(0).result_int(), 200U);
 }
 
-// The console's address is held by the process before, which is about to end.
+// The console's address is still bound by the previous process, which is about to end.
 TEST_F(OperationsTest, AConsoleThatCannotBeBoundIsTriedAgain) {
   auto other = std::make_unique<tcp::acceptor>(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   operate(1, {{"console", "127.0.0.1:" + std::to_string(other->local_endpoint().port())}});
@@ -347,7 +349,7 @@
     setenv("GW_FD", std::to_string(platform.native_handle()).c_str(), 1);
     port = platform.local_endpoint().port();
   }
-  // A sidecar of its own on a copy of the platform's socket, as a process would inherit it.
+  // Creates a sidecar on a duplicate of the platform's socket, as a process would inherit it.
   std::unique_ptr<Sidecar> process() {
     const int copy = dup(platform.native_handle());
     setenv("GW_FD", std::to_string(copy).c_str(), 1);
@@ -392,7 +394,7 @@
     EXPECT_EQ(client.answer(0).result_int(), 200U);
   }
   ASSERT_TRUE(wait([&] { return stopped; }));
-  // The socket is the platform's: it still listens, and the new process answers.
+  // The platform owns the socket: it still listens, and the new process answers.
   Client last = visitor();
   last.send(request());
   ASSERT_TRUE(wait([&] { return last.answers() == 1; }));
@@ -419,7 +421,7 @@
   EXPECT_TRUE(wait([&] { return call("GET", "/api/ready", *only) == 200; }));
 }
 
-// A socket that can't be used is said in one line, and the sidecar listens by itself.
+// An unusable socket is reported in one line, and the sidecar opens its own listening socket.
 TEST_F(ReplacementTest, ABadDescriptorIsLeftOut) {
   const std::string number = std::to_string(platform.native_handle());
   tcp::socket unbound(io, tcp::v4());
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Peers of a sidecar over loopback sockets, all on one event loop: upstreams and a discovery whose every
-// answer a test gives by hand, and clients. Tests wait for events, never for a time.
+// Fixtures for tests of the sidecar over loopback sockets, on one event loop: upstreams and a discovery
+// service whose answers are given by the test, and clients. Tests wait for events, never for a fixed time.
 #ifndef IVYPOST_SIDECAR_RIG_H_
 #define IVYPOST_SIDECAR_RIG_H_
 
@@ -30,7 +30,7 @@
 using beast::error_code;
 using nlohmann::json;
 
-// Runs the loop until the condition holds; a test fails when that takes far too long.
+// Runs the event loop until the condition holds. Returns false if it does not hold within 30 s.
 inline bool until(asio::io_context& io, const std::function<bool()>& condition) {
   const auto end = Clock::now() + std::chrono::seconds(30);
   while (!condition()) {
@@ -41,7 +41,7 @@
   return true;
 }
 
-// Any HTTP server: keeps what came until a test answers it.
+// An HTTP server that stores the requests it receives; the test answers each of them.
 class Peer {
  public:
   struct Line : std::enable_shared_from_this<Line> {
@@ -147,11 +147,11 @@
   std::shared_ptr<Line> line_;
 };
 
-// A request of the client's, as text.
+// The fields of a client's request; text() serializes them.
 struct Request {
   std::string trace = "00000000000000a1";
   std::string qos = "cambio";
-  std::string path;  // the class's own, if empty
+  std::string path;  // derived from the class if empty
   std::string method = "POST";
   std::string body = "x";
   int expiresInMs = 20000;
@@ -168,13 +168,13 @@
 class SidecarTest : public testing::Test {
  protected:
   SidecarTest() : discovery(io) {
-    // The watch waits for a test; the whole list comes at once.
+    // Requests for the complete list are answered at once; watches are answered by the test.
     discovery.onRequest = [this](Peer::Exchange& call) {
       if (call.message.target() == "/v1/endpoints") call.reply(200, list(generation, true).dump());
     };
   }
 
-  // So many upstreams, listed from the start.
+  // Starts the sidecar with `count` upstreams in its initial endpoint list.
   void start(int count, const json& patch = json::object()) {
     for (int n = 0; n < count; ++n) upstreams.push_back(std::make_unique<Peer>(io));
     states.assign(upstreams.size(), "up");
@@ -248,7 +248,7 @@
     return count;
   }
 
-  // The only upstream that has got something, or the last of them.
+  // The first upstream that has received a request, or the last upstream if none has.
   Peer& busy() const {
     for (const auto& upstream : upstreams) {
       if (!upstream->requests.empty()) return *upstream;
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The sidecar against peers on loopback sockets whose every byte is scripted. Each test says what it guards
-// against. What goes wrong on the way to a node is tested by fault plans, in tests/e2e/.
+// Tests of the sidecar with scripted peers on loopback sockets. Each test states the fault that it guards
+// against. Network faults between the sidecar and a node are tested with fault plans, in tests/e2e/.
 #include "sidecar_rig.h"
 
 namespace ivypost {
@@ -14,7 +14,8 @@
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-// Guards the calm path: what must go on unchanged does, the answer comes back whole, connections are kept.
+// Without faults, requests are forwarded unchanged, answers are returned complete, and connections are
+// reused.
 TEST_F(SidecarTest, PassesRequestsOnAndKeepsConnections) {
   start(1);
   const Client from = client();
@@ -45,7 +46,8 @@
   EXPECT_EQ(upstreams[0]->lines.size(), 1u);
 }
 
-// Guards against a lost second chance: an answer marked as never run lets an unsafe request go elsewhere.
+// Guards against a missing retry: an answer with X-Never-Ran allows a non-idempotent request to be sent to
+// another upstream.
 TEST_F(SidecarTest, SendsAnUnsafeRequestAgainWhenItNeverRan) {
   start(2);
   const Client from = client();
@@ -58,7 +60,7 @@
   EXPECT_EQ(from.answer(0).result_int(), 200u);
 }
 
-// Guards drains: once told, nothing new goes there, though it is listening and idle.
+// After an update marks an upstream as draining, it receives no new request, although it listens and is idle.
 TEST_F(SidecarTest, SendsNothingNewToADrainingUpstream) {
   start(2);
   states[0] = "draining";
@@ -79,8 +81,8 @@
   }
 }
 
-// Guards against a sidecar that falls with discovery, or never hears of it again: answers that are no list,
-// failures and resets leave the last list standing, and the watch goes on where it was.
+// Guards against a sidecar that fails together with discovery, or does not recover: after invalid answers,
+// errors and closed connections it keeps the last list, and resumes the watch at the same generation.
 TEST_F(SidecarTest, KeepsTheLastListWhileDiscoveryIsGone) {
   start(1);
   const Client from = client();
@@ -114,7 +116,7 @@
   }
 }
 
-// Guards against lists that can't be meant: the sidecar goes on with what it had, and says one line.
+// An implausible list is rejected: the sidecar keeps its last list, and logs one line.
 TEST_F(SidecarTest, KeepsTheLastListWhenTheNewOneCannotBeMeant) {
   start(1);
   const Client from = client();
@@ -139,14 +141,14 @@
     ASSERT_TRUE(wait([&] { return arrived() == n; }));
     upstreams[0]->requests[n - 1].reply(200, "");
     ASSERT_TRUE(wait([&] { return from.answers() == n; }));
-    // A good one in between, so that the next failure is told anew.
+    // A valid list in between, so that the next failure is logged again.
     discovery.requests.back().reply(200, list(41, false).dump());
     ASSERT_TRUE(wait([&] { return watches() > before + 1; }));
   }
 }
 
-// A whole list without an `up` entry is followed, since what drains or is gone gets nothing new, and the next
-// one is too.
+// A complete list without an `up` entry is applied, since upstreams that drain or were removed must get no
+// new requests. The next list is applied as well.
 TEST_F(SidecarTest, OutlivesAListWithNobodyUp) {
   start(1);
   const Client from = client();
@@ -165,14 +167,14 @@
     before = watches();
     const auto answers = from.answers(), sent = arrived();
     discovery.requests.back().reply(200, list(++generation, true).dump());
-    ASSERT_TRUE(wait([&] { return arrived() == sent + 1; })) << "held until somebody is up";
+    ASSERT_TRUE(wait([&] { return arrived() == sent + 1; })) << "held until an upstream is up";
     upstreams[0]->requests.back().reply(200, "");
     ASSERT_TRUE(wait([&] { return from.answers() == answers + 1; }));
     EXPECT_EQ(from.answer(answers).result_int(), 200u);
   }
 }
 
-// Guards against odd figures that keep a sidecar from starting, though it can do without them.
+// Guards against a sidecar that does not start because of invalid settings that it can ignore.
 TEST_F(SidecarTest, StartsWithOddFiguresOfTheFleetAndAnUnreadableKnownList) {
   generation = 7;
   const json odd = {{"settings", {{"balancers", 0}, {"index", 12}, {"unheard", {{"of", {1, "x", nullptr}}}}}},
@@ -184,7 +186,7 @@
   EXPECT_NE(remarks[1].find("index 12 is not under balancers, 1"), std::string::npos) << remarks[1];
   EXPECT_NE(remarks[2].find("known list is left out"), std::string::npos) << remarks[2];
   EXPECT_NE(discovery.requests.back().message.target().find("index=7&"), beast::string_view::npos)
-      << "the whole list was asked for instead";
+      << "it requested the complete list instead";
   const Client from = client();
   from.send(Request().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
@@ -192,8 +194,9 @@
   ASSERT_TRUE(wait([&] { return from.answers() == 1; }));
 }
 
-// Guards against a new configuration that is taken late or not at all: the waiting call is dropped, the new
-// address is asked for its whole list until it comes, and its generations are not judged by the old one's.
+// Guards against a reload that is applied late or not at all: the pending watch is cancelled, the complete
+// list is requested from the new address until it arrives, and its generations are not compared with those of
+// the old address.
 TEST_F(SidecarTest, FollowsDiscoveryToItsNewAddress) {
   start(2);
   Peer moved(io);
@@ -202,7 +205,7 @@
   ASSERT_TRUE(wait([&] { return waiting->closed && moved.requests.size() == 1; }));
   moved.requests[0].drop();  // an outage
   ASSERT_TRUE(wait([&] { return moved.requests.size() == 2; }));
-  moved.requests[1].reply(200, list(5, false).dump());  // not the whole list
+  moved.requests[1].reply(200, list(5, false).dump());  // not the complete list
   ASSERT_TRUE(wait([&] { return moved.requests.size() == 3; }));
   for (const auto& call : moved.requests) EXPECT_EQ(call.message.target(), "/v1/endpoints");
   states[0] = "draining";
@@ -220,16 +223,16 @@
     upstreams[1]->requests[turn].reply(200, "");
     ASSERT_TRUE(wait([&] { return from.answers() == turn + 1; }));
   }
-  // And back, as often as it is told to.
+  // A further reload changes back to the first address.
   sidecar->reload(configure(json::object()), configuration::OperatorFile{});
   const auto before = discovery.requests.size();
   ASSERT_TRUE(wait([&] { return discovery.requests.size() >= before + 2; }));
   EXPECT_EQ(discovery.requests[before].message.target(), "/v1/endpoints");
 }
 
-// Guards against what grows with every id that discovery ever names, and against old state under a new one:
-// upstream after upstream takes the address of the one before, which the list still names for a while. Idle
-// connections to one that has gone are closed, and all is sent under the newest.
+// Guards against memory that grows with each instance id, and against state of a former instance that is
+// applied to its successor: 40 upstreams in succession use one address, which the list holds under both ids
+// for a while. Idle connections to a replaced instance are closed, and requests are sent to the newest one.
 TEST_F(SidecarTest, ReplacesUpstreamsForGood) {
   start(1);
   const Client from = client();
@@ -259,8 +262,8 @@
   EXPECT_LE(sidecar->upstreamNumbers(), 2u);
 }
 
-// Guards against work for clients that have left: their attempt's connection is closed, and nothing else
-// ends.
+// Guards against work for clients that have left: the connection of their attempt is closed, and other
+// requests are not affected.
 TEST_F(SidecarTest, GivesUpForAClientThatLeaves) {
   start(1);
   const Client leaves = client();
@@ -278,8 +281,8 @@
   EXPECT_EQ(stays.answer(0).result_int(), 200u);
 }
 
-// Guards against requests lost at a planned restart: what was taken is answered, new connections are still
-// served for a while, idle ones are closed, and then it ends.
+// Guards against requests lost at a planned restart: accepted requests are answered, new connections are
+// served during the grace period, idle connections are closed, and then the sidecar ends.
 TEST_F(SidecarTest, FinishesWhatItHasWhenStopped) {
   start(2);
   const Client inHand = client();
@@ -306,7 +309,7 @@
   EXPECT_TRUE(wait([&] { return stopped; }));
 }
 
-// Guards against bad input: each gets its own answer, none of them a refusal, and no upstream hears of it.
+// Each kind of invalid request gets its own error status, none of them a refusal, and is not forwarded.
 TEST_F(SidecarTest, AnswersBadInputByItself) {
   start(1);
   const auto changed = [](const std::function<void(Request&)>& change) {
@@ -365,7 +368,7 @@
   EXPECT_EQ(arrived(), 0u);
 }
 
-// Guards against two requests under one id, which could run an unsafe one twice.
+// Guards against two open requests with one trace id, which could run a non-idempotent request twice.
 TEST_F(SidecarTest, TakesNoSecondRequestUnderAnOpenId) {
   start(2);
   const Client first = client();
@@ -380,8 +383,9 @@
   EXPECT_EQ(first.answer(0).result_int(), 200u);
 }
 
-// Guards against an id that comes again just after its request is over, while its attempts still end: it
-// would mix with the old request or end the program. It gets an error, and everything else goes on.
+// Guards against a trace id that is reused just after its request has finished, while its attempts still end:
+// the requests would be confused, or the program would end. The new request gets an error, and others are
+// served as before.
 TEST_F(SidecarTest, TakesNoSecondRequestUnderAnIdThatWasLatelyOpen) {
   start(1);
   const Client leaves = client();
@@ -401,8 +405,8 @@
   EXPECT_EQ(again.answer(1).result_int(), 200u);
 }
 
-// Guards against clients that hold what they don't use: one that sends nothing and one that comes to no end
-// are closed in time, and a client between its requests stays.
+// Guards against clients that hold connections without use: one that sends nothing and one that does not
+// complete its request are closed within 3 s. A client that is idle between requests stays connected.
 TEST_F(SidecarTest, ClosesConnectionsThatBringNoRequest) {
   start(1);
   const auto from = Clock::now();
@@ -416,10 +420,10 @@
   EXPECT_FALSE(idle.closed());
 }
 
-// Guards the usual clients' connections against those of others, at the limit: whoever has sent nothing gives
-// way to the next, and nobody does whose request is open or who has just been served.
+// At the connection limit, a connection that has sent nothing is closed in favour of a new one. Connections
+// with an open request, or with a recent answer, are not closed.
 TEST_F(SidecarTest, SilentConnectionsGiveWayAtTheLimit) {
-  start(1, {{"limits", {{"sockets", 20}}}});  // eleven connections of clients
+  start(1, {{"limits", {{"sockets", 20}}}});  // at most eleven client connections
   const Client open = client();
   open.send(Request().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
@@ -438,7 +442,8 @@
   EXPECT_EQ(open.answer(0).result_int(), 200u);
 }
 
-// Guards the core against a client that repeats what is turned away: after an error others come first.
+// Guards CPU time against a client that repeats invalid requests: after an error the server pauses reading
+// from it, and serves others first.
 TEST_F(SidecarTest, ReadsNoFurtherRightAfterAnError) {
   start(1);
   const Client wrong = client();
@@ -461,7 +466,7 @@
   ASSERT_TRUE(wait([&] { return wrong.answers() >= 3; }));
 }
 
-// Guards against work for a client that sent more while its request waited, and then left.
+// Guards against work for a client that sent more data while its request waited, and then left.
 TEST_F(SidecarTest, GivesUpForAClientThatLeavesAfterSendingAhead) {
   start(1);
   const Client leaves = client();
@@ -476,7 +481,7 @@
   EXPECT_TRUE(wait([&] { return upstreams[0]->open() == 0; }));
 }
 
-// Guards what the module believes: a report that can't be read is no report, and no error either.
+// A load report that can't be parsed is ignored, and does not count as an error.
 TEST_F(SidecarTest, IgnoresReportsThatCannotBeRead) {
   const Config config = configure(json::object());
   Peer upstream(io);
@@ -496,7 +501,8 @@
   }
 }
 
-// Guards against blind picks: a sidecar of many asks for the load before it sends, and reads the report.
+// Guards against a choice without load information: one of several sidecars probes the upstream's load before
+// it sends a request, and parses the report.
 TEST_F(SidecarTest, ProbesBeforeItSendsWhereTheModuleAsks) {
   start(1, {{"settings", {{"balancers", 8}}}});
   const Client from = client();
@@ -512,7 +518,8 @@
   EXPECT_EQ(upstreams[0]->lines.size(), 1u);
 }
 
-// Guards the last answer against a module, a timer or a core that is late: the server gives it by itself.
+// Guards the final answer against a late balancer, timer or CPU: the server answers at the deadline by
+// itself.
 TEST_F(SidecarTest, ServerAnswersAtTheDeadlineByItself) {
   const Config config = configure(json::object());
   std::vector<balancer::RequestId> taken, over;
@@ -538,8 +545,8 @@
   EXPECT_EQ(from.answer(1).result_int(), 200u);
 }
 
-// Guards the repeat window: an attempt whose time to be written has passed never goes out, and is known never
-// to have run.
+// Guards the repeat window: an attempt whose latest write time has passed is not sent, and is reported as
+// never run.
 TEST_F(SidecarTest, WritesNoAttemptAfterItsTime) {
   const Config config = configure(json::object());
   Peer upstream(io);
@@ -555,7 +562,7 @@
   pool.send(order);
   ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
   EXPECT_EQ(ends[0].outcome, Outcome::ConnectFailed);
-  // The same while there is time does go out.
+  // The same attempt with time left is sent.
   order.id.number = 1;
   order.writeBy = order.deadline;
   pool.send(order);
@@ -566,7 +573,8 @@
   EXPECT_EQ(ends[1].body, "hecho");
 }
 
-// Guards the descriptors: at the limit idle connections give way, and without any an attempt fails unsent.
+// Guards the descriptor limit: at the limit idle connections are closed for new ones, and if there is none an
+// attempt fails without being sent.
 TEST_F(SidecarTest, StaysUnderItsShareOfDescriptors) {
   Config config = configure(json::object());
   config.sockets = 6;  // two connections to upstreams
@@ -591,7 +599,7 @@
   peers[0]->requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return ends.size() == 2; }));
   order.id.request = 3;
-  pool.send(order);  // takes the place of the idle one
+  pool.send(order);  // replaces the idle connection
   ASSERT_TRUE(wait([&] { return peers[2]->requests.size() == 1; }));
   EXPECT_EQ(pool.connections(), 2u);
 }
--- a/tests/start_time_test.cpp
+++ b/tests/start_time_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A cold upstream joins while the wall clock is wrong: the sidecar's, or that of whoever makes the lists.
-// What counts is only how far they are apart.
+// Tests of slow start for a new upstream while the wall clock of the sidecar or of the discovery service is
+// wrong. Only the difference between the two clocks matters.
 #include <ostream>
 
 #include "moments.h"
@@ -11,7 +11,7 @@
 
 struct ClockCase {
   const char* name;
-  std::chrono::seconds ahead;  // the sidecar's wall clock, of the one that lists go by
+  std::chrono::seconds ahead;  // the sidecar's wall clock minus that of the endpoint lists
 };
 std::ostream& operator<<(std::ostream& out, const ClockCase& one) {
   return out << one.name;
@@ -21,7 +21,7 @@
  protected:
   static constexpr milliseconds kWarmUp{1500};
 
-  // All upstreams serve at once.
+  // Starts the sidecar with three upstreams that answer at once.
   void startServing() {
     start(3, {{"settings",
                {{"contract",
@@ -38,7 +38,8 @@
     upstream.onRequest = serve;
   }
 
-  // Each client sends its next request behind the answer, for so long. The part that the last upstream got.
+  // For `span`, each client sends its next request after the previous answer. Returns the fraction of the
+  // requests that the last upstream received.
   double shareOfNewest(milliseconds span) {
     const auto before = counts();
     const auto end = Clock::now() + span;
@@ -60,14 +61,15 @@
     }));
     const auto after = counts();
     const double all = static_cast<double>(after.first - before.first);
-    EXPECT_GT(all, 200);  // enough to tell 0.08 from 0.25; sanitizers on a busy machine get through some 300
+    EXPECT_GT(all,
+              200);  // enough to distinguish 0.08 from 0.25; with sanitizers, a busy machine serves some 300
     return static_cast<double>(after.second - before.second) / all;
   }
   std::pair<std::size_t, std::size_t> counts() const {
     return {arrived(), upstreams.back()->requests.size()};
   }
 
-  // Discovery tells of one more upstream, which has just started.
+  // Publishes an update with one more upstream, which has just started.
   void join() {
     const auto unixMs = std::chrono::duration_cast<milliseconds>(
                             std::chrono::system_clock::now().time_since_epoch() - GetParam().ahead)
@@ -91,7 +93,7 @@
 
 TEST_P(WrongClockTest, AnUpstreamThatWasSeenToStartIsColdForItsWarmUpAlone) {
   startServing();
-  // A watch that has told nothing for a while is in touch all the same.
+  // A watch without updates for 100 ms still counts as connected.
   ASSERT_TRUE(wait([&, end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
   join();
   const double cold = shareOfNewest(kWarmUp / 3);
@@ -100,7 +102,7 @@
   RecordProperty("cold", std::to_string(cold));
   RecordProperty("warm", std::to_string(warm));
   std::printf("%s: %.3f of the requests while cold, %.3f while warm\n", GetParam().name, cold, warm);
-  EXPECT_LT(cold, 0.15) << "a quarter is a warm one's part";
+  EXPECT_LT(cold, 0.15) << "a fully warm upstream gets a quarter";
   EXPECT_GT(warm, 0.19);
 }
 
--- a/tests/transfer_test.cpp
+++ b/tests/transfer_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Large bodies through the sidecar, both ways, byte by byte on both ends of the sockets. Tests wait for
-// events, never for a time.
+// Tests of large bodies through the sidecar in both directions, on raw sockets at both ends. Tests wait for
+// events, never for a fixed time.
 #include <array>
 #include <set>
 
@@ -10,7 +10,7 @@
 namespace ivypost {
 namespace {
 
-// A socket whose bytes are kept as they come, unless it is told to stand still.
+// A socket that stores the bytes it receives, unless reading is paused.
 class Wire {
  public:
   explicit Wire(tcp::socket socket) : line_(std::make_shared<Line>(std::move(socket))) { read(line_); }
@@ -39,7 +39,7 @@
     line_->socket.close();
   }
   void end() const { line_->socket.shutdown(tcp::socket::shutdown_send); }
-  // Of an HTTP message, what stands behind its head.
+  // The bytes behind the head of a received HTTP message; empty before the head is complete.
   std::string_view body() const {
     const std::size_t head = got().find("\r\n\r\n");
     return head == std::string::npos ? "" : std::string_view(got()).substr(head + 4);
@@ -50,7 +50,7 @@
     explicit Line(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     std::string got, out;
-    std::size_t at = 0;  // of out, what has been sent
+    std::size_t at = 0;  // number of bytes of `out` that have been sent
     std::array<char, 65536> bytes{};
     bool closed = false, reset = false, still = false, reading = false;
   };
@@ -78,7 +78,7 @@
  protected:
   TransferTest() : acceptor(io, {asio::ip::address_v4::loopback(), 0}) { accept(); }
 
-  // One upstream, whose connections are wires.
+  // Starts the sidecar with one upstream, whose accepted connections are in `wires`.
   void transfer(const json& patch = json::object()) {
     json file = {{"limits", {{"memory_mb", 48}}}};
     file.merge_patch(patch);
@@ -118,7 +118,7 @@
            framing + "\r\n";
   }
   static std::string length(std::size_t size) { return "Content-Length: " + std::to_string(size) + "\r\n"; }
-  // The whole request that upstream n has got.
+  // Whether the upstream has received a complete body of this size on its connection n.
   bool upstreamHas(std::size_t n, const std::string& body) const {
     return wires.size() > n && wires[n].body().size() >= body.size();
   }
@@ -143,7 +143,7 @@
     }
     return body;
   }
-  // A client with a request that the upstream has got whole.
+  // A client whose request the upstream has received completely.
   Wire asked(const std::string& qos = "cambio", const std::string& version = "HTTP/1.1") {
     Wire client = connect();
     std::string text = head(qos == "consulta" ? "" : length(1), qos) + (qos == "consulta" ? "" : "x");
@@ -169,7 +169,7 @@
   EXPECT_EQ(client.body(), body);
   EXPECT_NE(client.got().find(length(body.size())), std::string::npos);
   EXPECT_NE(client.got().find("Content-Type: a/b\r\n"), std::string::npos);
-  // Both connections are as good as after any answer.
+  // Both connections can be reused, as after any answer.
   client.send(head(length(1)).replace(head(length(1)).find("a1\r\n"), 2, "a2") + "x");
   ASSERT_TRUE(wait([&] { return wires[0].got().find("00a2") != std::string::npos; }));
   EXPECT_EQ(wires.size(), 1U);
@@ -203,7 +203,8 @@
   EXPECT_EQ(unchunked(std::string(client.body())), body);
 }
 
-// RFC 9112, 6.3: an answer with neither a length nor chunks ends with its connection, announced or not.
+// RFC 9112, 6.3: an answer without Content-Length and chunked coding ends with its connection, whether or not
+// it has "Connection: close".
 class UntilTheEndTest : public TransferTest,
                         public testing::WithParamInterface<std::tuple<const char*, std::size_t>> {
  protected:
@@ -212,7 +213,7 @@
     return std::string("HTTP/1.1 200 OK\r\n") + std::get<0>(GetParam()) + "\r\n" + body;
   }
   bool isLarge() const { return body.size() > 65536; }
-  // All that the upstream has written has been read.
+  // Lets the sidecar read all bytes that the upstream has written.
   void settle() {
     for (int n = 0; n < 200; ++n) {
       io.restart();
@@ -227,7 +228,8 @@
   wires[0].send(answer());
   ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
   settle();
-  EXPECT_EQ(client.got().find("0\r\n\r\n"), std::string::npos) << "not before its end";
+  EXPECT_EQ(client.got().find("0\r\n\r\n"), std::string::npos)
+      << "the last chunk was sent before the answer's end";
   wires[0].end();
   const auto whole = [&] {
     return isLarge()
@@ -237,7 +239,7 @@
   ASSERT_TRUE(wait(whole)) << client.got().substr(0, 100);
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(isLarge() ? unchunked(std::string(client.body())) : std::string(client.body()), body);
-  EXPECT_TRUE(wait([&] { return wires[0].closed(); })) << "it is never used again";
+  EXPECT_TRUE(wait([&] { return wires[0].closed(); })) << "the connection must not be reused";
 }
 
 TEST_P(UntilTheEndTest, IsNotWholeWhenItsConnectionIsReset) {
@@ -271,7 +273,7 @@
   EXPECT_EQ(client.body(), body);
 }
 
-// The client must be able to tell, and gets no second answer.
+// An answer that breaks off in its body: the client must be able to detect that, and gets no second answer.
 class BrokenAnswerTest : public TransferTest,
                          public testing::WithParamInterface<std::tuple<const char*, const char*>> {};
 
@@ -294,7 +296,7 @@
                                                           "Transfer-Encoding: chunked\r\n"),
                                           testing::Values("HTTP/1.1", "HTTP/1.0")));
 
-// Up to 64 KiB a spoilt answer is never passed on.
+// An incomplete answer of up to 64 KiB is never forwarded.
 TEST_F(TransferTest, ASpoiltSmallAnswerIsNotPassedOn) {
   transfer();
   const Wire client = asked();
@@ -324,7 +326,8 @@
   EXPECT_LT(client.got().size(), 33UL * 1024 * 1024 + 10'000);
 }
 
-// A client that doesn't read makes its upstream stand still, and the sidecar holds no more than a pipe.
+// Backpressure: while a client doesn't read, its upstream can't send, and the sidecar buffers no more than
+// the capacity of one pipe.
 TEST_F(TransferTest, ASlowReaderHoldsItsUpstreamBack) {
   transfer();
   const std::string body = pattern(12'000'000);
@@ -337,7 +340,8 @@
     other.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
     ASSERT_TRUE(wait([&] { return !other.got().empty(); }));
   }
-  EXPECT_FALSE(wires[0].sent()) << "all of it was taken from an upstream whose client reads nothing";
+  EXPECT_FALSE(wires[0].sent())
+      << "the complete answer was read from the upstream although the client reads nothing";
   client.stand(false);
   ASSERT_TRUE(wait([&] { return client.body().size() >= body.size(); }));
   EXPECT_EQ(client.body(), body);
@@ -387,7 +391,8 @@
   EXPECT_EQ(wires[0].got().find("Content-Length"), std::string::npos);
 }
 
-// The head of a chunked body is kept apart from its trailer, and must not become the next request's.
+// The head of a chunked request is stored separately from its trailer, and must not be used for the next
+// request.
 TEST_F(TransferTest, ARequestBehindALargeBodyInChunksKeepsItsOwnHead) {
   transfer();
   const std::string body = pattern(4'000'000);
@@ -406,7 +411,7 @@
   EXPECT_NE(wires[0].got().find("X-Trace-Id: 00000000000000b2"), std::string::npos);
 }
 
-// Held whole up to a bound: nothing goes to an upstream before the client's last byte has come.
+// A body up to the buffering limit is received completely before anything is sent to an upstream.
 TEST_F(TransferTest, ABodyThatIsHeldWholeTakesNoUpstreamsTime) {
   transfer();
   const std::string body = pattern(500'000);
@@ -433,7 +438,7 @@
   EXPECT_TRUE(wires.empty());
 }
 
-// A bound on what stands between two pieces: neither side may fill our memory with it.
+// The bytes between two chunks are limited, so that neither a client nor an upstream can exhaust the memory.
 TEST_F(TransferTest, AChunksHeadWithoutEndIsRefused) {
   transfer();
   const Wire client = connect();
@@ -447,7 +452,7 @@
   EXPECT_EQ(other.got().substr(0, 12), "HTTP/1.1 502");
 }
 
-// Its last byte never goes out, so it has never run.
+// The last byte of the body is never sent, so the request never runs.
 TEST_F(TransferTest, ABodyWithoutEndIsCutAndItsAttemptNeverRuns) {
   transfer();
   const Wire client = connect();
@@ -468,7 +473,8 @@
   EXPECT_TRUE(wait([&] { return wires[0].closed(); }));
 }
 
-// Refused midway, with part of it gone: it has never run and can't be sent again, so the client is told to.
+// An upstream rejects an upload of which a part has been sent: the request has never run, and the sidecar
+// can't retry it, so the client gets a refusal and may retry.
 class RefusedMidwayTest : public TransferTest, public testing::WithParamInterface<const char*> {};
 
 TEST_P(RefusedMidwayTest, IsARefusal) {
@@ -484,7 +490,7 @@
   }
   ASSERT_TRUE(wait([&] { return client.got().find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 503");
-  EXPECT_EQ(wires.size(), 1U) << "what is gone can't be sent again";
+  EXPECT_EQ(wires.size(), 1U) << "a partly sent body can't be retried";
 }
 
 INSTANTIATE_TEST_SUITE_P(Forms, RefusedMidwayTest,
@@ -492,7 +498,7 @@
                                          "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
                                          "HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", ""));
 
-// As long as all of it is at hand, it is sent again.
+// A completely buffered body is retried.
 TEST_F(TransferTest, ABodyThatIsHeldWholeIsSentAgain) {
   transfer();
   const std::string body = pattern(400'000);
@@ -506,7 +512,7 @@
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
 }
 
-// Its time counts from its last byte, however long that took.
+// The deadline of an upload counts from its last byte, regardless of how long the upload took.
 TEST_F(TransferTest, AnUploadsTimeCountsFromItsLastByte) {
   transfer();
   const std::string body = pattern(4'000'000);
@@ -522,7 +528,8 @@
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
 }
 
-// What is allowed for its way here is not the client's time, and its upstream counts from the last byte too.
+// The time allowed for receiving an upload is not added to the remaining time sent to the upstream, which
+// also counts from the last byte.
 TEST_F(TransferTest, AnUploadIsToldNoMoreTimeThanItsClientGave) {
   transfer();
   const Wire client = connect();
@@ -544,7 +551,7 @@
   EXPECT_EQ(client.got().find("503"), std::string::npos) << "it may have run";
 }
 
-// Many at once, and far over the budget: each gets through, since every pipe holds something.
+// Many transfers at once, far above the memory budget: each completes, since every pipe may hold a minimum.
 TEST_F(TransferTest, ManyAtOnceFarOverTheBudgetAllFinish) {
   transfer({{"limits", {{"memory_mb", 1}, {"sockets", 512}}}});
   const std::string body = pattern(600'000);
