--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -97,33 +97,33 @@
 }
 
 // The remaining time, in ms, that a received request states; -1 if it states none.
-int toldMs(const std::string& text) {
+int remainingMs(const std::string& text) {
   const std::string name = "X-Expires-In-Ms: ";
   const std::size_t at = text.find(name);
   return at == std::string::npos ? -1 : std::stoi(text.substr(at + name.size()));
 }
-int toldMs(const Peer::Exchange& exchange) {
+int remainingMs(const Peer::Exchange& exchange) {
   return std::stoi(std::string(exchange.message["X-Expires-In-Ms"]));
 }
 
 // The following tests delay an attempt in each way that is possible between the client's last byte and the
 // attempt's first byte. Each blocks the event loop, and the remaining time sent to the upstream must be
 // reduced by that span.
-TEST_F(PoolTest, AConnectionThatComesUpLateIsToldWhatIsLeftByThen) {
+TEST_F(PoolTest, ALateConnectionGetsTheRemainingTime) {
   FullListener node(io);
   open(json::object());
   pool->setAddress(0, parseEndpoint(node.address()));
   send(1, "x");  // has 60 s until its deadline
   ASSERT_EQ(pool->comingUp(), 1u);
-  node.emptyTheQueue();
-  standStill(milliseconds(1500));
-  node.readAll();
-  ASSERT_TRUE(wait([&] { return toldMs(node.got()) >= 0; }));
-  EXPECT_LE(toldMs(node.got()), 58'500);
-  EXPECT_GT(toldMs(node.got()), 50'000);
+  node.drainAcceptQueue();
+  blockEventLoop(milliseconds(1500));
+  node.readConnections();
+  ASSERT_TRUE(wait([&] { return remainingMs(node.got()) >= 0; }));
+  EXPECT_LE(remainingMs(node.got()), 58'500);
+  EXPECT_GT(remainingMs(node.got()), 50'000);
 }
 
-class ToldTest : public SidecarTest {
+class RemainingTimeTest : public SidecarTest {
  protected:
   static constexpr milliseconds kLate{200};
   static Request idempotent(int n = 0) {
@@ -137,32 +137,32 @@
   }
 };
 
-TEST_F(ToldTest, ARetryIsToldWhatIsLeftByThen) {
+TEST_F(RemainingTimeTest, ARetryGetsTheRemainingTime) {
   start(2);
   const Client asks = client();
   asks.send(idempotent().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  EXPECT_LE(toldMs(busy().requests[0]), 5000);
-  standStill(kLate);
-  const Peer& first = busy();
+  EXPECT_LE(remainingMs(usedUpstream().requests[0]), 5000);
+  blockEventLoop(kLate);
+  const Peer& first = usedUpstream();
   first.requests[0].reply(503, "", "X-Never-Ran: 1\r\n");
   ASSERT_TRUE(wait([&] { return arrived() == 2; }));
   const Peer& other = upstreams[0].get() == &first ? *upstreams[1] : *upstreams[0];
-  EXPECT_LE(toldMs(other.requests.empty() ? first.requests[1] : other.requests[0]), 4800);
+  EXPECT_LE(remainingMs(other.requests.empty() ? first.requests[1] : other.requests[0]), 4800);
 }
 
-TEST_F(ToldTest, ARequestThatLayUnreadIsToldWhatIsLeftByThen) {
+TEST_F(RemainingTimeTest, AnUnreadRequestGetsTheRemainingTime) {
   start(1);
   const Client asks = client();
   pollAll(io);
   asks.send(idempotent().text());
-  standStill(kLate);
+  blockEventLoop(kLate);
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  EXPECT_LE(toldMs(busy().requests[0]), 4800 + 20);  // the kernel's tick, both ways
+  EXPECT_LE(remainingMs(usedUpstream().requests[0]), 4800 + 20);  // the kernel's tick, both ways
 }
 
 // The request waits in the balancer, since its only upstream is at its concurrency limit.
-TEST_F(ToldTest, ARequestThatWaitedForAnUpstreamIsToldWhatIsLeftByThen) {
+TEST_F(RemainingTimeTest, AHeldRequestGetsTheRemainingTime) {
   start(1);
   const Client first = client();
   first.send(idempotent(1).text());
@@ -171,15 +171,15 @@
   second.send(idempotent(2).text());
   pollAll(io);
   ASSERT_EQ(arrived(), 1u);
-  standStill(kLate);
-  busy().requests[0].reply(200, "");
+  blockEventLoop(kLate);
+  usedUpstream().requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return arrived() == 2; }));
-  EXPECT_LE(toldMs(busy().requests[1]), 4800);
+  EXPECT_LE(remainingMs(usedUpstream().requests[1]), 4800);
 }
 
 // Requests wait in the admission queue, which admits one per turn of the event loop. The loop is blocked when
 // all of them have been read.
-class QueuedTest : public ToldTest {
+class QueuedTest : public RemainingTimeTest {
  protected:
   static constexpr std::size_t kMany = 30;
   static constexpr milliseconds kQueued{500};
@@ -208,7 +208,7 @@
       io.restart();
       io.run_one_for(milliseconds(50));
     }
-    standStill(kQueued);
+    blockEventLoop(kQueued);
   }
   static int traceNumber(std::size_t n) { return 100 + static_cast<int>(n); }
   static std::string lastTrace() { return traceOf(traceNumber(kMany - 1)); }
@@ -234,7 +234,7 @@
   }
   sendAll(1000);
   ASSERT_TRUE(wait([&] { return silent && arrived() == kMany; }));
-  ASSERT_LE(toldMs(*silent), 500) << "it has waited in the queue";
+  ASSERT_LE(remainingMs(*silent), 500) << "it has waited in the queue";
   pollAll(io);
   const int before = open();
   ASSERT_GE(before, 3) << "two of them idle";
@@ -246,7 +246,7 @@
 }
 
 // The balancer holds no request beyond its deadline: a request that has not run is refused.
-TEST_F(QueuedTest, WhatIsHeldUntilItsDeadlineIsRefused) {
+TEST_F(QueuedTest, ARequestHeldUntilItsDeadlineIsRefused) {
   startWithQueue(1);
   const Client first = client();
   Request request = idempotent(1);
@@ -261,11 +261,11 @@
 
 // With a remaining time of 0 to 100 ms, requests that could not be answered in time are not sent, and each
 // client gets its answer in time.
-TEST_F(ToldTest, WithHardlyAnyTimeLeftEachIsAnswered) {
+TEST_F(RemainingTimeTest, WithHardlyAnyTimeLeftEachIsAnswered) {
   start(1);
-  busy().onRequest = [](Peer::Exchange& call) {
+  usedUpstream().onRequest = [](Peer::Exchange& call) {
     if (call.message.target() != "/status/load") {
-      EXPECT_LE(toldMs(call), 100);
+      EXPECT_LE(remainingMs(call), 100);
     }
   };
   int n = 0;
@@ -286,7 +286,7 @@
       EXPECT_GE(asks.answer(0).result_int(), 500u);
       EXPECT_LT(Clock::now() - sentAt, milliseconds(ms + 500));
       asks.close();
-      busy().dropAll();
+      usedUpstream().dropAll();
       pollAll(io);
     }
   }
@@ -294,20 +294,20 @@
 
 // The network drops an idle connection's state without a reset: bytes written to it are lost, and the request
 // is still answered by its deadline. The connection is not used for another request.
-class ForgottenTest : public ToldTest, public testing::WithParamInterface<const char*> {};
+class LostIdleConnectionTest : public RemainingTimeTest, public testing::WithParamInterface<const char*> {};
 
-TEST_P(ForgottenTest, AnIdleConnectionThatIsForgottenCostsNobodyItsAnswer) {
+TEST_P(LostIdleConnectionTest, ALostIdleConnectionCostsNoAnswer) {
   start(1);
   const std::string qos = GetParam();
   Request request = idempotent(1);
   const Client asks = client();
   asks.send(request.text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  busy().requests[0].reply(200, "");
+  usedUpstream().requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return asks.answers() == 1; }));
-  const auto forgotten = busy().requests[0].line;
-  busy().onRequest = [&](Peer::Exchange& call) {
-    if (call.line != forgotten) call.reply(200, "");
+  const auto lostConnection = usedUpstream().requests[0].line;
+  usedUpstream().onRequest = [&](Peer::Exchange& call) {
+    if (call.line != lostConnection) call.reply(200, "");
   };
   if (qos != "consulta") request = Request();
   request.qos = qos;
@@ -324,45 +324,45 @@
   asks.send(request.text());
   ASSERT_TRUE(wait([&] { return asks.answers() == 3; }));
   EXPECT_EQ(asks.answer(2).result_int(), 200u);
-  EXPECT_NE(busy().requests.back().line, forgotten);
+  EXPECT_NE(usedUpstream().requests.back().line, lostConnection);
 }
 
-INSTANTIATE_TEST_SUITE_P(Classes, ForgottenTest, testing::Values("consulta", "cambio", "reserva"));
+INSTANTIATE_TEST_SUITE_P(Classes, LostIdleConnectionTest, testing::Values("consulta", "cambio", "reserva"));
 
 // The kernel accepts the rest of a request in the turn in which the write times out since the upstream does
 // not read: a first part before the timeout's handler, and the last part with that handler already queued. A
 // request that was written completely may run, so the attempt must not be reported as never run.
-TEST_F(PoolTest, WhatHasGoneOutWholeIsNeverTakenForUnsent) {
+TEST_F(PoolTest, ACompletelyWrittenRequestIsNeverReportedAsUnsent) {
   tcp::acceptor node(io, tcp::v4());
   node.set_option(asio::socket_base::receive_buffer_size(2048));
   node.bind({asio::ip::address_v4::loopback(), 0});
   node.listen();
   open({{"settings", {{"limits", {{"connectTimeout", 100'000}}}}}});
   pool->setAddress(0, node.local_endpoint());
-  std::optional<tcp::socket> line;
-  node.async_accept([&](error_code, tcp::socket socket) { line = std::move(socket); });
+  std::optional<tcp::socket> upstreamSocket;
+  node.async_accept([&](error_code, tcp::socket socket) { upstreamSocket = std::move(socket); });
   const auto sentAt = Clock::now();
   const std::string body(60'000, 'b');
   send(1, body, std::string(60'000, 'h'));
-  ASSERT_TRUE(wait([&] { return line && line->available() > 0; }));
+  ASSERT_TRUE(wait([&] { return upstreamSocket && upstreamSocket->available() > 0; }));
   pollAll(io);
   // While the event loop is blocked, the send buffer gets room for the rest, and the timeout expires.
-  growSendBuffer(line->remote_endpoint());
-  standStill(sentAt + milliseconds(110) - Clock::now());
+  growSendBuffer(upstreamSocket->remote_endpoint());
+  blockEventLoop(sentAt + milliseconds(110) - Clock::now());
   pollAll(io);
   std::string got;
   std::array<char, 65536> bytes{};
-  line->non_blocking(true);
-  line->set_option(asio::socket_base::receive_buffer_size(1 << 20));
-  const auto whole = [&] {
+  upstreamSocket->non_blocking(true);
+  upstreamSocket->set_option(asio::socket_base::receive_buffer_size(1 << 20));
+  const auto isComplete = [&] {
     error_code error;
-    got.append(bytes.data(), line->read_some(asio::buffer(bytes), error));
+    got.append(bytes.data(), upstreamSocket->read_some(asio::buffer(bytes), error));
     pollAll(io);
     return got.size() > 2 * body.size() || (error && error != asio::error::would_block);
   };
-  ASSERT_TRUE(wait(whole));
-  const bool came = got.size() > 2 * body.size();
-  if (came) {
+  ASSERT_TRUE(wait(isComplete));
+  const bool isCompletelyReceived = got.size() > 2 * body.size();
+  if (isCompletelyReceived) {
     EXPECT_TRUE(ends.empty());
   } else {
     ASSERT_EQ(ends.size(), 1u);
@@ -380,7 +380,7 @@
   ASSERT_TRUE(wait([&] { return upstream.requests.size() == 1; }));
   upstream.requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return ends.size() == 1; }));
-  standStill(milliseconds(190));
+  blockEventLoop(milliseconds(190));
   send(2, "x");
   ASSERT_TRUE(wait([&] { return upstream.requests.size() == 2; }));
   EXPECT_EQ(upstream.lines.size(), 2u);
@@ -388,7 +388,7 @@
 }
 
 // withdraw() cancels only attempts that have not been written, and these end as never sent.
-TEST_F(PoolTest, WithdrawingTakesBackWhatHasNotGoneOut) {
+TEST_F(PoolTest, WithdrawCancelsOnlyUnsentAttempts) {
   Peer upstream(io);
   FullListener full(io);
   open(json::object());
@@ -412,7 +412,7 @@
 // Each request gets its final answer despite faults of upstreams and of other clients.
 class FinalAnswerTest : public SidecarTest {
  protected:
-  struct Asked {
+  struct RequestingClient {
     Client client;
     std::string qos;
     Clock::time_point at{};
@@ -420,39 +420,39 @@
   // Connects `count` clients, with the classes in rotation.
   void connect(int count) {
     for (int n = 0; n < count; ++n)
-      asked.push_back(
+      clients.push_back(
           {client(), std::array{"consulta", "cambio", "reserva"}[static_cast<std::size_t>(n) % 3]});
     pollAll(io);
   }
   void ask(int expiresInMs) {
-    for (std::size_t n = 0; n < asked.size(); ++n) {
+    for (std::size_t n = 0; n < clients.size(); ++n) {
       Request request;
-      request.qos = asked[n].qos;
+      request.qos = clients[n].qos;
       request.trace = traceOf(static_cast<int>(n) + 1);
       request.expiresInMs = expiresInMs;
       if (request.qos == "consulta") request.method = "GET", request.body.clear();
       if (request.qos == "reserva") request.headers = "Idempotency-Key: k\r\n";
-      asked[n].at = Clock::now();
-      asked[n].client.send(request.text());
+      clients[n].at = Clock::now();
+      clients[n].client.send(request.text());
     }
   }
   // Expects one answer per client in time. A client closes after its answer if `leave` is set.
   void expectAnswers(int expiresInMs, bool leave = true) {
-    std::vector<bool> done(asked.size());
+    std::vector<bool> done(clients.size());
     ASSERT_TRUE(wait([&] {
-      for (std::size_t n = 0; n < asked.size(); ++n) {
-        const Client& client = asked[n].client;
+      for (std::size_t n = 0; n < clients.size(); ++n) {
+        const Client& client = clients[n].client;
         if (done[n] || (client.answers() == 0 && !client.closed())) continue;
         done[n] = true;
-        EXPECT_EQ(client.answers(), 1u) << asked[n].qos << " " << n << " was closed";
-        EXPECT_LT(Clock::now() - asked[n].at, milliseconds(expiresInMs + 500));
+        EXPECT_EQ(client.answers(), 1u) << clients[n].qos << " " << n << " was closed";
+        EXPECT_LT(Clock::now() - clients[n].at, milliseconds(expiresInMs + 500));
         if (client.answers() == 1) ++statuses[client.answer(0).result_int()];
         if (leave) client.close();
       }
       return std::find(done.begin(), done.end(), false) == done.end();
     }));
   }
-  std::vector<Asked> asked;
+  std::vector<RequestingClient> clients;
   std::map<unsigned, int> statuses;
 };
 
@@ -464,7 +464,7 @@
   EXPECT_EQ(statuses[200], 0);
 }
 
-TEST_F(FinalAnswerTest, ComesWhenPlacesAreUsedUp) {
+TEST_F(FinalAnswerTest, ComesWhenTheConnectionLimitIsReached) {
   start(2, {{"limits", {{"sockets", 16}}}});
   for (const auto& upstream : upstreams) {
     upstream->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
@@ -481,7 +481,7 @@
   connect(3);
   ask(300);
   expectAnswers(300);
-  asked.clear();
+  clients.clear();
   const std::size_t arrivedBefore = arrived();
   const std::size_t watchesBefore = watches();
   const auto first = std::move(sidecar);  // its handlers may still run
@@ -542,7 +542,7 @@
   EXPECT_GT(statuses[200], 0);
 }
 
-TEST_F(FinalAnswerTest, ComesBesideSpoiltAnswers) {
+TEST_F(FinalAnswerTest, ComesBesideInvalidAnswers) {
   start(2);
   upstreams[0]->onRequest = [](Peer::Exchange& call) { call.raw("HTTP/1.1 2x0 what\r\n\r\n"); };
   upstreams[1]->onRequest = [](Peer::Exchange& call) { call.reply(200, ""); };
--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -14,11 +14,11 @@
 TEST_F(ServerTest, ARequestInTheLastTickIsAnsweredBeforeTheEnd) {
   serve();
   const Client late(io, server->port());
-  ASSERT_TRUE(wait([&] { return inside() == 1; }));
+  ASSERT_TRUE(wait([&] { return connectionCount() == 1; }));
   late.send(Request().text());
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   EXPECT_FALSE(ended);
   answerAll();
   ASSERT_TRUE(wait([&] { return late.answers() == 1 && ended; }));
@@ -34,28 +34,28 @@
   wrong.send(Request().text());
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return wrong.answers() == 2 && ended; }));
 }
 
 // Pipelined requests, read ahead of an answer or still unread at it, are answered during shutdown: the
 // connection is not closed between them.
-TEST_F(ServerTest, WhatWasSentAheadIsAnsweredWhileTheProcessEnds) {
+TEST_F(ServerTest, PipelinedRequestsAreAnsweredDuringShutdown) {
   serve();
   const Client ahead(io, server->port());
   Request second, third;
   second.trace = traceOf(2);
   third.trace = traceOf(3);
   ahead.send(Request().text() + second.text());
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   pollAll(io);
   server->apply(stopping(false, true));
   ahead.send(third.text());  // not read when the first answer is given
   answerAll();
-  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || ahead.closed(); }));
   answerAll();
-  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || ahead.closed(); }));
   answerAll();
   ASSERT_TRUE(wait([&] { return ahead.closed() && ended; }));
   ASSERT_EQ(ahead.answers(), 3u);
@@ -65,7 +65,7 @@
 
 // A client reads its last answer slowly, and continues to send: the connection is not closed with unread
 // input before the answer has arrived, since that would reset the connection.
-TEST_F(ServerTest, ALastAnswerThatIsTakenSlowlyArrivesWhole) {
+TEST_F(ServerTest, ASlowlyReadLastAnswerArrivesComplete) {
   serve();
   tcp::socket slow(io);
   slow.open(tcp::v4());
@@ -74,12 +74,12 @@
   Request request;
   request.headers = "Connection: close\r\n";
   asio::write(slow, asio::buffer(request.text()));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   const std::string body(300'000, 'b');
   Answer answer;
   answer.status = 200;
   answer.body = body;
-  server->answer(taken[0].id, std::move(answer));
+  server->answer(receivedRequests[0].id, std::move(answer));
   // More than the server reads and discards; the client does not read for longer than the pause before the
   // close.
   const std::string much(100'000, 'm');
@@ -112,25 +112,25 @@
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
   slow.send(text.substr(30));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return slow.answers() == 1 && ended; }));
 }
 
 // The acceptor is closed when a connection has been accepted and its handler is still queued.
-TEST_F(ServerTest, WhoWasAcceptedAsTheDoorClosedIsServed) {
+TEST_F(ServerTest, AConnectionAcceptedAsTheAcceptorClosesIsServed) {
   serve();
   const Client first(io, server->port());
   const Client second(io, server->port());
   second.send(Request().text());
   // When the first connection is admitted, the second has been accepted in the same call.
-  while (inside() == 0) {
+  while (connectionCount() == 0) {
     io.restart();
     io.run_one();
   }
-  ASSERT_EQ(inside(), 1u);
+  ASSERT_EQ(connectionCount(), 1u);
   server->apply(stopping(false, false));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return second.answers() == 1; }));
 }
@@ -139,10 +139,10 @@
  protected:
   // Sends the first `first` bytes of a request, and `more` bytes of it in the turn in which the read timeout
   // expires, ahead of the handler that would close the connection.
-  void sendAsItsTimeIsUp(std::size_t more, std::size_t first = 30) {
+  void sendAtReadTimeout(std::size_t more, std::size_t first = 30) {
     serve();
     slow.emplace(io, server->port());
-    ASSERT_TRUE(wait([&] { return inside() == 1; }));
+    ASSERT_TRUE(wait([&] { return connectionCount() == 1; }));
     const auto in = Clock::now();
     const std::string text = Request().text();
     if (first > 0) {
@@ -155,32 +155,32 @@
     asio::steady_timer before(io);
     before.expires_at(in + milliseconds(2400));
     before.async_wait([&](error_code) { slow->send(text.substr(first, more)); });
-    standStill(in + milliseconds(2600) - Clock::now());
-    ASSERT_TRUE(wait([&] { return taken.size() == 1 || slow->closed(); }));
+    blockEventLoop(in + milliseconds(2600) - Clock::now());
+    ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || slow->closed(); }));
   }
   std::optional<Client> slow;
 };
 
-TEST_F(LastByteTest, ARequestThatIsWholeWhenItsTimeIsUpIsTaken) {
-  sendAsItsTimeIsUp(std::string::npos);
-  ASSERT_EQ(taken.size(), 1u);
+TEST_F(LastByteTest, ARequestCompleteAtTheReadTimeoutIsServed) {
+  sendAtReadTimeout(std::string::npos);
+  ASSERT_EQ(receivedRequests.size(), 1u);
   answerAll();
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
 // The same for a new connection that has sent nothing before.
-TEST_F(LastByteTest, AFirstRequestThatComesWhenItsTimeIsUpIsTaken) {
-  sendAsItsTimeIsUp(std::string::npos, 0);
-  ASSERT_EQ(taken.size(), 1u);
+TEST_F(LastByteTest, AFirstRequestAtTheReadTimeoutIsServed) {
+  sendAtReadTimeout(std::string::npos, 0);
+  ASSERT_EQ(receivedRequests.size(), 1u);
   answerAll();
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
 // A request that is still incomplete at the timeout is not waited for: its connection is closed.
-TEST_F(LastByteTest, ARequestThatIsNotWholeWhenItsTimeIsUpIsNotWaitedFor) {
-  sendAsItsTimeIsUp(10);
+TEST_F(LastByteTest, ARequestIncompleteAtTheReadTimeoutIsClosed) {
+  sendAtReadTimeout(10);
   EXPECT_TRUE(slow->closed());
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(receivedRequests.empty());
 }
 
 // Stops the complete sidecar while none of its upstreams answers. SIGKILL follows 0.7 s after the longest
@@ -228,7 +228,7 @@
     return request;
   }
   // Sends, and ignores the error if the connection is closed.
-  static void sendOrNot(const Client& client, const std::string& bytes) {
+  static void sendIgnoringErrors(const Client& client, const std::string& bytes) {
     try {
       client.send(bytes);
     } catch (const boost::system::system_error&) {
@@ -296,7 +296,7 @@
   for (int tick = 0; tick < 75; ++tick) {
     at(milliseconds(20 * tick + 5), [&, tick] {
       for (std::size_t n = 0; n < clients.size(); ++n)
-        sendOrNot(*clients[n], request(1000 + tick * 10 + static_cast<int>(n), 1000).text());
+        sendIgnoringErrors(*clients[n], request(1000 + tick * 10 + static_cast<int>(n), 1000).text());
     });
   }
   stop();
@@ -334,21 +334,21 @@
   startHung(0);
   for (int n = 0; n < 4; ++n) add().send(request(n + 1, 20000).text());
   ASSERT_TRUE(wait([this] { return sidecar->comingUp() > 0; }));
-  at(milliseconds(1200), [&] { late.letGo(); });
+  at(milliseconds(1200), [&] { late.acceptConnections(); });
   stop();
   EXPECT_LE(endedAfter, kBound);
   for (const auto& client : clients) EXPECT_EQ(client->answers(), 1u);
 }
 
 // The event loop is blocked when the final answers are due, and clients send meanwhile.
-TEST_F(StopTest, AHoldUpAsTheFinalAnswersAreDueLosesNothing) {
+TEST_F(StopTest, ABlockedLoopAtTheFinalAnswersLosesNoAnswer) {
   startHung(2);
   for (int n = 0; n < 6; ++n) add().send(request(n + 1, 20000).text());
   ASSERT_TRUE(wait([this] { return arrived() >= 2; }));
   at(milliseconds(1390), [&] {
     for (std::size_t n = 0; n < clients.size(); ++n)
-      sendOrNot(*clients[n], request(1000 + static_cast<int>(n), 1000).text());
-    standStill(milliseconds(150));
+      sendIgnoringErrors(*clients[n], request(1000 + static_cast<int>(n), 1000).text());
+    blockEventLoop(milliseconds(150));
   });
   stop();
   EXPECT_LE(endedAfter, milliseconds(1700));
@@ -430,7 +430,7 @@
   ASSERT_TRUE(wait([&] {
     bool done = true;
     // Consumes the uploads, as upstreams do.
-    for (const ClientRequest& request : taken) {
+    for (const ClientRequest& request : receivedRequests) {
       if (request.upload) request.upload->pipe.pop(request.upload->pipe.front().size());
     }
     for (Stopped& one : all) {
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -108,7 +108,7 @@
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
   EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
-  node.letGo();
+  node.acceptConnections();
   const Client next = client();
   Request request;
   request.trace = traceOf(7);
@@ -132,12 +132,12 @@
   }
   // The connection's first packets were dropped as the accept queue was full; the kernel retransmits them
   // after 1 s.
-  node.emptyTheQueue();
-  standStill(milliseconds(1500));
+  node.drainAcceptQueue();
+  blockEventLoop(milliseconds(1500));
   rawClient.close(how());
   settle();
   EXPECT_EQ(sidecar->comingUp(), 0u);
-  node.readAll();
+  node.readConnections();
   const Client next = client();
   Request request;
   request.trace = traceOf(7);
@@ -187,13 +187,13 @@
   node.listen();
   start(0, patched());
   publishList("127.0.0.1:" + std::to_string(node.local_endpoint().port()));
-  std::optional<tcp::socket> line;
-  node.async_accept([&](error_code, tcp::socket socket) { line = std::move(socket); });
+  std::optional<tcp::socket> upstreamSocket;
+  node.async_accept([&](error_code, tcp::socket socket) { upstreamSocket = std::move(socket); });
   RawClient rawClient(io, sidecar->port());
   Request request;
   request.body.assign(60'000, 'b');
   rawClient.send(request.text());
-  ASSERT_TRUE(wait([&] { return line && line->available() > 0; }));
+  ASSERT_TRUE(wait([&] { return upstreamSocket && upstreamSocket->available() > 0; }));
   settle();
   if (rawClient.sendsAhead(how())) {
     rawClient.sendAhead();
@@ -207,7 +207,7 @@
   std::array<char, 65536> bytes{};
   bool ended = false;
   const std::function<void()> read = [&] {
-    line->async_read_some(asio::buffer(bytes), [&](error_code error, std::size_t size) {
+    upstreamSocket->async_read_some(asio::buffer(bytes), [&](error_code error, std::size_t size) {
       got.append(bytes.data(), size);
       ended = static_cast<bool>(error);
       if (!error) read();
@@ -270,7 +270,7 @@
     rawClients[n]->send(request.text());
     rawClients[n]->close(n % 2 == 0 ? CloseKind::Close : CloseKind::HalfClose);
   }
-  standStill(milliseconds(30));
+  blockEventLoop(milliseconds(30));
   serve(traceOf(3));
   serve(traceOf(4));
   EXPECT_EQ(arrived(), 4u);
@@ -360,7 +360,7 @@
   ASSERT_TRUE(wait([&] { return sidecar->comingUp() == 1; }));
   rawClient.close(CloseKind::Close);
   pollAll(io);
-  node.letGo();  // the kernel retransmits the connection's first packet after about a second
+  node.acceptConnections();  // the kernel retransmits the connection's first packet after about a second
   const auto left = Clock::now();
   EXPECT_TRUE(wait([&] { return sidecar->comingUp() == 0; }));
   EXPECT_LT(Clock::now() - left, std::chrono::seconds(10));  // well before the connect time-out of 60 s
@@ -379,15 +379,15 @@
   serve();
   RawClient rawClient(io, server->port());
   rawClient.send(Request().text());
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
-  EXPECT_FALSE(server->isClientGone(taken[0].id));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
+  EXPECT_FALSE(server->isClientGone(receivedRequests[0].id));
   rawClient.sendWithoutWaiting(1'000'000);
   pollAll(io);
-  EXPECT_TRUE(server->isClientGone(taken[0].id));
+  EXPECT_TRUE(server->isClientGone(receivedRequests[0].id));
   EXPECT_EQ(rawClient.got(), "");
   pollAll(io);
   EXPECT_EQ(rawClient.got().substr(0, 12), "HTTP/1.1 502");
-  EXPECT_EQ(over, std::vector{taken[0].id});
+  EXPECT_EQ(finishedRequests, std::vector{receivedRequests[0].id});
 }
 
 // A client that sends ahead no more than can be read counts as connected.
@@ -396,10 +396,10 @@
   serve();
   RawClient rawClient(io, server->port());
   rawClient.send(Request().text());
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   rawClient.sendAhead(10'000);
   pollAll(io);
-  EXPECT_FALSE(server->isClientGone(taken[0].id));
+  EXPECT_FALSE(server->isClientGone(receivedRequests[0].id));
 }
 
 class IsClientGoneTest : public ServerTest, public testing::WithParamInterface<CloseKind> {};
@@ -409,14 +409,14 @@
   serve();
   RawClient rawClient(io, server->port());
   rawClient.send(Request().text());
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
-  EXPECT_FALSE(server->isClientGone(taken[0].id));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
+  EXPECT_FALSE(server->isClientGone(receivedRequests[0].id));
   rawClient.close(GetParam());
-  EXPECT_TRUE(server->isClientGone(taken[0].id));
-  EXPECT_TRUE(over.empty()) << "the callback must not run within the call";
+  EXPECT_TRUE(server->isClientGone(receivedRequests[0].id));
+  EXPECT_TRUE(finishedRequests.empty()) << "the callback must not run within the call";
   pollAll(io);
-  EXPECT_EQ(over, std::vector{taken[0].id});
-  EXPECT_TRUE(server->isClientGone(taken[0].id)) << "the request has finished";
+  EXPECT_EQ(finishedRequests, std::vector{receivedRequests[0].id});
+  EXPECT_TRUE(server->isClientGone(receivedRequests[0].id)) << "the request has finished";
 }
 
 INSTANTIATE_TEST_SUITE_P(All, IsClientGoneTest,
@@ -465,21 +465,21 @@
   std::vector<std::unique_ptr<RawClient>> rawClients;
   for (std::size_t n = 0; n < kMany; ++n)
     rawClients.push_back(std::make_unique<RawClient>(io, server->port()));
-  ASSERT_TRUE(wait([&] { return inside() == kMany; }));
+  ASSERT_TRUE(wait([&] { return connectionCount() == kMany; }));
   Request request;
   for (std::size_t n = 0; n < kMany; ++n) {
     request.trace = traceOf(static_cast<int>(n));
     rawClients[n]->send(request.text());
   }
   ASSERT_TRUE(wait([&] { return server->admissionController().queueSize() > kMany / 2; }));
-  const std::size_t before = taken.size();
+  const std::size_t before = receivedRequests.size();
   for (std::size_t n = 0; n < kMany; ++n)
     rawClients[n]->close(n % 2 == 0 ? CloseKind::Close : CloseKind::Reset);
   pollAll(io);
   // Allows for the current turn, and one more turn before the event loop handles the sockets' events.
-  EXPECT_LE(taken.size(), before + 3);
+  EXPECT_LE(receivedRequests.size(), before + 3);
   EXPECT_EQ(server->admissionController().queueSize(), 0u);
-  EXPECT_EQ(inside(), 0u);
+  EXPECT_EQ(connectionCount(), 0u);
 }
 
 }  // namespace
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -36,12 +36,12 @@
 }
 
 // Blocks the event loop for `span`. It processes the events of that time only afterwards.
-inline void standStill(Clock::duration span) {
+inline void blockEventLoop(Clock::duration span) {
   std::this_thread::sleep_until(Clock::now() + span);
 }
 
 // A listener whose accept queue is full, so that connections to it are established only after a call of
-// letGo() or emptyTheQueue().
+// acceptConnections() or drainAcceptQueue().
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : acceptor_(io) {
@@ -56,35 +56,35 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
   // Accepts all connections from now on, and stores the bytes that they receive.
-  void letGo() {
+  void acceptConnections() {
     fillers_.clear();
     accept();
   }
   std::string got() const {
     std::string all;
-    for (const auto& line : lines_) all += line->text;
+    for (const auto& connection : connections_) all += connection->text;
     return all;
   }
-  std::size_t connections() const { return lines_.size(); }
+  std::size_t connections() const { return connections_.size(); }
   // Accepts the queued connections without running the event loop, so that the next connection is established
   // while the loop is blocked.
-  void emptyTheQueue() {
+  void drainAcceptQueue() {
     error_code error;
     acceptor_.non_blocking(true, error);
     while (!error) {
       tcp::socket socket(acceptor_.get_executor());
       acceptor_.accept(socket, error);
-      if (!error) lines_.push_back(std::make_shared<Line>(std::move(socket)));
+      if (!error) connections_.push_back(std::make_shared<Connection>(std::move(socket)));
     }
   }
-  void readAll() {
-    for (const auto& line : lines_) read(line);
+  void readConnections() {
+    for (const auto& connection : connections_) read(connection);
     accept();
   }
 
  private:
-  struct Line {
-    explicit Line(tcp::socket s) : socket(std::move(s)) {}
+  struct Connection {
+    explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     std::array<char, 4096> bytes{};
     std::string text;
@@ -92,20 +92,21 @@
   void accept() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      lines_.push_back(std::make_shared<Line>(std::move(socket)));
-      read(lines_.back());
+      connections_.push_back(std::make_shared<Connection>(std::move(socket)));
+      read(connections_.back());
       accept();
     });
   }
-  static void read(const std::shared_ptr<Line>& line) {
-    line->socket.async_read_some(asio::buffer(line->bytes), [line](error_code error, std::size_t size) {
-      line->text.append(line->bytes.data(), size);
-      if (!error) read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    connection->socket.async_read_some(asio::buffer(connection->bytes),
+                                       [connection](error_code error, std::size_t size) {
+                                         connection->text.append(connection->bytes.data(), size);
+                                         if (!error) read(connection);
+                                       });
   }
   tcp::acceptor acceptor_;
   std::vector<std::unique_ptr<tcp::socket>> fillers_;
-  std::vector<std::shared_ptr<Line>> lines_;
+  std::vector<std::shared_ptr<Connection>> connections_;
 };
 
 // Runs only the sidecar's server for clients; the test answers the requests that the server hands over.
@@ -113,24 +114,25 @@
  protected:
   void serve(const configuration::OperatorFile& file = {}) {
     config.emplace(configure(json::object()));
-    server.emplace(io, *config, file, *budget,
-                   Server::Callbacks{[this](ClientRequest request) { taken.push_back(std::move(request)); },
-                                     [this](balancer::RequestId id) { over.push_back(id); },
-                                     {},
-                                     {},
-                                     [this] { ended = true; }});
+    server.emplace(
+        io, *config, file, *budget,
+        Server::Callbacks{[this](ClientRequest request) { receivedRequests.push_back(std::move(request)); },
+                          [this](balancer::RequestId id) { finishedRequests.push_back(id); },
+                          {},
+                          {},
+                          [this] { ended = true; }});
     lifecycle::Effects ready;
     ready.isReady = ready.acceptsConnections = ready.keepsConnections = true;
     server->apply(ready);
   }
-  std::size_t inside() const { return server->connectionLimiter().size(); }
+  std::size_t connectionCount() const { return server->connectionLimiter().size(); }
   void answerAll() {
-    for (const ClientRequest& request : taken) {
+    for (const ClientRequest& request : receivedRequests) {
       Answer answer;
       answer.status = 200;
       server->answer(request.id, std::move(answer));
     }
-    taken.clear();
+    receivedRequests.clear();
   }
   static lifecycle::Effects stopping(bool accepts, bool mayEnd) {
     lifecycle::Effects effects;
@@ -143,8 +145,8 @@
   std::optional<streaming::ByteBudget> budget{1'000'000};
   std::optional<Config> config;
   std::optional<Server> server;
-  std::vector<ClientRequest> taken;
-  std::vector<balancer::RequestId> over;
+  std::vector<ClientRequest> receivedRequests;
+  std::vector<balancer::RequestId> finishedRequests;
   bool ended = false;
 };
 
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -92,9 +92,9 @@
   }
 
   // Publishes an endpoint list, complete or as an update, and waits until the sidecar has applied it.
-  void tell(bool whole) {
+  void publishList(bool isComplete) {
     const std::size_t before = watches();
-    discovery.requests.back().reply(200, list(++generation, whole).dump());
+    discovery.requests.back().reply(200, list(++generation, isComplete).dump());
     ASSERT_TRUE(wait([&] { return watches() > before; }));
   }
 
@@ -107,7 +107,7 @@
   EXPECT_TRUE(std::filesystem::is_empty(folder));
 }
 
-TEST_F(OperationsTest, UnknownIdsAreANoAndChangeNothing) {
+TEST_F(OperationsTest, UnknownIdsAreRejectedAndChangeNothing) {
   operate(2);
   EXPECT_EQ(post("/api/exclude/s-9"), 404U);
   EXPECT_EQ(post("/api/include/s-9"), 404U);
@@ -122,12 +122,12 @@
   int n = 1;
   for (; n <= 8; ++n) EXPECT_EQ(serve(trace(n)), 1U);
   // A complete list, an update that removes the upstream, and one that adds it again under the same id.
-  tell(true);
+  publishList(true);
   for (; n <= 16; ++n) EXPECT_EQ(serve(trace(n)), 1U);
   states[0] = "removed";
-  tell(false);
+  publishList(false);
   states[0] = "up";
-  tell(false);
+  publishList(false);
   for (; n <= 24; ++n) EXPECT_EQ(serve(trace(n)), 1U);
   // One include call is enough to use it again.
   ASSERT_EQ(post("/api/include/s-0"), 200U);
@@ -145,7 +145,7 @@
 }
 
 // Attempts that are open at the call may finish.
-TEST_F(OperationsTest, AnExclusionLetsFinishWhatIsOut) {
+TEST_F(OperationsTest, AnExclusionLetsOpenAttemptsFinish) {
   operate(1);
   Client client = this->client();
   client.send(Request().text());
@@ -202,7 +202,7 @@
   }));
 }
 
-TEST_F(OperationsTest, AnExclusionThatCannotBeKeptIsANo) {
+TEST_F(OperationsTest, AnExclusionThatCannotBeStoredIsRejected) {
   std::filesystem::remove_all(folder);
   operate(2);
   EXPECT_EQ(post("/api/exclude/s-0"), 503U);
@@ -217,11 +217,11 @@
   operate(1);
   EXPECT_EQ(serve(trace(1)), 0U);
   EXPECT_EQ(post("/api/exclude/s-0"), 503U);
-  const std::string said = testing::internal::GetCapturedStderr();
-  const auto at = said.find("exclusions can't be changed");
-  ASSERT_NE(at, std::string::npos) << said;
-  EXPECT_NE(said.find(folder, at), std::string::npos);
-  EXPECT_EQ(said.find("exclusions can't be changed", at + 1), std::string::npos);
+  const std::string logged = testing::internal::GetCapturedStderr();
+  const auto at = logged.find("exclusions can't be changed");
+  ASSERT_NE(at, std::string::npos) << logged;
+  EXPECT_NE(logged.find(folder, at), std::string::npos);
+  EXPECT_EQ(logged.find("exclusions can't be changed", at + 1), std::string::npos);
 }
 
 // The other process holds the lock for a write: the call is answered after that, and the event loop is not
@@ -241,7 +241,7 @@
   EXPECT_EQ(second.answer(0).body(), "included\n") << "in the order of the calls";
 }
 
-TEST_F(OperationsTest, ALockThatStaysHeldIsANoInTime) {
+TEST_F(OperationsTest, ALockThatStaysHeldIsRejectedInTime) {
   operate(1);
   const int held = holdLock();
   const auto start = std::chrono::steady_clock::now();
@@ -313,7 +313,7 @@
   }));
 }
 
-TEST_F(OperationsTest, CallsWhileStoppingAreANo) {
+TEST_F(OperationsTest, CallsWhileStoppingAreRejected) {
   operate(1);
   Client client = this->client();
   client.send(Request().text());
@@ -356,7 +356,7 @@
     return std::make_unique<Sidecar>(
         io, configure({{"console", "127.0.0.1:0"}, {"listen", "127.0.0.1:" + std::to_string(port)}}));
   }
-  Client visitor() { return {io, port}; }
+  Client newClient() { return {io, port}; }
 
   tcp::acceptor platform;
   std::uint16_t port = 0;
@@ -380,13 +380,13 @@
   };
   std::deque<Client> clients;
   for (int k = 0; k < 40; ++k) {
-    clients.push_back(visitor());
+    clients.push_back(newClient());
     clients.back().send(request());
   }
   bool stopped = false;
   old->stop([&] { stopped = true; });
   for (int k = 0; k < 40; ++k) {
-    clients.push_back(visitor());
+    clients.push_back(newClient());
     clients.back().send(request());
   }
   for (const Client& client : clients) {
@@ -395,24 +395,24 @@
   }
   ASSERT_TRUE(wait([&] { return stopped; }));
   // The platform owns the socket: it still listens, and the new process answers.
-  Client last = visitor();
+  Client last = newClient();
   last.send(request());
   ASSERT_TRUE(wait([&] { return last.answers() == 1; }));
   EXPECT_EQ(last.answer(0).result_int(), 200U);
 }
 
-TEST_F(ReplacementTest, BeforeItsYesTheNewProcessLeavesServiceToTheOldOne) {
+TEST_F(ReplacementTest, BeforeItIsReadyTheNewProcessLeavesServiceToTheOldOne) {
   upstreams.push_back(std::make_unique<Peer>(io));
   states.assign(1, "up");
   auto old = process();
   ASSERT_TRUE(wait([&] { return call("GET", "/api/ready", *old) == 200; }));
   discovery.onRequest = nullptr;  // silent from here on
   const auto next = process();
-  for (int n = 0; n < 10; ++n) EXPECT_EQ(ready(visitor()), 200U);
+  for (int n = 0; n < 10; ++n) EXPECT_EQ(ready(newClient()), 200U);
   EXPECT_EQ(next->state(), lifecycle::State::Starting);
 }
 
-TEST_F(ReplacementTest, SilentDiscoveryDoesNotKeepTheYesBack) {
+TEST_F(ReplacementTest, SilentDiscoveryDoesNotPreventReadiness) {
   upstreams.push_back(std::make_unique<Peer>(io));
   states.assign(1, "up");
   discovery.onRequest = nullptr;
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -83,7 +83,7 @@
       EXPECT_TRUE(wait([&] { return discoveryOf(letter).open() == 0; })) << letter;
     }
   }
-  busy().requests[0].reply(200, "served");
+  usedUpstream().requests[0].reply(200, "served");
   ASSERT_TRUE(wait([&] { return client.answers() == 1; }));
   EXPECT_EQ(client.answer(0).result_int(), 200u);
   if (stopped) {
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -217,7 +217,7 @@
     return parseConfig(file.dump());
   }
 
-  json list(int version, bool whole) const {
+  json list(int version, bool isComplete) const {
     json instances = json::array();
     for (std::size_t n = 0; n < upstreams.size(); ++n) {
       instances.push_back({{"instanceId", "s-" + std::to_string(n)},
@@ -228,7 +228,7 @@
                            {"weight", 1.0},
                            {"startedAtMs", 0}});
     }
-    return {{"generation", version}, {"reset", whole}, {"instances", instances}};
+    return {{"generation", version}, {"reset", isComplete}, {"instances", instances}};
   }
 
   bool wait(const std::function<bool()>& condition) { return until(io, condition); }
@@ -249,7 +249,7 @@
   }
 
   // The first upstream that has received a request, or the last upstream if none has.
-  Peer& busy() const {
+  Peer& usedUpstream() const {
     for (const auto& upstream : upstreams) {
       if (!upstream->requests.empty()) return *upstream;
     }
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -53,7 +53,7 @@
   const Client from = client();
   from.send(Request().text());
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  busy().requests[0].reply(503, "", "X-Never-Ran: 1\r\n");
+  usedUpstream().requests[0].reply(503, "", "X-Never-Ran: 1\r\n");
   ASSERT_TRUE(wait([&] { return upstreams[0]->requests.size() == 1 && upstreams[1]->requests.size() == 1; }));
   for (const auto& upstream : upstreams) upstream->requests[0].reply(200, "hecho");
   ASSERT_TRUE(wait([&] { return from.answers() == 1; }));
@@ -117,7 +117,7 @@
 }
 
 // An implausible list is rejected: the sidecar keeps its last list, and logs one line.
-TEST_F(SidecarTest, KeepsTheLastListWhenTheNewOneCannotBeMeant) {
+TEST_F(SidecarTest, KeepsTheLastListWhenTheNewOneIsImplausible) {
   start(1);
   const Client from = client();
   json twice = list(50, true);
@@ -126,14 +126,14 @@
   json unread = list(51, true);
   unread["instances"].push_back({{"instanceId", "s-9"}, {"hostPort", "nowhere"}, {"lifecycle", "up"}});
   std::size_t n = 0;
-  for (const json& odd : {twice, unread}) {
+  for (const json& invalid : {twice, unread}) {
     SCOPED_TRACE(n);
     const auto before = watches();
     testing::internal::CaptureStderr();
-    discovery.requests.back().reply(200, odd.dump());
+    discovery.requests.back().reply(200, invalid.dump());
     ASSERT_TRUE(wait([&] { return watches() > before; }));
-    const std::string said = testing::internal::GetCapturedStderr();
-    EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
+    const std::string logged = testing::internal::GetCapturedStderr();
+    EXPECT_EQ(std::count(logged.begin(), logged.end(), '\n'), 1) << logged;
     EXPECT_NE(discovery.requests.back().message.target().find("index=41&"), beast::string_view::npos);
     Request request;
     request.trace = traceOf(static_cast<int>(++n));
@@ -149,16 +149,16 @@
 
 // A complete list without an `up` entry is applied, since upstreams that drain or were removed must get no
 // new requests. The next list is applied as well.
-TEST_F(SidecarTest, OutlivesAListWithNobodyUp) {
+TEST_F(SidecarTest, AppliesAListWithoutUpstreamsThatAreUp) {
   start(1);
   const Client from = client();
   for (const bool empty : {true, false}) {
-    json nobody = list(++generation, true);
-    nobody["instances"][0]["lifecycle"] = "draining";
-    if (empty) nobody["instances"].clear();
+    json noneUp = list(++generation, true);
+    noneUp["instances"][0]["lifecycle"] = "draining";
+    if (empty) noneUp["instances"].clear();
     auto before = watches();
     testing::internal::CaptureStderr();
-    discovery.requests.back().reply(200, nobody.dump());
+    discovery.requests.back().reply(200, noneUp.dump());
     ASSERT_TRUE(wait([&] { return watches() > before; }));
     EXPECT_NE(testing::internal::GetCapturedStderr().find("no upstream that is up\n"), std::string::npos);
     Request request;
@@ -175,12 +175,13 @@
 }
 
 // Guards against a sidecar that does not start because of invalid settings that it can ignore.
-TEST_F(SidecarTest, StartsWithOddFiguresOfTheFleetAndAnUnreadableKnownList) {
+TEST_F(SidecarTest, StartsWithInvalidFleetSettingsAndAnUnreadableKnownList) {
   generation = 7;
-  const json odd = {{"settings", {{"balancers", 0}, {"index", 12}, {"unheard", {{"of", {1, "x", nullptr}}}}}},
-                    {"known", {{"generation", 5}, {"reset", true}, {"instances", {{{"instanceId", 3}}}}}}};
-  start(1, odd);
-  const auto remarks = configure(odd).site.remarks;
+  const json invalid = {
+      {"settings", {{"balancers", 0}, {"index", 12}, {"unheard", {{"of", {1, "x", nullptr}}}}}},
+      {"known", {{"generation", 5}, {"reset", true}, {"instances", {{{"instanceId", 3}}}}}}};
+  start(1, invalid);
+  const auto remarks = configure(invalid).site.remarks;
   ASSERT_EQ(remarks.size(), 3u) << "one line each";
   EXPECT_NE(remarks[0].find("balancers is 0"), std::string::npos) << remarks[0];
   EXPECT_NE(remarks[1].find("index 12 is not under balancers, 1"), std::string::npos) << remarks[1];
@@ -283,11 +284,11 @@
 
 // Guards against requests lost at a planned restart: accepted requests are answered, new connections are
 // served during the grace period, idle connections are closed, and then the sidecar ends.
-TEST_F(SidecarTest, FinishesWhatItHasWhenStopped) {
+TEST_F(SidecarTest, FinishesOpenRequestsWhenStopped) {
   start(2);
-  const Client inHand = client();
+  const Client openClient = client();
   const Client idle = client();
-  inHand.send(Request().text());
+  openClient.send(Request().text());
   idle.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return arrived() == 1 && idle.answers() == 1; }));
   bool stopped = false;
@@ -302,10 +303,10 @@
   for (const auto& upstream : upstreams) {
     for (const auto& exchange : upstream->requests) exchange.reply(200, "");
   }
-  ASSERT_TRUE(wait([&] { return inHand.answers() == 1 && late.answers() == 1; }));
-  EXPECT_EQ(inHand.answer(0).result_int(), 200u);
+  ASSERT_TRUE(wait([&] { return openClient.answers() == 1 && late.answers() == 1; }));
+  EXPECT_EQ(openClient.answer(0).result_int(), 200u);
   EXPECT_EQ(late.answer(0).result_int(), 200u);
-  EXPECT_FALSE(inHand.answer(0).keep_alive());
+  EXPECT_FALSE(openClient.answer(0).keep_alive());
   EXPECT_TRUE(wait([&] { return stopped; }));
 }
 
@@ -369,7 +370,7 @@
 }
 
 // Guards against two open requests with one trace id, which could run a non-idempotent request twice.
-TEST_F(SidecarTest, TakesNoSecondRequestUnderAnOpenId) {
+TEST_F(SidecarTest, RejectsASecondRequestWithAnOpenId) {
   start(2);
   const Client first = client();
   const Client second = client();
@@ -378,7 +379,7 @@
   second.send(Request().text());
   ASSERT_TRUE(wait([&] { return second.answers() == 1; }));
   EXPECT_EQ(second.answer(0).result_int(), 400u);
-  busy().requests[0].reply(200, "");
+  usedUpstream().requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return first.answers() == 1; }));
   EXPECT_EQ(first.answer(0).result_int(), 200u);
 }
@@ -386,7 +387,7 @@
 // Guards against a trace id that is reused just after its request has finished, while its attempts still end:
 // the requests would be confused, or the program would end. The new request gets an error, and others are
 // served as before.
-TEST_F(SidecarTest, TakesNoSecondRequestUnderAnIdThatWasLatelyOpen) {
+TEST_F(SidecarTest, RejectsASecondRequestWithARecentlyUsedId) {
   start(1);
   const Client leaves = client();
   leaves.send(Request().text());
@@ -422,7 +423,7 @@
 
 // At the connection limit, a connection that has sent nothing is closed in favour of a new one. Connections
 // with an open request, or with a recent answer, are not closed.
-TEST_F(SidecarTest, SilentConnectionsGiveWayAtTheLimit) {
+TEST_F(SidecarTest, ClosesSilentConnectionsAtTheLimit) {
   start(1, {{"limits", {{"sockets", 20}}}});  // at most eleven client connections
   const Client open = client();
   open.send(Request().text());
@@ -522,11 +523,11 @@
 // itself.
 TEST_F(SidecarTest, ServerAnswersAtTheDeadlineByItself) {
   const Config config = configure(json::object());
-  std::vector<balancer::RequestId> taken, over;
+  std::vector<balancer::RequestId> receivedRequests, finishedRequests;
   streaming::ByteBudget budget(1'000'000);
   Server server(io, config, configuration::OperatorFile{}, budget,
-                {[&](const ClientRequest& request) { taken.push_back(request.id); },
-                 [&](balancer::RequestId id) { over.push_back(id); },
+                {[&](const ClientRequest& request) { receivedRequests.push_back(request.id); },
+                 [&](balancer::RequestId id) { finishedRequests.push_back(id); },
                  {},
                  {},
                  {}});
@@ -537,9 +538,9 @@
   from.send(request.text());
   ASSERT_TRUE(wait([&] { return from.answers() == 1; }));
   EXPECT_EQ(from.answer(0).result_int(), 504u);
-  ASSERT_EQ(taken.size(), 1u);
-  EXPECT_EQ(over, taken);
-  server.answer(taken[0], {});  // too late: nothing more is sent
+  ASSERT_EQ(receivedRequests.size(), 1u);
+  EXPECT_EQ(finishedRequests, receivedRequests);
+  server.answer(receivedRequests[0], {});  // too late: nothing more is sent
   from.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
   ASSERT_TRUE(wait([&] { return from.answers() == 2; }));
   EXPECT_EQ(from.answer(1).result_int(), 200u);
--- a/tests/start_time_test.cpp
+++ b/tests/start_time_test.cpp
@@ -40,24 +40,24 @@
 
   // For `span`, each client sends its next request after the previous answer. Returns the fraction of the
   // requests that the last upstream received.
-  double shareOfNewest(milliseconds span) {
+  double fractionOfNewest(milliseconds span) {
     const auto before = counts();
     const auto end = Clock::now() + span;
     EXPECT_TRUE(wait([&] {
-      const bool over = Clock::now() >= end;
+      const bool isFinished = Clock::now() >= end;
       bool idle = true;
       for (std::size_t n = 0; n < clients.size(); ++n) {
         if (clients[n]->answers() < sent[n]) {
           idle = false;
           continue;
         }
-        if (over) continue;
+        if (isFinished) continue;
         Request request;
         request.trace = traceOf(++trace);
         clients[n]->send(request.text());
         ++sent[n];
       }
-      return over && idle;
+      return isFinished && idle;
     }));
     const auto after = counts();
     const double all = static_cast<double>(after.first - before.first);
@@ -91,19 +91,20 @@
   int trace = 0;
 };
 
-TEST_P(WrongClockTest, AnUpstreamThatWasSeenToStartIsColdForItsWarmUpAlone) {
+TEST_P(WrongClockTest, AnUpstreamSeenToStartIsSlowStartedForItsWarmUpOnly) {
   startServing();
   // A watch without updates for 100 ms still counts as connected.
   ASSERT_TRUE(wait([&, end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
   join();
-  const double cold = shareOfNewest(kWarmUp / 3);
-  shareOfNewest(kWarmUp * 2 / 3);
-  const double warm = shareOfNewest(kWarmUp / 3);
-  RecordProperty("cold", std::to_string(cold));
-  RecordProperty("warm", std::to_string(warm));
-  std::printf("%s: %.3f of the requests while cold, %.3f while warm\n", GetParam().name, cold, warm);
-  EXPECT_LT(cold, 0.15) << "a fully warm upstream gets a quarter";
-  EXPECT_GT(warm, 0.19);
+  const double warmingUpFraction = fractionOfNewest(kWarmUp / 3);
+  fractionOfNewest(kWarmUp * 2 / 3);
+  const double warmFraction = fractionOfNewest(kWarmUp / 3);
+  RecordProperty("cold", std::to_string(warmingUpFraction));
+  RecordProperty("warm", std::to_string(warmFraction));
+  std::printf("%s: %.3f of the requests while cold, %.3f while warm\n", GetParam().name, warmingUpFraction,
+              warmFraction);
+  EXPECT_LT(warmingUpFraction, 0.15) << "a fully warm upstream gets a quarter";
+  EXPECT_GT(warmFraction, 0.19);
 }
 
 INSTANTIATE_TEST_SUITE_P(Clocks, WrongClockTest,
--- a/tests/transfer_test.cpp
+++ b/tests/transfer_test.cpp
@@ -11,34 +11,37 @@
 namespace {
 
 // A socket that stores the bytes it receives, unless reading is paused.
-class Wire {
+class RawSocket {
  public:
-  explicit Wire(tcp::socket socket) : line_(std::make_shared<Line>(std::move(socket))) { read(line_); }
-  Wire(asio::io_context& io, std::uint16_t port) : line_(std::make_shared<Line>(tcp::socket(io))) {
-    line_->socket.connect({asio::ip::address_v4::loopback(), port});
-    read(line_);
+  explicit RawSocket(tcp::socket socket) : connection_(std::make_shared<Connection>(std::move(socket))) {
+    read(connection_);
+  }
+  RawSocket(asio::io_context& io, std::uint16_t port)
+      : connection_(std::make_shared<Connection>(tcp::socket(io))) {
+    connection_->socket.connect({asio::ip::address_v4::loopback(), port});
+    read(connection_);
   }
 
-  const std::string& got() const { return line_->got; }
-  bool closed() const { return line_->closed; }
-  bool reset() const { return line_->reset; }
-  bool sent() const { return line_->at == line_->out.size(); }
+  const std::string& got() const { return connection_->got; }
+  bool closed() const { return connection_->closed; }
+  bool reset() const { return connection_->reset; }
+  bool sent() const { return connection_->at == connection_->out.size(); }
   void send(const std::string& bytes) const {
     const bool idle = sent();
-    if (idle) line_->out.clear(), line_->at = 0;
-    line_->out += bytes;
-    if (idle) write(line_);
+    if (idle) connection_->out.clear(), connection_->at = 0;
+    connection_->out += bytes;
+    if (idle) write(connection_);
   }
-  void stand(bool still) const {
-    line_->still = still;
-    if (!still) read(line_);
+  void pauseReading(bool paused) const {
+    connection_->paused = paused;
+    if (!paused) read(connection_);
   }
-  void close() const { line_->socket.close(); }
+  void close() const { connection_->socket.close(); }
   void abort() const {
-    line_->socket.set_option(asio::socket_base::linger(true, 0));
-    line_->socket.close();
+    connection_->socket.set_option(asio::socket_base::linger(true, 0));
+    connection_->socket.close();
   }
-  void end() const { line_->socket.shutdown(tcp::socket::shutdown_send); }
+  void end() const { connection_->socket.shutdown(tcp::socket::shutdown_send); }
   // The bytes behind the head of a received HTTP message; empty before the head is complete.
   std::string_view body() const {
     const std::size_t head = got().find("\r\n\r\n");
@@ -46,39 +49,41 @@
   }
 
  private:
-  struct Line {
-    explicit Line(tcp::socket s) : socket(std::move(s)) {}
+  struct Connection {
+    explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     std::string got, out;
     std::size_t at = 0;  // number of bytes of `out` that have been sent
     std::array<char, 65536> bytes{};
-    bool closed = false, reset = false, still = false, reading = false;
+    bool closed = false, reset = false, paused = false, reading = false;
   };
-  static void read(const std::shared_ptr<Line>& line) {
-    if (std::exchange(line->reading, true)) return;
-    line->socket.async_read_some(asio::buffer(line->bytes), [line](error_code error, std::size_t size) {
-      line->reading = false;
-      line->got.append(line->bytes.data(), size);
-      line->closed = static_cast<bool>(error);
-      line->reset = error == asio::error::connection_reset;
-      if (!error && !line->still) read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    if (std::exchange(connection->reading, true)) return;
+    connection->socket.async_read_some(asio::buffer(connection->bytes),
+                                       [connection](error_code error, std::size_t size) {
+                                         connection->reading = false;
+                                         connection->got.append(connection->bytes.data(), size);
+                                         connection->closed = static_cast<bool>(error);
+                                         connection->reset = error == asio::error::connection_reset;
+                                         if (!error && !connection->paused) read(connection);
+                                       });
   }
-  static void write(const std::shared_ptr<Line>& line) {
-    line->socket.async_write_some(asio::buffer(line->out.data() + line->at, line->out.size() - line->at),
-                                  [line](error_code error, std::size_t size) {
-                                    line->at = error ? line->out.size() : line->at + size;
-                                    if (line->at < line->out.size()) write(line);
-                                  });
+  static void write(const std::shared_ptr<Connection>& connection) {
+    connection->socket.async_write_some(
+        asio::buffer(connection->out.data() + connection->at, connection->out.size() - connection->at),
+        [connection](error_code error, std::size_t size) {
+          connection->at = error ? connection->out.size() : connection->at + size;
+          if (connection->at < connection->out.size()) write(connection);
+        });
   }
-  std::shared_ptr<Line> line_;
+  std::shared_ptr<Connection> connection_;
 };
 
 class TransferTest : public SidecarTest {
  protected:
   TransferTest() : acceptor(io, {asio::ip::address_v4::loopback(), 0}) { accept(); }
 
-  // Starts the sidecar with one upstream, whose accepted connections are in `wires`.
+  // Starts the sidecar with one upstream, whose accepted connections are in `upstreamSockets`.
   void transfer(const json& patch = json::object()) {
     json file = {{"limits", {{"memory_mb", 48}}}};
     file.merge_patch(patch);
@@ -93,12 +98,12 @@
   void accept() {
     acceptor.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      wires.emplace_back(std::move(socket));
+      upstreamSockets.emplace_back(std::move(socket));
       accept();
     });
   }
 
-  Wire connect() { return {io, sidecar->port()}; }
+  RawSocket connect() { return {io, sidecar->port()}; }
 
   static std::string pattern(std::size_t size) {
     std::string text(size, '\0');
@@ -120,7 +125,7 @@
   static std::string length(std::size_t size) { return "Content-Length: " + std::to_string(size) + "\r\n"; }
   // Whether the upstream has received a complete body of this size on its connection n.
   bool upstreamHas(std::size_t n, const std::string& body) const {
-    return wires.size() > n && wires[n].body().size() >= body.size();
+    return upstreamSockets.size() > n && upstreamSockets[n].body().size() >= body.size();
   }
   static std::string chunks(const std::string& body, std::size_t size, const std::string& extension = "") {
     std::string text;
@@ -144,18 +149,19 @@
     return body;
   }
   // A client whose request the upstream has received completely.
-  Wire asked(const std::string& qos = "cambio", const std::string& version = "HTTP/1.1") {
-    Wire client = connect();
+  RawSocket connectAndRequest(const std::string& qos = "cambio", const std::string& version = "HTTP/1.1") {
+    RawSocket client = connect();
     std::string text = head(qos == "consulta" ? "" : length(1), qos) + (qos == "consulta" ? "" : "x");
     text.replace(text.find("HTTP/1.1"), 8, version);
     client.send(text);
-    EXPECT_TRUE(
-        wait([&] { return !wires.empty() && wires.back().got().find("\r\n\r\n") != std::string::npos; }));
+    EXPECT_TRUE(wait([&] {
+      return !upstreamSockets.empty() && upstreamSockets.back().got().find("\r\n\r\n") != std::string::npos;
+    }));
     return client;
   }
 
   tcp::acceptor acceptor;
-  std::deque<Wire> wires;
+  std::deque<RawSocket> upstreamSockets;
 };
 
 // ---- Answers ----------------------------------------------------------------------------------------------
@@ -163,23 +169,23 @@
 TEST_F(TransferTest, ALargeAnswerPassesWithItsLength) {
   transfer();
   const std::string body = pattern(5'000'000);
-  const Wire client = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n" + length(body.size()) + "\r\n" + body);
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n" + length(body.size()) + "\r\n" + body);
   ASSERT_TRUE(wait([&] { return client.body().size() >= body.size(); }));
   EXPECT_EQ(client.body(), body);
   EXPECT_NE(client.got().find(length(body.size())), std::string::npos);
   EXPECT_NE(client.got().find("Content-Type: a/b\r\n"), std::string::npos);
   // Both connections can be reused, as after any answer.
   client.send(head(length(1)).replace(head(length(1)).find("a1\r\n"), 2, "a2") + "x");
-  ASSERT_TRUE(wait([&] { return wires[0].got().find("00a2") != std::string::npos; }));
-  EXPECT_EQ(wires.size(), 1U);
+  ASSERT_TRUE(wait([&] { return upstreamSockets[0].got().find("00a2") != std::string::npos; }));
+  EXPECT_EQ(upstreamSockets.size(), 1U);
 }
 
 TEST_F(TransferTest, AnAnswerInChunksPassesInChunksWithoutExtensionsAndTrailers) {
   transfer();
   const std::string body = pattern(300'000);
-  const Wire client = asked();
-  wires[0].send(
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 200 OK\r\n"
       "Transfer-Encoding: chunked\r\n\r\n" +
       chunks(body, 7777, ";a=\"b\"") + "X-Trailer: t\r\n\r\n");
@@ -193,10 +199,10 @@
 TEST_F(TransferTest, AnAnswerThatEndsWithItsConnectionPassesIfItSaysSo) {
   transfer();
   const std::string body = pattern(200'000);
-  const Wire client = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
-  ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
-  wires[0].end();
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body);
+  ASSERT_TRUE(wait([&] { return upstreamSockets[0].sent(); }));
+  upstreamSockets[0].end();
   ASSERT_TRUE(wait([&] {
     return client.got().size() > 5 && client.got().substr(client.got().size() - 5) == "0\r\n\r\n";
   }));
@@ -205,8 +211,8 @@
 
 // RFC 9112, 6.3: an answer without Content-Length and chunked coding ends with its connection, whether or not
 // it has "Connection: close".
-class UntilTheEndTest : public TransferTest,
-                        public testing::WithParamInterface<std::tuple<const char*, std::size_t>> {
+class CloseDelimitedAnswerTest : public TransferTest,
+                                 public testing::WithParamInterface<std::tuple<const char*, std::size_t>> {
  protected:
   const std::string body = pattern(std::get<1>(GetParam()));
   std::string answer() const {
@@ -222,33 +228,33 @@
   }
 };
 
-TEST_P(UntilTheEndTest, PassesWholeWhenItsUpstreamHasEndedIt) {
+TEST_P(CloseDelimitedAnswerTest, PassesCompleteWhenTheUpstreamCloses) {
   transfer();
-  const Wire client = asked();
-  wires[0].send(answer());
-  ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send(answer());
+  ASSERT_TRUE(wait([&] { return upstreamSockets[0].sent(); }));
   settle();
   EXPECT_EQ(client.got().find("0\r\n\r\n"), std::string::npos)
       << "the last chunk was sent before the answer's end";
-  wires[0].end();
-  const auto whole = [&] {
+  upstreamSockets[0].end();
+  const auto isComplete = [&] {
     return isLarge()
                ? client.got().size() > 5 && client.got().substr(client.got().size() - 5) == "0\r\n\r\n"
                : client.got().find("\r\n\r\n") != std::string::npos && client.body().size() == body.size();
   };
-  ASSERT_TRUE(wait(whole)) << client.got().substr(0, 100);
+  ASSERT_TRUE(wait(isComplete)) << client.got().substr(0, 100);
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 200");
   EXPECT_EQ(isLarge() ? unchunked(std::string(client.body())) : std::string(client.body()), body);
-  EXPECT_TRUE(wait([&] { return wires[0].closed(); })) << "the connection must not be reused";
+  EXPECT_TRUE(wait([&] { return upstreamSockets[0].closed(); })) << "the connection must not be reused";
 }
 
-TEST_P(UntilTheEndTest, IsNotWholeWhenItsConnectionIsReset) {
+TEST_P(CloseDelimitedAnswerTest, IsIncompleteWhenItsConnectionIsReset) {
   transfer();
-  const Wire client = asked();
-  wires[0].send(answer());
-  ASSERT_TRUE(wait([&] { return wires[0].sent(); }));
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send(answer());
+  ASSERT_TRUE(wait([&] { return upstreamSockets[0].sent(); }));
   settle();
-  wires[0].abort();
+  upstreamSockets[0].abort();
   if (isLarge()) {
     ASSERT_TRUE(wait([&] { return client.closed(); }));
     EXPECT_TRUE(client.reset());
@@ -258,7 +264,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, UntilTheEndTest,
+INSTANTIATE_TEST_SUITE_P(Forms, CloseDelimitedAnswerTest,
                          testing::Combine(testing::Values("", "Connection: close\r\n",
                                                           "Connection: keep-alive\r\n"),
                                           testing::Values(2U, 40'000U, 200'000U)));
@@ -266,8 +272,9 @@
 TEST_F(TransferTest, AnHttp10ClientGetsAnAnswerWithoutLengthUntilTheClose) {
   transfer();
   const std::string body = pattern(200'000);
-  const Wire client = asked("cambio", "HTTP/1.0");
-  wires[0].send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body, 5000) + "\r\n");
+  const RawSocket client = connectAndRequest("cambio", "HTTP/1.0");
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(body, 5000) +
+                          "\r\n");
   ASSERT_TRUE(wait([&] { return client.closed(); }));
   EXPECT_FALSE(client.reset());
   EXPECT_EQ(client.body(), body);
@@ -280,11 +287,12 @@
 TEST_P(BrokenAnswerTest, IsCutSoThatTheClientCanTell) {
   transfer();
   const std::string framing = std::get<0>(GetParam());
-  const Wire client = asked("cambio", std::get<1>(GetParam()));
+  const RawSocket client = connectAndRequest("cambio", std::get<1>(GetParam()));
   const bool chunked = framing.find("chunked") != std::string::npos;
-  wires[0].send("HTTP/1.1 200 OK\r\n" + framing + "\r\n" + (chunked ? "70d40\r\n" : "") + pattern(200'000));
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\n" + framing + "\r\n" + (chunked ? "70d40\r\n" : "") +
+                          pattern(200'000));
   ASSERT_TRUE(wait([&] { return client.body().size() > 100'000; }));
-  wires[0].close();
+  upstreamSockets[0].close();
   ASSERT_TRUE(wait([&] { return client.closed(); }));
   EXPECT_TRUE(client.reset());
   EXPECT_NE(client.got().substr(client.got().size() - 5), "0\r\n\r\n");
@@ -297,30 +305,30 @@
                                           testing::Values("HTTP/1.1", "HTTP/1.0")));
 
 // An incomplete answer of up to 64 KiB is never forwarded.
-TEST_F(TransferTest, ASpoiltSmallAnswerIsNotPassedOn) {
+TEST_F(TransferTest, AnIncompleteSmallAnswerIsNotForwarded) {
   transfer();
-  const Wire client = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\n" + length(60'000) + "\r\n" + pattern(50'000));
-  wires[0].end();
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\n" + length(60'000) + "\r\n" + pattern(50'000));
+  upstreamSockets[0].end();
   ASSERT_TRUE(wait([&] { return client.got().find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 502");
 }
 
-TEST_F(TransferTest, AnAnswerSaidToBeOver32MegabytesIsSpoilt) {
+TEST_F(TransferTest, AnAnswerWithALengthOver32MegabytesIsRejected) {
   transfer();
-  const Wire client = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\n" + length(32UL * 1024 * 1024 + 1) + "\r\n" + pattern(200'000));
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\n" + length(32UL * 1024 * 1024 + 1) + "\r\n" + pattern(200'000));
   ASSERT_TRUE(wait([&] { return client.got().find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 502");
 }
 
 TEST_F(TransferTest, AnAnswerWithoutEndIsCutAt32Megabytes) {
   transfer();
-  const Wire client = asked();
+  const RawSocket client = connectAndRequest();
   std::string chunk = "100000\r\n" + pattern(1024 * 1024) + "\r\n";
   std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (int n = 0; n < 40; ++n) text += chunk;
-  wires[0].send(text);
+  upstreamSockets[0].send(text);
   ASSERT_TRUE(wait([&] { return client.closed(); }));
   EXPECT_TRUE(client.reset());
   EXPECT_LT(client.got().size(), 33UL * 1024 * 1024 + 10'000);
@@ -331,29 +339,29 @@
 TEST_F(TransferTest, ASlowReaderHoldsItsUpstreamBack) {
   transfer();
   const std::string body = pattern(12'000'000);
-  const Wire client = asked();
-  client.stand(true);
-  wires[0].send("HTTP/1.1 200 OK\r\n" + length(body.size()) + "\r\n" + body);
+  const RawSocket client = connectAndRequest();
+  client.pauseReading(true);
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\n" + length(body.size()) + "\r\n" + body);
   // Others are served meanwhile.
   for (int n = 0; n < 20; ++n) {
-    const Wire other = connect();
+    const RawSocket other = connect();
     other.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
     ASSERT_TRUE(wait([&] { return !other.got().empty(); }));
   }
-  EXPECT_FALSE(wires[0].sent())
+  EXPECT_FALSE(upstreamSockets[0].sent())
       << "the complete answer was read from the upstream although the client reads nothing";
-  client.stand(false);
+  client.pauseReading(false);
   ASSERT_TRUE(wait([&] { return client.body().size() >= body.size(); }));
   EXPECT_EQ(client.body(), body);
 }
 
 TEST_F(TransferTest, AClientThatLeavesEndsItsTransfer) {
   transfer();
-  const Wire client = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\n" + length(20'000'000) + "\r\n" + pattern(20'000'000));
+  const RawSocket client = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\n" + length(20'000'000) + "\r\n" + pattern(20'000'000));
   ASSERT_TRUE(wait([&] { return client.body().size() > 100'000; }));
   client.close();
-  EXPECT_TRUE(wait([&] { return wires[0].closed(); }));
+  EXPECT_TRUE(wait([&] { return upstreamSockets[0].closed(); }));
 }
 
 // ---- Bodies of requests -----------------------------------------------------------------------------------
@@ -361,16 +369,16 @@
 TEST_F(TransferTest, ALargeBodyPassesInPiecesOfAnySize) {
   transfer();
   const std::string body = pattern(6'000'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(body.size())));
   for (std::size_t at = 0, size = 1; at < body.size(); at += size, size = size * 2 + 1) {
     client.send(body.substr(at, size));
     ASSERT_TRUE(wait([&] { return client.sent(); }));
   }
   ASSERT_TRUE(wait([&] { return upstreamHas(0, body); }));
-  EXPECT_EQ(wires[0].body(), body);
-  EXPECT_NE(wires[0].got().find(length(body.size())), std::string::npos);
-  wires[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  EXPECT_EQ(upstreamSockets[0].body(), body);
+  EXPECT_NE(upstreamSockets[0].got().find(length(body.size())), std::string::npos);
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 200");
 }
@@ -378,17 +386,17 @@
 TEST_F(TransferTest, ALargeBodyInChunksPassesInChunks) {
   transfer();
   const std::string body = pattern(5'000'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head("Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"));
   ASSERT_TRUE(wait([&] { return client.got() == "HTTP/1.1 100 Continue\r\n\r\n"; }));
   client.send(chunks(body, 99'999, ";x=y") + "X-Customer: other\r\n\r\n");
   ASSERT_TRUE(wait([&] {
-    return !wires.empty() && wires[0].got().size() > 5 &&
-           wires[0].got().substr(wires[0].got().size() - 5) == "0\r\n\r\n";
+    return !upstreamSockets.empty() && upstreamSockets[0].got().size() > 5 &&
+           upstreamSockets[0].got().substr(upstreamSockets[0].got().size() - 5) == "0\r\n\r\n";
   }));
-  EXPECT_EQ(unchunked(std::string(wires[0].body())), body);
-  EXPECT_EQ(wires[0].got().find("X-Customer: other"), std::string::npos);
-  EXPECT_EQ(wires[0].got().find("Content-Length"), std::string::npos);
+  EXPECT_EQ(unchunked(std::string(upstreamSockets[0].body())), body);
+  EXPECT_EQ(upstreamSockets[0].got().find("X-Customer: other"), std::string::npos);
+  EXPECT_EQ(upstreamSockets[0].got().find("Content-Length"), std::string::npos);
 }
 
 // The head of a chunked request is stored separately from its trailer, and must not be used for the next
@@ -396,58 +404,59 @@
 TEST_F(TransferTest, ARequestBehindALargeBodyInChunksKeepsItsOwnHead) {
   transfer();
   const std::string body = pattern(4'000'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head("Transfer-Encoding: chunked\r\n") + chunks(body, 300'000) + "\r\n");
   ASSERT_TRUE(wait([&] {
-    return !wires.empty() && wires[0].got().size() > 5 &&
-           wires[0].got().substr(wires[0].got().size() - 5) == "0\r\n\r\n";
+    return !upstreamSockets.empty() && upstreamSockets[0].got().size() > 5 &&
+           upstreamSockets[0].got().substr(upstreamSockets[0].got().size() - 5) == "0\r\n\r\n";
   }));
-  wires[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
   std::string next = head(length(5));
   next.replace(next.find("a1\r\n"), 2, "b2");
   client.send(next + "hello");
-  ASSERT_TRUE(wait([&] { return wires[0].got().find("hello") != std::string::npos; }));
-  EXPECT_NE(wires[0].got().find("X-Trace-Id: 00000000000000b2"), std::string::npos);
+  ASSERT_TRUE(wait([&] { return upstreamSockets[0].got().find("hello") != std::string::npos; }));
+  EXPECT_NE(upstreamSockets[0].got().find("X-Trace-Id: 00000000000000b2"), std::string::npos);
 }
 
 // A body up to the buffering limit is received completely before anything is sent to an upstream.
-TEST_F(TransferTest, ABodyThatIsHeldWholeTakesNoUpstreamsTime) {
+TEST_F(TransferTest, ACompletelyBufferedBodyOccupiesNoUpstream) {
   transfer();
   const std::string body = pattern(500'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(body.size())) + body.substr(0, body.size() - 1));
   ASSERT_TRUE(wait([&] { return client.sent(); }));
   for (int n = 0; n < 5; ++n) {
-    const Wire other = connect();
+    const RawSocket other = connect();
     other.send("GET /ready HTTP/1.1\r\nHost: s\r\n\r\n");
     ASSERT_TRUE(wait([&] { return !other.got().empty(); }));
   }
-  EXPECT_TRUE(wires.empty());
+  EXPECT_TRUE(upstreamSockets.empty());
   client.send(body.substr(body.size() - 1));
   ASSERT_TRUE(wait([&] { return upstreamHas(0, body); }));
-  EXPECT_EQ(wires[0].body(), body);
+  EXPECT_EQ(upstreamSockets[0].body(), body);
 }
 
-TEST_F(TransferTest, ABodySaidToBeOver32MegabytesIsRefusedFromItsHead) {
+TEST_F(TransferTest, ABodyWithALengthOver32MegabytesIsRefusedFromItsHead) {
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(32UL * 1024 * 1024 + 1)));
   ASSERT_TRUE(wait([&] { return client.closed(); }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 413");
-  EXPECT_TRUE(wires.empty());
+  EXPECT_TRUE(upstreamSockets.empty());
 }
 
 // The bytes between two chunks are limited, so that neither a client nor an upstream can exhaust the memory.
 TEST_F(TransferTest, AChunksHeadWithoutEndIsRefused) {
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head("Transfer-Encoding: chunked\r\n") + "1;" + std::string(200'000, 'x'));
   ASSERT_TRUE(wait([&] { return !client.got().empty() || client.closed(); }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 400");
-  EXPECT_TRUE(wires.empty());
-  const Wire other = asked();
-  wires[0].send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + std::string(200'000, 'x'));
+  EXPECT_TRUE(upstreamSockets.empty());
+  const RawSocket other = connectAndRequest();
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" +
+                          std::string(200'000, 'x'));
   ASSERT_TRUE(wait([&] { return !other.got().empty(); }));
   EXPECT_EQ(other.got().substr(0, 12), "HTTP/1.1 502");
 }
@@ -455,22 +464,23 @@
 // The last byte of the body is never sent, so the request never runs.
 TEST_F(TransferTest, ABodyWithoutEndIsCutAndItsAttemptNeverRuns) {
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head("Transfer-Encoding: chunked\r\n"));
   const std::string chunk = "100000\r\n" + pattern(1024 * 1024) + "\r\n";
   for (int n = 0; n < 40; ++n) client.send(chunk);
   ASSERT_TRUE(wait([&] { return client.closed() || client.reset(); }));
-  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].closed(); }));
-  for (const Wire& wire : wires) EXPECT_EQ(wire.got().find("\r\n0\r\n\r\n"), std::string::npos);
+  ASSERT_TRUE(wait([&] { return !upstreamSockets.empty() && upstreamSockets[0].closed(); }));
+  for (const RawSocket& upstreamSocket : upstreamSockets)
+    EXPECT_EQ(upstreamSocket.got().find("\r\n0\r\n\r\n"), std::string::npos);
 }
 
 TEST_F(TransferTest, ABodyThatStopsMidwayEndsItsAttempt) {
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(6'000'000)) + pattern(4'000'000));
-  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].body().size() > 100'000; }));
+  ASSERT_TRUE(wait([&] { return !upstreamSockets.empty() && upstreamSockets[0].body().size() > 100'000; }));
   client.close();
-  EXPECT_TRUE(wait([&] { return wires[0].closed(); }));
+  EXPECT_TRUE(wait([&] { return upstreamSockets[0].closed(); }));
 }
 
 // An upstream rejects an upload of which a part has been sent: the request has never run, and the sidecar
@@ -480,17 +490,17 @@
 TEST_P(RefusedMidwayTest, IsARefusal) {
   const std::string answer = GetParam();
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(6'000'000)) + pattern(4'000'000));
-  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].body().size() > 100'000; }));
+  ASSERT_TRUE(wait([&] { return !upstreamSockets.empty() && upstreamSockets[0].body().size() > 100'000; }));
   if (answer.empty()) {
-    wires[0].close();
+    upstreamSockets[0].close();
   } else {
-    wires[0].send(answer);
+    upstreamSockets[0].send(answer);
   }
   ASSERT_TRUE(wait([&] { return client.got().find("\r\n\r\n") != std::string::npos; }));
   EXPECT_EQ(client.got().substr(0, 12), "HTTP/1.1 503");
-  EXPECT_EQ(wires.size(), 1U) << "a partly sent body can't be retried";
+  EXPECT_EQ(upstreamSockets.size(), 1U) << "a partly sent body can't be retried";
 }
 
 INSTANTIATE_TEST_SUITE_P(Forms, RefusedMidwayTest,
@@ -499,16 +509,17 @@
                                          "HTTP/1.1 413 x\r\nContent-Length: 0\r\n\r\n", ""));
 
 // A completely buffered body is retried.
-TEST_F(TransferTest, ABodyThatIsHeldWholeIsSentAgain) {
+TEST_F(TransferTest, ACompletelyBufferedBodyIsRetried) {
   transfer();
   const std::string body = pattern(400'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(body.size())) + body);
   ASSERT_TRUE(wait([&] { return upstreamHas(0, body); }));
-  wires[0].send("HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+  upstreamSockets[0].send(
+      "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   ASSERT_TRUE(wait([&] { return upstreamHas(1, body); }));
-  EXPECT_EQ(wires[1].body(), body);
-  wires[1].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  EXPECT_EQ(upstreamSockets[1].body(), body);
+  upstreamSockets[1].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
 }
 
@@ -516,35 +527,36 @@
 TEST_F(TransferTest, AnUploadsTimeCountsFromItsLastByte) {
   transfer();
   const std::string body = pattern(4'000'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(body.size()), "cambio", 300) + body.substr(0, body.size() - 1));
-  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].body().size() + 1 == body.size(); }));
+  ASSERT_TRUE(
+      wait([&] { return !upstreamSockets.empty() && upstreamSockets[0].body().size() + 1 == body.size(); }));
   const auto since = Clock::now();
   ASSERT_TRUE(wait([&] { return Clock::now() - since > std::chrono::milliseconds(500); }));
   EXPECT_TRUE(client.got().empty());
   client.send(body.substr(body.size() - 1));
   ASSERT_TRUE(wait([&] { return upstreamHas(0, body); }));
-  wires[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  upstreamSockets[0].send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   ASSERT_TRUE(wait([&] { return client.body() == "ok"; }));
 }
 
 // The time allowed for receiving an upload is not added to the remaining time sent to the upstream, which
 // also counts from the last byte.
-TEST_F(TransferTest, AnUploadIsToldNoMoreTimeThanItsClientGave) {
+TEST_F(TransferTest, AnUploadGetsNoMoreTimeThanItsClientGave) {
   transfer();
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(4'000'000), "cambio", 300) + pattern(3'000'000));
-  ASSERT_TRUE(wait([&] { return !wires.empty() && wires[0].body().size() > 100'000; }));
+  ASSERT_TRUE(wait([&] { return !upstreamSockets.empty() && upstreamSockets[0].body().size() > 100'000; }));
   const std::string name = "X-Expires-In-Ms: ";
-  const std::size_t at = wires[0].got().find(name);
+  const std::size_t at = upstreamSockets[0].got().find(name);
   ASSERT_NE(at, std::string::npos);
-  EXPECT_LE(std::stoi(wires[0].got().substr(at + name.size())), 300);
+  EXPECT_LE(std::stoi(upstreamSockets[0].got().substr(at + name.size())), 300);
 }
 
 TEST_F(TransferTest, AnUploadWithoutAnAnswerFailsWhenItsTimeIsOver) {
   transfer();
   const std::string body = pattern(4'000'000);
-  const Wire client = connect();
+  const RawSocket client = connect();
   client.send(head(length(body.size()), "cambio", 300) + body);
   ASSERT_TRUE(wait([&] { return !client.got().empty(); }));
   EXPECT_NE(client.got().substr(0, 10), "HTTP/1.1 2");
@@ -555,7 +567,7 @@
 TEST_F(TransferTest, ManyAtOnceFarOverTheBudgetAllFinish) {
   transfer({{"limits", {{"memory_mb", 1}, {"sockets", 512}}}});
   const std::string body = pattern(600'000);
-  std::deque<Wire> clients;
+  std::deque<RawSocket> clients;
   for (int n = 0; n < 24; ++n) {
     clients.push_back(connect());
     std::string text = head(length(body.size()), "consulta");
@@ -565,16 +577,17 @@
   }
   std::set<std::size_t> answered;
   ASSERT_TRUE(wait([&] {
-    for (std::size_t n = 0; n < wires.size(); ++n) {
-      if (answered.count(n) > 0 || wires[n].body().size() < body.size()) continue;
+    for (std::size_t n = 0; n < upstreamSockets.size(); ++n) {
+      if (answered.count(n) > 0 || upstreamSockets[n].body().size() < body.size()) continue;
       answered.insert(n);
-      EXPECT_EQ(wires[n].body(), body);
-      wires[n].send("HTTP/1.1 200 OK\r\nConnection: close\r\n" + length(body.size()) + "\r\n" + body);
+      EXPECT_EQ(upstreamSockets[n].body(), body);
+      upstreamSockets[n].send("HTTP/1.1 200 OK\r\nConnection: close\r\n" + length(body.size()) + "\r\n" +
+                              body);
     }
     return std::all_of(clients.begin(), clients.end(),
-                       [&](const Wire& client) { return client.body().size() >= body.size(); });
+                       [&](const RawSocket& client) { return client.body().size() >= body.size(); });
   }));
-  for (const Wire& client : clients) EXPECT_EQ(client.body(), body);
+  for (const RawSocket& client : clients) EXPECT_EQ(client.body(), body);
 }
 
 }  // namespace
