--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -79,7 +79,7 @@
   send(3, "x");
   ASSERT_TRUE(wait([&] { return upstream.requests.size() == 2; }));
   EXPECT_EQ(upstream.requests[1].message["X-Trace-Id"], traceOf(3));
-  EXPECT_EQ(upstream.lines.size(), 1u);
+  EXPECT_EQ(upstream.connections.size(), 1u);
 }
 
 // The client leaves while a connection is being established, and the pool has not been notified.
@@ -305,9 +305,9 @@
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
   usedUpstream().requests[0].reply(200, "");
   ASSERT_TRUE(wait([&] { return asks.answers() == 1; }));
-  const auto lostConnection = usedUpstream().requests[0].line;
+  const auto lostConnection = usedUpstream().requests[0].connection;
   usedUpstream().onRequest = [&](Peer::Exchange& call) {
-    if (call.line != lostConnection) call.reply(200, "");
+    if (call.connection != lostConnection) call.reply(200, "");
   };
   if (qos != "consulta") request = Request();
   request.qos = qos;
@@ -324,7 +324,7 @@
   asks.send(request.text());
   ASSERT_TRUE(wait([&] { return asks.answers() == 3; }));
   EXPECT_EQ(asks.answer(2).result_int(), 200u);
-  EXPECT_NE(usedUpstream().requests.back().line, lostConnection);
+  EXPECT_NE(usedUpstream().requests.back().connection, lostConnection);
 }
 
 INSTANTIATE_TEST_SUITE_P(Classes, LostIdleConnectionTest, testing::Values("consulta", "cambio", "reserva"));
@@ -383,8 +383,8 @@
   blockEventLoop(milliseconds(190));
   send(2, "x");
   ASSERT_TRUE(wait([&] { return upstream.requests.size() == 2; }));
-  EXPECT_EQ(upstream.lines.size(), 2u);
-  EXPECT_NE(upstream.requests[1].line, upstream.requests[0].line);
+  EXPECT_EQ(upstream.connections.size(), 2u);
+  EXPECT_NE(upstream.requests[1].connection, upstream.requests[0].connection);
 }
 
 // withdraw() cancels only attempts that have not been written, and these end as never sent.
--- a/tests/discovery/platform_source_test.cpp
+++ b/tests/discovery/platform_source_test.cpp
@@ -120,13 +120,13 @@
 TEST_F(PlatformSourceTest, AnAnswerInTheTurnInWhichItsTimeRunsOutCounts) {
   for (const bool pushed : {false, true}) {
     discovery.requests.clear();
-    const std::size_t lines = discovery.lines.size();
+    const std::size_t lines = discovery.connections.size();
     watch(pushed, {milliseconds(20), milliseconds(20), milliseconds(60'000)});
     ASSERT_TRUE(calls(1));
     discovery.requests[0].reply(200, listOf(42, "draining"));
     std::this_thread::sleep_until(Clock::now() + milliseconds(41));  // the loop stands still meanwhile
     ASSERT_TRUE(calls(2));
-    EXPECT_EQ(discovery.lines.size(), lines + 1);
+    EXPECT_EQ(discovery.connections.size(), lines + 1);
     EXPECT_EQ(failures, 0);
     platform.reset();
   }
@@ -142,7 +142,7 @@
   const auto from = Clock::now();
   ASSERT_TRUE(calls(4));
   EXPECT_GE(Clock::now() - from, milliseconds(3 * 100 - 5));
-  EXPECT_EQ(discovery.lines.size(), 1u);
+  EXPECT_EQ(discovery.connections.size(), 1u);
 }
 
 // A second answer behind the first, with it or later, is never read as the next call's.
@@ -156,7 +156,7 @@
   discovery.requests[0].raw(second);
   ASSERT_TRUE(calls(2));
   EXPECT_EQ(lists.size(), 1u);
-  EXPECT_EQ(discovery.lines.size(), 2u);
+  EXPECT_EQ(discovery.connections.size(), 2u);
   discovery.requests[1].reply(200, listOf(43, "removed"));
   ASSERT_TRUE(calls(3));
   EXPECT_EQ(lists.size(), 2u);
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -44,8 +44,8 @@
 // An HTTP server that stores the requests it receives; the test answers each of them.
 class Peer {
  public:
-  struct Line : std::enable_shared_from_this<Line> {
-    explicit Line(tcp::socket s) : socket(std::move(s)) {}
+  struct Connection : std::enable_shared_from_this<Connection> {
+    explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     void read(Peer& peer) {
       message = {};
       http::async_read(socket, buffer, message, [self = shared_from_this(), &peer](error_code error, auto) {
@@ -65,14 +65,14 @@
   };
 
   struct Exchange {
-    std::shared_ptr<Line> line;
+    std::shared_ptr<Connection> connection;
     Message message;
     void reply(unsigned status, const std::string& body, const std::string& headers = "") const {
       raw("HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " + std::to_string(body.size()) +
           "\r\n" + headers + "\r\n" + body);
     }
-    void raw(const std::string& bytes) const { asio::write(line->socket, asio::buffer(bytes)); }
-    void drop() const { line->socket.close(); }
+    void raw(const std::string& bytes) const { asio::write(connection->socket, asio::buffer(bytes)); }
+    void drop() const { connection->socket.close(); }
   };
 
   explicit Peer(asio::io_context& io)
@@ -84,24 +84,24 @@
   const std::string& address() const { return address_; }
   void refuseConnections() { acceptor_.close(); }
   void dropAll() {
-    for (const auto& line : lines) line->socket.close();
+    for (const auto& connection : connections) connection->socket.close();
   }
   int open() const {
     int count = 0;
-    for (const auto& line : lines) count += line->closed ? 0 : 1;
+    for (const auto& connection : connections) count += connection->closed ? 0 : 1;
     return count;
   }
 
   std::deque<Exchange> requests;
-  std::vector<std::shared_ptr<Line>> lines;
+  std::vector<std::shared_ptr<Connection>> connections;
   std::function<void(Exchange&)> onRequest;
 
  private:
   void accept() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      lines.push_back(std::make_shared<Line>(std::move(socket)));
-      lines.back()->read(*this);
+      connections.push_back(std::make_shared<Connection>(std::move(socket)));
+      connections.back()->read(*this);
       accept();
     });
   }
@@ -113,20 +113,20 @@
 // A client's connection to the sidecar.
 class Client {
  public:
-  Client(asio::io_context& io, std::uint16_t port) : line_(std::make_shared<Line>(io)) {
-    line_->socket.connect({asio::ip::address_v4::loopback(), port});
-    read(line_);
+  Client(asio::io_context& io, std::uint16_t port) : connection_(std::make_shared<Connection>(io)) {
+    connection_->socket.connect({asio::ip::address_v4::loopback(), port});
+    read(connection_);
   }
 
-  void send(const std::string& bytes) const { asio::write(line_->socket, asio::buffer(bytes)); }
-  void close() const { line_->socket.close(); }
-  std::size_t answers() const { return line_->answers.size(); }
-  const http::response<http::string_body>& answer(std::size_t n) const { return line_->answers.at(n); }
-  bool closed() const { return line_->closed; }
+  void send(const std::string& bytes) const { asio::write(connection_->socket, asio::buffer(bytes)); }
+  void close() const { connection_->socket.close(); }
+  std::size_t answers() const { return connection_->answers.size(); }
+  const http::response<http::string_body>& answer(std::size_t n) const { return connection_->answers.at(n); }
+  bool closed() const { return connection_->closed; }
 
  private:
-  struct Line {
-    explicit Line(asio::io_context& io) : socket(io) {}
+  struct Connection {
+    explicit Connection(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     beast::flat_buffer buffer;
     http::response<http::string_body> message;
@@ -134,17 +134,18 @@
     bool closed = false;
   };
 
-  static void read(const std::shared_ptr<Line>& line) {
-    line->message = {};
-    http::async_read(line->socket, line->buffer, line->message, [line](error_code error, auto) {
-      line->closed = static_cast<bool>(error);
-      if (error) return;
-      line->answers.push_back(line->message);
-      read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    connection->message = {};
+    http::async_read(connection->socket, connection->buffer, connection->message,
+                     [connection](error_code error, auto) {
+                       connection->closed = static_cast<bool>(error);
+                       if (error) return;
+                       connection->answers.push_back(connection->message);
+                       read(connection);
+                     });
   }
 
-  std::shared_ptr<Line> line_;
+  std::shared_ptr<Connection> connection_;
 };
 
 // The fields of a client's request; text() serializes them.
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(from.answer(turn).result_int(), 200u);
     EXPECT_EQ(from.answer(turn).body(), "hecho" + std::to_string(n));
   }
-  EXPECT_EQ(upstreams[0]->lines.size(), 1u);
+  EXPECT_EQ(upstreams[0]->connections.size(), 1u);
 }
 
 // Guards against a missing retry: an answer with X-Never-Ran allows a non-idempotent request to be sent to
@@ -201,7 +201,7 @@
 TEST_F(SidecarTest, FollowsDiscoveryToItsNewAddress) {
   start(2);
   Peer moved(io);
-  const auto waiting = discovery.requests.back().line;
+  const auto waiting = discovery.requests.back().connection;
   sidecar->reload(configure({{"discovery", moved.address()}}), configuration::OperatorFile{});
   ASSERT_TRUE(wait([&] { return waiting->closed && moved.requests.size() == 1; }));
   moved.requests[0].drop();  // an outage
@@ -516,7 +516,7 @@
   upstreams[0]->requests[1].reply(200, "hecho");
   ASSERT_TRUE(wait([&] { return from.answers() == 1; }));
   EXPECT_EQ(from.answer(0).body(), "hecho");
-  EXPECT_EQ(upstreams[0]->lines.size(), 1u);
+  EXPECT_EQ(upstreams[0]->connections.size(), 1u);
 }
 
 // Guards the final answer against a late balancer, timer or CPU: the server answers at the deadline by
