--- a/tests/ending_test.cpp
+++ b/tests/ending_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The server as it ends, and the time of a request that runs out as it comes.
+// Tests of the shutdown, and of read timeouts that expire while a request arrives.
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
 
@@ -9,22 +9,23 @@
 namespace ivypost {
 namespace {
 
-// A request reaches the kernel after the loop has looked and before it looks whether all is done.
+// A request reaches the kernel after the event loop's last poll, and before the server checks whether it may
+// end.
 TEST_F(ServerTest, ARequestInTheLastTickIsAnsweredBeforeTheEnd) {
   serve();
   const Client late(io, server->port());
-  ASSERT_TRUE(wait([&] { return inside() == 1; }));
+  ASSERT_TRUE(wait([&] { return connectionCount() == 1; }));
   late.send(Request().text());
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   EXPECT_FALSE(ended);
   answerAll();
   ASSERT_TRUE(wait([&] { return late.answers() == 1 && ended; }));
   EXPECT_EQ(late.answer(0).result_int(), 200u);
 }
 
-// So does one behind another that was an error, in the pause in which the client is not read.
+// The same for a request that follows an invalid one, during the pause in which the client is not read.
 TEST_F(ServerTest, ARequestBehindAnErrorIsAnsweredBeforeTheEnd) {
   serve();
   const Client wrong(io, server->port());
@@ -33,27 +34,28 @@
   wrong.send(Request().text());
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return wrong.answers() == 2 && ended; }));
 }
 
-// Read ahead of an answer, or unread behind it: while the process ends the connection is not ended between.
-TEST_F(ServerTest, WhatWasSentAheadIsAnsweredWhileTheProcessEnds) {
+// Pipelined requests, read ahead of an answer or still unread at it, are answered during shutdown: the
+// connection is not closed between them.
+TEST_F(ServerTest, PipelinedRequestsAreAnsweredDuringShutdown) {
   serve();
   const Client ahead(io, server->port());
   Request second, third;
   second.trace = traceOf(2);
   third.trace = traceOf(3);
   ahead.send(Request().text() + second.text());
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   pollAll(io);
   server->apply(stopping(false, true));
   ahead.send(third.text());  // not read when the first answer is given
   answerAll();
-  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || ahead.closed(); }));
   answerAll();
-  ASSERT_TRUE(wait([&] { return taken.size() == 1 || ahead.closed(); }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || ahead.closed(); }));
   answerAll();
   ASSERT_TRUE(wait([&] { return ahead.closed() && ended; }));
   ASSERT_EQ(ahead.answers(), 3u);
@@ -61,9 +63,9 @@
   EXPECT_EQ(ahead.answer(2)[http::field::connection], "close");
 }
 
-// A client that takes its last answer slowly, and sends on: the connection is not closed over what it sends
-// before the answer has arrived, since that would reset it.
-TEST_F(ServerTest, ALastAnswerThatIsTakenSlowlyArrivesWhole) {
+// A client reads its last answer slowly, and continues to send: the connection is not closed with unread
+// input before the answer has arrived, since that would reset the connection.
+TEST_F(ServerTest, ASlowlyReadLastAnswerArrivesComplete) {
   serve();
   tcp::socket slow(io);
   slow.open(tcp::v4());
@@ -72,13 +74,14 @@
   Request request;
   request.headers = "Connection: close\r\n";
   asio::write(slow, asio::buffer(request.text()));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   const std::string body(300'000, 'b');
   Answer answer;
   answer.status = 200;
   answer.body = body;
-  server->answer(taken[0].id, std::move(answer));
-  // More than is read and dropped; it stands still for longer than the pause ahead of the close.
+  server->answer(receivedRequests[0].id, std::move(answer));
+  // More than the server reads and discards; the client does not read for longer than the pause before the
+  // close.
   const std::string much(100'000, 'm');
   std::size_t at = 0;
   error_code error;
@@ -98,7 +101,7 @@
   EXPECT_GT(got.size(), body.size()) << error.message();
 }
 
-// A head that has come in part, or an answer on its way, is no end either.
+// The server does not end while a request's head is partly received or an answer is being sent.
 TEST_F(ServerTest, ARequestHalfReadIsAnsweredBeforeTheEnd) {
   serve();
   const Client slow(io, server->port());
@@ -109,37 +112,37 @@
   server->apply(stopping(false, true));
   EXPECT_FALSE(ended);
   slow.send(text.substr(30));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return slow.answers() == 1 && ended; }));
 }
 
-// The acceptor closes when a connection has been accepted whose handler is still queued.
-TEST_F(ServerTest, WhoWasAcceptedAsTheDoorClosedIsServed) {
+// The acceptor is closed when a connection has been accepted and its handler is still queued.
+TEST_F(ServerTest, AConnectionAcceptedAsTheAcceptorClosesIsServed) {
   serve();
   const Client first(io, server->port());
   const Client second(io, server->port());
   second.send(Request().text());
-  // With the first one let in, the second has been accepted in the same call.
-  while (inside() == 0) {
+  // When the first connection is admitted, the second has been accepted in the same call.
+  while (connectionCount() == 0) {
     io.restart();
     io.run_one();
   }
-  ASSERT_EQ(inside(), 1u);
+  ASSERT_EQ(connectionCount(), 1u);
   server->apply(stopping(false, false));
-  ASSERT_TRUE(wait([&] { return taken.size() == 1; }));
+  ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1; }));
   answerAll();
   ASSERT_TRUE(wait([&] { return second.answers() == 1; }));
 }
 
 class LastByteTest : public ServerTest {
  protected:
-  // A request of which so much has been read; this much more of it comes in the turn in which its time is up,
-  // ahead of the handler that would close it.
-  void sendAsItsTimeIsUp(std::size_t more, std::size_t first = 30) {
+  // Sends the first `first` bytes of a request, and `more` bytes of it in the turn in which the read timeout
+  // expires, ahead of the handler that would close the connection.
+  void sendAtReadTimeout(std::size_t more, std::size_t first = 30) {
     serve();
     slow.emplace(io, server->port());
-    ASSERT_TRUE(wait([&] { return inside() == 1; }));
+    ASSERT_TRUE(wait([&] { return connectionCount() == 1; }));
     const auto in = Clock::now();
     const std::string text = Request().text();
     if (first > 0) {
@@ -148,40 +151,40 @@
         return server->connectionLimiter().count(admission::ConnectionLimiter::State::Active) == 1;
       }));
     }
-    // A handler that is due a little earlier, and so runs right before, however late the loop is.
+    // Is due earlier than the read timeout, and so runs before its handler even if the event loop is late.
     asio::steady_timer before(io);
     before.expires_at(in + milliseconds(2400));
     before.async_wait([&](error_code) { slow->send(text.substr(first, more)); });
-    standStill(in + milliseconds(2600) - Clock::now());
-    ASSERT_TRUE(wait([&] { return taken.size() == 1 || slow->closed(); }));
+    blockEventLoop(in + milliseconds(2600) - Clock::now());
+    ASSERT_TRUE(wait([&] { return receivedRequests.size() == 1 || slow->closed(); }));
   }
   std::optional<Client> slow;
 };
 
-TEST_F(LastByteTest, ARequestThatIsWholeWhenItsTimeIsUpIsTaken) {
-  sendAsItsTimeIsUp(std::string::npos);
-  ASSERT_EQ(taken.size(), 1u);
+TEST_F(LastByteTest, ARequestCompleteAtTheReadTimeoutIsServed) {
+  sendAtReadTimeout(std::string::npos);
+  ASSERT_EQ(receivedRequests.size(), 1u);
   answerAll();
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
-// Nor does a new connection that has been silent so far lose the request that comes in that turn.
-TEST_F(LastByteTest, AFirstRequestThatComesWhenItsTimeIsUpIsTaken) {
-  sendAsItsTimeIsUp(std::string::npos, 0);
-  ASSERT_EQ(taken.size(), 1u);
+// The same for a new connection that has sent nothing before.
+TEST_F(LastByteTest, AFirstRequestAtTheReadTimeoutIsServed) {
+  sendAtReadTimeout(std::string::npos, 0);
+  ASSERT_EQ(receivedRequests.size(), 1u);
   answerAll();
   ASSERT_TRUE(wait([&] { return slow->answers() == 1; }));
 }
 
-// One that has come to nothing more by then is closed all the same.
-TEST_F(LastByteTest, ARequestThatIsNotWholeWhenItsTimeIsUpIsNotWaitedFor) {
-  sendAsItsTimeIsUp(10);
+// A request that is still incomplete at the timeout is not waited for: its connection is closed.
+TEST_F(LastByteTest, ARequestIncompleteAtTheReadTimeoutIsClosed) {
+  sendAtReadTimeout(10);
   EXPECT_TRUE(slow->closed());
-  EXPECT_TRUE(taken.empty());
+  EXPECT_TRUE(receivedRequests.empty());
 }
 
-// The whole sidecar, told to end while all of its upstreams hang. SIGKILL comes 0.7 s after the longest
-// deadline; 0.15 s of that the process may be held up.
+// Stops the complete sidecar while none of its upstreams answers. SIGKILL follows 0.7 s after the longest
+// deadline; 0.15 s of that are reserved for delays of the process.
 class StopTest : public SidecarTest {
  protected:
   static constexpr milliseconds kBound{1700 - 150};
@@ -224,15 +227,15 @@
     request.expiresInMs = expiresInMs;
     return request;
   }
-  // Clients go on sending whether the connection stands or not.
-  static void sendOrNot(const Client& client, const std::string& bytes) {
+  // Sends, and ignores the error if the connection is closed.
+  static void sendIgnoringErrors(const Client& client, const std::string& bytes) {
     try {
       client.send(bytes);
     } catch (const boost::system::system_error&) {
     }
   }
 
-  // From SIGTERM to the end of the process, with each of these done at its time.
+  // Runs from SIGTERM to the end of the process, with the actions that were scheduled by at().
   void stop() {
     begun = Clock::now();
     sidecar->stop([this] {
@@ -260,7 +263,7 @@
   bool ended = false;
 };
 
-// Requests from before SIGTERM and all through the stop, on new connections as long as these are accepted.
+// Requests arrive before SIGTERM and during the shutdown, on new connections as long as these are accepted.
 TEST_F(StopTest, AnswersEveryRequestInTimeWhileAllUpstreamsHang) {
   startHung(3);
   int n = 0;
@@ -285,7 +288,7 @@
     EXPECT_EQ(clients[client]->answers(), 1u) << "client " << client;
 }
 
-// Kept connections on which clients go on sending: behind a request that is out, and behind its answer.
+// Clients continue to send on persistent connections, while a request is open and after its answer.
 TEST_F(StopTest, BytesBehindARequestCostItsClientNoAnswer) {
   startHung(2);
   for (int n = 0; n < 8; ++n) add().send(request(n + 1, 20000).text());
@@ -293,7 +296,7 @@
   for (int tick = 0; tick < 75; ++tick) {
     at(milliseconds(20 * tick + 5), [&, tick] {
       for (std::size_t n = 0; n < clients.size(); ++n)
-        sendOrNot(*clients[n], request(1000 + tick * 10 + static_cast<int>(n), 1000).text());
+        sendIgnoringErrors(*clients[n], request(1000 + tick * 10 + static_cast<int>(n), 1000).text());
     });
   }
   stop();
@@ -301,7 +304,7 @@
   for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
 }
 
-// A head, a short body and a long body that have come in part, and never come whole.
+// A head, a short body and a long body are received in part, and never completely.
 TEST_F(StopTest, AnswersRequestsThatAreStillBeingRead) {
   startHung(2);
   const std::string head = request(1, 20000).text();
@@ -309,7 +312,8 @@
   longer.body.assign(30'000, 'b');
   Request large = request(3, 20000);
   large.body.assign(6'000'000, 'b');
-  // Beyond what is held whole, so that half of it is at an upstream already.
+  // The large body exceeds the limit for complete buffering, so that a part of it has been sent to an
+  // upstream.
   at(milliseconds(250), [&] {
     add().send(head.substr(0, 30));
     add().send(longer.text().substr(0, 15'000));
@@ -324,35 +328,35 @@
   for (std::size_t n = 0; n < clients.size(); ++n) EXPECT_GE(clients[n]->answers(), 1u) << "client " << n;
 }
 
-// A connection to the only upstream comes up when the end is near.
+// The connection to the only upstream is established shortly before the end.
 TEST_F(StopTest, AnswersWhatWaitsForAConnectionThatComesUpLate) {
   withLate = true;
   startHung(0);
   for (int n = 0; n < 4; ++n) add().send(request(n + 1, 20000).text());
   ASSERT_TRUE(wait([this] { return sidecar->comingUp() > 0; }));
-  at(milliseconds(1200), [&] { late.letGo(); });
+  at(milliseconds(1200), [&] { late.acceptConnections(); });
   stop();
   EXPECT_LE(endedAfter, kBound);
   for (const auto& client : clients) EXPECT_EQ(client->answers(), 1u);
 }
 
-// The loop stands still as the final answers are due, and clients send meanwhile.
-TEST_F(StopTest, AHoldUpAsTheFinalAnswersAreDueLosesNothing) {
+// The event loop is blocked when the final answers are due, and clients send meanwhile.
+TEST_F(StopTest, ABlockedLoopAtTheFinalAnswersLosesNoAnswer) {
   startHung(2);
   for (int n = 0; n < 6; ++n) add().send(request(n + 1, 20000).text());
   ASSERT_TRUE(wait([this] { return arrived() >= 2; }));
   at(milliseconds(1390), [&] {
     for (std::size_t n = 0; n < clients.size(); ++n)
-      sendOrNot(*clients[n], request(1000 + static_cast<int>(n), 1000).text());
-    standStill(milliseconds(150));
+      sendIgnoringErrors(*clients[n], request(1000 + static_cast<int>(n), 1000).text());
+    blockEventLoop(milliseconds(150));
   });
   stop();
   EXPECT_LE(endedAfter, milliseconds(1700));
   for (const auto& client : clients) EXPECT_GE(client->answers(), 1u);
 }
 
-// Clients that send so much of a request and then nothing more, and stay: within 3 s each has an error or is
-// closed, on a new connection and behind an earlier request, also while the process drains.
+// Clients that send a part of a request and then nothing more, without closing: within 3 s each gets an error
+// or is closed, on a new connection and after an earlier request, also while the process drains.
 struct Stop {
   const char* where;
   std::string sent;
@@ -361,7 +365,7 @@
 std::vector<Stop> stops() {
   const std::string start = "POST /cambio/7 HTTP/1.1\r\n";
   int n = 0;
-  // Each with an id of its own.
+  // Each request has a separate trace id.
   const auto fields = [&] {
     return "Host: s\r\nX-Qos: cambio\r\nX-Customer: nalon\r\nX-Trace-Id: " + traceOf(++n) +
            "\r\nX-Expires-In-Ms: 20000\r\n";
@@ -425,12 +429,12 @@
   }
   ASSERT_TRUE(wait([&] {
     bool done = true;
-    // Upstreams take what comes.
-    for (const ClientRequest& request : taken) {
+    // Consumes the uploads, as upstreams do.
+    for (const ClientRequest& request : receivedRequests) {
       if (request.upload) request.upload->pipe.pop(request.upload->pipe.front().size());
     }
     for (Stopped& one : all) {
-      // Being asked for the body is no answer.
+      // 100 Continue does not count as an answer.
       if (one.client.answers() > one.before && one.client.answer(one.before).result_int() == 100)
         ++one.before;
       if (!one.took && (one.client.answers() > one.before || one.client.closed()))
@@ -441,7 +445,7 @@
   }));
   for (const Stopped& one : all) {
     SCOPED_TRACE(one.stop.where);
-    ASSERT_TRUE(one.took) << "neither";
+    ASSERT_TRUE(one.took) << "neither answered nor closed";
     EXPECT_LT(*one.took, std::chrono::seconds(3));
     if (one.client.answers() > one.before) {
       EXPECT_GE(one.client.answer(one.before).result_int(), 400u);
--- a/tests/moments.h
+++ b/tests/moments.h
@@ -1,9 +1,9 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// For tests of rare moments: the orders in which a request, an answer, a client's leaving, a deadline and the
-// end of the process can cross each other, on real connections. The bad order comes every time: by the bytes
-// that a peer holds back, by what is written while the loop stands still, or by a handler that is queued
-// ahead of the tested one.
+// Fixtures for tests of race conditions on real connections: the interleavings of a request, an answer, a
+// client's close, a deadline and the end of the process. Each test forces its interleaving deterministically:
+// a peer holds bytes back, bytes are written while the event loop is blocked, or a handler is queued ahead of
+// the tested one.
 #ifndef IVYPOST_MOMENTS_H_
 #define IVYPOST_MOMENTS_H_
 
@@ -27,7 +27,7 @@
   return std::string(16 - digits.size(), '0') + digits;
 }
 
-// Everything that is ready is handled, and what comes of it.
+// Runs all handlers that are ready, and those that become ready as a consequence, in up to 50 polls.
 inline void pollAll(asio::io_context& io) {
   for (int n = 0; n < 50; ++n) {
     io.restart();
@@ -35,12 +35,13 @@
   }
 }
 
-// The loop stands still until then; what the peers do meanwhile it finds when it goes on.
-inline void standStill(Clock::duration span) {
+// Blocks the event loop for `span`. It processes the events of that time only afterwards.
+inline void blockEventLoop(Clock::duration span) {
   std::this_thread::sleep_until(Clock::now() + span);
 }
 
-// A listener whose queue is full, so that connections to it come up only when it is let go.
+// A listener whose accept queue is full, so that connections to it are established only after a call of
+// acceptConnections() or drainAcceptQueue().
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : acceptor_(io) {
@@ -54,36 +55,36 @@
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
-  // Takes everybody from now on, and keeps what they write.
-  void letGo() {
+  // Accepts all connections from now on, and stores the bytes that they receive.
+  void acceptConnections() {
     fillers_.clear();
     accept();
   }
   std::string got() const {
     std::string all;
-    for (const auto& line : lines_) all += line->text;
+    for (const auto& connection : connections_) all += connection->text;
     return all;
   }
-  std::size_t connections() const { return lines_.size(); }
-  // Takes those that stand in the queue, without the loop, so that the next one's connection comes up while
-  // it stands still.
-  void emptyTheQueue() {
+  std::size_t connections() const { return connections_.size(); }
+  // Accepts the queued connections without running the event loop, so that the next connection is established
+  // while the loop is blocked.
+  void drainAcceptQueue() {
     error_code error;
     acceptor_.non_blocking(true, error);
     while (!error) {
       tcp::socket socket(acceptor_.get_executor());
       acceptor_.accept(socket, error);
-      if (!error) lines_.push_back(std::make_shared<Line>(std::move(socket)));
+      if (!error) connections_.push_back(std::make_shared<Connection>(std::move(socket)));
     }
   }
-  void readAll() {
-    for (const auto& line : lines_) read(line);
+  void readConnections() {
+    for (const auto& connection : connections_) read(connection);
     accept();
   }
 
  private:
-  struct Line {
-    explicit Line(tcp::socket s) : socket(std::move(s)) {}
+  struct Connection {
+    explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     tcp::socket socket;
     std::array<char, 4096> bytes{};
     std::string text;
@@ -91,45 +92,47 @@
   void accept() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      lines_.push_back(std::make_shared<Line>(std::move(socket)));
-      read(lines_.back());
+      connections_.push_back(std::make_shared<Connection>(std::move(socket)));
+      read(connections_.back());
       accept();
     });
   }
-  static void read(const std::shared_ptr<Line>& line) {
-    line->socket.async_read_some(asio::buffer(line->bytes), [line](error_code error, std::size_t size) {
-      line->text.append(line->bytes.data(), size);
-      if (!error) read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    connection->socket.async_read_some(asio::buffer(connection->bytes),
+                                       [connection](error_code error, std::size_t size) {
+                                         connection->text.append(connection->bytes.data(), size);
+                                         if (!error) read(connection);
+                                       });
   }
   tcp::acceptor acceptor_;
   std::vector<std::unique_ptr<tcp::socket>> fillers_;
-  std::vector<std::shared_ptr<Line>> lines_;
+  std::vector<std::shared_ptr<Connection>> connections_;
 };
 
-// The client side alone: what it takes, a test answers by hand.
+// Runs only the sidecar's server for clients; the test answers the requests that the server hands over.
 class ServerTest : public SidecarTest {
  protected:
   void serve(const configuration::OperatorFile& file = {}) {
     config.emplace(configure(json::object()));
-    server.emplace(io, *config, file, *budget,
-                   Server::Callbacks{[this](ClientRequest request) { taken.push_back(std::move(request)); },
-                                     [this](balancer::RequestId id) { over.push_back(id); },
-                                     {},
-                                     {},
-                                     [this] { ended = true; }});
+    server.emplace(
+        io, *config, file, *budget,
+        Server::Callbacks{[this](ClientRequest request) { receivedRequests.push_back(std::move(request)); },
+                          [this](balancer::RequestId id) { finishedRequests.push_back(id); },
+                          {},
+                          {},
+                          [this] { ended = true; }});
     lifecycle::Effects ready;
     ready.isReady = ready.acceptsConnections = ready.keepsConnections = true;
     server->apply(ready);
   }
-  std::size_t inside() const { return server->connectionLimiter().size(); }
+  std::size_t connectionCount() const { return server->connectionLimiter().size(); }
   void answerAll() {
-    for (const ClientRequest& request : taken) {
+    for (const ClientRequest& request : receivedRequests) {
       Answer answer;
       answer.status = 200;
       server->answer(request.id, std::move(answer));
     }
-    taken.clear();
+    receivedRequests.clear();
   }
   static lifecycle::Effects stopping(bool accepts, bool mayEnd) {
     lifecycle::Effects effects;
@@ -142,8 +145,8 @@
   std::optional<streaming::ByteBudget> budget{1'000'000};
   std::optional<Config> config;
   std::optional<Server> server;
-  std::vector<ClientRequest> taken;
-  std::vector<balancer::RequestId> over;
+  std::vector<ClientRequest> receivedRequests;
+  std::vector<balancer::RequestId> finishedRequests;
   bool ended = false;
 };
 
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Peers of a sidecar over loopback sockets, all on one event loop: upstreams and a discovery whose every
-// answer a test gives by hand, and clients. Tests wait for events, never for a time.
+// Fixtures for tests of the sidecar over loopback sockets, on one event loop: upstreams and a discovery
+// service whose answers are given by the test, and clients. Tests wait for events, never for a fixed time.
 #ifndef IVYPOST_SIDECAR_RIG_H_
 #define IVYPOST_SIDECAR_RIG_H_
 
@@ -30,7 +30,7 @@
 using beast::error_code;
 using nlohmann::json;
 
-// Runs the loop until the condition holds; a test fails when that takes far too long.
+// Runs the event loop until the condition holds. Returns false if it does not hold within 30 s.
 inline bool until(asio::io_context& io, const std::function<bool()>& condition) {
   const auto end = Clock::now() + std::chrono::seconds(30);
   while (!condition()) {
@@ -41,11 +41,11 @@
   return true;
 }
 
-// Any HTTP server: keeps what came until a test answers it.
+// An HTTP server that stores the requests it receives; the test answers each of them.
 class Peer {
  public:
-  struct Line : std::enable_shared_from_this<Line> {
-    explicit Line(tcp::socket s) : socket(std::move(s)) {}
+  struct Connection : std::enable_shared_from_this<Connection> {
+    explicit Connection(tcp::socket s) : socket(std::move(s)) {}
     void read(Peer& peer) {
       message = {};
       http::async_read(socket, buffer, message, [self = shared_from_this(), &peer](error_code error, auto) {
@@ -65,14 +65,14 @@
   };
 
   struct Exchange {
-    std::shared_ptr<Line> line;
+    std::shared_ptr<Connection> connection;
     Message message;
     void reply(unsigned status, const std::string& body, const std::string& headers = "") const {
       raw("HTTP/1.1 " + std::to_string(status) + " x\r\nContent-Length: " + std::to_string(body.size()) +
           "\r\n" + headers + "\r\n" + body);
     }
-    void raw(const std::string& bytes) const { asio::write(line->socket, asio::buffer(bytes)); }
-    void drop() const { line->socket.close(); }
+    void raw(const std::string& bytes) const { asio::write(connection->socket, asio::buffer(bytes)); }
+    void drop() const { connection->socket.close(); }
   };
 
   explicit Peer(asio::io_context& io)
@@ -84,24 +84,24 @@
   const std::string& address() const { return address_; }
   void refuseConnections() { acceptor_.close(); }
   void dropAll() {
-    for (const auto& line : lines) line->socket.close();
+    for (const auto& connection : connections) connection->socket.close();
   }
   int open() const {
     int count = 0;
-    for (const auto& line : lines) count += line->closed ? 0 : 1;
+    for (const auto& connection : connections) count += connection->closed ? 0 : 1;
     return count;
   }
 
   std::deque<Exchange> requests;
-  std::vector<std::shared_ptr<Line>> lines;
+  std::vector<std::shared_ptr<Connection>> connections;
   std::function<void(Exchange&)> onRequest;
 
  private:
   void accept() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
       if (error) return;
-      lines.push_back(std::make_shared<Line>(std::move(socket)));
-      lines.back()->read(*this);
+      connections.push_back(std::make_shared<Connection>(std::move(socket)));
+      connections.back()->read(*this);
       accept();
     });
   }
@@ -113,20 +113,20 @@
 // A client's connection to the sidecar.
 class Client {
  public:
-  Client(asio::io_context& io, std::uint16_t port) : line_(std::make_shared<Line>(io)) {
-    line_->socket.connect({asio::ip::address_v4::loopback(), port});
-    read(line_);
+  Client(asio::io_context& io, std::uint16_t port) : connection_(std::make_shared<Connection>(io)) {
+    connection_->socket.connect({asio::ip::address_v4::loopback(), port});
+    read(connection_);
   }
 
-  void send(const std::string& bytes) const { asio::write(line_->socket, asio::buffer(bytes)); }
-  void close() const { line_->socket.close(); }
-  std::size_t answers() const { return line_->answers.size(); }
-  const http::response<http::string_body>& answer(std::size_t n) const { return line_->answers.at(n); }
-  bool closed() const { return line_->closed; }
+  void send(const std::string& bytes) const { asio::write(connection_->socket, asio::buffer(bytes)); }
+  void close() const { connection_->socket.close(); }
+  std::size_t answers() const { return connection_->answers.size(); }
+  const http::response<http::string_body>& answer(std::size_t n) const { return connection_->answers.at(n); }
+  bool closed() const { return connection_->closed; }
 
  private:
-  struct Line {
-    explicit Line(asio::io_context& io) : socket(io) {}
+  struct Connection {
+    explicit Connection(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     beast::flat_buffer buffer;
     http::response<http::string_body> message;
@@ -134,24 +134,25 @@
     bool closed = false;
   };
 
-  static void read(const std::shared_ptr<Line>& line) {
-    line->message = {};
-    http::async_read(line->socket, line->buffer, line->message, [line](error_code error, auto) {
-      line->closed = static_cast<bool>(error);
-      if (error) return;
-      line->answers.push_back(line->message);
-      read(line);
-    });
+  static void read(const std::shared_ptr<Connection>& connection) {
+    connection->message = {};
+    http::async_read(connection->socket, connection->buffer, connection->message,
+                     [connection](error_code error, auto) {
+                       connection->closed = static_cast<bool>(error);
+                       if (error) return;
+                       connection->answers.push_back(connection->message);
+                       read(connection);
+                     });
   }
 
-  std::shared_ptr<Line> line_;
+  std::shared_ptr<Connection> connection_;
 };
 
-// A request of the client's, as text.
+// The fields of a client's request; text() serializes them.
 struct Request {
   std::string trace = "00000000000000a1";
   std::string qos = "cambio";
-  std::string path;  // the class's own, if empty
+  std::string path;  // derived from the class if empty
   std::string method = "POST";
   std::string body = "x";
   int expiresInMs = 20000;
@@ -168,13 +169,13 @@
 class SidecarTest : public testing::Test {
  protected:
   SidecarTest() : discovery(io) {
-    // The watch waits for a test; the whole list comes at once.
+    // Requests for the complete list are answered at once; watches are answered by the test.
     discovery.onRequest = [this](Peer::Exchange& call) {
       if (call.message.target() == "/v1/endpoints") call.reply(200, list(generation, true).dump());
     };
   }
 
-  // So many upstreams, listed from the start.
+  // Starts the sidecar with `count` upstreams in its initial endpoint list.
   void start(int count, const json& patch = json::object()) {
     for (int n = 0; n < count; ++n) upstreams.push_back(std::make_unique<Peer>(io));
     states.assign(upstreams.size(), "up");
@@ -217,7 +218,7 @@
     return parseConfig(file.dump());
   }
 
-  json list(int version, bool whole) const {
+  json list(int version, bool isComplete) const {
     json instances = json::array();
     for (std::size_t n = 0; n < upstreams.size(); ++n) {
       instances.push_back({{"instanceId", "s-" + std::to_string(n)},
@@ -228,7 +229,7 @@
                            {"weight", 1.0},
                            {"startedAtMs", 0}});
     }
-    return {{"generation", version}, {"reset", whole}, {"instances", instances}};
+    return {{"generation", version}, {"reset", isComplete}, {"instances", instances}};
   }
 
   bool wait(const std::function<bool()>& condition) { return until(io, condition); }
@@ -248,8 +249,8 @@
     return count;
   }
 
-  // The only upstream that has got something, or the last of them.
-  Peer& busy() const {
+  // The first upstream that has received a request, or the last upstream if none has.
+  Peer& usedUpstream() const {
     for (const auto& upstream : upstreams) {
       if (!upstream->requests.empty()) return *upstream;
     }
