--- a/src/discovery/etcd/api_client.cpp
+++ b/src/discovery/etcd/api_client.cpp
@@ -25,10 +25,11 @@
 
 namespace pb = etcdserverpb;
 
-// Files of the options are looked at for changes at most so often, when calls fail.
+// Minimum interval between two checks of the credential files for changes; the checks are made when calls
+// fail.
 constexpr std::chrono::seconds kFileCheckInterval{1};
 
-// One unary call. gRPC refers to it until its callback.
+// A unary call. gRPC refers to its members until the callback.
 template <class Request, class Response>
 struct Unary {
   grpc::ClientContext context;
@@ -60,7 +61,7 @@
 
  private:
   struct Endpoint {
-    std::shared_ptr<grpc::Channel> channel;  // none: it is made with the stubs when it is needed
+    std::shared_ptr<grpc::Channel> channel;  // none: created together with the stubs at the first use
     std::unique_ptr<pb::KV::Stub> kv;
     std::unique_ptr<pb::Watch::Stub> watch;
     std::unique_ptr<pb::Auth::Stub> auth;
@@ -88,15 +89,15 @@
   std::vector<Endpoint> endpoints_;
   std::string token_;
   bool isAuthenticating_ = false;
-  // For the token: a call of the list, an audit, a stream at the most.
+  // Operations that wait for the token; at most a call of the list, an audit and a stream.
   std::vector<Then> waiting_;
-  // The stream that is open or waits for its token; 0: none.
+  // Id of the stream that is open or waits for its token; 0: none.
   std::uint64_t wanted_ = 0;
-  // Shared with gRPC, which may refer to it for longer.
+  // Shared with gRPC, which may refer to the stream after close().
   std::shared_ptr<WatchStream> stream_;
-  // Of unary calls that are under way, to cancel them. Each is owned by its call.
+  // Contexts of the unary calls in progress, for their cancellation. Each is owned by its call.
   std::unordered_map<const grpc::ClientContext*, std::weak_ptr<grpc::ClientContext>> contexts_;
-  // Shared with calls and streams, which may outlive this object for a moment.
+  // Shared with calls and streams, which may outlive this object for a short time.
   std::shared_ptr<OutstandingCalls> outstanding_ = std::make_shared<OutstandingCalls>();
 };
 
@@ -112,7 +113,7 @@
   return one;
 }
 
-// A member that has lost its leader ends the call instead of keeping it open and silent.
+// With "hasleader", a member without a leader ends the call instead of keeping it open without a response.
 void ApiClient::Impl::prepare(grpc::ClientContext& context) const {
   context.AddMetadata("hasleader", "true");
   if (!token_.empty()) context.AddMetadata("token", token_);
@@ -120,7 +121,7 @@
 
 template <class Call, class Invoke, class Done>
 void ApiClient::Impl::unary(std::shared_ptr<Call> call, Micros timeout, Invoke invoke, Done done) {
-  // By the monotonic clock: the wall clock may step between here and the call.
+  // Uses the monotonic clock: the wall clock may step between here and the call.
   call->context.set_deadline(
       gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC), gpr_time_from_micros(timeout, GPR_TIMESPAN)));
   const std::shared_ptr<grpc::ClientContext> context(call, &call->context);
@@ -178,7 +179,7 @@
 
 // ---- The token --------------------------------------------------------------------------------------------
 
-// Runs `then` with a token at hand, or with why there is none.
+// Calls `then` when a token is available or not needed, or with the status of the failed authentication.
 void ApiClient::Impl::withToken(std::size_t endpoint, Micros timeout, Then then) {
   if (options_.user.empty() || !token_.empty()) return then(grpc::Status::OK);
   waiting_.push_back(std::move(then));
@@ -215,7 +216,7 @@
 void ApiClient::Impl::watch(const WatchCall& call) {
   wanted_ = call.stream;
   withToken(call.endpoint, options_.callTimeout, [this, call](const grpc::Status& ready) {
-    if (wanted_ != call.stream) return;  // closed meanwhile
+    if (wanted_ != call.stream) return;  // closed while it waited for the token
     if (!ready.ok()) {
       wanted_ = 0;
       return callbacks_.onWatchEnd({call.stream, toStatusCode(ready), ready.error_message()});
@@ -242,7 +243,7 @@
 void ApiClient::Impl::onStreamResponse(WatchResult result) {
   if (!stream_ || stream_->id() != result.stream) return;
   const std::shared_ptr<WatchStream> stream = stream_;
-  // A token that has run out: the next stream asks for a new one.
+  // The cancellation may be due to an expired token: the next stream requests a new one.
   if (result.isCanceled) token_.clear();
   callbacks_.onWatchResult(std::move(result));
   if (stream_ == stream) stream->readNext();
@@ -258,7 +259,8 @@
 
 // ---- Failures and the end ---------------------------------------------------------------------------------
 
-// Guards against a connection that is open and silent: gRPC would keep it until a ping is not answered.
+// Discards the channel after a timeout: gRPC would keep an open connection that no longer responds until a
+// keepalive ping fails.
 void ApiClient::Impl::onFailure(const grpc::Status& status, std::size_t endpoint) {
   if (status.error_code() == grpc::StatusCode::DEADLINE_EXCEEDED) endpoints_.at(endpoint).channel.reset();
   if (status.error_code() == grpc::StatusCode::UNAUTHENTICATED) token_.clear();
@@ -268,7 +270,7 @@
   reloadCredentials();
 }
 
-// Guards against certificates and passwords that were replaced while the client held on to the old ones.
+// Reads certificates and passwords again, which may have been replaced on disk since they were read.
 void ApiClient::Impl::reloadCredentials() {
   try {
     Credentials credentials = readCredentials(options_);
--- a/src/discovery/etcd/api_client.h
+++ b/src/discovery/etcd/api_client.h
@@ -13,42 +13,42 @@
 
 namespace ivypost::discovery::etcd {
 
-/// Carries a watcher's calls out over gRPC. gRPC's threads only fill messages; what came is posted to the
-/// event loop, whose thread alone calls this class and is called by it.
+/// Executes a PrefixWatcher's calls over gRPC. gRPC's threads only fill messages; results are posted to the
+/// event loop, whose thread alone calls this class and is the only one to receive its callbacks.
 class ApiClient {
  public:
-  /// Whom the client notifies.
+  /// Receivers of results.
   struct Callbacks {
     std::function<void(RangeResult)> onRange;        ///< once for each range()
-    std::function<void(WatchResult)> onWatchResult;  ///< the next is read when it has returned
-    std::function<void(WatchEnd)> onWatchEnd;        ///< once for each watch() that close() does not end
-    discovery::Log log;                              ///< files that were read anew, or can't be
+    std::function<void(WatchResult)> onWatchResult;  ///< the next response is read after it returns
+    std::function<void(WatchEnd)> onWatchEnd;  ///< once for each watch(), unless close() ended the stream
+    discovery::Log log;  ///< reports credential files that were read again or could not be read
   };
 
-  /// Throws settings::FormatError, one line, for a file of the options that can't be read or is empty. `io`
-  /// has to outlive this object.
+  /// Throws settings::FormatError, with a one-line message, if a file named by the options can't be read or
+  /// is empty. `io` must outlive this object.
   ApiClient(boost::asio::io_context& io, const Options& options, Callbacks callbacks);
   ApiClient(const ApiClient&) = delete;
   ApiClient& operator=(const ApiClient&) = delete;
   ApiClient(ApiClient&&) = delete;
   ApiClient& operator=(ApiClient&&) = delete;
-  /// Ends all calls, and blocks for the few milliseconds until gRPC has let go of them. Nobody is notified
-  /// any more.
+  /// Cancels all calls, and blocks for the few milliseconds until gRPC refers to none of them. No callback
+  /// is called afterwards.
   ~ApiClient();
 
-  /// Answered within its timeout and a little more. Where a user is set, the token is asked for first, and
-  /// once more when the server does not take it any longer.
+  /// Sends a Range call. Its result arrives within the call's timeout, plus the time for a token: if a user
+  /// is set, a token is requested first, and once again if the server rejects it.
   void range(const RangeCall& call);
-  /// Opens a stream; the one before has to have ended.
+  /// Opens a stream; the previous stream must have ended.
   void watch(const WatchCall& call);
-  /// Asks for progress on this stream. Nothing if it is not the open one.
+  /// Requests a progress notification on this stream. No effect if it is not the open stream.
   void requestProgress(std::uint64_t stream);
-  /// Ends this stream. Nothing if it is not the open one.
+  /// Closes this stream. No effect if it is not the open stream.
   void close(std::uint64_t stream);
 
  private:
   class Impl;
-  // Shared with calls that are under way, which hold it weakly.
+  // Calls in progress refer to it by weak pointers.
   std::shared_ptr<Impl> impl_;
 };
 
--- a/src/discovery/etcd/api_conversion.h
+++ b/src/discovery/etcd/api_conversion.h
@@ -7,15 +7,15 @@
 
 namespace ivypost::discovery::etcd {
 
-// Between the watcher's actions and inputs and the messages of etcd's v3 API. No I/O.
+// Conversions between the watcher's actions and inputs and the messages of etcd's v3 API. No I/O.
 
-/// The request of a Range call.
+/// Builds the request of a Range call.
 [[nodiscard]] etcdserverpb::RangeRequest toRequest(const RangeCall& range);
-/// The first request on a stream, which creates its watch.
+/// Builds the first request on a stream, which creates its watch.
 [[nodiscard]] etcdserverpb::WatchRequest toRequest(const WatchCall& watch);
-/// The id of the call is left to the caller.
+/// Converts a response; the caller sets the id of the call.
 [[nodiscard]] RangeResult toRangeResult(const etcdserverpb::RangeResponse& response);
-/// The id of the stream is left to the caller.
+/// Converts a response; the caller sets the id of the stream.
 [[nodiscard]] WatchResult toWatchResult(const etcdserverpb::WatchResponse& response);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/channel.cpp
+++ b/src/discovery/etcd/channel.cpp
@@ -8,19 +8,19 @@
 namespace ivypost::discovery::etcd {
 namespace {
 
-// A response may hold a page of the list, or the largest transaction that etcd takes by default (1.5 MiB)
-// once for each watch.
+// In bytes. A response may hold a page of the list, or the largest transaction that etcd accepts by default
+// (1.5 MiB) once for each watch.
 constexpr int kMaxMessage = 16 * 1024 * 1024;
-// A connection is asked for a sign of life so often while a stream is open on it; etcd's servers take pings
-// every 5 s or more seldom.
+// Keepalive pings on a connection with an open stream; etcd's servers accept pings that are at least 5 s
+// apart.
 constexpr int kPingIntervalMs = 10'000;
 constexpr int kPingTimeoutMs = 2'000;
-// gRPC's own waits between two connects of one channel. The watcher decides when something is tried, so these
-// only bound what it can't see.
+// gRPC's own backoff between two connection attempts of a channel. The watcher decides when a call is
+// retried, so these only bound the attempts that the watcher can't see.
 constexpr int kReconnectMs = 100;
 constexpr int kMaxReconnectMs = 1'000;
 
-// In gRPC's form, which says how the name is resolved.
+// The target in gRPC's URI form, whose scheme selects the resolver.
 std::string uriOf(const Target& target) {
   const bool isV6 = !target.isName && target.host.find(':') != std::string::npos;
   const std::string host = isV6 ? "[" + target.host + "]" : target.host;
--- a/src/discovery/etcd/channel.h
+++ b/src/discovery/etcd/channel.h
@@ -12,8 +12,8 @@
 
 namespace ivypost::discovery::etcd {
 
-/// A gRPC channel of its own to one of the options' endpoints, plain or TLS. Does not connect yet. `endpoint`
-/// has to be one that parseTarget() reads.
+/// Creates a gRPC channel, plain or TLS, to one of the options' endpoints. The channel shares no connection
+/// with others and does not connect yet. `endpoint` must be valid for parseTarget().
 [[nodiscard]] std::shared_ptr<grpc::Channel> makeChannel(const Options& options, const std::string& endpoint,
                                                          const Credentials& credentials);
 
--- a/src/discovery/etcd/contradiction.cpp
+++ b/src/discovery/etcd/contradiction.cpp
@@ -4,8 +4,8 @@
 namespace ivypost::discovery::etcd {
 namespace {
 
-// Lists in a row that have to say the same. An empty one is asked for again at once, so that nodes that have
-// really gone get no requests for longer than they may.
+// Number of consecutive lists that must agree. An empty list needs fewer, so that nodes which really were
+// removed stop getting requests within the time limit.
 constexpr int kEmptyLists = 2;
 constexpr int kOtherHistoryLists = 3;
 
--- a/src/discovery/etcd/contradiction.h
+++ b/src/discovery/etcd/contradiction.h
@@ -11,31 +11,33 @@
 
 namespace ivypost::discovery::etcd {
 
-/// Counts the lists that contradict what is known, and decides when one has to be believed. No I/O and no
-/// clock.
+/// Counts consecutive lists that contradict the known state, and decides when such a list is accepted. No
+/// I/O and no clock.
 ///
-/// Invariant: a list without a key is believed when it was received twice in a row, one of an older revision
-/// or another cluster when it was received three times in a row and from a majority of the endpoints: one may
-/// be a member that lags, or may belong to another cluster. One that hears nothing believes nothing.
+/// Invariant: a list without keys is accepted when it was received twice in a row; a list of an older
+/// revision or of another cluster is accepted when it was received three times in a row and from a majority
+/// of the endpoints, since a single endpoint may be a member that lags or may belong to another cluster.
+/// Without further lists nothing is accepted.
 class Contradiction {
  public:
-  /// What a list says that can't be, by what is known.
+  /// How a list contradicts the known state.
   enum class Kind : std::uint8_t {
-    Empty,         ///< there is no key, and there were some, or nothing is known yet
-    Older,         ///< its revision is below the known one
-    OtherCluster,  ///< it is another cluster's
+    Empty,         ///< it has no keys, although keys were known or no list has been received yet
+    Older,         ///< its revision is below the known revision
+    OtherCluster,  ///< it has another cluster's id
   };
-  /// What came of a list.
+  /// Result of add().
   struct Outcome {
-    bool isNew = false;      ///< it does not continue the contradiction that was there
-    bool isSettled = false;  ///< it has to be believed
+    bool isNew = false;      ///< the list does not continue the contradiction of the lists before it
+    bool isSettled = false;  ///< the list is to be accepted
   };
 
-  /// Whether a list has contradicted and none has settled it yet.
+  /// Whether a list has contradicted the known state, and none has been accepted since.
   [[nodiscard]] bool isOpen() const { return open_.has_value(); }
-  /// A list that contradicts. `endpoint`: the index of who gave it, below `endpoints`.
+  /// Records a list that contradicts the known state. `endpoint` is the index of the endpoint that returned
+  /// the list, less than `endpoints`, the number of endpoints.
   [[nodiscard]] Outcome add(Kind kind, const Header& header, std::size_t endpoint, std::size_t endpoints);
-  /// A list has come that is believed.
+  /// Forgets the contradiction, after a list has been accepted.
   void clear() { open_.reset(); }
 
  private:
@@ -51,7 +53,7 @@
   std::optional<Open> open_;
 };
 
-/// As the log names it: "no key at all", "an older revision than is known", "another cluster's keys".
+/// Wording for the log: "no key at all", "an older revision than is known", "another cluster's keys".
 [[nodiscard]] const char* describe(Contradiction::Kind kind);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/credentials.cpp
+++ b/src/discovery/etcd/credentials.cpp
@@ -9,7 +9,7 @@
 namespace ivypost::discovery::etcd {
 namespace {
 
-// `key`: of the options, for the message.
+// `key` is the name of the setting, for the message.
 std::string readFile(const std::string& path, const char* key) {
   if (path.empty()) return "";
   std::ifstream file(path, std::ios::binary);
--- a/src/discovery/etcd/credentials.h
+++ b/src/discovery/etcd/credentials.h
@@ -8,18 +8,19 @@
 
 namespace ivypost::discovery::etcd {
 
-/// The contents of the files that Options names; empty where it names none.
+/// The contents of the files that Options names; a member is empty if Options names no file for it.
 struct Credentials {
   std::string ca;           ///< PEM
   std::string certificate;  ///< PEM
   std::string key;          ///< PEM
-  std::string password;     ///< without line ends behind it
+  std::string password;     ///< without trailing line ends
 
   /// Whether all members are the same.
   bool operator==(const Credentials&) const = default;
 };
 
-/// Reads the files. Throws settings::FormatError, one line, for one that can't be read or is empty.
+/// Reads the files. Throws settings::FormatError, with a one-line message, for a file that can't be read or
+/// is empty.
 [[nodiscard]] Credentials readCredentials(const Options& options);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/etcd_source.h
+++ b/src/discovery/etcd/etcd_source.h
@@ -14,12 +14,13 @@
 
 namespace ivypost::discovery::etcd {
 
-/// etcd as a source of endpoint lists: the watcher decides, its client and its timer carry out.
+/// A source of endpoint lists that uses etcd: PrefixWatcher makes the decisions, ApiClient and a timer
+/// execute them.
 class EtcdSource final : public discovery::Source {
  public:
-  /// `seed`: of the waits and of the first endpoint. `log` gets one line at a time. `io` must outlive this
-  /// object. Throws settings::FormatError, one line, for options with a flaw (flawOf()) or files that can't
-  /// be read.
+  /// `seed` seeds the random waits and the choice of the first endpoint. `log` is called with one line at a
+  /// time. `io` must outlive this object. Throws settings::FormatError, with a one-line message, for
+  /// invalid options (flawOf()) or files that can't be read.
   EtcdSource(boost::asio::io_context& io, const Options& options, std::uint64_t seed, Callbacks callbacks,
              discovery::Log log);
 
@@ -42,14 +43,14 @@
   discovery::Log log_;
   boost::asio::steady_timer timer_;
   PrefixWatcher watcher_;
-  // What came while an action was done: it is the watcher's turn when all of them are.
+  // Inputs that arrived while actions were executed; the watcher handles them after all of those actions.
   std::deque<Input> inputs_;
   bool isHandling_ = false;
   bool hasPublished_ = false;
-  Micros currentUntil_ = 0;  // the list that was published last
-  // A timer's handler may be on its way already when this object ends; it holds a weak pointer to this.
+  Micros currentUntil_ = 0;  // until then the last published list is known to have been current
+  // A timer's handler may already be queued when this object is destroyed; it holds a weak pointer to this.
   std::shared_ptr<int> lifetime_ = std::make_shared<int>();
-  ApiClient client_;  // the last: its end waits for its calls
+  ApiClient client_;  // declared last, so destroyed first: its destructor waits for its calls
 };
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/grpc_status.h
+++ b/src/discovery/etcd/grpc_status.h
@@ -8,7 +8,7 @@
 
 namespace ivypost::discovery::etcd {
 
-/// The status as the watcher tells them apart.
+/// Maps a gRPC status to the codes that the watcher distinguishes.
 [[nodiscard]] StatusCode toStatusCode(const grpc::Status& status);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/instance_entry.h
+++ b/src/discovery/etcd/instance_entry.h
@@ -11,22 +11,23 @@
 
 namespace ivypost::discovery::etcd {
 
-// The form of keys and values: <prefix>/<service>/<instanceId> holds the JSON of an instance, as the
-// platform's discovery has it. The id is the key's; a value that names one has to name the same.
+// Format of keys and values: the key <prefix>/<service>/<instanceId> holds the JSON of an instance, in the
+// format of the platform's discovery. The key determines the id; an `instanceId` in the value must be equal
+// to it.
 
-/// Of an id, in bytes. A key with a longer one names no instance.
+/// Maximum size of an id in bytes. A key with a longer id names no instance.
 constexpr std::size_t kMaxId = 256;
-/// Of a value, in bytes. A longer one names no instance.
+/// Maximum size of a value in bytes. A longer value is rejected.
 constexpr std::size_t kMaxValue = 64UL * 1024;
 
-/// The id that a key names. None: the key has not this prefix, or what follows is no id (empty, with a '/',
-/// with control characters, over kMaxId).
+/// Returns the instance id that a key names. None if the key does not begin with this prefix, or if the
+/// rest is not a valid id (empty, with a '/', with control characters, longer than kMaxId).
 [[nodiscard]] std::optional<std::string> instanceIdOf(std::string_view prefix, std::string_view key);
 
-/// Reads the value of the key that names `id`.
+/// Parses the value of the key that names `id`.
 ///
-/// Throws settings::FormatError with one line for a value that is no JSON, too long, or no instance (also one
-/// whose lifecycle is "removed": an instance that has gone is a key that has gone).
+/// Throws settings::FormatError, with a one-line message, for a value that is not JSON, is too long, or is
+/// not an instance. The lifecycle "removed" is also rejected: an instance is removed by deleting its key.
 [[nodiscard]] discovery::Instance parseInstance(std::string_view id, std::string_view value);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/messages.h
+++ b/src/discovery/etcd/messages.h
@@ -8,56 +8,58 @@
 
 namespace ivypost::discovery::etcd {
 
-// What etcd says, with no more of gRPC than the names: the types are those of the messages of etcdserverpb
-// and mvccpb in its v3 API, as far as they are used.
+// The messages of etcdserverpb and mvccpb in etcd's v3 API, as far as they are used, as types that do not
+// depend on gRPC. The names are the API's.
 
-/// A version of the whole store, from 1 up; 0: none.
+/// A revision of the whole store, from 1 up; 0: none.
 using Revision = std::int64_t;
 
-/// A key as the store has it.
+/// A key and its value and metadata in the store.
 struct KeyValue {
-  std::string key;              ///< bytes; no encoding
-  std::string value;            ///< likewise
-  Revision createRevision = 0;  ///< at which the key came to be
-  Revision modRevision = 0;     ///< at which it was changed last
-  std::int64_t version = 0;     ///< changes since it came to be, from 1 up
-  std::int64_t lease = 0;       ///< the id of the lease that it ends with; 0: none
+  std::string key;              ///< arbitrary bytes, without an encoding
+  std::string value;            ///< arbitrary bytes
+  Revision createRevision = 0;  ///< revision at which the key was created
+  Revision modRevision = 0;     ///< revision of the last change of the key
+  std::int64_t version = 0;     ///< number of changes since the key was created, from 1 up
+  std::int64_t lease = 0;       ///< id of the lease that the key is attached to; 0: none
 };
 
-/// A change of one key.
+/// A change of a key.
 struct Event {
   /// What has changed.
   enum class Type : std::uint8_t {
-    Put,     ///< the key has this value now
-    Delete,  ///< it has gone, by hand or with its lease
+    Put,     ///< the key was created or its value was replaced
+    Delete,  ///< the key was deleted, by a client or at the end of its lease
   };
   Type type = Type::Put;  ///< what has changed
-  KeyValue kv;            ///< of a delete: only `key` and `modRevision`
+  KeyValue kv;            ///< for a deletion only `key` and `modRevision` are set
 };
 
-/// Who answers, and from which state of the store.
+/// The header of a response: which member answered, and at which revision of the store.
 struct Header {
-  std::uint64_t cluster = 0;  ///< the cluster's id, made anew by a restore
+  std::uint64_t cluster = 0;  ///< replaced by a restore
   std::uint64_t member = 0;   ///< the member's id
-  Revision revision = 0;      ///< the store's when it answered
+  Revision revision = 0;      ///< revision of the store when the member answered
 };
 
-/// How a call or a stream ended, as far as it makes a difference.
+/// Result of a call or stream, as far as the watcher distinguishes results.
 enum class StatusCode : std::uint8_t {
-  Ok,               ///< with a response
+  Ok,               ///< a response was received
   Unavailable,      ///< no connection, no leader, or the stream was cut
-  Timeout,          ///< no answer within the call's deadline
-  Compacted,        ///< the revision asked for is no longer kept
-  FutureRevision,   ///< ... or not there yet: this member's store is another or an older one
-  Unauthenticated,  ///< also after the token was renewed
+  Timeout,          ///< no response within the call's deadline
+  Compacted,        ///< the requested revision has been compacted
+  FutureRevision,   ///< the requested revision is beyond the member's store, which lags behind or belongs to
+                    ///< another cluster
+  Unauthenticated,  ///< also with a renewed token
   Denied,           ///< the user may not read the prefix
-  Other,            ///< anything else
+  Other,            ///< any other error
 };
-/// A few words for the log.
+/// A short description for the log.
 [[nodiscard]] const char* nameOf(StatusCode code);
 
-/// The end of the range that holds all keys with this prefix: the prefix with its last byte raised by one;
-/// "\0", all keys from the prefix on, where it has no byte that can be raised.
+/// Returns the end of the range of all keys with this prefix: the prefix with its last byte incremented,
+/// after trailing 0xff bytes are removed. If no byte is left, the result is "\0", which means all keys from
+/// the start of the range on.
 [[nodiscard]] std::string prefixEnd(std::string prefix);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/options.cpp
+++ b/src/discovery/etcd/options.cpp
@@ -11,8 +11,9 @@
 
 using Flaw = std::optional<std::string>;
 
-constexpr std::size_t kMaxName = 253;  // of a host, RFC 1035 section 2.3.4
-// Between two audits a call may take so many times as long, at the most: it would be out nearly always.
+constexpr std::size_t kMaxName = 253;  // bytes of a host name, RFC 1035 section 2.3.4
+// Limit for call_timeout as a multiple of the audit interval: with a longer timeout an audit could be in
+// progress nearly all the time.
 constexpr int kMaxTimeoutsPerAudit = 10;
 
 bool isHostNameByte(char one) {
@@ -25,7 +26,7 @@
          name.front() != '-' && name.front() != '.';
 }
 
-// Takes "http://" or "https://" off; whether it was the second.
+// Removes "http://" or "https://" from the start. Returns whether the scheme was https.
 bool takeScheme(std::string_view& rest) {
   constexpr std::string_view kPlain = "http://";
   constexpr std::string_view kTls = "https://";
@@ -38,7 +39,7 @@
   return takes(kTls);
 }
 
-// 0: no port.
+// Returns 0 if `digits` is not a valid port.
 std::uint16_t parsePort(std::string_view digits) {
   std::uint16_t port = 0;
   const char* const last = std::to_address(digits.end());
@@ -106,7 +107,7 @@
 }
 
 std::optional<std::string> flawOf(const Options& options) {
-  // Each relies on those before it.
+  // The order matters: each check relies on the checks before it.
   for (const auto& check : {flawOfEndpoints, flawOfKeys, flawOfCredentials, flawOfTimes}) {
     if (auto flaw = check(options)) return flaw;
   }
--- a/src/discovery/etcd/options.h
+++ b/src/discovery/etcd/options.h
@@ -11,82 +11,86 @@
 
 namespace ivypost::discovery::etcd {
 
-/// What operators set for discovery by etcd. Reading it needs no part of gRPC.
+/// Operators' settings for discovery by etcd. Does not depend on gRPC.
 struct Options {
-  /// A span in microseconds.
+  /// A time span in microseconds.
   using Micros = std::int64_t;
 
-  /// With the audit's interval, so that a removal that a stalled member hides is noticed within the two
+  /// Together with the audit interval, lets a removal that a stalled member hides be noticed within the two
   /// seconds of docs/design/etcd.md.
   static constexpr Micros kDefaultCallTimeout = 400'000;
-  /// Likewise.
+  /// Chosen together with kDefaultCallTimeout, for the same limit.
   static constexpr Micros kDefaultAudit = 600'000;
-  /// A first try elsewhere is due soon.
+  /// Short, since the first retry goes to another endpoint.
   static constexpr Micros kDefaultBackoff = 100'000;
-  /// How late a list may come when etcd is back after a long time.
+  /// Bounds the delay until the list is fetched when etcd recovers from a long outage.
   static constexpr Micros kDefaultMaxBackoff = 5'000'000;
-  /// Of 166 bytes each (docs/CAPACITY.md), 166 KB a response.
+  /// Entries have 166 bytes each (docs/CAPACITY.md), so a response has 166 KB.
   static constexpr std::int64_t kDefaultPage = 1000;
-  /// Twice the nodes that the design was tried with.
+  /// Twice the number of nodes that the design was tested with.
   static constexpr std::int64_t kDefaultMaxKeys = 20'000;
 
-  /// "http://10.0.0.4:2379" or "https://...": addresses, and names only where `names` says so. One to
-  /// kMaxEndpoints.
+  /// URLs of the form "http://10.0.0.4:2379" or "https://...", with an IP address; a host name is accepted
+  /// only if `names` is set. One to kMaxEndpoints.
   std::vector<std::string> endpoints;
-  /// The platform can look names up.
+  /// Whether the platform can resolve host names.
   bool names = false;
-  /// The keys are `prefix`/`service`/instanceId. Begins with '/', and does not end with one.
+  /// The keys are `prefix`/`service`/instanceId. Begins with '/' and does not end with '/'.
   std::string prefix = "/ivypost";
-  /// Without '/'.
+  /// Not empty, without '/'.
   std::string service = "nodes";
-  /// Empty: no authentication.
+  /// User name; empty: no authentication.
   std::string user;
-  /// Path of a file with the user's password, line ends behind it aside; set if and only if `user` is.
+  /// Path of a file with the user's password, whose trailing line ends are ignored; set if and only if
+  /// `user` is.
   std::string passwordFile;
-  /// Path of a PEM file with the authorities that servers' certificates are checked by; empty: the system's.
+  /// Path of a PEM file with the certificate authorities that servers are verified against; empty: the
+  /// system's authorities.
   std::string ca;
-  /// Path of a PEM file with a certificate of the sidecar's own; empty: none.
+  /// Path of a PEM file with the sidecar's client certificate; empty: none.
   std::string certificate;
-  /// Path of a PEM file with its key; set if and only if `certificate` is.
+  /// Path of a PEM file with the private key of `certificate`; set if and only if `certificate` is.
   std::string key;
-  /// That the servers' certificates carry; empty: the endpoint's own.
+  /// Name expected in the servers' certificates; empty: the endpoint's host.
   std::string serverName;
 
-  /// Of one call, also of the stream's opening.
+  /// Timeout of a call and of opening a watch stream.
   Micros callTimeout = kDefaultCallTimeout;
-  /// Between two audits of whether the watch has withheld something.
+  /// Interval between two audits, which check whether the watch has withheld events.
   Micros audit = kDefaultAudit;
-  /// Before the first try after a failure, at the most; then decorrelated ...
+  /// Maximum of the random wait before the first retry after a failure; further retries use decorrelated
+  /// jitter ...
   Micros backoff = kDefaultBackoff;
-  /// ... up to this, no less than `backoff`.
+  /// ... up to this maximum, which must not be less than `backoff`.
   Micros maxBackoff = kDefaultMaxBackoff;
-  /// The servers answer progress requests (3.4 and later).
+  /// Whether the servers answer watch progress requests (etcd 3.4 and later).
   bool progress = true;
-  /// Keys of one call for the list.
+  /// Maximum number of keys in one response to a Range call for the list.
   std::int64_t page = kDefaultPage;
-  /// A list of more is not taken.
+  /// Maximum number of keys in a list; a longer list is rejected.
   std::int64_t maxKeys = kDefaultMaxKeys;
 
-  /// What all keys of the service begin with.
+  /// The prefix of all keys of the service, with a trailing '/'.
   [[nodiscard]] std::string keyPrefix() const { return prefix + "/" + service + "/"; }
   /// Whether all members are the same.
   bool operator==(const Options&) const = default;
 };
 
-/// Of Options::endpoints.
+/// Maximum number of entries in Options::endpoints.
 constexpr std::size_t kMaxEndpoints = 16;
 
-/// An endpoint's parts.
+/// The parts of an endpoint's URL.
 struct Target {
   bool tls = false;        ///< "https://"
-  std::string host;        ///< an address without brackets, or a name
+  std::string host;        ///< an IP address without brackets, or a host name
   std::uint16_t port = 0;  ///< not 0
   bool isName = false;     ///< `host` is a name
 };
-/// Reads one of Options::endpoints; "http://" may be left out. None: it has not that form.
+/// Parses an entry of Options::endpoints; "http://" is optional. None: the text does not have that form.
 [[nodiscard]] std::optional<Target> parseTarget(std::string_view endpoint);
 
-/// What can't be meant, in one line that begins with the key's name, for operators. None: it can be used.
+/// Validates the options. Returns a one-line message for operators that begins with the name of the invalid
+/// setting; none if the options are valid.
 [[nodiscard]] std::optional<std::string> flawOf(const Options& options);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/outstanding_calls.h
+++ b/src/discovery/etcd/outstanding_calls.h
@@ -8,21 +8,21 @@
 
 namespace ivypost::discovery::etcd {
 
-/// Counts what is under way at gRPC, so that whoever ends the client can wait until there is none. Any thread
-/// may call it.
+/// Counts the calls and streams that gRPC still refers to, so that the client's destructor can wait until
+/// there are none. Thread-safe.
 class OutstandingCalls {
  public:
-  /// A call or stream begins.
+  /// Records the start of a call or stream.
   void begin() {
     const std::lock_guard lock(mutex_);
     ++count_;
   }
-  /// One that began has ended: gRPC refers to nothing of it.
+  /// Records the end of a call or stream: gRPC no longer refers to its objects.
   void end() {
     const std::lock_guard lock(mutex_);
     if (--count_ == 0) none_.notify_all();
   }
-  /// Blocks until all have ended.
+  /// Blocks until all calls and streams have ended.
   void wait() {
     std::unique_lock lock(mutex_);
     none_.wait(lock, [this] { return count_ == 0; });
