--- a/src/discovery/etcd/key_mirror.cpp
+++ b/src/discovery/etcd/key_mirror.cpp
@@ -108,7 +108,7 @@
   changed.insert_or_assign(std::move(id), *std::move(after));
 }
 
-// What the key names now.
+// Stores the key's new value and returns the instance that the key names now.
 std::optional<Instance> KeyMirror::put(const KeyValue& kv) {
   Held& held = held_[kv.key];
   decode(kv, held);
@@ -118,8 +118,8 @@
   return held.instance;
 }
 
-// A value that names no instance leaves the entry as it was, unless its key is a new one: what the old one
-// named has gone.
+// Decodes the value into held.instance. If the value is not a valid instance, the previous instance stays,
+// unless the key was deleted and created again: then the previous instance has been removed.
 void KeyMirror::decode(const KeyValue& kv, Held& held) {
   if (held.created != kv.createRevision) held.instance.reset();
   try {
--- a/src/discovery/etcd/key_mirror.h
+++ b/src/discovery/etcd/key_mirror.h
@@ -16,71 +16,76 @@
 
 namespace ivypost::discovery::etcd {
 
-/// The keys of one prefix as lists and events have them, and the instances that their values name. No I/O and
-/// no clock.
+/// A copy of the keys of one prefix, built from lists and watch events, with the instances that their
+/// values name. No I/O and no clock.
 ///
-/// Invariant: it holds the prefix as the store had it at revision(), every key, also those whose value names
-/// no instance, since audits count them. It is changed by what was received alone; a mirror that receives
-/// nothing stays as it is.
+/// Invariant: the mirror holds every key of the prefix at revision() of the store, including keys whose
+/// value is not a valid instance, since audits count them. It changes only by received lists and events; a
+/// mirror that receives nothing stays unchanged.
 class KeyMirror {
  public:
-  /// What proves that two states of the prefix are the same: if no key of the store's later state has changed
-  /// since a revision and there are as many, the two are equal, since a key that was not changed was there.
+  /// Summary of a state of the prefix, by which two states are compared. If no key of the later state has
+  /// been modified since the earlier revision, each of its keys was also in the earlier state; if the
+  /// counts are equal too, the states are equal.
   struct State {
-    Revision revision = 0;   ///< of the store
-    std::int64_t count = 0;  ///< of the keys
-    Revision newest = 0;     ///< the highest modRevision among them; 0: there is no key
+    Revision revision = 0;   ///< revision of the store
+    std::int64_t count = 0;  ///< number of keys
+    Revision newest = 0;     ///< the highest modRevision of the keys; 0: there are no keys
   };
-  /// What came of a response's events.
+  /// Result of applying the events of a response.
   struct Changes {
-    bool isOutOfOrder = false;     ///< the revisions went back: the mirror can't be trusted until replace()
-    bool isNew = false;            ///< at least one event was beyond revision()
-    std::uint64_t duplicates = 0;  ///< events that were applied before
-    std::vector<Instance> instances;  ///< that have changed, by id; those that were removed are Gone
+    bool isOutOfOrder =
+        false;           ///< the events' revisions decrease: the mirror is not reliable until replace()
+    bool isNew = false;  ///< at least one event had a revision after revision()
+    std::uint64_t duplicates = 0;  ///< number of events that had been applied before
+    std::vector<Instance>
+        instances;  ///< the changed instances, ordered by id; removed instances have the state Gone
   };
-  /// Of a state of the store and the mirror's at the same revision.
+  /// Result of comparing a state of the store with the mirror's state at the same revision.
   enum class Comparison : std::uint8_t {
-    Equal,      ///< nothing is missing
-    Different,  ///< changes are missing, or have not come yet
-    Unknown,    ///< more changes since than are remembered: it proves nothing either way
+    Equal,      ///< the mirror has missed no change
+    Different,  ///< the mirror has missed changes, or has not received them yet
+    Unknown,    ///< the revision is older than the history kept: the comparison proves nothing
   };
-  /// Takes one line on a key or value that is left out.
+  /// Takes a one-line message about a key or value that is ignored.
   using Report = std::function<void(std::string)>;
 
-  /// States that are remembered; the oldest is forgotten beyond it.
+  /// Maximum number of states in the history; the oldest state is dropped beyond it.
   static constexpr std::size_t kMaxHistory = 4096;
 
-  /// `prefix`: of the keys, up to the instance's id.
+  /// `prefix` is the part of the keys before the instance id. `report` is called for invalid keys and
+  /// values.
   KeyMirror(std::string prefix, Report report);
 
-  /// Whether there was a list.
+  /// Whether a list has been received.
   [[nodiscard]] bool hasList() const { return hasList_; }
-  /// Whether no key is held.
+  /// Whether the mirror holds no keys.
   [[nodiscard]] bool isEmpty() const { return held_.empty(); }
-  /// The id of the cluster whose keys are held.
+  /// The id of the cluster that the keys come from.
   [[nodiscard]] std::uint64_t cluster() const { return cluster_; }
-  /// All changes up to it are held; 0: there was no list.
+  /// The mirror holds all changes up to this revision; 0: no list has been received.
   [[nodiscard]] Revision revision() const { return revision_; }
-  /// All that keys name, in the keys' order.
+  /// The instances that the keys name, ordered by key.
   [[nodiscard]] std::vector<Instance> instances() const;
 
-  /// Takes a complete list. A value that names no instance leaves what its key named before, unless the key
-  /// is a new one.
+  /// Replaces the keys by a complete list. If a value is not a valid instance, the previous instance of its
+  /// key stays, unless the key was deleted and created again.
   void replace(const Header& header, const std::vector<KeyValue>& keys);
-  /// Forgets what keys named, ahead of the replace() by another history: its revisions mean other changes.
+  /// Forgets all keys and instances, before replace() by another history, whose revisions stand for other
+  /// changes.
   void forgetInstances() { held_.clear(); }
-  /// Applies a response's events. Likewise for values that name no instance.
+  /// Applies the events of a response. Values that are not valid instances are handled as in replace().
   [[nodiscard]] Changes apply(const std::vector<Event>& events);
-  /// Compares the state that was held at the revision of `store`.
+  /// Compares `store` with the mirror's state at the revision of `store`.
   [[nodiscard]] Comparison compare(const State& store) const;
-  /// No event is missing up to this revision, which has to be beyond revision().
+  /// Records that no event up to this revision is missing. `revision` must be greater than revision().
   void advanceTo(Revision revision);
 
  private:
   struct Held {
     Revision created = 0;
     Revision modified = 0;
-    std::optional<Instance> instance;  // none: its value names none
+    std::optional<Instance> instance;  // none: the value is not a valid instance
   };
   using InstancesById = std::map<std::string, Instance>;
 
@@ -96,11 +101,12 @@
   Revision revision_ = 0;
   std::map<std::string, Held> held_;  // by key
   std::multiset<Revision> modified_;  // of held_
-  std::deque<State> history_;         // the last is now; never empty when there is a list
+  std::deque<State>
+      history_;  // ordered by revision, the last is the current state; not empty once there is a list
 };
 
-/// A key or a text from outside, fit for one line of the log: cut after 120 bytes, without control
-/// characters.
+/// Makes a key or a received text safe for one line of the log: truncates it to 120 bytes and replaces
+/// control characters.
 [[nodiscard]] std::string printable(std::string text);
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/prefix_watcher.cpp
+++ b/src/discovery/etcd/prefix_watcher.cpp
@@ -7,15 +7,16 @@
 namespace ivypost::discovery::etcd {
 namespace {
 
-// An audit that has changes which the watch has not brought waits so long for them: the two come over
-// different streams, in any order.
+// If an audit finds changes that the watch has not delivered, the watcher waits this long for them: the two
+// responses come over different streams, in any order.
 constexpr Micros kAuditGrace = 300'000;
-// Between two lists that contradict what is known, on average.
+// Average wait between two requests for a list while the lists contradict the known state.
 constexpr Micros kContradictionPause = 150'000;
-// A list that could not be proved for so long is logged; the time in which a removed node must have stopped
-// getting requests.
+// A list that has not been verified by an audit for longer than this is reported in the log. A removed node
+// must have stopped getting requests within the same time.
 constexpr Micros kStale = 2'000'000;
-// The same fault is logged so often, and so many lines on values that name no instance at a time.
+// Limits for the log: the interval at which the same fault is repeated, and the number of lines about
+// invalid values for one input.
 constexpr Micros kFaultLogInterval = 10'000'000;
 constexpr int kMaxBadValueLines = 5;
 constexpr Micros kMicrosPerMilli = 1000;
@@ -80,7 +81,7 @@
 
 void PrefixWatcher::on(const Start& /*start*/) {
   if (phase_ != Phase::Idle) return;
-  // All sidecars may start together.
+  // The random wait spreads the calls of sidecars that start together.
   wait(randomUpTo(options_.backoff), Next::List);
 }
 
@@ -114,7 +115,8 @@
   if (result.isCanceled) return onCanceled(result);
   if (result.header.cluster != mirror_.cluster()) return rejectHeader("another cluster");
   if (result.isCreated) return onOpened(result);
-  // One without events is progress, and ends no response whose fragments are coming.
+  // A response without events is a watch progress notification; it does not complete a response whose
+  // fragments are still arriving.
   if (phase_ == Phase::Watching && !result.events.empty()) onEvents(result);
 }
 
@@ -152,7 +154,7 @@
   checkList();
 }
 
-// Guards against pages of two stores, and against one that says there is more and gives nothing.
+// Rejects pages from different stores, and a page without keys that announces further pages.
 bool PrefixWatcher::isPageValid(const RangeResult& page) const {
   const Header& first = listing_.header;
   return first.revision > 0 && page.header.cluster == first.cluster &&
@@ -215,7 +217,7 @@
   if (result.header.revision < mirror_.revision()) return rejectHeader("an older revision than is known");
   phase_ = Phase::Watching;
   silentAt_ = 0;
-  // What has just been listed is proved; what is resumed has still to be.
+  // A new list is verified by its own read; a resumed watch needs an audit first.
   if (now_ - provenAt_ >= options_.audit) return requestAudit();
   auditAt_ = now_ + options_.audit / 2 + randomUpTo(options_.audit / 2);
 }
@@ -291,7 +293,8 @@
     case KeyMirror::Comparison::Different:
       break;
   }
-  // Events come in order: one beyond that revision says that none up to it is still to come.
+  // Events arrive in the order of revisions: an event after the audit's revision shows that no earlier
+  // event is still to come.
   if (mirror_.revision() <= audit_->answer->revision) return;
   ++counts_.withheld;
   relist("the watch has left out changes");
@@ -299,7 +302,7 @@
 
 void PrefixWatcher::proveList() {
   provenAt_ = std::max(provenAt_, audit_->sentAt);
-  // A resumed watch need not go further back than the audit.
+  // A resumed watch can start after the audit's revision, even if older revisions are compacted.
   if (audit_->answer->revision > mirror_.revision()) mirror_.advanceTo(audit_->answer->revision);
   audit_.reset();
   backoff_.reset();
@@ -314,13 +317,14 @@
   relist(options_.endpoints[endpoint_] + " speaks of " + what);
 }
 
-// Ends what is under way and goes on at the next endpoint after a wait.
+// Closes the watch and continues at the next endpoint after a wait.
 void PrefixWatcher::fail(const std::string& text, Next next) {
   logFault(text);
   closeWatch();
   if (std::exchange(isFetching_, false)) act(FetchFailure{});
   useNextEndpoint();
-  // The first one goes elsewhere soon; if that fails too, something is wrong that haste makes worse.
+  // The first retry, at another endpoint, follows soon; further retries back off, since the whole cluster
+  // may be overloaded.
   const bool isFirst = !std::exchange(isFailing_, true);
   wait(isFirst ? randomUpTo(options_.backoff) : nextBackoff(), mirror_.hasList() ? next : Next::List);
 }
@@ -353,7 +357,7 @@
 }
 
 double PrefixWatcher::uniform() {
-  // From 0 to below 1, by the 53 of the 64 bits that a double can hold.
+  // Returns a number in [0, 1), from 53 of the 64 bits: the precision of a double.
   constexpr int kUnusedBits = 11;
   constexpr double kUnit = 0x1p-53;
   return static_cast<double>(random_() >> kUnusedBits) * kUnit;
--- a/src/discovery/etcd/prefix_watcher.h
+++ b/src/discovery/etcd/prefix_watcher.h
@@ -20,37 +20,38 @@
 
 namespace ivypost::discovery::etcd {
 
-/// Keeps the endpoint list by the keys of one prefix in etcd: lists them at a revision, watches from the next
-/// one on, and resumes after a cut. No I/O and no clock; random numbers come from a seed.
+/// Maintains the endpoint list from the keys of one prefix in etcd: lists the keys at a revision, watches
+/// from the next revision on, and resumes the watch after a failure. No I/O and no clock; random numbers
+/// come from a seed.
 ///
-/// Guards against three ways to be wrong without noticing: a watch that is silent, or whose events are
-/// withheld while the connection looks alive; a history that was compacted away; and a response that is older
-/// than what is known, or another cluster's. What the list is worth is proved by audits: a linearizable Range
-/// over the prefix that gives one key, the one that was changed last, and the count of all (KeyMirror::State
-/// says why that proves it). Progress responses prove nothing, as some releases send them ahead of the events
-/// that they cover; they only say that the stream still delivers.
+/// Detects three faults that etcd does not report: a watch that is silent, or whose events are withheld
+/// while the connection looks alive; a history that was compacted; and a response that is older than the
+/// known revision or from another cluster. Audits verify the list: an audit is a linearizable Range call
+/// over the prefix that returns the key that was modified last and the count of all keys (KeyMirror::State
+/// says why this is sufficient). Watch progress notifications do not verify the list, since some releases
+/// send them before the events that they cover; they only show that the stream still delivers.
 ///
-/// Invariant: no failed call takes an entry away. When the list can't be proved it stays, and its age says
-/// so. Clock: the caller's monotonic one, by which the age counts from when the audit that proved the list
-/// was sent. A watcher that receives nothing resumes the watch at the next endpoint, again and again with
-/// backoff, and reports an age that grows.
+/// Invariant: no failed call removes an entry. A list that can't be verified stays in use, and its age
+/// grows. Clock: the caller's monotonic clock; the age counts from the time when the audit or list call
+/// that verified the list was sent. A watcher that receives nothing resumes the watch at the next endpoint,
+/// repeatedly and with backoff, and reports a growing age.
 class PrefixWatcher {
  public:
-  /// How often what was done, by cause; for tests and measurements.
+  /// Numbers of calls and faults by kind; for tests and measurements.
   struct Counts {
-    std::uint64_t lists = 0;        ///< complete lists that were asked for
-    std::uint64_t watches = 0;      ///< streams that were opened
+    std::uint64_t lists = 0;        ///< requests for a complete list
+    std::uint64_t watches = 0;      ///< watch streams that were opened
     std::uint64_t audits = 0;       ///< audits that were sent
-    std::uint64_t compactions = 0;  ///< watches that ended since the history was compacted
+    std::uint64_t compactions = 0;  ///< watches that ended because the history was compacted
     std::uint64_t withheld = 0;     ///< audits that found events missing
-    std::uint64_t doubts = 0;       ///< lists that contradicted what was known
-    std::uint64_t duplicates = 0;   ///< events that had come before
+    std::uint64_t doubts = 0;       ///< contradictions of the known state that began with a list
+    std::uint64_t duplicates = 0;   ///< events that had been received before
   };
 
-  /// Events of one response in fragments that are kept at the most; the list is asked for anew beyond it.
+  /// Maximum number of events in the fragments of one response; beyond it a new list is requested.
   static constexpr std::size_t kMaxFragments = 100'000;
 
-  /// `options` have no flaw (flawOf()).
+  /// `options` must be valid by flawOf().
   PrefixWatcher(Options options, std::uint64_t seed);
   PrefixWatcher(const PrefixWatcher&) = delete;
   PrefixWatcher& operator=(const PrefixWatcher&) = delete;
@@ -58,36 +59,38 @@
   PrefixWatcher& operator=(PrefixWatcher&&) = delete;
   ~PrefixWatcher() = default;
 
-  /// Appends what is to be done about `input`. `now`: a time before an earlier call's counts as that one.
+  /// Handles `input` and appends the resulting actions to `actions`. If `now` is earlier than in a previous
+  /// call, the previous time is used.
   void handle(const Input& input, Micros now, Actions& actions);
-  /// When TimerExpired is to come; none: nothing is waited for but answers.
+  /// The time at which TimerExpired is due; none: the watcher waits for responses only, or has not been
+  /// started.
   [[nodiscard]] std::optional<Micros> nextTimer() const;
 
   /// How current the list is at this time.
   [[nodiscard]] discovery::Freshness freshness(Micros now) const;
-  /// All that are known, by id. For tests and measurements.
+  /// All known instances by id. For tests and measurements.
   [[nodiscard]] std::map<std::string, Instance> instances() const;
-  /// All changes up to it are in the list.
+  /// The list holds all changes up to this revision of the store.
   [[nodiscard]] Revision revision() const { return mirror_.revision(); }
-  /// What was done so far.
+  /// Numbers of calls and faults since the start.
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
   enum class Phase : std::uint8_t { Idle, Waiting, Listing, Opening, Watching };
-  // What follows a wait.
+  // The action after the phase Waiting.
   enum class Next : std::uint8_t { List, Resume };
 
   struct Listing {
     std::uint64_t call = 0;
     Micros sentAt = 0;
-    Header header{};  // of its first page
+    Header header{};  // header of the first page
     std::vector<KeyValue> kvs{};
   };
   struct Audit {
     std::uint64_t call = 0;
     Micros sentAt = 0;
     Revision heldThen = 0;
-    // Once it has come, until the watch has caught up with it, by `until`.
+    // The response, kept until the watch has caught up with its revision, at the latest until `until`.
     std::optional<KeyMirror::State> answer{};
     Micros until = 0;
   };
@@ -147,34 +150,34 @@
   const std::string prefix_;
   const std::string end_;
   std::mt19937_64 random_;
-  // Of the handle() that runs.
+  // Arguments of the current handle() call.
   Micros now_ = 0;
   Actions* actions_ = nullptr;
 
   Phase phase_ = Phase::Idle;
   Next next_ = Next::List;
-  Micros phaseUntil_ = 0;  // of Waiting and Opening
+  Micros phaseUntil_ = 0;  // deadline of the phases Waiting and Opening
   std::size_t endpoint_;
-  std::uint64_t lastId_ = 0;  // of calls and streams
+  std::uint64_t lastId_ = 0;  // last id assigned to a call or a stream
   util::DecorrelatedJitter backoff_;
-  bool isFailing_ = false;  // since the last audit that agreed
+  bool isFailing_ = false;  // a call or stream has failed since the last audit that verified the list
   bool isFetching_ = false;
 
   KeyMirror mirror_;
-  Micros provenAt_ = 0;  // the list was true then
+  Micros provenAt_ = 0;  // the list was equal to the store's at this time
   Contradiction contradiction_;
   Listing listing_;
   std::uint64_t stream_ = 0;
   std::vector<Event> fragments_;
-  Micros lastResponseAt_ = 0;  // anything on the stream
+  Micros lastResponseAt_ = 0;  // time of the last response on the stream
   std::optional<Audit> audit_;
-  Micros auditAt_ = 0;   // the next one
-  Micros silentAt_ = 0;  // the stream has to have answered by then; 0: nothing is asked
+  Micros auditAt_ = 0;   // time of the next audit
+  Micros silentAt_ = 0;  // deadline for a response to the progress request; 0: none is outstanding
 
   std::string lastFault_;
   Micros lastFaultAt_ = 0;
   bool hasLoggedStale_ = false;
-  int badValues_ = 0;  // in the handle() that runs
+  int badValues_ = 0;  // invalid values during the current handle() call
   Counts counts_;
 };
 
--- a/src/discovery/etcd/watch_stream.cpp
+++ b/src/discovery/etcd/watch_stream.cpp
@@ -55,7 +55,8 @@
   {
     const std::lock_guard lock(mutex_);
     isOver_ = true;
-    // Guards against a stream that never ends: without a read under way nothing tells that it has.
+    // Removes the hold here if no read is in progress: no read callback would remove it, and the stream
+    // would never end.
     endsHold = !isReading_ && takeHold();
   }
   context_.TryCancel();
@@ -76,7 +77,7 @@
     isOver_ = isOver_ || !ok;
     endsHold = isOver_ && takeHold();
   }
-  // Its last line where that is the end: nothing refers to this any more then.
+  // RemoveHold() may end the stream and destroy this object, so nothing may follow it.
   if (endsHold) return RemoveHold();
   WatchResult result = toWatchResult(response_);
   result.stream = id_;
@@ -90,7 +91,7 @@
     if (const auto owner = weak.lock()) owner->onStreamEnd(id, endpoint, status);
   });
   const auto outstanding = outstanding_;
-  self_.reset();  // nothing of it is used from here on
+  self_.reset();  // may destroy this object: no member is used after this line
   outstanding->end();
 }
 
--- a/src/discovery/etcd/watch_stream.h
+++ b/src/discovery/etcd/watch_stream.h
@@ -18,12 +18,14 @@
 
 namespace ivypost::discovery::etcd {
 
-/// A watch's stream over gRPC. Its reactions (On...) run on gRPC's threads, all else, also its owner's
-/// callbacks, on the event loop's. gRPC refers to it until OnDone(), so it holds itself until then.
+/// A bidirectional gRPC stream that carries one watch. The reactor functions (On...) run on gRPC's threads;
+/// all other functions, and the owner's callbacks, run on the event loop's thread. gRPC refers to this
+/// object until OnDone(), so the object holds a shared pointer to itself until then.
 class WatchStream final
     : public grpc::ClientBidiReactor<etcdserverpb::WatchRequest, etcdserverpb::WatchResponse> {
  public:
-  /// Whom a stream notifies. The calls come from the event loop; one may come after cancel().
+  /// Receiver of a stream's results. Its functions are called on the event loop's thread; a call may still
+  /// arrive after cancel().
   class Owner {
    public:
     Owner() = default;
@@ -32,43 +34,43 @@
     Owner(Owner&&) = delete;
     Owner& operator=(Owner&&) = delete;
     virtual ~Owner() = default;
-    /// A response has come. The next one is read after readNext().
+    /// A response has been received. The next response is read after readNext().
     virtual void onStreamResponse(WatchResult result) = 0;
-    /// The stream has ended by itself, at this endpoint.
+    /// The stream to this endpoint has ended, by itself or after cancel().
     virtual void onStreamEnd(std::uint64_t stream, std::size_t endpoint, const grpc::Status& status) = 0;
   };
 
-  /// `owner` is held weakly: nobody is notified once it has gone. `io` must outlive this object.
+  /// `owner` is held weakly: after its destruction no results are delivered. `io` must outlive this object.
   WatchStream(std::weak_ptr<Owner> owner, boost::asio::io_context& io, const WatchCall& call,
               std::shared_ptr<OutstandingCalls> outstanding);
 
-  /// The call's context, for metadata ahead of start().
+  /// The call's context, to which metadata can be added before start().
   [[nodiscard]] grpc::ClientContext& context() { return context_; }
-  /// Opens it. `self` is this object.
+  /// Opens the stream and sends the watch's create request. `self` must point to this object.
   void start(std::shared_ptr<WatchStream> self, etcdserverpb::Watch::Stub& stub, const WatchCall& call);
-  /// Sends a request, behind those that are not written yet. Beyond kMaxQueue of them it is dropped: a stream
-  /// that takes nothing more is silent, and soon given up by the watcher.
+  /// Queues a request for sending. If kMaxQueue requests are queued, the request is dropped: a stream that
+  /// accepts no writes is also silent, and the watcher soon closes it.
   void write(etcdserverpb::WatchRequest request);
-  /// Reads the next response.
+  /// Starts to read the next response.
   void readNext();
-  /// Ends it.
+  /// Cancels the stream.
   void cancel();
-  /// The id of the WatchCall.
+  /// The stream's id, from its WatchCall.
   [[nodiscard]] std::uint64_t id() const { return id_; }
 
-  /// gRPC: a request was written.
+  /// Called by gRPC when a request was written or its write has failed.
   void OnWriteDone(bool ok) override;
-  /// gRPC: a response was read, or none will come.
+  /// Called by gRPC when a response was read, or with `ok` false when there are no further responses.
   void OnReadDone(bool ok) override;
-  /// gRPC: it refers to nothing of this object any more.
+  /// Called by gRPC when the stream has ended and gRPC no longer refers to this object.
   void OnDone(const grpc::Status& status) override;
 
-  /// Requests that are not written yet.
+  /// Maximum number of queued requests, including the one that is being written.
   static constexpr std::size_t kMaxQueue = 16;
 
  private:
-  // Whether gRPC is still held; not any more afterwards. The lock has to be held, and RemoveHold() called
-  // without it.
+  // Clears isHeld_ and returns its previous value. The caller must hold the lock; if the result is true,
+  // the caller must call RemoveHold() after releasing the lock.
   [[nodiscard]] bool takeHold();
 
   std::weak_ptr<Owner> owner_;
@@ -76,14 +78,16 @@
   const std::uint64_t id_;
   const std::size_t endpoint_;
   std::shared_ptr<OutstandingCalls> outstanding_;
-  std::shared_ptr<WatchStream> self_;  // while gRPC refers to it
+  std::shared_ptr<WatchStream> self_;  // set while gRPC refers to this object
   grpc::ClientContext context_;
   std::mutex mutex_;                              // protects all below but response_
-  std::deque<etcdserverpb::WatchRequest> queue_;  // the first is being written
-  bool isOver_ = false;                           // nothing more can be read or written
+  std::deque<etcdserverpb::WatchRequest> queue_;  // the first request is being written
+  bool isOver_ = false;                           // the stream can no longer be read or written
   bool isReading_ = true;
-  bool isHeld_ = true;                    // gRPC knows that more may be started from here
-  etcdserverpb::WatchResponse response_;  // gRPC's while it reads, the loop's until readNext()
+  bool isHeld_ = true;  // whether the hold of AddHold() is in force: operations may be started outside of
+                        // reactor functions
+  etcdserverpb::WatchResponse
+      response_;  // used by gRPC during a read, by the event loop's thread until readNext()
 };
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/etcd/watcher_events.h
+++ b/src/discovery/etcd/watcher_events.h
@@ -13,7 +13,7 @@
 
 namespace ivypost::discovery::etcd {
 
-/// Microseconds: a span, or a moment by the caller's monotonic clock.
+/// Microseconds: a time span, or a time of the caller's monotonic clock.
 using Micros = balancer::Micros;
 /// An entry of the endpoint list.
 using discovery::Instance;
@@ -21,19 +21,19 @@
 // ---- Actions: what a PrefixWatcher wants done
 // ---------------------------------------------------------------
 
-/// A linearizable Range call. Answered by one RangeResult.
+/// Sends a linearizable Range call. Its result is one RangeResult.
 struct RangeCall {
   std::uint64_t call = 0;    ///< its id
   std::size_t endpoint = 0;  ///< index in Options::endpoints
   std::string key;           ///< the first key of the range
   std::string end;           ///< the first key behind it
-  std::int64_t limit = 0;    ///< keys in the response at the most
-  Revision revision = 0;     ///< of the store; 0: the latest
-  bool isAudit = false;      ///< without values, the key that was changed last first
-  Micros timeout = 0;        ///< for the response
+  std::int64_t limit = 0;    ///< maximum number of keys in the response
+  Revision revision = 0;     ///< revision of the store to read; 0: the latest
+  bool isAudit = false;      ///< request keys without values, ordered by descending modRevision
+  Micros timeout = 0;        ///< deadline of the response, from now
 };
-/// Opens a stream with one watch, with fragments and the server's own progress notifications. Streams are
-/// opened one at a time. Answered by WatchResults and one WatchEnd.
+/// Opens a stream with one watch, with fragmented responses and the server's periodic progress
+/// notifications. At most one stream is open at a time. Results are WatchResults and one WatchEnd.
 struct WatchCall {
   std::uint64_t stream = 0;  ///< its id
   std::size_t endpoint = 0;  ///< index in Options::endpoints
@@ -41,67 +41,68 @@
   std::string end;           ///< the first key behind it
   Revision from = 0;         ///< the first revision whose events are wanted
 };
-/// Asks for a progress response on a stream.
+/// Requests a watch progress notification on a stream.
 struct ProgressRequest {
   std::uint64_t stream = 0;  ///< of a WatchCall
 };
-/// Ends a stream; nothing more is notified of it.
+/// Closes a stream; it has no further results.
 struct WatchClose {
   std::uint64_t stream = 0;  ///< of a WatchCall
 };
-/// Notifies of the endpoint list, or of what has changed in it. One revision's changes come together.
+/// Publishes the endpoint list, or the changes in it. The changes of one revision are published together.
 struct Publish {
   Revision revision = 0;            ///< of the store
-  bool isComplete = false;          ///< all there are; else the changed ones
-  std::vector<Instance> instances;  ///< those that were removed are Gone
+  bool isComplete = false;          ///< the list holds all instances; otherwise only the changed ones
+  std::vector<Instance> instances;  ///< removed instances have the state Gone
 };
-/// The list that Fetch asked for did not come.
+/// The list that Fetch requested could not be read.
 struct FetchFailure {};
-/// One line for the log.
+/// Writes one line to the log.
 struct LogLine {
   std::string text;  ///< without a line end
 };
 /// Any of them.
 using Action =
     std::variant<RangeCall, WatchCall, ProgressRequest, WatchClose, Publish, FetchFailure, LogLine>;
-/// In the order in which they are to be done.
+/// Actions in the order of their execution.
 using Actions = std::vector<Action>;
 
 // ---- Inputs: what has happened
 // ------------------------------------------------------------------------------
 
-/// The list is wanted from now on.
+/// Starts the watcher.
 struct Start {};
-/// The complete list is wanted anew.
+/// Requests the complete list again.
 struct Fetch {};
-/// PrefixWatcher::nextTimer() has come.
+/// The time returned by PrefixWatcher::nextTimer() has been reached.
 struct TimerExpired {};
-/// What came of a RangeCall.
+/// Result of a RangeCall.
 struct RangeResult {
   std::uint64_t call = 0;              ///< its id
-  StatusCode status = StatusCode::Ok;  ///< the members below count if it is Ok
-  std::string text{};                  ///< of a failure
+  StatusCode status = StatusCode::Ok;  ///< the members below are valid only if it is Ok, except `text`
+  std::string text{};                  ///< message of a failure
   Header header{};                     ///< who answered
-  std::vector<KeyValue> kvs{};         ///< the keys, up to the limit
-  bool hasMore = false;                ///< there are keys in the range beyond the limit
-  std::int64_t count = 0;              ///< of all keys in the range
+  std::vector<KeyValue> kvs{};         ///< the keys in the range, up to the call's limit
+  bool hasMore = false;                ///< the range has keys beyond the call's limit
+  std::int64_t count = 0;              ///< number of all keys in the range
 };
 /// A response on a stream.
 struct WatchResult {
-  std::uint64_t stream = 0;      ///< of the WatchCall
-  Header header{};               ///< who answered
-  bool isCreated = false;        ///< the watch stands
-  bool isCanceled = false;       ///< the server has ended the watch
-  Revision compactRevision = 0;  ///< ... since older ones than this are no longer kept; 0: for another reason
-  std::string reason{};          ///< of a cancellation
-  bool isFragment = false;       ///< the events of this revision go on in the next response
-  std::vector<Event> events{};   ///< in the order of their revisions; none: progress
+  std::uint64_t stream = 0;  ///< of the WatchCall
+  Header header{};           ///< who answered
+  bool isCreated = false;    ///< the server has created the watch
+  bool isCanceled = false;   ///< the server has ended the watch
+  Revision compactRevision =
+      0;  ///< with isCanceled: revisions before this one have been compacted; 0: canceled for another reason
+  std::string reason{};         ///< the server's reason for a cancellation
+  bool isFragment = false;      ///< further events of this revision follow in the next response
+  std::vector<Event> events{};  ///< ordered by revision; empty in a watch progress notification
 };
-/// A stream has ended by itself.
+/// A stream has ended without a WatchClose.
 struct WatchEnd {
   std::uint64_t stream = 0;                     ///< of the WatchCall
-  StatusCode status = StatusCode::Unavailable;  ///< why
-  std::string text;                             ///< in the server's or gRPC's words
+  StatusCode status = StatusCode::Unavailable;  ///< cause of the end
+  std::string text;                             ///< message of the server or of gRPC
 };
 /// Any of them.
 using Input = std::variant<Start, Fetch, TimerExpired, RangeResult, WatchResult, WatchEnd>;
