--- a/tests/discovery/endpoint_list_test.cpp
+++ b/tests/discovery/endpoint_list_test.cpp
@@ -12,7 +12,7 @@
 
 struct AddressRow {
   const char* text;
-  const char* address;  // none: not taken
+  const char* address;  // null: the text is rejected
   int port;
 };
 void PrintTo(const AddressRow& row, std::ostream* out) {
@@ -89,7 +89,7 @@
 
 struct BadListRow {
   std::string text;
-  const char* part;  // of the message
+  const char* part;  // expected in the message
 };
 void PrintTo(const BadListRow& row, std::ostream* out) {
   *out << row.text;
--- a/tests/discovery/etcd/certificates.h
+++ b/tests/discovery/etcd/certificates.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Certificates of the tests' own, good for nothing else: an authority, a server (etcd.test, 127.0.0.1) with
-// one that has run out too (same key), a client, and another authority. Made by openssl, valid for a hundred
-// years.
+// Certificates for these tests only: a certificate authority, a server (etcd.test, 127.0.0.1) with a valid
+// and an expired certificate for the same key, a client, and another authority. Made by openssl, valid for
+// a hundred years.
 #ifndef IVYPOST_TESTS_DISCOVERY_ETCD_CERTIFICATES_H_
 #define IVYPOST_TESTS_DISCOVERY_ETCD_CERTIFICATES_H_
 
--- a/tests/discovery/etcd/etcd_source_test.cpp
+++ b/tests/discovery/etcd/etcd_source_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The source over gRPC against a fake cluster, on loopback: what only real connections show (tokens,
-// certificates, members that hang or refuse, ends in the middle of calls).
+// EtcdSource over gRPC against a fake cluster on loopback. Covers what needs real connections: tokens,
+// certificates, members that hang or refuse calls, and destruction during calls.
 #include "discovery/etcd/etcd_source.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return "/ivypost/nodes/" + id;
 }
 
-// A file that goes with the test.
+// A temporary file that is deleted at the end of the test.
 class File {
  public:
   explicit File(const std::string& text) { write(text); }
@@ -113,7 +113,7 @@
   ASSERT_TRUE(until([&] { return lists == 3; }));
 }
 
-// Every fault of a member, one after the other; each time the list is followed all the same.
+// Each fault of a member in turn: every change of the list still arrives.
 TEST_F(EtcdSourceTest, AppliesEachChangeThroughEachFaultOfAMember) {
   serve({3, {}, "", "", "", "", "", 2});
   watch();
@@ -149,7 +149,7 @@
   EXPECT_TRUE(until([&] { return list.size() == 3 && list.count("n6") == 1; })) << log;
 }
 
-// The TCP connection stays open and silent: only its messages tell.
+// The TCP connection stays open, but no messages pass in either direction.
 TEST_F(EtcdSourceTest, AConnectionThatIsSilentIsLeft) {
   serve({2, {}, "", "", "", "", "", 0});
   fault::Proxy::Options through;
@@ -253,7 +253,7 @@
 struct TlsRow {
   const char* what;
   const char* server;
-  bool clients;  // have to show a certificate
+  bool clients;  // whether clients must present a certificate
   void (*change)(Options&, const File& ca);
 };
 void PrintTo(const TlsRow& row, std::ostream* out) {
@@ -285,7 +285,7 @@
                            }}),
     [](const auto& row) { return std::string(row.param.what); });
 
-// A certificate that is replaced on disk is taken without a restart.
+// A certificate that is replaced on disk is loaded without a restart.
 TEST_F(TlsTest, FilesThatChangeAreTaken) {
   ca.write(certificates::kOtherCa);
   serveTls(certificates::kServer, false);
@@ -306,7 +306,7 @@
   }
 }
 
-// It may end at any moment, with calls and streams out.
+// The source may be destroyed at any time, also with calls and streams in progress.
 TEST_F(EtcdSourceTest, MayEndAtAnyMoment) {
   serve({2, {}, "", "", "", "", "", 0});
   for (int turns = 0; turns < 30; ++turns) {
--- a/tests/discovery/etcd/options_test.cpp
+++ b/tests/discovery/etcd/options_test.cpp
@@ -11,7 +11,7 @@
 
 struct TargetRow {
   const char* text;
-  const char* host;  // none: not taken
+  const char* host;  // null: the endpoint is rejected
   int port;
   bool tls, isName;
 };
@@ -45,7 +45,7 @@
                                          TargetRow{"", nullptr, 0, false, false}));
 
 struct FlawRow {
-  const char* part;  // of the line; empty: no flaw
+  const char* part;  // expected in the message; empty: the options are valid
   void (*change)(Options&);
 };
 class FlawTest : public testing::TestWithParam<FlawRow> {};
--- a/tests/discovery/etcd/prefix_watcher_test.cpp
+++ b/tests/discovery/etcd/prefix_watcher_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The watcher in simulated time: one test a hard case, then any series of faults, then many watchers at once.
+// PrefixWatcher in simulated time: tests of single faults, a property test over random sequences of faults,
+// and a test with many watchers.
 #include "discovery/etcd/prefix_watcher.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
 
 using Ports = std::map<std::string, int>;
 
-// A removed node has to have stopped getting requests after so long, however the removal came to be hidden.
+// A removed node must have stopped getting requests within this time, whatever fault hides the removal.
 constexpr Micros kGrace = 2 * kSecond;
 
 class PrefixWatcherTest : public testing::Test {
@@ -29,7 +30,7 @@
       return current() && simulation.one().watcher.freshness(simulation.now).isConfirmed;
     }));
   }
-  // Whether the list is what the store has, as far as its values are instances.
+  // Whether the list equals the store's content; false if a value in the store is not a valid instance.
   bool current() {
     Ports want;
     for (const auto& [key, value] : simulation.content()) {
@@ -85,7 +86,8 @@
 
 class HiddenTest : public PrefixWatcherTest, public testing::WithParamInterface<Hidden> {};
 
-// A member hides a removal, at any moment between two audits; it is noticed in time through another one.
+// A member hides a removal, at various times between two audits; the watcher notices it in time through
+// another member.
 TEST_P(HiddenTest, ARemovalIsNoticedInTime) {
   for (Micros offset = 0; offset < simulation.options.audit; offset += 50 * kMs) {
     Simulation other(3, 1, static_cast<std::uint64_t>(offset) + 7);
@@ -111,7 +113,7 @@
   EXPECT_GE(counts().withheld, 1u);
 }
 
-// Nothing is lost by a stall with no change: but the list's age says that nothing was proved.
+// A stall without changes loses nothing, but no audit verifies the list, so its age grows.
 TEST_F(OneMemberTest, AStalledMemberLeavesTheListAndItsAgeGrows) {
   settle();
   simulation.stall(0, true);
@@ -129,7 +131,7 @@
   EXPECT_TRUE(simulation.reported("proved again"));
 }
 
-// A silent stream costs no list: the watch goes on elsewhere from where it was.
+// A silent stream needs no new list: the watch resumes at another member from the next revision.
 TEST_F(PrefixWatcherTest, ASilentWatchIsResumedElsewhereWithoutAList) {
   settle();
   const std::size_t before = member();
@@ -173,7 +175,8 @@
   EXPECT_EQ(counts().lists, 6u);
 }
 
-// The list comes in pages of one revision; when that is compacted meanwhile it begins anew.
+// All pages of a list have the same revision; if that revision is compacted between two pages, the list is
+// read again.
 TEST_F(PrefixWatcherTest, CompactionBetweenTwoPages) {
   simulation.options.page = 2;
   simulation.all.front() = std::make_unique<Simulation::Sidecar>(simulation.options, 3);
@@ -190,8 +193,8 @@
   EXPECT_EQ(counts().lists, 3u);
 }
 
-// An audit that agrees moves the watch's next revision on, so a quiet prefix outlives the compaction of what
-// other keys have changed.
+// A matching audit advances the revision from which the watch resumes, so the compaction of revisions that
+// changed other keys does not force a new list.
 TEST_F(PrefixWatcherTest, AQuietPrefixIsNotRelistedAfterACompaction) {
   settle();
   for (int n = 0; n < 50; ++n) simulation.txn({}, {{"/other/" + std::to_string(n), "x"}});
@@ -245,7 +248,8 @@
   EXPECT_EQ(simulation.list().size(), 5u);
 }
 
-// A progress answer that is ahead of its events must not move the revision to resume from.
+// A watch progress notification that arrives before its events must not advance the revision from which the
+// watch resumes.
 TEST_F(PrefixWatcherTest, ProgressAheadOfItsEventsProvesNothing) {
   settle();
   const std::size_t at = member();
@@ -307,7 +311,7 @@
   EXPECT_EQ(simulation.list().size(), 5u);
 }
 
-// A value of no use leaves its entry as it was; all others apply, also those of the same transaction.
+// An invalid value leaves its entry unchanged; all other changes apply, also those of the same transaction.
 TEST_F(PrefixWatcherTest, ValuesOfNoUseAreReportedAndLeaveTheEntry) {
   settle();
   const char* const kBad[] = {"",
@@ -334,7 +338,8 @@
   }
   simulation.run(3 * kSecond);
   EXPECT_EQ(counts().lists, 1u) << "audits count the key all the same";
-  // The next list leaves it too; a new key of that name with such a value has no entry to keep.
+  // The next list also keeps the entry; a key that is created again with an invalid value has no entry to
+  // keep.
   simulation.handle(simulation.one(), Fetch{});
   simulation.run(kSecond);
   EXPECT_EQ(simulation.list().at("n1").address.port(), 9001);
@@ -342,7 +347,7 @@
   simulation.put("n1", "no JSON");
   simulation.run(kSecond);
   EXPECT_EQ(simulation.list().count("n1"), 0u);
-  // A whole list of bad ones is a bounded number of lines.
+  // The number of log lines for a transaction of invalid values is bounded.
   std::vector<std::pair<std::string, std::string>> many;
   for (int n = 0; n < 100; ++n) many.push_back({Simulation::key("bad" + std::to_string(n)), "{"});
   const auto reports = simulation.one().reports.size();
@@ -359,7 +364,7 @@
   simulation.put("n1", instanceJson(9901, 1'700'000'000'000));
   expectCurrentWithin(20 * kMs, "with its new address");
   EXPECT_EQ(simulation.list().at("n1").startedAt.time_since_epoch().count(), 1'700'000'000'000);
-  // Both within what one response brings.
+  // A deletion and a new put within one response.
   simulation.members[member()].withheld = true;
   simulation.remove("n2");
   simulation.put("n2", instanceJson(9902, 1'700'000'000'001));
@@ -398,15 +403,15 @@
 
 class RestoreTest : public PrefixWatcherTest, public testing::WithParamInterface<bool> {};
 
-// A backup that was put back is an older history, under the same cluster's id or another. It is followed when
-// a majority of the members has told it, and not before.
+// A restored backup is an older history, under the same or another cluster id. It is accepted only when a
+// majority of the members has returned it.
 TEST_P(RestoreTest, IsFollowedWhenAMajorityTellsIt) {
   const Store backup = simulation.store;
   settle();
   simulation.put("n6", instanceJson(9006));
   simulation.remove("n1");
   simulation.run(100 * kMs);
-  // First one member alone: that is its own affair.
+  // A single member with another history is not accepted.
   const std::size_t odd = member();
   if (GetParam()) simulation.members[odd].cluster = 99;
   simulation.members[odd].lagging = backup;
@@ -427,7 +432,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Cluster, RestoreTest, testing::Bool());
 
-// Half of the members speak for nobody.
+// Members that are not a majority cannot make the watcher accept another cluster.
 TEST_F(PrefixWatcherTest, AnotherClusterIsNotFollowedWithoutAMajority) {
   settle();
   simulation.down(1, true);
@@ -440,8 +445,8 @@
   EXPECT_FALSE(simulation.one().watcher.freshness(simulation.now).isConfirmed);
 }
 
-// Nothing where there was something may be a wiped prefix or a slip of one member; it is followed at its
-// second telling, within the grace.
+// An empty list after a list with keys may be a deleted prefix or the fault of one member; it is accepted
+// when it is received a second time, within the grace.
 TEST_F(PrefixWatcherTest, AnEmptyListIsBelievedWhenItComesAgain) {
   settle();
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
@@ -462,7 +467,7 @@
 TEST_F(PrefixWatcherTest, AnEmptyListThatDoesNotComeAgainIsNotBelieved) {
   settle();
   const std::size_t at = member();
-  // This member's store is empty but as far on as the others'.
+  // This member's store has no keys of the prefix, but its revision is not behind the others'.
   Store empty;
   while (empty.revision() < simulation.store.revision() + 5) {
     pb::PutRequest put;
@@ -540,7 +545,7 @@
   expectCurrentWithin(simulation.options.maxBackoff + kSecond, "back");
 }
 
-// While nothing changes and nothing fails: an audit, and a progress request on the stream.
+// Without changes and faults, each audit interval costs one Range call and one progress request.
 TEST_F(PrefixWatcherTest, CallsWhileIdleStayUnderTheStatedBound) {
   settle();
   const auto calls = simulation.calls.size();
@@ -565,8 +570,8 @@
   EXPECT_EQ(simulation.one().fetchFailed, 1);
 }
 
-// Five hundred sidecars after an outage: etcd sees no more calls a second than there are sidecars, in any
-// second, and all have the list again soon.
+// After an outage, 500 sidecars must not overload etcd: in each second it gets at most two calls per
+// sidecar, and every sidecar has the current list within 10 s.
 TEST(Fleet, ReconnectsWithoutAStampede) {
   constexpr std::size_t kSidecars = 500;
   Simulation simulation(3, kSidecars);
@@ -593,7 +598,8 @@
 
 // ---- Any series of faults ---------------------------------------------------------------------------------
 
-// After any faults and then quiet the list is the store's, and at no time has it held what no revision had.
+// After any sequence of faults and a quiet period, the list equals the store's, and it never held an
+// instance that was not put.
 RC_GTEST_PROP(PrefixWatcherProperty, EndsWithTheStoresList, ()) {
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -647,8 +653,9 @@
         break;
       case 13:
         if (!backup) break;
-        // A restore: members start anew, under another cluster's id, as etcd's own tool does it. (One under
-        // the same id that is as far on as before when it is first seen can't be told, see the design page.)
+        // A restore: the members restart under another cluster id, as with etcd's own tool. (A restore
+        // under the same id that has reached the known revision when it is first seen can't be detected;
+        // see the design page.)
         simulation.store = *backup;
         for (std::size_t n = 0; n < 3; ++n) {
           simulation.members[n].lagging.reset();
--- a/tests/discovery/etcd/sidecar_test.cpp
+++ b/tests/discovery/etcd/sidecar_test.cpp
@@ -1,11 +1,11 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A sidecar whose source is a fake etcd, while nodes come and go and members drop, stall, withhold and
-// compact at random, and the invariant checker counts: no request reaches a removed node more than two
-// seconds after its removal in the store. Then a change of the source at SIGHUP.
+// A sidecar with a fake etcd as its source, while nodes are removed and added and members drop, stall,
+// withhold and compact at random. The invariant checker verifies that no request reaches a removed node
+// more than two seconds after its removal from the store. A second test changes the source at SIGHUP.
 //
-// IVYPOST_ETCD_SECONDS: how long it runs, 60 if it is not set. The times from removal to the last request
-// are printed.
+// IVYPOST_ETCD_SECONDS is the duration of the run, 60 by default. The times from removal to the last
+// request are printed.
 #include "sidecar.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
 using InvariantChecker = standins::Ledger;
 
 constexpr Micros kMs = 1000, kSecond = 1'000'000;
-// The times of the rules, with an allowance for a machine that stops the process now and then.
+// The limits of the rules, with an allowance for a machine that stops the process now and then.
 constexpr Micros kGrace = 2 * kSecond, kSlack = kSecond / 2;
 
 fakes::Rules rules() {
@@ -191,7 +191,7 @@
   std::unique_ptr<fakes::Client> client;
 };
 
-// A removal whose last request is still waited for.
+// A removal, with the time of the last request that reached its node.
 struct Removal {
   Micros at = 0, lastAt = 0;
   std::uint64_t arrivals = 0;
@@ -213,8 +213,8 @@
   std::mt19937_64 random(20261201);
   const auto pick = [&](std::size_t most) { return static_cast<std::size_t>(random() % most); };
   std::vector<Removal> removals;
-  std::map<std::size_t, std::size_t> gone;  // by node, its removal
-  std::size_t sick = 0;                     // one member at a time
+  std::map<std::size_t, std::size_t> gone;  // index of the removal, by node
+  std::size_t sick = 0;                     // the member with the current fault
   int fault = -1;
   Micros faultUntil = 0, nextChange = 0;
   std::uint64_t faults = 0;
@@ -290,8 +290,8 @@
   EXPECT_GT(static_cast<double>(tally.served), 0.99 * static_cast<double>(tally.sent));
 }
 
-// From the platform's discovery to etcd and back while requests go on; a new source that can't be reached
-// leaves the old one in charge, and one that can't be made changes nothing.
+// Changes the source from the platform's discovery to etcd and back under load. A new source that can't be
+// reached leaves the old one active, and a source that can't be created changes nothing.
 TEST(EtcdMembership, TheSourceIsChangedWithoutAGap) {
   SidecarOnEtcd run(4);
   for (std::size_t n = 0; n < 3; ++n) {
@@ -317,7 +317,7 @@
   EXPECT_THROW(run.sidecar->reload(config, bad), settings::FormatError);
   run.sidecar->reload(config, run.file);
   EXPECT_TRUE(run.until([&] { return run.nodes[3]->arrivals() > 0; })) << "etcd counts now";
-  // Back: the node that discovery has not got is gone.
+  // Back to the platform's discovery, which does not list node n3.
   run.sidecar->reload(config, {});
   run.checker.told("s1", "n3", false, nowMicros());
   run.run(3 * kSecond);
@@ -327,7 +327,7 @@
   EXPECT_EQ(run.checker.tally().served, run.checker.tally().sent);
 }
 
-// A program that is built without it says so in one line.
+// A program that is built without etcd reports it in one line.
 TEST(EtcdMembership, NeedsTheProgramThatHasIt) {
   SidecarOnEtcd run(1);
   try {
--- a/tests/discovery/etcd/simulation.h
+++ b/tests/discovery/etcd/simulation.h
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Watchers against an etcd in simulated time: the fake's store and watches, members that fail in every way
-// that tests ask for, and a network whose messages take their time. Nothing waits and nothing is random but
-// by the simulation's seed.
+// Watchers against a simulated etcd in simulated time: the fake's store and watches, members with the
+// faults that tests inject, and a network with latency. Nothing waits in real time, and all randomness
+// comes from the simulation's seed.
 #ifndef IVYPOST_TESTS_DISCOVERY_ETCD_SIMULATION_H_
 #define IVYPOST_TESTS_DISCOVERY_ETCD_SIMULATION_H_
 
@@ -40,27 +40,27 @@
 class Simulation {
  public:
   struct Member {
-    bool down = false;             // calls fail at once, streams end
-    bool stalled = false;          // everything is taken, nothing is said
-    bool withheld = false;         // no events; progress and calls are answered
-    bool behind = false;           // its watches bring nothing, and reads wait for what it has not got
-    std::optional<Store> lagging;  // it answers everything from this, which no sound member would
+    bool down = false;             // calls fail immediately, streams end
+    bool stalled = false;          // requests are accepted and not answered
+    bool withheld = false;         // events are not sent; progress requests and calls are answered
+    bool behind = false;           // watches deliver no events, and reads wait for revisions that the member does not have
+    std::optional<Store> lagging;  // the member answers from this old store, which a correct member would not
     std::uint64_t cluster = 7;
     bool progressAhead = false, repeated = false, cutFragment = false;
   };
   struct Sidecar {
     explicit Sidecar(const Options& options, std::uint64_t seed) : watcher(options, seed) {}
     PrefixWatcher watcher;
-    std::map<std::string, Instance> list;  // as published
+    std::map<std::string, Instance> list;  // the published list
     std::vector<Publish> published;
     std::vector<std::string> reports;
     int fetchFailed = 0;
-    // Its open stream.
+    // The sidecar's open stream.
     std::uint64_t stream = 0;
     std::size_t member = 0;
     Watches watches;
-    std::vector<WatchResult> held;  // while the member stalls
-    Micros clearAt = 0;             // messages on a stream stay in order
+    std::vector<WatchResult> held;  // responses that are delayed while the member stalls
+    Micros clearAt = 0;             // earliest time of the next delivery, so that messages on a stream stay in order
   };
 
   explicit Simulation(std::size_t count = 3, std::size_t sidecars = 1, std::uint64_t seed = 1)
@@ -110,7 +110,7 @@
     for (const auto& kv : response.kvs()) values[kv.key()] = kv.value();
     return values;
   }
-  // The ports of the list, and of the store where values are instances.
+  // The ports of the instances in a list.
   static std::map<std::string, int> ports(const std::map<std::string, Instance>& list) {
     std::map<std::string, int> ports;
     for (const auto& [id, instance] : list) ports[id] = instance.address.port();
@@ -155,7 +155,7 @@
     }
     now = end;
   }
-  // How long until the condition holds; none: not within the span.
+  // Runs until the condition holds and returns the time taken; none: it did not hold within the span.
   std::optional<Micros> until(Micros span, const std::function<bool()>& condition) {
     const Micros from = now;
     while (!condition()) {
@@ -192,8 +192,8 @@
   std::vector<std::unique_ptr<Sidecar>> all;
   std::set<std::pair<std::string, std::string>> everPut;
   Micros now = kSecond;
-  std::vector<Micros> calls;                // when each call reached etcd, streams too
-  std::function<void(std::size_t)> onList;  // a list's first page was read at this member
+  std::vector<Micros> calls;                // times at which calls and streams reached etcd
+  std::function<void(std::size_t)> onList;  // called when this member has read the first page of a list
   std::size_t fragmentEvents = 0;
   std::uint64_t progressAsked = 0;
 
--- a/tests/discovery/platform_source_test.cpp
+++ b/tests/discovery/platform_source_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The platform's discovery at the moments when a call, its answer and its time cross each other. Each order
-// is made by what the peer writes and when the loop runs.
+// PlatformSource when calls, responses and timeouts overlap. The order of events is fixed by what the peer
+// writes and by when the event loop runs.
 #include "discovery/platform_source.h"
 
 #include <thread>
@@ -51,14 +51,14 @@
   std::unique_ptr<PlatformSource> platform;
 };
 
-// What a silent watch misses counts as told 2 s after its wait is over. The new call has to be out and
-// answered by then, and none of that time is the module's to back off in.
+// A change that a silent watch misses counts as notified 2 s after the end of the watch's wait. The next
+// call has to be sent and answered by then, so it must not wait for a backoff.
 class SilentWatchTest : public PlatformSourceTest, public testing::WithParamInterface<const char*> {};
 
 TEST_P(SilentWatchTest, IsOpenedAnewAtOnceWhereTheListIsAsked) {
   watch(false, {milliseconds(30), milliseconds(30), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
-  discovery.requests[0].raw(GetParam());  // and no more
+  discovery.requests[0].raw(GetParam());  // the response stays incomplete
   ASSERT_TRUE(calls(2));
   EXPECT_EQ(target(1), target(0));
   EXPECT_EQ(failures, 0);
@@ -72,7 +72,7 @@
                          testing::Values("", "HTTP/1.1 200",
                                          "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{\"gen"));
 
-// And it does so time after time, without a call more than one for each silence.
+// Guards against repeated calls: each silent watch is followed by exactly one call.
 TEST_F(PlatformSourceTest, EachSilentWatchCostsOneCall) {
   watch(false, {milliseconds(20), milliseconds(20), milliseconds(60'000)});
   const auto from = Clock::now();
@@ -81,8 +81,9 @@
   EXPECT_EQ(failures, 0);
 }
 
-// The figures themselves. Asked: 2 s after the wait; after SIGHUP 4 s, of which the module may back off 0.94
-// s. Pushed: a silent watch counts 6 s after it fell silent.
+// Checks the timeouts against the limits within which a change counts as notified. Polled: 2 s after the
+// watch's wait; 4 s after SIGHUP, of which 0.94 s may be backoff. Pushed: 6 s after the watch became
+// silent.
 TEST(PlatformSourceTimes, LeaveRoomForTheCallThatFindsOut) {
   EXPECT_LE(PlatformSource::kPolledTimeouts.watchGrace, milliseconds(1000));
   EXPECT_LE(PlatformSource::kPolledTimeouts.watchWait, milliseconds(60'000));
@@ -92,7 +93,7 @@
   EXPECT_LE(PlatformSource::kPushedTimeouts.plainCall, milliseconds(500));
 }
 
-// A plain call that is not answered is a failure like any other: whoever asked for it backs off.
+// A plain call without a response is reported as a failure, after which the caller backs off.
 TEST_F(PlatformSourceTest, APlainCallThatIsNotAnsweredHasFailed) {
   watch(false, {milliseconds(60'000), milliseconds(60'000), milliseconds(20)});
   ASSERT_TRUE(calls(1));
@@ -101,7 +102,8 @@
   EXPECT_EQ(target(1), "/v1/endpoints");
 }
 
-// What an agent gets when discovery is back counts as told at once, so it is not left to a watch to tell.
+// What an agent receives when discovery is back counts as notified immediately, so the source requests it
+// without a wait instead of opening a watch.
 TEST_F(PlatformSourceTest, AnAgentThatWasSilentIsAskedForWhatItHas) {
   watch(true, {milliseconds(30), milliseconds(30), milliseconds(30)});
   ASSERT_TRUE(calls(3));
@@ -115,8 +117,8 @@
   EXPECT_EQ(target(before), "/v1/endpoints?index=42&wait=30");
 }
 
-// The answer is there and the time is up when the loop comes round: the answer is read, and the handler of
-// the time that has run out, queued behind it, must not end the connection.
+// The response has arrived and the timeout has expired when the event loop runs next: the response is read,
+// and the timer's handler, which is queued after it, must not close the connection.
 TEST_F(PlatformSourceTest, AnAnswerInTheTurnInWhichItsTimeRunsOutCounts) {
   for (const bool pushed : {false, true}) {
     discovery.requests.clear();
@@ -124,7 +126,7 @@
     watch(pushed, {milliseconds(20), milliseconds(20), milliseconds(60'000)});
     ASSERT_TRUE(calls(1));
     discovery.requests[0].reply(200, listOf(42, "draining"));
-    std::this_thread::sleep_until(Clock::now() + milliseconds(41));  // the loop stands still meanwhile
+    std::this_thread::sleep_until(Clock::now() + milliseconds(41));  // the event loop is blocked until after the timeout
     ASSERT_TRUE(calls(2));
     EXPECT_EQ(discovery.lines.size(), lines + 1);
     EXPECT_EQ(failures, 0);
@@ -133,7 +135,7 @@
   EXPECT_EQ(lists.size(), 2u);
 }
 
-// A watch that is answered at once with nothing, time after time, must not cost the core, nor discovery.
+// Guards against a busy loop when discovery answers each watch immediately without changes.
 TEST_F(PlatformSourceTest, WatchesAnsweredAtOnceWithNothingAreNotRepeatedAtOnce) {
   discovery.onRequest = [](Peer::Exchange& call) {
     call.reply(200, R"({"generation":41,"reset":false,"instances":[]})");
@@ -145,7 +147,8 @@
   EXPECT_EQ(discovery.lines.size(), 1u);
 }
 
-// A second answer behind the first, with it or later, is never read as the next call's.
+// A second response after the first one, received with it or later, must not be read as the response to the
+// next call.
 TEST_F(PlatformSourceTest, WhatComesBehindAnAnswerIsNotTheNextOne) {
   watch(true, {milliseconds(20'000), milliseconds(20'000), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
@@ -163,7 +166,7 @@
   EXPECT_EQ(lists[1].instances.at(0).state, balancer::EndpointState::Gone);
 }
 
-// Nor is a connection used that discovery has closed behind its answer: the call would fail for nothing.
+// A connection that discovery has closed after its response must not be reused: the next call would fail.
 TEST_F(PlatformSourceTest, AConnectionClosedBehindAnAnswerCostsNoFailure) {
   watch(false, {milliseconds(20'000), milliseconds(20'000), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
@@ -174,7 +177,8 @@
   EXPECT_EQ(target(1), "/v1/endpoints?index=42&wait=20000");
 }
 
-// Until when the list before is known to have been current, which bounds the starts that a list tells.
+// Checks previousUntil, the time until which the previous list is known to have been current. It bounds the
+// start times of the instances that a list adds.
 TEST_F(PlatformSourceTest, TellsUntilWhenTheListBeforeWasCurrent) {
   watch(false, {milliseconds(300), milliseconds(100), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
@@ -182,7 +186,7 @@
   ASSERT_TRUE(calls(2));
   ASSERT_EQ(lists.size(), 1u);
   EXPECT_FALSE(lists[0].previousUntil) << "of the first list nothing is known";
-  // A watch that is out tells at once what changes, however long it has told nothing.
+  // An open watch reports a change immediately, however long there was none.
   ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
   const TimePoint replied = now();
   discovery.requests[1].reply(200, listOf(43, "up"));
@@ -191,7 +195,7 @@
   ASSERT_TRUE(lists[1].previousUntil);
   EXPECT_GE(*lists[1].previousUntil, replied);
   EXPECT_LE(*lists[1].previousUntil, now());
-  // One that fell silent may have missed anything since the last answer; that it was opened anew tells
+  // A watch that timed out may have missed any change since the last response, and its reopening confirms
   // nothing.
   const TimePoint answered = now();
   ASSERT_TRUE(calls(4));
@@ -201,7 +205,7 @@
   ASSERT_TRUE(lists[2].previousUntil);
   EXPECT_GE(*lists[2].previousUntil, replied);
   EXPECT_LE(*lists[2].previousUntil, answered);
-  // An answer without news renews it.
+  // A response without changes confirms the list again.
   discovery.requests[4].reply(200, R"({"generation":44,"reset":false,"instances":[]})");
   ASSERT_TRUE(calls(6));
   ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(20)] { return Clock::now() >= end; }));
@@ -217,8 +221,8 @@
   EXPECT_LE(*lists[3].previousUntil, renewed) << "a plain call may find what has long been there";
 }
 
-// With a list from the last process the first call is a watch. That one waits, and so tells that the list is
-// current, once it has been out for longer than discovery may take to answer.
+// With a list from the previous process the first call is a watch. Once it has waited for longer than
+// discovery may take to respond, it confirms that the list is current.
 TEST_F(PlatformSourceTest, AFirstWatchThatWaitsConfirmsTheListThatIsKnown) {
   watch(false, {milliseconds(20'000), milliseconds(1000), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
@@ -231,12 +235,12 @@
   EXPECT_GE(*lists[0].previousUntil, replied);
 }
 
-// Discovery that has too much to do, is slow, or breaks off: the last list stays, calls keep their distance,
-// and the next good answer counts.
+// An overloaded, slow or failing discovery: the last list stays, there is a pause between calls, and the
+// next valid response is accepted.
 struct Trouble {
   const char* name;
-  const char* bytes;  // of its answer
-  bool closes;        // behind them
+  const char* bytes;  // of the response
+  bool closes;        // the peer closes the connection after the bytes
 };
 std::ostream& operator<<(std::ostream& out, const Trouble& one) {
   return out << one.name;
@@ -259,7 +263,7 @@
     const auto from = Clock::now();
     watch(pushed, {milliseconds(150), milliseconds(50), milliseconds(200)});
     ASSERT_TRUE(until(io, [&] {
-      // Whoever asks for the list asks again, with a pause of its own; here at once.
+      // The owner of a polled source retries after a failure; here without a pause.
       if (!pushed && failures > 0) platform->watch();
       return !lists.empty();
     }));
--- a/tests/discovery/source_manager_test.cpp
+++ b/tests/discovery/source_manager_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(handover.onList(a, true), Decision::Ignore);
 }
 
-// A source that does what a test says.
+// A source whose callbacks are called by the tests.
 struct FakeSource : Source {
   FakeSource(Callbacks notified, int& count) : callbacks(std::move(notified)), alive(count) { ++alive; }
   FakeSource(const FakeSource&) = delete;
@@ -94,14 +94,14 @@
   EXPECT_EQ(second.fetches, 1);
 }
 
-// What the one that is to take over can't do is its own affair, and it tries again.
+// A failure of the pending source is not passed on, and the manager retries.
 TEST_F(SourceManagerTest, AFailureOfThePendingSourceIsRetriedAndNotNotified) {
   start();
   FakeSource& second = start();
   second.callbacks.onFailure();
   EXPECT_EQ(failures, 0);
   io.restart();
-  io.run_one();  // its wait, half a second and a little at the most
+  io.run_one();  // its backoff, a little over half a second at most
   EXPECT_EQ(second.watches, 2);
   manager.cancelHandover();
   runHandlers();
