--- a/src/configuration/error.cpp
+++ b/src/configuration/error.cpp
@@ -6,24 +6,24 @@
 namespace ivypost::configuration {
 namespace {
 
-std::string lineOf(const Location& location, const std::string& key, const std::string& problem,
-                   const std::string& mend) {
+std::string formatMessage(const Location& location, const std::string& key, const std::string& problem,
+                          const std::string& hint) {
   std::string line = location.file;
   if (location.line) line.append(":").append(std::to_string(*location.line));
   line.append(": ");
   if (!key.empty()) line.append(key).append(": ");
   line.append(problem);
-  if (!mend.empty()) line.append("; ").append(mend);
+  if (!hint.empty()) line.append("; ").append(hint);
   return line;
 }
 
 }  // namespace
 
-Error::Error(Location location, std::string key, std::string problem, std::string mend)
-    : std::runtime_error(lineOf(location, key, problem, mend)),
+Error::Error(Location location, std::string key, std::string problem, std::string hint)
+    : std::runtime_error(formatMessage(location, key, problem, hint)),
       location_(std::move(location)),
       key_(std::move(key)),
       problem_(std::move(problem)),
-      mend_(std::move(mend)) {}
+      hint_(std::move(hint)) {}
 
 }  // namespace ivypost::configuration
--- a/src/configuration/error.h
+++ b/src/configuration/error.h
@@ -15,13 +15,13 @@
 };
 
 /// An error in a configuration file. what() is one line for a log, without a line end:
-/// "file:line: key: problem; mend". An empty part is left out together with its punctuation.
+/// "file:line: key: problem; hint". An empty part is left out together with its punctuation.
 class Error : public std::runtime_error {
  public:
   /// `key`: the key's path from the root, as in levels.protect.cpu_share; empty: the error concerns no single
-  /// key. `problem`: what is wrong. `mend`: the allowed values, or the key that was probably meant; empty:
+  /// key. `problem`: what is wrong. `hint`: the allowed values, or the key that was probably meant; empty:
   /// the problem says enough by itself.
-  Error(Location location, std::string key, std::string problem, std::string mend = {});
+  Error(Location location, std::string key, std::string problem, std::string hint = {});
 
   /// The position of the key, or of its table if the key is missing.
   [[nodiscard]] const Location& location() const { return location_; }
@@ -30,13 +30,13 @@
   /// What is wrong.
   [[nodiscard]] const std::string& problem() const { return problem_; }
   /// The allowed values, or the key that was probably meant; may be empty.
-  [[nodiscard]] const std::string& mend() const { return mend_; }
+  [[nodiscard]] const std::string& hint() const { return hint_; }
 
  private:
   Location location_;
   std::string key_;
   std::string problem_;
-  std::string mend_;
+  std::string hint_;
 };
 
 }  // namespace ivypost::configuration
--- a/src/configuration/toml_table.cpp
+++ b/src/configuration/toml_table.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 // The longest part of a value, in bytes, that an error shows.
-constexpr std::size_t kMaxShown = 60;
+constexpr std::size_t kMaxShownBytes = 60;
 constexpr std::string_view kEllipsis = "...";
 constexpr unsigned char kDelete = 0x7f;
 // An unknown key within this edit distance of a known key is taken for a misspelling of that key.
 constexpr std::size_t kMaxTypos = 2;
 
-// The value as written in the file, shortened to kMaxShown bytes.
+// The value as written in the file, shortened to kMaxShownBytes bytes.
 std::string shownValue(const toml::node& node) {
   std::ostringstream text;
   if (const auto* const value = node.as_string()) {
@@ -35,7 +35,8 @@
   // Replaces control characters: the error is one line and must not act on a terminal.
   std::replace_if(
       line.begin(), line.end(), [](unsigned char c) { return c < ' ' || c == kDelete; }, '?');
-  return line.size() > kMaxShown ? line.substr(0, kMaxShown - kEllipsis.size()).append(kEllipsis) : line;
+  return line.size() > kMaxShownBytes ? line.substr(0, kMaxShownBytes - kEllipsis.size()).append(kEllipsis)
+                                      : line;
 }
 
 std::string joined(const std::vector<std::string>& texts) {
@@ -74,10 +75,10 @@
   return path_ + "." + std::string(key);
 }
 
-void Table::fail(std::string_view key, std::string problem, std::string mend) const {
+void Table::fail(std::string_view key, std::string problem, std::string hint) const {
   const toml::node* const node = key.empty() ? nullptr : table_->get(key);
   const auto line = node != nullptr ? node->source().begin.line : table_->source().begin.line;
-  throw Error({file_, std::max<unsigned>(1, line)}, pathOf(key), std::move(problem), std::move(mend));
+  throw Error({file_, std::max<unsigned>(1, line)}, pathOf(key), std::move(problem), std::move(hint));
 }
 
 const toml::node* Table::find(std::string_view key) {
@@ -233,7 +234,7 @@
   return tables;
 }
 
-std::string Table::mendOfUnknownKey(std::string_view key) const {
+std::string Table::hintForUnknownKey(std::string_view key) const {
   std::vector<std::string> known = readKeys_;
   std::sort(known.begin(), known.end());
   known.erase(std::unique(known.begin(), known.end()), known.end());
@@ -250,7 +251,7 @@
   for (const auto& [key, node] : *table_) {
     const std::string_view name = key.str();
     if (std::find(readKeys_.begin(), readKeys_.end(), name) == readKeys_.end())
-      fail(name, "there is no such key", mendOfUnknownKey(name));
+      fail(name, "there is no such key", hintForUnknownKey(name));
   }
 }
 
--- a/src/configuration/toml_table.h
+++ b/src/configuration/toml_table.h
@@ -78,8 +78,8 @@
   void finish() const;
 
   /// Throws Error located at this key of the table, or at the table itself if the key is empty. `problem` and
-  /// `mend`: see Error::Error().
-  [[noreturn]] void fail(std::string_view key, std::string problem, std::string mend = {}) const;
+  /// `hint`: see Error::Error().
+  [[noreturn]] void fail(std::string_view key, std::string problem, std::string hint = {}) const;
 
  private:
   // Both mark the key as read; require() throws Error if it is missing.
@@ -87,7 +87,7 @@
   const toml::node& require(std::string_view key);
 
   [[nodiscard]] std::string pathOf(std::string_view key) const;
-  [[nodiscard]] std::string mendOfUnknownKey(std::string_view key) const;
+  [[nodiscard]] std::string hintForUnknownKey(std::string_view key) const;
 
   std::string file_;
   std::string path_;
--- a/src/configuration/units.cpp
+++ b/src/configuration/units.cpp
@@ -15,8 +15,8 @@
   double factor;  // microseconds or bytes
 };
 // In descending order: formatDuration() takes the first unit that divides the duration.
-constexpr std::array<Unit, 5> kTimes{{{"h", 3600e6}, {"min", 60e6}, {"s", 1e6}, {"ms", 1e3}, {"us", 1}}};
-constexpr std::array<Unit, 4> kSizes{
+constexpr std::array<Unit, 5> kTimeUnits{{{"h", 3600e6}, {"min", 60e6}, {"s", 1e6}, {"ms", 1e3}, {"us", 1}}};
+constexpr std::array<Unit, 4> kSizeUnits{
     {{"GiB", 1024.0 * 1024 * 1024}, {"MiB", 1024.0 * 1024}, {"KiB", 1024}, {"B", 1}}};
 // Added before rounding down, since 1.1 ms is 1099.99... microseconds as a double. In microseconds or bytes.
 constexpr double kRoundingError = 1e-6;
@@ -40,20 +40,20 @@
 }  // namespace
 
 std::optional<std::chrono::microseconds> parseDuration(std::string_view text) {
-  const auto value = parseQuantity(text, kTimes, static_cast<double>(kMaxDuration.count()));
+  const auto value = parseQuantity(text, kTimeUnits, static_cast<double>(kMaxDuration.count()));
   if (!value) return std::nullopt;
   return std::chrono::microseconds(static_cast<std::int64_t>(*value));
 }
 
 std::optional<std::uint64_t> parseSize(std::string_view text) {
-  const auto value = parseQuantity(text, kSizes, static_cast<double>(kMaxSize));
+  const auto value = parseQuantity(text, kSizeUnits, static_cast<double>(kMaxSize));
   if (!value) return std::nullopt;
   return static_cast<std::uint64_t>(*value);
 }
 
 std::string formatDuration(std::chrono::microseconds duration) {
   const std::int64_t micros = duration.count();
-  for (const Unit& unit : kTimes) {
+  for (const Unit& unit : kTimeUnits) {
     const auto factor = static_cast<std::int64_t>(unit.factor);
     if (micros >= factor && micros % factor == 0)
       return std::to_string(micros / factor) + std::string(unit.name);
--- a/src/settings/format_error.cpp
+++ b/src/settings/format_error.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 // The longest part of a value, in bytes, that an error shows; values may have any length.
-constexpr std::size_t kMaxShown = 80;
+constexpr std::size_t kMaxShownBytes = 80;
 
 }  // namespace
 
 void bad(std::string_view what, std::string_view value) {
-  throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShown)) + "'");
+  throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShownBytes)) + "'");
 }
 
 }  // namespace ivypost::settings
--- a/src/settings/line.cpp
+++ b/src/settings/line.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 // Pairs reserved per line: enough for an event's line on the simulator's wire, of which there are millions.
-constexpr std::size_t kUsualFields = 12;
+constexpr std::size_t kTypicalFieldCount = 12;
 constexpr std::string_view kHexDigits = "0123456789abcdef";
-constexpr unsigned kBitsOfADigit = 4;
+constexpr unsigned kBitsPerDigit = 4;
 
 std::int64_t toInteger(std::string_view key, std::string_view value, std::int64_t low, std::int64_t high) {
   std::int64_t result = 0;
@@ -60,7 +60,7 @@
   name_ = text.substr(0, head);
   if (name_.empty() || name_.find('=') != std::string_view::npos) bad("line without a name:", text);
   if (head == std::string_view::npos) return;
-  fields_.reserve(kUsualFields);
+  fields_.reserve(kTypicalFieldCount);
   for (std::string_view rest = text.substr(head + 1);;) {
     const std::size_t end = rest.find(' ');
     const std::string_view part = rest.substr(0, end);
@@ -111,9 +111,9 @@
   for (const char c : value) {
     const std::size_t digit = kHexDigits.find(c);
     if (digit == std::string_view::npos) bad("request id is not lower-case hex:", value);
-    id = id << kBitsOfADigit | digit;
+    id = id << kBitsPerDigit | digit;
   }
-  if (value.size() != std::numeric_limits<balancer::RequestId>::digits / kBitsOfADigit)
+  if (value.size() != std::numeric_limits<balancer::RequestId>::digits / kBitsPerDigit)
     bad("request id has not 16 digits:", value);
   return id;
 }
--- a/src/settings/site.cpp
+++ b/src/settings/site.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t kMaxSidecars = 1'000'000;
 constexpr std::int64_t kMaxAttempts = 1'000'000;
 
-Numbering numbered(const Line& line, std::string_view key) {
+Numbering readNumbering(const Line& line, std::string_view key) {
   Numbering names;
   for (const std::string_view name : split(line.find(key).value_or(""), ',')) {
     names.emplace(name, static_cast<std::uint32_t>(names.size()));
@@ -98,7 +98,7 @@
 
 // The number of sidecars and the index of this one. An invalid value does not prevent the start, since both
 // only determine how the sidecars divide work.
-void readDivision(const Line& line, Site& site) {
+void readSidecarPosition(const Line& line, Site& site) {
   balancer::Settings& settings = site.settings;
   settings.sidecars = toCount(line, "balancers", kMaxSidecars, 1);
   settings.sidecar = toCount(line, "index", kMaxCount, 0);
@@ -125,7 +125,7 @@
   settings.mayHedge = line.flag("limits.secondCopies");
 }
 
-void readPrices(const Line& line, balancer::Settings& settings) {
+void readWeightsAndCosts(const Line& line, balancer::Settings& settings) {
   settings.weightByWork = line.find("worthBy").value_or("request") == "work";
   settings.overShareWeight = line.number("overShareWorth", 1);
   settings.crossZoneCost = line.number("prices.crossZone", 0);
@@ -170,17 +170,17 @@
 // The order of the readers decides which of several errors is reported.
 Site readSite(const Line& create) {
   Site site;
-  site.zones = numbered(create, "zones");
-  site.kinds = numbered(create, "skus");
+  site.zones = readNumbering(create, "zones");
+  site.kinds = readNumbering(create, "skus");
   readClasses(create, site);
   readTenants(create, site);
   readLocality(create, site);
-  readDivision(create, site);
+  readSidecarPosition(create, site);
   site.settings.mustSubscribe = create.find("membershipMode").value_or("") == "subscribe";
   site.settings.resolution = create.integer("resolution", 1, kMaxTime, site.settings.resolution);
   readLimits(create, site.settings);
   site.settings.hasKeyAffinity = create.flag("familyInfo.warmKeys");
-  readPrices(create, site.settings);
+  readWeightsAndCosts(create, site.settings);
   readReports(create, site);
   readContract(create, site.settings);
   return site;
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -26,9 +26,9 @@
     }
     if (host.isInBatch()) throw ivypost::simulator::WireError("input ended inside a batch");
   } catch (const std::exception& error) {
-    constexpr std::size_t kMaxShown = 120;
+    constexpr std::size_t kMaxShownBytes = 120;
     std::cerr << "ivypost-simulator-adapter: line " << number << ": " << error.what() << ": "
-              << line.substr(0, kMaxShown) << "\n";
+              << line.substr(0, kMaxShownBytes) << "\n";
     return 1;
   }
   return 0;
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -38,7 +38,7 @@
 }
 
 // The number of a name; 0, the first, if the name is empty.
-std::uint32_t numberOrFirst(const settings::Numbering& names, std::string_view what,
+std::uint32_t lookUpOrFirst(const settings::Numbering& names, std::string_view what,
                             const std::string& name) {
   return name.empty() ? 0 : settings::lookUp(names, what, name);
 }
@@ -51,12 +51,12 @@
 
 void appendRequest(std::string& out, balancer::RequestId request) {
   constexpr std::string_view kHexDigits = "0123456789abcdef";
-  constexpr unsigned kBitsOfADigit = 4;
-  constexpr unsigned kLowDigit = 15;
+  constexpr unsigned kBitsPerDigit = 4;
+  constexpr unsigned kDigitMask = 15;
   out += " job=";
   for (unsigned shift = std::numeric_limits<balancer::RequestId>::digits; shift > 0;) {
-    shift -= kBitsOfADigit;
-    out += kHexDigits[request >> shift & kLowDigit];
+    shift -= kBitsPerDigit;
+    out += kHexDigits[request >> shift & kDigitMask];
   }
 }
 
@@ -124,7 +124,7 @@
       seed_(static_cast<std::uint64_t>(
           create.integer("entropy", 0, std::numeric_limits<std::int64_t>::max()))) {}
 
-balancer::EndpointId Wire::numberOf(const std::string& name) {
+balancer::EndpointId Wire::idOf(const std::string& name) {
   const auto [found, isNew] = ids_.emplace(name, static_cast<balancer::EndpointId>(upstreams_.size()));
   if (isNew) upstreams_.push_back(name);
   return found->second;
@@ -186,11 +186,16 @@
 }
 
 balancer::EndpointEntry Wire::toEndpoint(const SheetEntry& entry) {
-  const std::uint32_t zone = numberOrFirst(site_.zones, "locality", entry.zone);
-  const std::uint32_t kind = numberOrFirst(site_.kinds, "hw", entry.kind);
-  return {
-      numberOf(entry.upstream),          zone, kind, entry.cell, entry.state, entry.size, entry.launchedAt,
-      settings::identity(entry.upstream)};
+  const std::uint32_t zone = lookUpOrFirst(site_.zones, "locality", entry.zone);
+  const std::uint32_t kind = lookUpOrFirst(site_.kinds, "hw", entry.kind);
+  return {idOf(entry.upstream),
+          zone,
+          kind,
+          entry.cell,
+          entry.state,
+          entry.size,
+          entry.launchedAt,
+          settings::identity(entry.upstream)};
 }
 
 balancer::MembershipUpdate Wire::parseUpdate(const settings::Line& line, const Sheet* sheet) {
--- a/src/simulator/wire.h
+++ b/src/simulator/wire.h
@@ -50,7 +50,7 @@
   balancer::EndpointEntry toEndpoint(const SheetEntry& entry);
   [[nodiscard]] std::optional<balancer::LoadReport> parseReport(const settings::Line& line) const;
 
-  balancer::EndpointId numberOf(const std::string& name);
+  balancer::EndpointId idOf(const std::string& name);
   [[nodiscard]] balancer::EndpointId knownUpstream(const settings::Line& line) const;
 
   settings::Site site_;
--- a/tests/configuration/operator_file_test.cpp
+++ b/tests/configuration/operator_file_test.cpp
@@ -93,7 +93,7 @@
 }
 
 // Each error is one line that names the file, the line, the key and the allowed values.
-TEST(OperatorFileTest, ErrorIsOneLineWithTheMend) {
+TEST(OperatorFileTest, ErrorIsOneLineWithTheHint) {
   const std::pair<const char*, const char*> rows[] = {
       {"[level]\non = true\n", "op.toml:1: level: there is no such key; did you mean 'levels'?"},
       {"[levels]\nonn = true\n", "op.toml:2: levels.onn: there is no such key; did you mean 'on'?"},
--- a/tests/configuration/toml_table_test.cpp
+++ b/tests/configuration/toml_table_test.cpp
@@ -48,7 +48,7 @@
 }
 
 // Each error is one line with file, line, key, the value found and the allowed values.
-TEST(TableTest, ErrorNamesFileLineKeyAndMend) {
+TEST(TableTest, ErrorNamesFileLineKeyAndHint) {
   struct Case {
     const char* text;
     std::function<void(Table&)> read;
@@ -101,7 +101,7 @@
     EXPECT_EQ(error.location().line, 3u);
     EXPECT_EQ(error.key(), "s.n");
     EXPECT_EQ(error.problem(), "12 is out of range");
-    EXPECT_EQ(error.mend(), "allowed is 0 to 9");
+    EXPECT_EQ(error.hint(), "allowed is 0 to 9");
   }
 }
 
