--- a/src/configuration/operator_file.cpp
+++ b/src/configuration/operator_file.cpp
@@ -58,7 +58,7 @@
   if (file.peers.on) {
     if (const auto flaw = gossip::flawOf(file.peers)) sections.fail("peers", *flaw);
   }
-  if (file.connectionLimit.keepUsed < file.connectionLimit.keepAny)
+  if (file.connectionLimit.keepReusedFraction < file.connectionLimit.keepAnyFraction)
     sections.fail("door", "keep_used has to be no less than keep_any");
   if (file.admission.queueSettings.interval < file.admission.queueSettings.targetDelay)
     sections.fail("admission", "interval has to be no less than target");
--- a/src/configuration/operator_file.h
+++ b/src/configuration/operator_file.h
@@ -38,18 +38,18 @@
     /// the order of the weights that the platform assigns.
     std::vector<std::string> order;
     /// Requests forwarded from the queue in one turn of the event loop; 1 to 1024.
-    std::int64_t perTurn = 8;
+    std::int64_t maxForwardsPerTurn = 8;
   } admission;  ///< [admission]
 
   /// [door]: limits on client connections, as fractions of the connections allowed.
   struct ConnectionLimit {
     /// While no more than this fraction is open, every connection is kept alive after a response.
-    double keepAny = admission::ConnectionLimiterSettings{}.keepAnyFraction;
+    double keepAnyFraction = admission::ConnectionLimiterSettings{}.keepAnyFraction;
     /// While no more than this fraction is open, a connection is kept alive if its client has reused it; no
-    /// less than keepAny.
-    double keepUsed = admission::ConnectionLimiterSettings{}.keepReusedFraction;
+    /// less than keepAnyFraction.
+    double keepReusedFraction = admission::ConnectionLimiterSettings{}.keepReusedFraction;
     /// While more than this fraction is active, new requests are rejected; 0.05 to 1.
-    double work = admission::ConnectionLimiterSettings{}.activeFraction;
+    double activeFraction = admission::ConnectionLimiterSettings{}.activeFraction;
   } connectionLimit;  ///< [door]
 
   /// [status]: status pages on the listening address, so that clients can read them, too.
--- a/src/configuration/operator_keys.cpp
+++ b/src/configuration/operator_keys.cpp
@@ -128,13 +128,13 @@
       fractionKey(
           "door.keep_any",
           "An answer ends its connection when more than this part of the places for clients is taken ...", 0,
-          [](OperatorFile& f) -> double& { return f.connectionLimit.keepAny; }),
+          [](OperatorFile& f) -> double& { return f.connectionLimit.keepAnyFraction; }),
       fractionKey("door.keep_used",
                   "... and up to this part not if its client has used it again within 2 s. 1: never.", 0,
-                  [](OperatorFile& f) -> double& { return f.connectionLimit.keepUsed; }),
+                  [](OperatorFile& f) -> double& { return f.connectionLimit.keepReusedFraction; }),
       fractionKey("door.work",
                   "With more than this part of the places at work, new requests are refused at once.", 0.05,
-                  [](OperatorFile& f) -> double& { return f.connectionLimit.work; }),
+                  [](OperatorFile& f) -> double& { return f.connectionLimit.activeFraction; }),
   };
 }
 
@@ -158,7 +158,7 @@
               [](OperatorFile& f) -> std::int64_t& { return f.admission.queueSettings.minRemainingTime; }),
       integerKey("admission.per_turn",
                  "Requests handed on before the loop sees to everything else that is ready.", 1, 1024,
-                 [](OperatorFile& f) -> std::int64_t& { return f.admission.perTurn; }),
+                 [](OperatorFile& f) -> std::int64_t& { return f.admission.maxForwardsPerTurn; }),
   };
 }
 
--- a/src/discovery/endpoint_address.cpp
+++ b/src/discovery/endpoint_address.cpp
@@ -21,7 +21,7 @@
 Endpoint parseEndpoint(std::string_view text) {
   constexpr std::string_view kExpected = "not an address and port:";
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string_view::npos || colon == 0) settings::bad(kExpected, text);
+  if (colon == std::string_view::npos || colon == 0) settings::throwFormatError(kExpected, text);
   std::string_view host = text.substr(0, colon);
   if (isInBrackets(host)) host = host.substr(1, host.size() - 2);
   boost::system::error_code error;
@@ -30,7 +30,7 @@
   std::uint16_t port = 0;
   const char* const last = std::to_address(digits.end());
   const auto [end, failure] = std::from_chars(std::to_address(digits.begin()), last, port);
-  if (error || failure != std::errc() || end != last) settings::bad(kExpected, text);
+  if (error || failure != std::errc() || end != last) settings::throwFormatError(kExpected, text);
   return {address, port};
 }
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -14,7 +14,7 @@
 
 using balancer::EndpointState;
 using nlohmann::json;
-using settings::bad;
+using settings::throwFormatError;
 
 // Far above any sensible one, and far below where sums of weights would lose precision.
 constexpr double kMaxWeight = 1e6;
@@ -33,20 +33,20 @@
   if (lifecycle == "up") return EndpointState::Serving;
   if (lifecycle == "draining") return EndpointState::Draining;
   if (lifecycle == "removed") return EndpointState::Gone;
-  bad("unknown lifecycle", lifecycle);
+  throwFormatError("unknown lifecycle", lifecycle);
 }
 
 double weightOf(const json& item) {
   const double weight = item.value("weight", 1.0);
   if (!std::isfinite(weight) || weight < 0 || weight > kMaxWeight)
-    bad("weight is out of range:", item["weight"].dump());
+    throwFormatError("weight is out of range:", item["weight"].dump());
   return weight;
 }
 
 WallTime startOf(const json& item) {
   const std::int64_t unixMillis = item.value("startedAtMs", std::int64_t{0});
   if (unixMillis < 0 || unixMillis > kMaxStart)
-    bad("startedAtMs is out of range:", item["startedAtMs"].dump());
+    throwFormatError("startedAtMs is out of range:", item["startedAtMs"].dump());
   return WallTime(std::chrono::milliseconds(unixMillis));
 }
 
@@ -55,7 +55,7 @@
 Instance toInstance(const json& item) {
   Instance instance;
   instance.id = item.at("instanceId").get<std::string>();
-  if (instance.id.empty()) bad("an instance without", "instanceId");
+  if (instance.id.empty()) throwFormatError("an instance without", "instanceId");
   instance.zone = withoutSeparators(item.value("zone", ""));
   instance.kind = withoutSeparators(item.value("machineType", ""));
   if (item.contains("cell") && !item["cell"].is_null()) instance.cell = item["cell"].get<std::uint32_t>();
@@ -77,7 +77,8 @@
   for (const json& item : object.at("instances")) {
     list.instances.push_back(toInstance(item));
     const std::string& id = list.instances.back().id;
-    if (list.isComplete && !ids.insert(id).second) bad("the whole list names an instance twice:", id);
+    if (list.isComplete && !ids.insert(id).second)
+      throwFormatError("the whole list names an instance twice:", id);
   }
   return list;
 }
@@ -86,9 +87,9 @@
   try {
     return toEndpointList(json::parse(text));
   } catch (const json::parse_error& error) {
-    bad("not JSON:", error.what());
+    throwFormatError("not JSON:", error.what());
   } catch (const json::exception& error) {
-    bad("not a list of instances:", error.what());
+    throwFormatError("not a list of instances:", error.what());
   }
 }
 
--- a/src/discovery/etcd/credentials.cpp
+++ b/src/discovery/etcd/credentials.cpp
@@ -14,7 +14,8 @@
   if (path.empty()) return "";
   std::ifstream file(path, std::ios::binary);
   std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-  if (!file || text.empty()) settings::bad(std::string(key) + " can't be read or is empty:", path);
+  if (!file || text.empty())
+    settings::throwFormatError(std::string(key) + " can't be read or is empty:", path);
   return text;
 }
 
--- a/src/discovery/etcd/instance_entry.cpp
+++ b/src/discovery/etcd/instance_entry.cpp
@@ -9,7 +9,7 @@
 namespace ivypost::discovery::etcd {
 namespace {
 
-using settings::bad;
+using settings::throwFormatError;
 
 bool isForbidden(char one) {
   constexpr unsigned char kFirstPrintable = 0x20;
@@ -27,17 +27,19 @@
 }
 
 discovery::Instance parseInstance(std::string_view id, std::string_view value) {
-  if (value.size() > kMaxValue) bad("the value is too long, bytes:", std::to_string(value.size()));
+  if (value.size() > kMaxValue)
+    throwFormatError("the value is too long, bytes:", std::to_string(value.size()));
   try {
     nlohmann::json item = nlohmann::json::parse(value);
-    if (!item.is_object()) bad("the value is no object but", item.type_name());
+    if (!item.is_object()) throwFormatError("the value is no object but", item.type_name());
     if (!item.contains("instanceId")) item["instanceId"] = std::string(id);
     discovery::Instance instance = discovery::toInstance(item);
-    if (instance.id != id) bad("the value names another instance:", instance.id);
-    if (instance.state == balancer::EndpointState::Gone) bad("a key can't say that it is", "removed");
+    if (instance.id != id) throwFormatError("the value names another instance:", instance.id);
+    if (instance.state == balancer::EndpointState::Gone)
+      throwFormatError("a key can't say that it is", "removed");
     return instance;
   } catch (const nlohmann::json::exception& error) {
-    bad("the value is no instance:", error.what());
+    throwFormatError("the value is no instance:", error.what());
   }
 }
 
--- a/src/discovery/etcd/key_mirror.cpp
+++ b/src/discovery/etcd/key_mirror.cpp
@@ -124,7 +124,7 @@
   if (held.created != kv.createRevision) held.instance.reset();
   try {
     const auto id = instanceIdOf(prefix_, kv.key);
-    if (!id) settings::bad("the key names no instance:", printable(kv.key));
+    if (!id) settings::throwFormatError("the key names no instance:", printable(kv.key));
     held.instance = parseInstance(*id, kv.value);
   } catch (const settings::FormatError& error) {
     report_("etcd: " + printable(kv.key) + " stays as it was: " + error.what());
--- a/src/settings/format_error.cpp
+++ b/src/settings/format_error.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void bad(std::string_view what, std::string_view value) {
+void throwFormatError(std::string_view what, std::string_view value) {
   throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShownBytes)) + "'");
 }
 
--- a/src/settings/format_error.h
+++ b/src/settings/format_error.h
@@ -15,7 +15,7 @@
 };
 
 /// Throws FormatError with the message `what`, followed by the first 80 bytes of `value` in quotes.
-[[noreturn]] void bad(std::string_view what, std::string_view value);
+[[noreturn]] void throwFormatError(std::string_view what, std::string_view value);
 
 }  // namespace ivypost::settings
 
--- a/src/settings/line.cpp
+++ b/src/settings/line.cpp
@@ -22,15 +22,15 @@
   std::int64_t result = 0;
   const auto [end, error] = std::from_chars(value.data(), std::to_address(value.end()), result);
   if (error != std::errc() || end != std::to_address(value.end()))
-    bad(std::string(key) + " is no integer:", value);
-  if (result < low || result > high) bad(std::string(key) + " is out of range:", value);
+    throwFormatError(std::string(key) + " is no integer:", value);
+  if (result < low || result > high) throwFormatError(std::string(key) + " is out of range:", value);
   return result;
 }
 
 bool toFlag(std::string_view key, std::string_view value) {
   if (value == "1" || value == "true") return true;
   if (value == "0" || value == "false") return false;
-  bad(std::string(key) + " is no bool:", value);
+  throwFormatError(std::string(key) + " is no bool:", value);
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
   double result = 0;
   const auto [end, error] = std::from_chars(value.data(), std::to_address(value.end()), result);
   if (error != std::errc() || end != std::to_address(value.end()) || !std::isfinite(result)) {
-    bad(std::string(key) + " is no number:", value);
+    throwFormatError(std::string(key) + " is no number:", value);
   }
   return result;
 }
@@ -58,14 +58,15 @@
 Line::Line(std::string_view text) {
   const std::size_t head = text.find(' ');
   name_ = text.substr(0, head);
-  if (name_.empty() || name_.find('=') != std::string_view::npos) bad("line without a name:", text);
+  if (name_.empty() || name_.find('=') != std::string_view::npos)
+    throwFormatError("line without a name:", text);
   if (head == std::string_view::npos) return;
   fields_.reserve(kTypicalFieldCount);
   for (std::string_view rest = text.substr(head + 1);;) {
     const std::size_t end = rest.find(' ');
     const std::string_view part = rest.substr(0, end);
     const std::size_t equals = part.find('=');
-    if (equals == 0 || equals == std::string_view::npos) bad("not a name=value pair:", part);
+    if (equals == 0 || equals == std::string_view::npos) throwFormatError("not a name=value pair:", part);
     fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
     if (end == std::string_view::npos) break;
     rest.remove_prefix(end + 1);
@@ -81,7 +82,7 @@
 
 std::string_view Line::text(std::string_view key) const {
   const auto value = find(key);
-  if (!value || value->empty()) bad("missing value:", key);
+  if (!value || value->empty()) throwFormatError("missing value:", key);
   return *value;
 }
 
@@ -110,11 +111,11 @@
   balancer::RequestId id = 0;
   for (const char c : value) {
     const std::size_t digit = kHexDigits.find(c);
-    if (digit == std::string_view::npos) bad("request id is not lower-case hex:", value);
+    if (digit == std::string_view::npos) throwFormatError("request id is not lower-case hex:", value);
     id = id << kBitsPerDigit | digit;
   }
   if (value.size() != std::numeric_limits<balancer::RequestId>::digits / kBitsPerDigit)
-    bad("request id has not 16 digits:", value);
+    throwFormatError("request id has not 16 digits:", value);
   return id;
 }
 
--- a/src/settings/site.cpp
+++ b/src/settings/site.cpp
@@ -28,14 +28,14 @@
   if (value == "free") return balancer::Semantics::Idempotent;
   if (value == "guarded") return balancer::Semantics::Keyed;
   if (value == "single_shot") return balancer::Semantics::Unsafe;
-  bad("unknown semantics", value);
+  throwFormatError("unknown semantics", value);
 }
 
 balancer::RetryGroup toGroup(std::string_view value) {
   if (value == "all") return balancer::RetryGroup::All;
   if (value == "zone") return balancer::RetryGroup::Zone;
   if (value == "cell") return balancer::RetryGroup::Cell;
-  bad("unknown repeat group", value);
+  throwFormatError("unknown repeat group", value);
 }
 
 balancer::ReportSource toReportSource(std::string_view value) {
@@ -159,7 +159,7 @@
 
 std::uint32_t lookUp(const Numbering& names, std::string_view what, std::string_view name) {
   const auto found = names.find(name);
-  if (found == names.end()) bad(std::string(what) + " is not in the settings:", name);
+  if (found == names.end()) throwFormatError(std::string(what) + " is not in the settings:", name);
   return found->second;
 }
 
--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -29,7 +29,7 @@
     : io_(io),
       config_(config),
       callbacks_(std::move(callbacks)),
-      maxForwardsPerTurn_(file.admission.perTurn),
+      maxForwardsPerTurn_(file.admission.maxForwardsPerTurn),
       quotas_(quotasOf(config)),
       isAlive_(std::make_shared<bool>(true)) {
   apply(file);
@@ -51,7 +51,7 @@
   for (std::size_t n = 0; n < order.size(); ++n) {
     const auto found = config_.site.classes.find(order[n]);
     if (found == config_.site.classes.end())
-      settings::bad("admission.order names a class that the platform doesn't have:", order[n]);
+      settings::throwFormatError("admission.order names a class that the platform doesn't have:", order[n]);
     weights.at(found->second) = greatest + static_cast<double>(order.size() - n);
   }
   return weights;
@@ -63,7 +63,7 @@
 
 void AdmissionController::apply(const configuration::OperatorFile& file) {
   priorityWeights_ = priorityWeightsOf(file);
-  maxForwardsPerTurn_ = file.admission.perTurn;
+  maxForwardsPerTurn_ = file.admission.maxForwardsPerTurn;
   countsArrivals_ = file.admission.queue || file.degradation.on;
   queue_.reset();
   if (file.admission.queue) {
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 using nlohmann::json;
-using settings::bad;
 using settings::FormatError;
+using settings::throwFormatError;
 
 // Descriptors that the process itself needs: log, event loop, signals, listening sockets, discovery, files.
 constexpr double kReservedSockets = 16;
@@ -72,7 +72,7 @@
   try {
     return json::parse(text);
   } catch (const json::exception& error) {
-    bad("not JSON:", error.what());
+    throwFormatError("not JSON:", error.what());
   }
 }
 
@@ -92,7 +92,7 @@
 void readPeers(const json& file, Config& config) {
   const auto address = [](const json& text) {
     const auto read = gossip::parseAddress(text.get<std::string>());
-    if (!read) bad("no IPv4 address and port:", text.dump());
+    if (!read) throwFormatError("no IPv4 address and port:", text.dump());
     return *read;
   };
   try {
@@ -109,7 +109,8 @@
 std::uint64_t toSeed(const std::string& text) {
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, kSeedBase);
-  if (error != std::errc() || end != text.data() + text.size()) bad("seed is no hexadecimal number:", text);
+  if (error != std::errc() || end != text.data() + text.size())
+    throwFormatError("seed is no hexadecimal number:", text);
   return seed;
 }
 
@@ -177,9 +178,10 @@
       config.sockets = file["limits"].value("sockets", config.sockets);
       config.memoryMb = file["limits"].value("memory_mb", config.memoryMb);
       if (!(config.memoryMb > 0))
-        bad("limits.memory_mb has to be over 0:", file["limits"]["memory_mb"].dump());
+        throwFormatError("limits.memory_mb has to be over 0:", file["limits"]["memory_mb"].dump());
       config.cores = file["limits"].value("cores", config.cores);
-      if (!(config.cores > 0)) bad("limits.cores has to be over 0:", file["limits"]["cores"].dump());
+      if (!(config.cores > 0))
+        throwFormatError("limits.cores has to be over 0:", file["limits"]["cores"].dump());
     }
     std::string line = "settings";
     const json& settings = file.at("settings");
--- a/src/sidecar/control/membership_selection.cpp
+++ b/src/sidecar/control/membership_selection.cpp
@@ -50,8 +50,8 @@
                                                              discovery::Source::Callbacks callbacks) const {
   if (wanted.source == Options::Source::Etcd) {
     if (!makeEtcd_)
-      settings::bad("membership.source: this program is built without etcd, ivypost-etcd is with it:",
-                    "etcd");
+      settings::throwFormatError(
+          "membership.source: this program is built without etcd, ivypost-etcd is with it:", "etcd");
     return makeEtcd_(io_, wanted.etcd, config_.seed, std::move(callbacks));
   }
   discovery::PlatformSource::Settings settings;
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using balancer::Outcome;
-using settings::bad;
+using settings::throwFormatError;
 
 // The maximum number of members, and of health reports, in GET /status/peers.
 constexpr std::size_t kMaxShown = 256;
@@ -56,14 +56,16 @@
   } else if (const auto address = gossip::parseAddress(options.address)) {
     settings.address = *address;
   } else {
-    bad("peers.address is missing, and the platform gives none; set where the other sidecars reach this one, "
+    throwFormatError(
+        "peers.address is missing, and the platform gives none; set where the other sidecars reach this one, "
         "as:",
         "10.0.0.4:7946");
   }
   if (const auto configured = gossip::parseAddress(options.listen)) listen = configured;
   for (const std::string& seed : options.seeds) settings.seeds.push_back(gossip::parseAddress(seed).value());
   if (platform && settings.seeds.empty()) settings.seeds = config.peers;
-  if (settings.seeds.empty()) bad("peers.seeds is missing, and the platform gives none:", options.address);
+  if (settings.seeds.empty())
+    throwFormatError("peers.seeds is missing, and the platform gives none:", options.address);
   settings.self = gossip::idOf(config.name);
   settings.incarnation = incarnationNumber() / 1000;
   settings.period = options.period;
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -26,9 +26,9 @@
 admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config,
                                                                const configuration::OperatorFile& file) {
   admission::ConnectionLimiterSettings settings;
-  settings.keepAnyFraction = file.connectionLimit.keepAny;
-  settings.keepReusedFraction = file.connectionLimit.keepUsed;
-  settings.activeFraction = file.connectionLimit.work;
+  settings.keepAnyFraction = file.connectionLimit.keepAnyFraction;
+  settings.keepReusedFraction = file.connectionLimit.keepReusedFraction;
+  settings.activeFraction = file.connectionLimit.activeFraction;
   const double connections = kClientFraction * config.poolSockets();
   settings.maxConnections = std::max<std::size_t>(1, static_cast<std::size_t>(connections));
   return settings;
--- a/src/simulator/sheet.cpp
+++ b/src/simulator/sheet.cpp
@@ -13,13 +13,13 @@
   if (mode == "SERVING") return balancer::EndpointState::Serving;
   if (mode == "DRAINING") return balancer::EndpointState::Draining;
   if (mode == "DELETED") return balancer::EndpointState::Gone;
-  settings::bad("unknown upstream mode", mode);
+  settings::throwFormatError("unknown upstream mode", mode);
 }
 
 }  // namespace
 
 SheetEntry parseSheetEntry(const settings::Line& line) {
-  if (line.name() != "entry") settings::bad("expected an entry line, got", line.name());
+  if (line.name() != "entry") settings::throwFormatError("expected an entry line, got", line.name());
   SheetEntry entry;
   entry.upstream = line.text("upstream");
   entry.zone = line.find("locality").value_or("");
@@ -28,7 +28,7 @@
     entry.cell = static_cast<std::uint32_t>(line.integer("group", 0, settings::kMaxCount));
   entry.state = toEndpointState(line.text("mode"));
   entry.size = line.number("size", 1);
-  if (entry.size < 0) settings::bad("size is negative:", line.text("size"));
+  if (entry.size < 0) settings::throwFormatError("size is negative:", line.text("size"));
   entry.launchedAt = line.integer("launched", 0, settings::kMaxTime, 0);
   return entry;
 }
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -22,7 +22,7 @@
   if (value == "reset") return balancer::Outcome::Reset;
   if (value == "cancelled") return balancer::Outcome::Cancelled;
   if (value == "moot") return balancer::Outcome::Moot;
-  settings::bad("unknown outcome", value);
+  settings::throwFormatError("unknown outcome", value);
 }
 
 balancer::MembershipUpdate::Kind toUpdateKind(std::string_view mode) {
@@ -30,7 +30,7 @@
   if (mode == "FULL") return balancer::MembershipUpdate::Kind::Full;
   if (mode == "SAVED") return balancer::MembershipUpdate::Kind::Saved;
   if (mode == "FAILED") return balancer::MembershipUpdate::Kind::Failed;
-  settings::bad("unknown registry mode", mode);
+  settings::throwFormatError("unknown registry mode", mode);
 }
 
 std::uint32_t attemptOf(const settings::Line& line) {
@@ -133,7 +133,7 @@
 balancer::EndpointId Wire::knownUpstream(const settings::Line& line) const {
   const std::string name(line.text("upstream"));
   const auto found = ids_.find(name);
-  if (found == ids_.end()) settings::bad("upstream was in no list of this instance:", name);
+  if (found == ids_.end()) settings::throwFormatError("upstream was in no list of this instance:", name);
   return found->second;
 }
 
@@ -202,7 +202,7 @@
   balancer::MembershipUpdate event;
   event.kind = toUpdateKind(line.text("mode"));
   if (event.kind == balancer::MembershipUpdate::Kind::Failed) return event;
-  if (sheet == nullptr) settings::bad("unknown sheet", line.text("sheet"));
+  if (sheet == nullptr) settings::throwFormatError("unknown sheet", line.text("sheet"));
   for (const SheetEntry& entry : *sheet) event.entries.push_back(toEndpoint(entry));
   return event;
 }
@@ -221,7 +221,7 @@
     return balancer::TimerDue{};
   }
   if (name == "mail") return std::nullopt;  // the sidecars exchange no messages in the simulator
-  settings::bad("unknown message", name);
+  settings::throwFormatError("unknown message", name);
 }
 
 void Wire::print(int instance, const balancer::Action& action, std::string& out) const {
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -187,7 +187,7 @@
     states.assign(upstreams.size(), "up");
     configuration::OperatorFile file;
     file.admission.queue = true;
-    file.admission.perTurn = 1;
+    file.admission.maxForwardsPerTurn = 1;
     file.admission.queueSettings.maxTenantFraction = 1;
     file.admission.queueSettings.targetDelay = file.admission.queueSettings.interval = 60'000'000;
     sidecar = std::make_unique<Sidecar>(io, configure(json::object()), file);
--- a/tests/compatibility/operator_file_test.cpp
+++ b/tests/compatibility/operator_file_test.cpp
@@ -30,9 +30,9 @@
   const auto put = [&](const char* key, const auto& value) { out << key << " = " << value << "\n"; };
   put("status.level", file.status.level);
   put("status.peers", file.status.peers);
-  put("door.keep_any", file.connectionLimit.keepAny);
-  put("door.keep_used", file.connectionLimit.keepUsed);
-  put("door.work", file.connectionLimit.work);
+  put("door.keep_any", file.connectionLimit.keepAnyFraction);
+  put("door.keep_used", file.connectionLimit.keepReusedFraction);
+  put("door.work", file.connectionLimit.activeFraction);
   put("admission.queue", file.admission.queue);
   put("admission.order", joined(file.admission.order));
   put("admission.most", file.admission.queueSettings.maxRequests);
@@ -40,7 +40,7 @@
   put("admission.target", file.admission.queueSettings.targetDelay);
   put("admission.interval", file.admission.queueSettings.interval);
   put("admission.answer_time", file.admission.queueSettings.minRemainingTime);
-  put("admission.per_turn", file.admission.perTurn);
+  put("admission.per_turn", file.admission.maxForwardsPerTurn);
   const auto& degradation = file.degradation.settings;
   put("levels.on", file.degradation.on);
   put("levels.step_down", degradation.escalationInterval.count());
--- a/tests/degradation/degradation_manager_test.cpp
+++ b/tests/degradation/degradation_manager_test.cpp
@@ -151,7 +151,7 @@
 // queue off forwards the queued requests.
 TEST_F(DegradationManagerTest, LosesNoRequestWhenTheQueueIsSwitchedOff) {
   configuration::OperatorFile file = fileForLevel(Level::Protect);
-  file.admission.perTurn = 1;
+  file.admission.maxForwardsPerTurn = 1;
   start(file);
   upstreams[0]->onRequest = [](Peer::Exchange& exchange) { exchange.reply(200, "served"); };
   std::vector<Client> all;
--- a/tests/leaving_test.cpp
+++ b/tests/leaving_test.cpp
@@ -11,7 +11,7 @@
 configuration::OperatorFile withQueue(std::int64_t perTurn) {
   configuration::OperatorFile file;
   file.admission.queue = true;
-  file.admission.perTurn = perTurn;
+  file.admission.maxForwardsPerTurn = perTurn;
   return file;
 }
 
--- a/tests/settings/line_test.cpp
+++ b/tests/settings/line_test.cpp
@@ -63,7 +63,7 @@
 
 TEST(LineTest, ErrorShowsTheFirst80BytesOfAValue) {
   try {
-    bad("too long:", std::string(1000, 'a'));
+    throwFormatError("too long:", std::string(1000, 'a'));
   } catch (const FormatError& error) {
     EXPECT_EQ(error.what(), "too long: '" + std::string(80, 'a') + "'");
   }
