--- a/src/discovery/etcd/key_mirror.cpp
+++ b/src/discovery/etcd/key_mirror.cpp
@@ -124,7 +124,7 @@
   if (mirrored.createRevision != kv.createRevision) mirrored.instance.reset();
   try {
     const auto id = instanceIdOf(prefix_, kv.key);
-    if (!id) settings::bad("the key names no instance:", printable(kv.key));
+    if (!id) settings::throwFormatError("the key names no instance:", printable(kv.key));
     mirrored.instance = parseInstance(*id, kv.value);
   } catch (const settings::FormatError& error) {
     report_("etcd: " + printable(kv.key) + " stays as it was: " + error.what());
--- a/src/settings/format_error.cpp
+++ b/src/settings/format_error.cpp
@@ -7,13 +7,13 @@
 namespace ivypost::settings {
 namespace {
 
-// Of a value, which may be of any length, in a log's line.
-constexpr std::size_t kMaxShown = 80;
+// The longest part of a value, in bytes, that an error shows; values may have any length.
+constexpr std::size_t kMaxShownBytes = 80;
 
 }  // namespace
 
-void bad(std::string_view what, std::string_view value) {
-  throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShown)) + "'");
+void throwFormatError(std::string_view what, std::string_view value) {
+  throw FormatError(std::string(what) + " '" + std::string(value.substr(0, kMaxShownBytes)) + "'");
 }
 
 }  // namespace ivypost::settings
--- a/src/settings/site.cpp
+++ b/src/settings/site.cpp
@@ -16,7 +16,7 @@
 constexpr std::int64_t kMaxSidecars = 1'000'000;
 constexpr std::int64_t kMaxAttempts = 1'000'000;
 
-Numbering numbered(const Line& line, std::string_view key) {
+Numbering readNumbering(const Line& line, std::string_view key) {
   Numbering names;
   for (const std::string_view name : split(line.find(key).value_or(""), ',')) {
     names.emplace(name, static_cast<std::uint32_t>(names.size()));
@@ -28,14 +28,14 @@
   if (value == "free") return balancer::Semantics::Idempotent;
   if (value == "guarded") return balancer::Semantics::Keyed;
   if (value == "single_shot") return balancer::Semantics::Unsafe;
-  bad("unknown semantics", value);
+  throwFormatError("unknown semantics", value);
 }
 
 balancer::RetryGroup toGroup(std::string_view value) {
   if (value == "all") return balancer::RetryGroup::All;
   if (value == "zone") return balancer::RetryGroup::Zone;
   if (value == "cell") return balancer::RetryGroup::Cell;
-  bad("unknown repeat group", value);
+  throwFormatError("unknown repeat group", value);
 }
 
 balancer::ReportSource toReportSource(std::string_view value) {
@@ -48,7 +48,7 @@
   return static_cast<std::uint32_t>(line.integer(key, 0, max, absent));
 }
 
-// A time that may be missing, and is 0 then.
+// An optional time in microseconds; 0 if it is missing.
 balancer::Micros toTime(const Line& line, std::string_view key) {
   return line.integer(key, 0, kMaxTime, 0);
 }
@@ -86,7 +86,7 @@
   }
 }
 
-// Zones and kinds of machines; there is one of each at least, with a name or without.
+// Zones and kinds of machines. There is at least one of each, even if the settings name none.
 void readLocality(const Line& line, Site& site) {
   balancer::Settings& settings = site.settings;
   settings.zones = static_cast<std::uint32_t>(std::max<std::size_t>(1, site.zones.size()));
@@ -96,9 +96,9 @@
   settings.kinds = static_cast<std::uint32_t>(std::max<std::size_t>(1, site.kinds.size()));
 }
 
-// How many sidecars there are, and which one this is. Neither is a reason not to start: they only tell how
-// the sidecars divide what they do.
-void readDivision(const Line& line, Site& site) {
+// The number of sidecars and the index of this one. An invalid value does not prevent the start, since both
+// only determine how the sidecars divide work.
+void readSidecarPosition(const Line& line, Site& site) {
   balancer::Settings& settings = site.settings;
   settings.sidecars = toCount(line, "balancers", kMaxSidecars, 1);
   settings.sidecar = toCount(line, "index", kMaxCount, 0);
@@ -125,7 +125,7 @@
   settings.mayHedge = line.flag("limits.secondCopies");
 }
 
-void readPrices(const Line& line, balancer::Settings& settings) {
+void readWeightsAndCosts(const Line& line, balancer::Settings& settings) {
   settings.weightByWork = line.find("worthBy").value_or("request") == "work";
   settings.overShareWeight = line.number("overShareWorth", 1);
   settings.crossZoneCost = line.number("prices.crossZone", 0);
@@ -159,7 +159,7 @@
 
 std::uint32_t lookUp(const Numbering& names, std::string_view what, std::string_view name) {
   const auto found = names.find(name);
-  if (found == names.end()) bad(std::string(what) + " is not in the settings:", name);
+  if (found == names.end()) throwFormatError(std::string(what) + " is not in the settings:", name);
   return found->second;
 }
 
@@ -167,20 +167,20 @@
   return util::fnv1a(name);
 }
 
-// The order of the readers is that in which the first error is found.
+// The order of the readers decides which of several errors is reported.
 Site readSite(const Line& create) {
   Site site;
-  site.zones = numbered(create, "zones");
-  site.kinds = numbered(create, "skus");
+  site.zones = readNumbering(create, "zones");
+  site.kinds = readNumbering(create, "skus");
   readClasses(create, site);
   readTenants(create, site);
   readLocality(create, site);
-  readDivision(create, site);
+  readSidecarPosition(create, site);
   site.settings.mustSubscribe = create.find("membershipMode").value_or("") == "subscribe";
   site.settings.resolution = create.integer("resolution", 1, kMaxTime, site.settings.resolution);
   readLimits(create, site.settings);
   site.settings.hasKeyAffinity = create.flag("familyInfo.warmKeys");
-  readPrices(create, site.settings);
+  readWeightsAndCosts(create, site.settings);
   readReports(create, site);
   readContract(create, site.settings);
   return site;
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The program ivypost-simulator-adapter: the simulator's wire on standard input and output. Exit status: 0 at
-// the end of input behind a batch; 1, with one line on standard error, for input that can't be read, or when
-// nobody reads.
+// The program ivypost-simulator-adapter: speaks the simulator's wire on standard input and output. Exit
+// status: 0 at the end of input between batches; 1, with one line on standard error, for invalid input; 1,
+// without a line, if standard output can't be written.
 #include <cstddef>
 #include <cstdint>
 #include <exception>
@@ -26,9 +26,9 @@
     }
     if (host.isInBatch()) throw ivypost::simulator::WireError("input ended inside a batch");
   } catch (const std::exception& error) {
-    constexpr std::size_t kMaxShown = 120;
+    constexpr std::size_t kMaxShownBytes = 120;
     std::cerr << "ivypost-simulator-adapter: line " << number << ": " << error.what() << ": "
-              << line.substr(0, kMaxShown) << "\n";
+              << line.substr(0, kMaxShownBytes) << "\n";
     return 1;
   }
   return 0;
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -22,7 +22,7 @@
   if (value == "reset") return balancer::Outcome::Reset;
   if (value == "cancelled") return balancer::Outcome::Cancelled;
   if (value == "moot") return balancer::Outcome::Moot;
-  settings::bad("unknown outcome", value);
+  settings::throwFormatError("unknown outcome", value);
 }
 
 balancer::MembershipUpdate::Kind toUpdateKind(std::string_view mode) {
@@ -30,15 +30,15 @@
   if (mode == "FULL") return balancer::MembershipUpdate::Kind::Full;
   if (mode == "SAVED") return balancer::MembershipUpdate::Kind::Saved;
   if (mode == "FAILED") return balancer::MembershipUpdate::Kind::Failed;
-  settings::bad("unknown registry mode", mode);
+  settings::throwFormatError("unknown registry mode", mode);
 }
 
 std::uint32_t attemptOf(const settings::Line& line) {
   return static_cast<std::uint32_t>(line.integer("go", 0, settings::kMaxCount));
 }
 
-// The number of a name that may be empty, which stands for the first.
-std::uint32_t numberOrFirst(const settings::Numbering& names, std::string_view what,
+// The number of a name; 0, the first, if the name is empty.
+std::uint32_t lookUpOrFirst(const settings::Numbering& names, std::string_view what,
                             const std::string& name) {
   return name.empty() ? 0 : settings::lookUp(names, what, name);
 }
@@ -51,16 +51,16 @@
 
 void appendRequest(std::string& out, balancer::RequestId request) {
   constexpr std::string_view kHexDigits = "0123456789abcdef";
-  constexpr unsigned kBitsOfADigit = 4;
-  constexpr unsigned kLowDigit = 15;
+  constexpr unsigned kBitsPerDigit = 4;
+  constexpr unsigned kDigitMask = 15;
   out += " job=";
   for (unsigned shift = std::numeric_limits<balancer::RequestId>::digits; shift > 0;) {
-    shift -= kBitsOfADigit;
-    out += kHexDigits[request >> shift & kLowDigit];
+    shift -= kBitsPerDigit;
+    out += kHexDigits[request >> shift & kDigitMask];
   }
 }
 
-// Appends one action's line, without its end.
+// Appends the line of one action, without its line end.
 class ActionPrinter {
  public:
   ActionPrinter(int instance, const std::vector<std::string>& upstreams, std::string& out)
@@ -124,7 +124,7 @@
       seed_(static_cast<std::uint64_t>(
           create.integer("entropy", 0, std::numeric_limits<std::int64_t>::max()))) {}
 
-balancer::EndpointId Wire::numberOf(const std::string& name) {
+balancer::EndpointId Wire::idOf(const std::string& name) {
   const auto [found, isNew] = ids_.emplace(name, static_cast<balancer::EndpointId>(upstreams_.size()));
   if (isNew) upstreams_.push_back(name);
   return found->second;
@@ -133,7 +133,7 @@
 balancer::EndpointId Wire::knownUpstream(const settings::Line& line) const {
   const std::string name(line.text("upstream"));
   const auto found = ids_.find(name);
-  if (found == ids_.end()) settings::bad("upstream was in no list of this instance:", name);
+  if (found == ids_.end()) settings::throwFormatError("upstream was in no list of this instance:", name);
   return found->second;
 }
 
@@ -186,18 +186,23 @@
 }
 
 balancer::EndpointEntry Wire::toEndpoint(const SheetEntry& entry) {
-  const std::uint32_t zone = numberOrFirst(site_.zones, "locality", entry.zone);
-  const std::uint32_t kind = numberOrFirst(site_.kinds, "hw", entry.kind);
-  return {
-      numberOf(entry.upstream),          zone, kind, entry.cell, entry.state, entry.size, entry.launchedAt,
-      settings::identity(entry.upstream)};
+  const std::uint32_t zone = lookUpOrFirst(site_.zones, "locality", entry.zone);
+  const std::uint32_t kind = lookUpOrFirst(site_.kinds, "hw", entry.kind);
+  return {idOf(entry.upstream),
+          zone,
+          kind,
+          entry.cell,
+          entry.state,
+          entry.size,
+          entry.launchedAt,
+          settings::identity(entry.upstream)};
 }
 
 balancer::MembershipUpdate Wire::parseUpdate(const settings::Line& line, const Sheet* sheet) {
   balancer::MembershipUpdate event;
   event.kind = toUpdateKind(line.text("mode"));
   if (event.kind == balancer::MembershipUpdate::Kind::Failed) return event;
-  if (sheet == nullptr) settings::bad("unknown sheet", line.text("sheet"));
+  if (sheet == nullptr) settings::throwFormatError("unknown sheet", line.text("sheet"));
   for (const SheetEntry& entry : *sheet) event.entries.push_back(toEndpoint(entry));
   return event;
 }
@@ -211,12 +216,12 @@
   if (name == "health") return parseProbeResult(line);
   if (name == "registry") return parseUpdate(line, sheet);
   if (name == "tick_due") {
-    // There is one timer; that its nonce is there is checked all the same.
+    // There is only one timer, so the nonce is not compared; a missing nonce is still an error.
     static_cast<void>(line.text("nonce"));
     return balancer::TimerDue{};
   }
-  if (name == "mail") return std::nullopt;  // the sidecars of this project tell each other nothing here
-  settings::bad("unknown message", name);
+  if (name == "mail") return std::nullopt;  // the sidecars exchange no messages in the simulator
+  settings::throwFormatError("unknown message", name);
 }
 
 void Wire::print(int instance, const balancer::Action& action, std::string& out) const {
--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -189,7 +189,7 @@
     states.assign(upstreams.size(), "up");
     configuration::OperatorFile file;
     file.admission.queue = true;
-    file.admission.perTurn = 1;
+    file.admission.maxForwardsPerTurn = 1;
     file.admission.queueSettings.maxTenantFraction = 1;
     file.admission.queueSettings.targetDelay = file.admission.queueSettings.interval = 60'000'000;
     sidecar = std::make_unique<Sidecar>(io, configure(json::object()), file);
@@ -387,7 +387,7 @@
   EXPECT_NE(upstream.requests[1].connection, upstream.requests[0].connection);
 }
 
-// withdraw() cancels only attempts that have not been written, and these end as never sent.
+// cancelUnsent() cancels only attempts that have not been written, and these end as never sent.
 TEST_F(PoolTest, WithdrawCancelsOnlyUnsentAttempts) {
   Peer upstream(io);
   FullListener full(io);
--- a/tests/configuration/toml_table_test.cpp
+++ b/tests/configuration/toml_table_test.cpp
@@ -47,8 +47,8 @@
   EXPECT_NO_THROW(root.finish());
 }
 
-// Each error is one line with file, line, key, what stands there and what is allowed.
-TEST(TableTest, ErrorNamesFileLineKeyAndMend) {
+// Each error is one line with file, line, key, the value found and the allowed values.
+TEST(TableTest, ErrorNamesFileLineKeyAndHint) {
   struct Case {
     const char* text;
     std::function<void(Table&)> read;
@@ -89,7 +89,7 @@
   for (const Case& one : cases) EXPECT_EQ(errorOf(one.text, one.read), one.error) << one.text;
 }
 
-// For callers that show the parts apart, or count by key.
+// For callers that show the parts separately or count errors by key.
 TEST(TableTest, ErrorHoldsItsPartsApart) {
   const auto document = Document::parse("\n[s]\nn = 12", "f.toml");
   Table table = *document.root().table("s");
@@ -101,7 +101,7 @@
     EXPECT_EQ(error.location().line, 3u);
     EXPECT_EQ(error.key(), "s.n");
     EXPECT_EQ(error.problem(), "12 is out of range");
-    EXPECT_EQ(error.mend(), "allowed is 0 to 9");
+    EXPECT_EQ(error.hint(), "allowed is 0 to 9");
   }
 }
 
