--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -29,7 +29,7 @@
   /// The request's deadline: an estimate until the last byte of the body has been received.
   Clock::time_point deadline;
   /// The time that the client grants, counted from the last byte of the body. No attempt is given more.
-  Clock::duration clientGave{};
+  Clock::duration clientTimeout{};
 };
 
 /// A validated request of the application, as it is passed to the decision module.
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -57,7 +57,7 @@
       socket_(std::move(socket)),
       deadline_(resources.deadlines),
       closePoll_(resources.deadlines),
-      buffering_(resources.budget, kMaxWhole),
+      buffering_(resources.budget, kStreamingThreshold),
       readAheadShare_(resources.budget),
       slot_(slot) {}
 
@@ -226,7 +226,7 @@
 
 error_code ClientSession::readAhead() {
   error_code error;
-  const std::size_t most = buffer_.size() < kUnbudgetedReadAhead ? kReadSize : kReadOfStream;
+  const std::size_t most = buffer_.size() < kUnbudgetedReadAhead ? kReadSize : kStreamReadSize;
   buffer_.commit(network::receiveSome(socket_, buffer_.prepare(most), error));
   return error;
 }
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -129,7 +129,7 @@
   if (!capacity) return beginUpload();
   parser_->get().body().reserve(*capacity);
   setDeadline(bodyStallTimer_->deadline());
-  readBodyPart(kReadOfStream);
+  readBodyPart(kStreamReadSize);
 }
 
 void ClientSession::readBodyPart(std::size_t most, error_code why) {
@@ -175,7 +175,7 @@
                            .count();
   request.deadline = Clock::now() + std::chrono::microseconds(request.expiresIn);
   upload->deadline = request.deadline;
-  upload->clientGave = std::chrono::microseconds(expiresIn_);
+  upload->clientTimeout = std::chrono::microseconds(expiresIn_);
   upload->pipe.onCapacity = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) asio::post(self->io_, [self] { self->onPipeCapacity(); });
   };
@@ -212,7 +212,7 @@
   if (capacity > 0) {
     readAheadShare_.release();
   } else if (mayReadBeyondPipe()) {
-    capacity = kReadOfStream;
+    capacity = kStreamReadSize;
   }
   if (capacity == 0) {
     // Backpressure stops reading, so the stall timer of the client's body is suspended.
@@ -225,7 +225,7 @@
     bodyStallTimer_->extendBy(
         std::chrono::microseconds(now() - *std::exchange(backpressureSince_, std::nullopt)));
   setDeadline(bodyStallTimer_->deadline());
-  readBodyPart(std::min(capacity, kReadOfStream));
+  readBodyPart(std::min(capacity, kStreamReadSize));
 }
 
 bool ClientSession::mayReadBeyondPipe() {
--- a/src/sidecar/framing.h
+++ b/src/sidecar/framing.h
@@ -14,7 +14,7 @@
 
 /// Bytes. Bodies up to this size are always read completely before they are forwarded; a larger answer is
 /// streamed, a larger request body is streamed if the memory budget does not allow buffering it.
-constexpr std::size_t kMaxWhole = 64UL * 1024;
+constexpr std::size_t kStreamingThreshold = 64UL * 1024;
 /// The largest body in bytes that the platform's protocol allows, of requests and answers.
 constexpr std::size_t kMaxBody = 32UL * 1024 * 1024;
 /// The largest start line with headers in bytes, of requests and answers. This limit is the sidecar's own.
@@ -30,7 +30,7 @@
 ///
 /// Protects against request smuggling and ambiguous lengths: Boost.Beast 1.74 accepts repeated equal lengths,
 /// and any coding other than chunked together with a length.
-[[nodiscard]] inline bool plainFraming(const boost::beast::http::fields& fields) {
+[[nodiscard]] inline bool hasUnambiguousFraming(const boost::beast::http::fields& fields) {
   using boost::beast::http::field;
   const auto lengths = fields.count(field::content_length);
   const auto codings = fields.count(field::transfer_encoding);
--- a/src/sidecar/request_parser.cpp
+++ b/src/sidecar/request_parser.cpp
@@ -123,7 +123,7 @@
       }
     }
   }
-  if (!plainFraming(head)) return SyntaxError{400, "framing that can be read in two ways"};
+  if (!hasUnambiguousFraming(head)) return SyntaxError{400, "framing that can be read in two ways"};
   if (head.count(http::field::content_length) > 0) {
     const std::string_view length = view(head[http::field::content_length]);
     if (length.empty() ||
@@ -175,7 +175,7 @@
          beast::iequals(head[http::field::expect], "100-continue");
 }
 
-void dropHopByHop(RequestHead& head) {
+void removeHopByHopHeaders(RequestHead& head) {
   if (head.count(http::field::connection) > 0) {
     std::vector<std::string> named;
     for (const auto& option : http::token_list(head[http::field::connection])) named.emplace_back(option);
--- a/src/sidecar/request_parser.h
+++ b/src/sidecar/request_parser.h
@@ -35,7 +35,7 @@
 
 /// Removes the hop-by-hop headers, and those that Connection names (RFC 9110, 7.6.1), before a request is
 /// forwarded.
-void dropHopByHop(RequestHead& head);
+void removeHopByHopHeaders(RequestHead& head);
 
 /// The status for a start line that Beast rejected: 505 if it is well-formed and has another major version,
 /// otherwise 400 (RFC 9110, 15.6.6). `text`: the bytes received so far.
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -59,11 +59,11 @@
   /// The port of the operators' console; none: there is no console, or its address could not be bound yet.
   [[nodiscard]] std::optional<std::uint16_t> consolePort() const { return admin_.port(); }
   /// The health view shared by gossip; null: peers are off. Valid until the next reload().
-  [[nodiscard]] const GossipHealthView* fleet() const { return healthView_.get(); }
+  [[nodiscard]] const GossipHealthView* healthView() const { return healthView_.get(); }
   /// How long the endpoint list may have been out of date, and whether its source confirms it.
   [[nodiscard]] discovery::Freshness freshness() const { return membership_.freshness(); }
   /// For tests: the size of the endpoint table, with used and free entries.
-  [[nodiscard]] std::size_t upstreamNumbers() const { return endpoints_.size(); }
+  [[nodiscard]] std::size_t endpointTableSize() const { return endpoints_.size(); }
   /// For tests: connections to endpoints that have a request to send and are not established yet.
   [[nodiscard]] std::size_t comingUp() const { return pool_.comingUp(); }
 
--- a/src/sidecar/stream_writer.h
+++ b/src/sidecar/stream_writer.h
@@ -18,7 +18,7 @@
 namespace ivypost {
 
 /// Bytes that one read takes of a body that is streamed.
-constexpr std::size_t kReadOfStream = 16UL * 1024;
+constexpr std::size_t kStreamReadSize = 16UL * 1024;
 
 /// Writes a message with a streamed body: the head, then the contents of a pipe, in chunks (RFC 9112, 7.1) or
 /// unchanged. Copies one piece at a time, so that its memory is bounded. Does not block; the caller waits
--- a/src/sidecar/upstream/answer_parser.cpp
+++ b/src/sidecar/upstream/answer_parser.cpp
@@ -51,7 +51,7 @@
     beginHead();
     return true;
   }
-  if (!plainFraming(answer)) return false;
+  if (!hasUnambiguousFraming(answer)) return false;
   if (const auto stated = length(); stated && *stated > kMaxBody) return false;
   parser_->eager(true);
   return true;
@@ -64,7 +64,7 @@
 }
 
 bool AnswerParser::hasTooMuchUnread() const {
-  return buffer_.size() > kMaxHeader + kReadOfStream;
+  return buffer_.size() > kMaxHeader + kStreamReadSize;
 }
 
 Outcome AnswerParser::outcome() const {
--- a/src/sidecar/upstream/upstream_exchange.cpp
+++ b/src/sidecar/upstream/upstream_exchange.cpp
@@ -76,7 +76,7 @@
   // A repeat's last byte has to go out within the window too. And a body that the kernel can't take at once
   // waits for an upstream that reads, which is part of coming up.
   auto until = std::min(job_->deadline, job_->writeBy);
-  if (body.size() > kMaxWhole) {
+  if (body.size() > kStreamingThreshold) {
     until = std::min(until, now + kUploadStallTimeout);
   } else if (body.size() > kSendBufferSize) {
     until = std::min(until, now + context_.connectTimeout);
@@ -111,7 +111,7 @@
   if (!network::isTransient(error)) return connection_.fail(Outcome::ConnectFailed);
   dropSent(sent);
   // It reads on, if slowly.
-  if (job_->attempt && sent > 0 && job_->attempt->message->body().size() > kMaxWhole)
+  if (job_->attempt && sent > 0 && job_->attempt->message->body().size() > kStreamingThreshold)
     connection_.setDeadline(std::min({job_->deadline, job_->writeBy, Clock::now() + kUploadStallTimeout}));
   awaitWritable(error);
 }
@@ -183,7 +183,7 @@
 }
 
 void UpstreamExchange::onReadable() {
-  const std::size_t most = answer_ ? std::min(answer_->freeCapacity(), kReadOfStream) : kReadAtOnce;
+  const std::size_t most = answer_ ? std::min(answer_->freeCapacity(), kStreamReadSize) : kReadAtOnce;
   if (most == 0) return pause();
   error_code error;
   parser_.commit(network::receiveSome(connection_.socket(), parser_.prepare(most), error));
@@ -205,7 +205,7 @@
   if (serves) {
     forwardBody();
     if (!job_) return;
-  } else if (parser_.body().size() > kMaxWhole) {
+  } else if (parser_.body().size() > kStreamingThreshold) {
     return failBroken();
   }
   if (parser_.isComplete()) return complete();
@@ -217,7 +217,9 @@
 void UpstreamExchange::forwardBody() {
   std::string& body = parser_.body();
   const auto length = parser_.length();
-  if (!answer_ && body.size() <= kMaxWhole && (!length || *length <= kMaxWhole || body.empty())) return;
+  if (!answer_ && body.size() <= kStreamingThreshold &&
+      (!length || *length <= kStreamingThreshold || body.empty()))
+    return;
   if (!answer_) beginStream();
   if (!answer_) return;  // the job was ended within
   answer_->push(body);
--- a/src/sidecar/upstream/upstream_request.cpp
+++ b/src/sidecar/upstream/upstream_request.cpp
@@ -44,12 +44,12 @@
 
 Clock::duration timeLeft(Clock::time_point deadline, const Upload* upload, Clock::time_point now) {
   if (upload == nullptr) return deadline - now;
-  return std::min({deadline - now, upload->deadline - now, upload->clientGave});
+  return std::min({deadline - now, upload->deadline - now, upload->clientTimeout});
 }
 
 std::string attemptHead(const Message& message, const Upload* upload, Clock::duration timeLeft) {
   RequestHead head = message.base();
-  dropHopByHop(head);
+  removeHopByHopHeaders(head);
   const std::int64_t left = duration_cast<milliseconds>(timeLeft).count();
   head.set("X-Expires-In-Ms", std::to_string(std::max<std::int64_t>(1, left)));
   setFraming(head, message, upload);
--- a/tests/sidecar/upstream/upstream_request_test.cpp
+++ b/tests/sidecar/upstream/upstream_request_test.cpp
@@ -110,11 +110,11 @@
   EXPECT_EQ(timeLeft(now_ + milliseconds(300), nullptr, now_), milliseconds(300));
   EXPECT_EQ(timeLeft(now_ - milliseconds(1), nullptr, now_), milliseconds(-1));
   struct Row {
-    int attempt, request, clientGave, left;
+    int attempt, request, clientTimeout, left;
   };
   for (const Row& row : {Row{300, 400, 500, 300}, Row{400, 300, 500, 300}, Row{500, 400, 300, 300}}) {
     upload_.deadline = now_ + milliseconds(row.request);
-    upload_.clientGave = milliseconds(row.clientGave);
+    upload_.clientTimeout = milliseconds(row.clientTimeout);
     EXPECT_EQ(timeLeft(now_ + milliseconds(row.attempt), &upload_, now_), milliseconds(row.left));
   }
 }
--- a/tests/sidecar_test.cpp
+++ b/tests/sidecar_test.cpp
@@ -256,7 +256,7 @@
     discovery.requests.back().reply(200, update.dump());
     ASSERT_TRUE(wait([&] { return upstreams[0]->open() == 0 && watches() > before; }));
   }
-  EXPECT_LE(sidecar->upstreamNumbers(), 2u);
+  EXPECT_LE(sidecar->endpointTableSize(), 2u);
 }
 
 // Guards against work for clients that have left: their attempt's connection is closed, and nothing else
