--- a/src/sidecar/upstream/answer_parser.h
+++ b/src/sidecar/upstream/answer_parser.h
@@ -57,8 +57,8 @@
   [[nodiscard]] bool hasHead() const { return parser_->is_header_done(); }
   /// Whether the answer has been parsed to its end.
   [[nodiscard]] bool isComplete() const { return parser_->is_done(); }
-  /// Whether more than kMaxHeader + kReadOfStream bytes are buffered without being parsed, which is more than
-  /// the header of a chunk may take.
+  /// Whether more than kMaxHeader + kStreamReadSize bytes are buffered without being parsed, which is more
+  /// than the header of a chunk may take.
   [[nodiscard]] bool hasTooMuchUnparsed() const;
   /// Whether the connection may be reused for another request: both sides keep it alive, and no bytes follow
   /// the answer.
--- a/src/sidecar/upstream/upstream_exchange.cpp
+++ b/src/sidecar/upstream/upstream_exchange.cpp
@@ -77,7 +77,7 @@
   // The last byte of a repeated request must be sent within its window too. A body that exceeds the send
   // buffer is sent only if the upstream reads, so that the connect timeout covers it as well.
   auto until = std::min(job_->deadline, job_->writeBy);
-  if (body.size() > kMaxWhole) {
+  if (body.size() > kStreamingThreshold) {
     until = std::min(until, now + kUploadStallTimeout);
   } else if (body.size() > kSendBufferSize) {
     until = std::min(until, now + context_.connectTimeout);
@@ -112,7 +112,7 @@
   if (!network::isTransient(error)) return connection_.fail(Outcome::ConnectFailed);
   dropSent(sent);
   // The upstream is still reading, so that the stall timeout starts anew.
-  if (job_->attempt && sent > 0 && job_->attempt->message->body().size() > kMaxWhole)
+  if (job_->attempt && sent > 0 && job_->attempt->message->body().size() > kStreamingThreshold)
     connection_.setDeadline(std::min({job_->deadline, job_->writeBy, Clock::now() + kUploadStallTimeout}));
   awaitWritable(error);
 }
@@ -184,7 +184,8 @@
 }
 
 void UpstreamExchange::onReadable() {
-  const std::size_t readSize = answerPipe_ ? std::min(answerPipe_->freeCapacity(), kReadOfStream) : kReadSize;
+  const std::size_t readSize =
+      answerPipe_ ? std::min(answerPipe_->freeCapacity(), kStreamReadSize) : kReadSize;
   if (readSize == 0) return pause();
   error_code error;
   parser_.commit(network::receiveSome(connection_.socket(), parser_.prepare(readSize), error));
@@ -206,7 +207,7 @@
   if (isForwarded) {
     forwardBody();
     if (!job_) return;
-  } else if (parser_.body().size() > kMaxWhole) {
+  } else if (parser_.body().size() > kStreamingThreshold) {
     return failBroken();
   }
   if (parser_.isComplete()) return complete();
@@ -218,7 +219,9 @@
 void UpstreamExchange::forwardBody() {
   std::string& body = parser_.body();
   const auto length = parser_.length();
-  if (!answerPipe_ && body.size() <= kMaxWhole && (!length || *length <= kMaxWhole || body.empty())) return;
+  if (!answerPipe_ && body.size() <= kStreamingThreshold &&
+      (!length || *length <= kStreamingThreshold || body.empty()))
+    return;
   if (!answerPipe_) beginStream();
   if (!answerPipe_) return;  // beginStream() ended the job
   answerPipe_->push(body);
