--- a/tests/discovery/etcd/contradiction_test.cpp
+++ b/tests/discovery/etcd/contradiction_test.cpp
@@ -8,7 +8,7 @@
 
 using Kind = Contradiction::Kind;
 
-TEST(Contradiction, AnEmptyListIsBelievedTheSecondTimeInARow) {
+TEST(Contradiction, AnEmptyListIsAcceptedTheSecondTimeInARow) {
   Contradiction contradiction;
   const auto first = contradiction.add(Kind::Empty, {7, 1, 5}, 0, 3);
   EXPECT_TRUE(first.isNew);
@@ -19,7 +19,7 @@
   EXPECT_TRUE(second.isAccepted);
 }
 
-TEST(Contradiction, AnotherHistoryIsBelievedTheThirdTimeFromAMajority) {
+TEST(Contradiction, AnotherHistoryIsAcceptedTheThirdTimeFromAMajority) {
   Contradiction contradiction;
   EXPECT_FALSE(contradiction.add(Kind::Older, {7, 1, 5}, 0, 3).isAccepted);
   EXPECT_FALSE(contradiction.add(Kind::Older, {7, 1, 5}, 0, 3).isAccepted);
@@ -27,7 +27,7 @@
   EXPECT_TRUE(contradiction.add(Kind::Older, {7, 2, 6}, 1, 3).isAccepted);
 }
 
-TEST(Contradiction, OneThatDoesNotContinueTheLastBeginsAnew) {
+TEST(Contradiction, AListThatDoesNotContinueTheContradictionStartsANewOne) {
   Contradiction contradiction;
   EXPECT_TRUE(contradiction.add(Kind::Empty, {7, 1, 5}, 0, 1).isNew);
   EXPECT_TRUE(contradiction.add(Kind::Empty, {8, 1, 5}, 0, 1).isNew) << "another cluster";
@@ -35,7 +35,7 @@
   EXPECT_TRUE(contradiction.add(Kind::Older, {8, 1, 4}, 0, 1).isNew) << "another kind";
   contradiction.clear();
   EXPECT_FALSE(contradiction.isOpen());
-  EXPECT_TRUE(contradiction.add(Kind::Older, {8, 1, 4}, 0, 1).isNew) << "after one that was believed";
+  EXPECT_TRUE(contradiction.add(Kind::Older, {8, 1, 4}, 0, 1).isNew) << "after a list was accepted";
 }
 
 }  // namespace
--- a/tests/discovery/etcd/etcd_source_test.cpp
+++ b/tests/discovery/etcd/etcd_source_test.cpp
@@ -79,8 +79,8 @@
     source->watch();
   }
   bool until(const std::function<bool()>& condition,
-             std::chrono::seconds patience = std::chrono::seconds(60)) {
-    const auto end = std::chrono::steady_clock::now() + patience;
+             std::chrono::seconds timeout = std::chrono::seconds(60)) {
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
       if (std::chrono::steady_clock::now() > end) return false;
       io.restart();
@@ -150,7 +150,7 @@
 }
 
 // The TCP connection stays open, but no messages pass in either direction.
-TEST_F(EtcdSourceTest, AConnectionThatIsSilentIsLeft) {
+TEST_F(EtcdSourceTest, ASilentConnectionIsReplaced) {
   serve({2, {}, "", "", "", "", "", 0});
   fault::Proxy::Options through;
   through.listen = asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0);
@@ -168,15 +168,15 @@
   const auto connections = proxy.counts().open;
   proxy.command("hush");
   cluster->remove(key("n1"));
-  EXPECT_EQ(list.size(), 2u) << "it stays as it was";
-  EXPECT_EQ(proxy.counts().open, connections) << "nothing tells but silence";
+  EXPECT_EQ(list.size(), 2u) << "the list is unchanged";
+  EXPECT_EQ(proxy.counts().open, connections) << "the connection is still open";
   const auto from = std::chrono::steady_clock::now();
   EXPECT_TRUE(until([&] { return list.size() == 1; })) << log;
   EXPECT_LT(std::chrono::steady_clock::now() - from, std::chrono::seconds(8))
-      << "not as late as gRPC's pings";
+      << "detected before gRPC's keepalive pings would";
 }
 
-TEST_F(EtcdSourceTest, NobodyListensAndThenSomebodyDoes) {
+TEST_F(EtcdSourceTest, ConnectsWhenAServerStartsLater) {
   {
     Cluster::Settings settings;
     settings.members = 1;
@@ -235,7 +235,7 @@
   File certificate{certificates::kClient}, privateKey{certificates::kClientKey};
 };
 
-TEST_F(TlsTest, BothSidesAreKnownToEachOther) {
+TEST_F(TlsTest, ClientAndServerAuthenticateEachOther) {
   serveTls(certificates::kServer, true);
   options.certificate = certificate.path;
   options.key = privateKey.path;
@@ -243,7 +243,7 @@
   EXPECT_TRUE(until([&] { return list.size() == 2; })) << log;
 }
 
-TEST_F(TlsTest, TheServersNameMayBeAnother) {
+TEST_F(TlsTest, TheExpectedServerNameCanBeSet) {
   serveTls(certificates::kServer, false);
   options.serverName = "etcd.test";
   watch();
@@ -261,7 +261,7 @@
 }
 class BadTlsTest : public TlsTest, public testing::WithParamInterface<TlsRow> {};
 
-TEST_P(BadTlsTest, IsReportedAndNothingIsTaken) {
+TEST_P(BadTlsTest, IsReportedAndNoListIsAccepted) {
   serveTls(GetParam().server, GetParam().clients);
   GetParam().change(options, ca);
   watch();
@@ -286,7 +286,7 @@
     [](const auto& row) { return std::string(row.param.what); });
 
 // A certificate that is replaced on disk is loaded without a restart.
-TEST_F(TlsTest, FilesThatChangeAreTaken) {
+TEST_F(TlsTest, ChangedFilesAreLoaded) {
   ca.write(certificates::kOtherCa);
   serveTls(certificates::kServer, false);
   watch();
--- a/tests/discovery/etcd/key_mirror_test.cpp
+++ b/tests/discovery/etcd/key_mirror_test.cpp
@@ -29,7 +29,7 @@
 TEST_F(KeyMirrorTest, ComparesWithTheStateAtTheRevisionThatIsAskedFor) {
   mirror.replace({7, 1, 10}, {put("n1", 4).kv});
   EXPECT_TRUE(mirror.apply({put("n2", 12)}).isNew);
-  EXPECT_EQ(mirror.compare({9, 1, 4}), Comparison::Unknown) << "ahead of the list";
+  EXPECT_EQ(mirror.compare({9, 1, 4}), Comparison::Unknown) << "before the list";
   EXPECT_EQ(mirror.compare({10, 1, 4}), Comparison::Equal);
   EXPECT_EQ(mirror.compare({11, 1, 4}), Comparison::Equal) << "nothing changed at 11";
   EXPECT_EQ(mirror.compare({11, 2, 11}), Comparison::Different);
@@ -44,10 +44,10 @@
     ++revision;
     ASSERT_TRUE(mirror.apply({put("n1", revision)}).isNew);
   }
-  EXPECT_EQ(mirror.compare({1, 0, 0}), Comparison::Equal) << "at the bound";
+  EXPECT_EQ(mirror.compare({1, 0, 0}), Comparison::Equal) << "the history holds kMaxHistory states";
   ASSERT_TRUE(mirror.apply({put("n1", revision + 1)}).isNew);
-  EXPECT_EQ(mirror.compare({1, 0, 0}), Comparison::Unknown) << "beyond it";
-  EXPECT_EQ(mirror.compare({2, 1, 2}), Comparison::Equal) << "the next one is remembered";
+  EXPECT_EQ(mirror.compare({1, 0, 0}), Comparison::Unknown) << "the oldest state was dropped";
+  EXPECT_EQ(mirror.compare({2, 1, 2}), Comparison::Equal) << "the next state is kept";
 }
 
 TEST_F(KeyMirrorTest, CutsTextsFromOutsideForTheLog) {
--- a/tests/discovery/etcd/prefix_watcher_test.cpp
+++ b/tests/discovery/etcd/prefix_watcher_test.cpp
@@ -27,26 +27,26 @@
   void settle() {
     simulation.start();
     ASSERT_TRUE(simulation.until(5 * kSecond, [&] {
-      return current() && simulation.one().watcher.freshness(simulation.now).isConfirmed;
+      return isCurrent() && simulation.firstSidecar().watcher.freshness(simulation.now).isConfirmed;
     }));
   }
   // Whether the list equals the store's content; false if a value in the store is not a valid instance.
-  bool current() {
-    Ports want;
+  bool isCurrent() {
+    Ports expected;
     for (const auto& [key, value] : simulation.content()) {
       try {
         const std::string id = *instanceIdOf("/ivypost/nodes/", key);
-        want[id] = parseInstance(id, value).address.port();
+        expected[id] = parseInstance(id, value).address.port();
       } catch (const settings::FormatError&) {
         return false;
       }
     }
-    return Simulation::ports(simulation.list()) == want;
+    return Simulation::ports(simulation.list()) == expected;
   }
-  std::size_t member() { return simulation.one().member; }
-  const PrefixWatcher::Counts& counts() { return simulation.one().watcher.counts(); }
+  std::size_t member() { return simulation.firstSidecar().member; }
+  const PrefixWatcher::Counts& counts() { return simulation.firstSidecar().watcher.counts(); }
   void expectCurrentWithin(Micros span, const char* what) {
-    const auto took = simulation.until(span, [&] { return current(); });
+    const auto took = simulation.until(span, [&] { return isCurrent(); });
     EXPECT_TRUE(took) << what;
   }
 
@@ -63,9 +63,9 @@
   EXPECT_EQ(counts().lists, 1u);
   simulation.put("n6", instanceJson(9006));
   simulation.remove("n1");
-  expectCurrentWithin(20 * kMs, "events come at once");
-  EXPECT_EQ(counts().lists, 1u) << "no second list";
-  EXPECT_TRUE(simulation.one().published.front().isComplete);
+  expectCurrentWithin(20 * kMs, "events arrive immediately");
+  EXPECT_EQ(counts().lists, 1u) << "no second list was read";
+  EXPECT_TRUE(simulation.firstSidecar().published.front().isComplete);
 }
 
 // ---- Stalls -----------------------------------------------------------------------------------------------
@@ -93,10 +93,10 @@
     Simulation other(3, 1, static_cast<std::uint64_t>(offset) + 7);
     for (int n = 1; n <= 5; ++n) other.put("n" + std::to_string(n), instanceJson(9000 + n));
     other.start();
-    ASSERT_TRUE(
-        other.until(5 * kSecond, [&] { return other.one().watcher.freshness(other.now).isConfirmed; }));
+    ASSERT_TRUE(other.until(5 * kSecond,
+                            [&] { return other.firstSidecar().watcher.freshness(other.now).isConfirmed; }));
     other.run(offset);
-    GetParam().hide(other, other.one().member);
+    GetParam().hide(other, other.firstSidecar().member);
     other.remove("n3");
     EXPECT_TRUE(other.until(kGrace, [&] { return other.list().count("n3") == 0; })) << offset;
     EXPECT_EQ(other.list().size(), 4u);
@@ -109,7 +109,7 @@
   settle();
   simulation.withhold(0, true);
   simulation.remove("n3");
-  expectCurrentWithin(kGrace, "the audit tells, and the list is asked for anew");
+  expectCurrentWithin(kGrace, "the audit detects it, and the list is read again");
   EXPECT_GE(counts().withheld, 1u);
 }
 
@@ -119,15 +119,15 @@
   simulation.stall(0, true);
   simulation.run(10 * kSecond);
   EXPECT_EQ(simulation.list().size(), 5u);
-  const auto fresh = simulation.one().watcher.freshness(simulation.now);
+  const auto fresh = simulation.firstSidecar().watcher.freshness(simulation.now);
   EXPECT_GT(fresh.age.count(), 9 * kSecond);
   EXPECT_FALSE(fresh.isConfirmed);
   EXPECT_TRUE(simulation.reported("can't be proved"));
   simulation.remove("n3");
   simulation.stall(0, false);
-  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "it is back");
+  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "the member responds again");
   ASSERT_TRUE(simulation.until(
-      2 * kSecond, [&] { return simulation.one().watcher.freshness(simulation.now).isConfirmed; }));
+      2 * kSecond, [&] { return simulation.firstSidecar().watcher.freshness(simulation.now).isConfirmed; }));
   EXPECT_TRUE(simulation.reported("proved again"));
 }
 
@@ -138,7 +138,7 @@
   simulation.stall(before, true);
   ASSERT_TRUE(simulation.until(kGrace, [&] { return member() != before; }));
   simulation.put("n7", instanceJson(9007));
-  expectCurrentWithin(kGrace, "through the other member");
+  expectCurrentWithin(kGrace, "watched through the other member");
   EXPECT_EQ(counts().lists, 1u);
 }
 
@@ -152,7 +152,7 @@
   simulation.compact();
   simulation.run(kSecond);
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, false);
-  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "the list is asked for anew");
+  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "the list is read again");
   EXPECT_EQ(counts().compactions, 1u);
   EXPECT_EQ(counts().lists, 2u);
 }
@@ -169,7 +169,8 @@
   };
   simulation.start();
   ASSERT_TRUE(simulation.until(30 * kSecond, [&] {
-    return left <= 0 && current() && simulation.one().watcher.freshness(simulation.now).isConfirmed;
+    return left <= 0 && isCurrent() &&
+           simulation.firstSidecar().watcher.freshness(simulation.now).isConfirmed;
   }));
   EXPECT_EQ(counts().compactions, 5u);
   EXPECT_EQ(counts().lists, 6u);
@@ -189,7 +190,7 @@
     });
   };
   simulation.start();
-  ASSERT_TRUE(simulation.until(10 * kSecond, [&] { return current(); }));
+  ASSERT_TRUE(simulation.until(10 * kSecond, [&] { return isCurrent(); }));
   EXPECT_EQ(counts().lists, 3u);
 }
 
@@ -210,11 +211,11 @@
 
 TEST_F(PrefixWatcherTest, ATransactionIsOneChange) {
   settle();
-  const auto before = simulation.one().published.size();
+  const auto before = simulation.firstSidecar().published.size();
   simulation.txn({Simulation::key("n1")}, {{Simulation::key("n9"), instanceJson(9009)}});
-  expectCurrentWithin(20 * kMs, "at once");
-  ASSERT_EQ(simulation.one().published.size(), before + 1);
-  EXPECT_EQ(simulation.one().published.back().instances.size(), 2u);
+  expectCurrentWithin(20 * kMs, "events arrive immediately");
+  ASSERT_EQ(simulation.firstSidecar().published.size(), before + 1);
+  EXPECT_EQ(simulation.firstSidecar().published.back().instances.size(), 2u);
 }
 
 TEST_F(PrefixWatcherTest, AResponseInFragmentsIsOneChangeAndHalfOfOneIsNone) {
@@ -223,25 +224,25 @@
   std::vector<std::pair<std::string, std::string>> puts;
   for (int n = 10; n < 20; ++n)
     puts.push_back({Simulation::key("n" + std::to_string(n)), instanceJson(9000 + n)});
-  const auto before = simulation.one().published.size();
+  const auto before = simulation.firstSidecar().published.size();
   simulation.members[member()].cutFragment = true;
   simulation.txn({Simulation::key("n1")}, puts);
-  expectCurrentWithin(kGrace, "the cut response comes again, whole");
-  ASSERT_EQ(simulation.one().published.size(), before + 1);
-  EXPECT_EQ(simulation.one().published.back().instances.size(), 11u);
+  expectCurrentWithin(kGrace, "the interrupted response is received again completely");
+  ASSERT_EQ(simulation.firstSidecar().published.size(), before + 1);
+  EXPECT_EQ(simulation.firstSidecar().published.back().instances.size(), 11u);
   EXPECT_EQ(counts().lists, 1u);
 }
 
 TEST_F(PrefixWatcherTest, TooManyFragmentsAskForTheListAnew) {
   settle();
   WatchResult part;
-  part.stream = simulation.one().stream;
+  part.stream = simulation.firstSidecar().stream;
   part.header = {7, 1, simulation.store.revision() + 1};
   part.isFragment = true;
   part.events.resize(PrefixWatcher::kMaxFragments / 2 + 1);
-  simulation.handle(simulation.one(), part);
+  simulation.handle(simulation.firstSidecar(), part);
   EXPECT_FALSE(simulation.reported("too many events"));
-  simulation.handle(simulation.one(), part);
+  simulation.handle(simulation.firstSidecar(), part);
   EXPECT_TRUE(simulation.reported("too many events"));
   simulation.run(kSecond);
   EXPECT_EQ(counts().lists, 2u);
@@ -250,20 +251,20 @@
 
 // A watch progress notification that arrives before its events must not advance the revision from which the
 // watch resumes.
-TEST_F(PrefixWatcherTest, ProgressAheadOfItsEventsProvesNothing) {
+TEST_F(PrefixWatcherTest, ProgressAheadOfItsEventsDoesNotAdvanceTheRevision) {
   settle();
   const std::size_t at = member();
   simulation.members[at].progressAhead = true;
   simulation.withhold(at, true);
   simulation.remove("n1");
   WatchResult progress;
-  progress.stream = simulation.one().stream;
+  progress.stream = simulation.firstSidecar().stream;
   progress.header = {7, 1, simulation.store.revision()};
-  simulation.handle(simulation.one(), progress);
-  EXPECT_LT(simulation.one().watcher.revision(), simulation.store.revision());
+  simulation.handle(simulation.firstSidecar(), progress);
+  EXPECT_LT(simulation.firstSidecar().watcher.revision(), simulation.store.revision());
   simulation.members[at].withheld = false;
   simulation.dropStreams(at);
-  expectCurrentWithin(kGrace, "the event is still asked for");
+  expectCurrentWithin(kGrace, "the resumed watch still includes the event");
   EXPECT_EQ(counts().lists, 1u);
 }
 
@@ -273,46 +274,46 @@
   simulation.remove("n1");
   simulation.put("n1", instanceJson(9111));
   simulation.run(100 * kMs);
-  EXPECT_TRUE(current());
+  EXPECT_TRUE(isCurrent());
   EXPECT_GE(counts().duplicates, 2u);
   EXPECT_EQ(counts().lists, 1u);
 }
 
 TEST_F(PrefixWatcherTest, EventsOutOfOrderAskForTheListAnew) {
   settle();
-  WatchResult odd;
-  odd.stream = simulation.one().stream;
-  odd.header = {7, 1, 100};
+  WatchResult unexpected;
+  unexpected.stream = simulation.firstSidecar().stream;
+  unexpected.header = {7, 1, 100};
   for (const Revision revision : {100, 99}) {
     Event event;
     event.type = Event::Type::Delete;
     event.kv.key = Simulation::key("n" + std::to_string(revision - 98));
     event.kv.modRevision = revision;
-    odd.events.push_back(event);
+    unexpected.events.push_back(event);
   }
-  simulation.handle(simulation.one(), odd);
+  simulation.handle(simulation.firstSidecar(), unexpected);
   simulation.run(kSecond);
-  EXPECT_TRUE(current());
+  EXPECT_TRUE(isCurrent());
   EXPECT_EQ(counts().lists, 2u);
 }
 
 TEST_F(PrefixWatcherTest, AnEventOutsideOfThePrefixIsReportedAndLeftOut) {
   settle();
-  WatchResult odd;
-  odd.stream = simulation.one().stream;
-  odd.header = {7, 1, simulation.store.revision() + 1};
+  WatchResult unexpected;
+  unexpected.stream = simulation.firstSidecar().stream;
+  unexpected.header = {7, 1, simulation.store.revision() + 1};
   Event event;
   event.kv.key = "/elsewhere/n9";
   event.kv.value = instanceJson(9009);
   event.kv.modRevision = simulation.store.revision() + 1;
-  odd.events.push_back(event);
-  simulation.handle(simulation.one(), odd);
+  unexpected.events.push_back(event);
+  simulation.handle(simulation.firstSidecar(), unexpected);
   EXPECT_TRUE(simulation.reported("outside of /ivypost/nodes/"));
   EXPECT_EQ(simulation.list().size(), 5u);
 }
 
 // An invalid value leaves its entry unchanged; all other changes apply, also those of the same transaction.
-TEST_F(PrefixWatcherTest, ValuesOfNoUseAreReportedAndLeaveTheEntry) {
+TEST_F(PrefixWatcherTest, InvalidValuesAreReportedAndLeaveTheEntry) {
   settle();
   const char* const kBad[] = {"",
                               "no JSON",
@@ -326,21 +327,21 @@
                               R"({"instanceId":"other","hostPort":"127.0.0.1:1","lifecycle":"up"})",
                               "{\"hostPort\":\"\x01\n"};
   for (const char* const bad : kBad) {
-    const auto reports = simulation.one().reports.size();
+    const auto reports = simulation.firstSidecar().reports.size();
     simulation.txn({}, {{Simulation::key("n1"), bad}, {Simulation::key("n2"), instanceJson(9222)}});
     simulation.run(50 * kMs);
     EXPECT_EQ(simulation.list().at("n1").address.port(), 9001) << bad;
     EXPECT_EQ(simulation.list().at("n2").address.port(), 9222) << bad;
-    ASSERT_EQ(simulation.one().reports.size(), reports + 1) << bad;
-    EXPECT_EQ(simulation.one().reports.back().find('\n'), std::string::npos);
+    ASSERT_EQ(simulation.firstSidecar().reports.size(), reports + 1) << bad;
+    EXPECT_EQ(simulation.firstSidecar().reports.back().find('\n'), std::string::npos);
     simulation.put("n2", instanceJson(9002));
     simulation.run(50 * kMs);
   }
   simulation.run(3 * kSecond);
-  EXPECT_EQ(counts().lists, 1u) << "audits count the key all the same";
+  EXPECT_EQ(counts().lists, 1u) << "audits also count the key with an invalid value";
   // The next list also keeps the entry; a key that is created again with an invalid value has no entry to
   // keep.
-  simulation.handle(simulation.one(), Fetch{});
+  simulation.handle(simulation.firstSidecar(), Fetch{});
   simulation.run(kSecond);
   EXPECT_EQ(simulation.list().at("n1").address.port(), 9001);
   simulation.remove("n1");
@@ -350,10 +351,10 @@
   // The number of log lines for a transaction of invalid values is bounded.
   std::vector<std::pair<std::string, std::string>> many;
   for (int n = 0; n < 100; ++n) many.push_back({Simulation::key("bad" + std::to_string(n)), "{"});
-  const auto reports = simulation.one().reports.size();
+  const auto reports = simulation.firstSidecar().reports.size();
   simulation.txn({}, many);
   simulation.run(kSecond);
-  EXPECT_LE(simulation.one().reports.size(), reports + 6);
+  EXPECT_LE(simulation.firstSidecar().reports.size(), reports + 6);
   EXPECT_TRUE(simulation.reported("95 more values"));
 }
 
@@ -362,7 +363,7 @@
   simulation.remove("n1");
   simulation.run(300 * kMs);
   simulation.put("n1", instanceJson(9901, 1'700'000'000'000));
-  expectCurrentWithin(20 * kMs, "with its new address");
+  expectCurrentWithin(20 * kMs, "listed with its new address");
   EXPECT_EQ(simulation.list().at("n1").startedAt.time_since_epoch().count(), 1'700'000'000'000);
   // A deletion and a new put within one response.
   simulation.members[member()].withheld = true;
@@ -370,21 +371,21 @@
   simulation.put("n2", instanceJson(9902, 1'700'000'000'001));
   simulation.members[member()].withheld = false;
   simulation.changed();
-  expectCurrentWithin(20 * kMs, "the last one holds");
+  expectCurrentWithin(20 * kMs, "the last event applies");
 }
 
-TEST_F(PrefixWatcherTest, AFlappingLeaseIsFollowedEachTime) {
+TEST_F(PrefixWatcherTest, EachChangeOfAFlappingLeaseIsApplied) {
   settle();
   for (int n = 0; n < 40; ++n) {
     n % 2 == 0 ? simulation.remove("n4") : simulation.put("n4", instanceJson(9004));
-    expectCurrentWithin(20 * kMs, "at once");
+    expectCurrentWithin(20 * kMs, "events arrive immediately");
   }
   EXPECT_EQ(counts().lists, 1u);
 }
 
 // ---- Other histories --------------------------------------------------------------------------------------
 
-TEST_F(PrefixWatcherTest, AStaleMemberIsNotBelieved) {
+TEST_F(PrefixWatcherTest, AListOfAStaleMemberIsRejected) {
   settle();
   const std::size_t fresh = member();
   const std::size_t stale = (fresh + 1) % 3;
@@ -395,45 +396,45 @@
   simulation.down(fresh, true);
   for (int n = 0; n < 100; ++n) {
     simulation.run(50 * kMs);
-    ASSERT_EQ(simulation.list().size(), 4u) << "never back to the older list";
+    ASSERT_EQ(simulation.list().size(), 4u) << "the older list is not applied";
   }
-  EXPECT_TRUE(simulation.one().watcher.freshness(simulation.now).isConfirmed)
-      << "the third member is followed";
+  EXPECT_TRUE(simulation.firstSidecar().watcher.freshness(simulation.now).isConfirmed)
+      << "the third member is used";
 }
 
 class RestoreTest : public PrefixWatcherTest, public testing::WithParamInterface<bool> {};
 
 // A restored backup is an older history, under the same or another cluster id. It is accepted only when a
 // majority of the members has returned it.
-TEST_P(RestoreTest, IsFollowedWhenAMajorityTellsIt) {
+TEST_P(RestoreTest, IsAcceptedFromAMajorityOfMembers) {
   const Store backup = simulation.store;
   settle();
   simulation.put("n6", instanceJson(9006));
   simulation.remove("n1");
   simulation.run(100 * kMs);
   // A single member with another history is not accepted.
-  const std::size_t odd = member();
-  if (GetParam()) simulation.members[odd].cluster = 99;
-  simulation.members[odd].lagging = backup;
-  simulation.dropStreams(odd);
+  const std::size_t restoredMember = member();
+  if (GetParam()) simulation.members[restoredMember].cluster = 99;
+  simulation.members[restoredMember].lagging = backup;
+  simulation.dropStreams(restoredMember);
   simulation.run(5 * kSecond);
-  EXPECT_TRUE(current());
+  EXPECT_TRUE(isCurrent());
   simulation.store = backup;
   for (std::size_t n = 0; n < 3; ++n) {
     simulation.members[n].lagging.reset();
     if (GetParam()) simulation.members[n].cluster = 99;
     simulation.dropStreams(n);
   }
-  ASSERT_TRUE(simulation.until(10 * kSecond, [&] { return current(); }));
+  ASSERT_TRUE(simulation.until(10 * kSecond, [&] { return isCurrent(); }));
   EXPECT_TRUE(simulation.reported("told again"));
   simulation.remove("n2");
-  expectCurrentWithin(kGrace, "and the new history is watched");
+  expectCurrentWithin(kGrace, "the new history is watched");
 }
 
 INSTANTIATE_TEST_SUITE_P(Cluster, RestoreTest, testing::Bool());
 
 // Members that are not a majority cannot make the watcher accept another cluster.
-TEST_F(PrefixWatcherTest, AnotherClusterIsNotFollowedWithoutAMajority) {
+TEST_F(PrefixWatcherTest, AnotherClusterIsRejectedWithoutAMajority) {
   settle();
   simulation.down(1, true);
   simulation.down(2, true);
@@ -442,12 +443,12 @@
   simulation.dropStreams(0);
   simulation.run(20 * kSecond);
   EXPECT_EQ(simulation.list().size(), 5u);
-  EXPECT_FALSE(simulation.one().watcher.freshness(simulation.now).isConfirmed);
+  EXPECT_FALSE(simulation.firstSidecar().watcher.freshness(simulation.now).isConfirmed);
 }
 
 // An empty list after a list with keys may be a deleted prefix or the fault of one member; it is accepted
 // when it is received a second time, within the grace.
-TEST_F(PrefixWatcherTest, AnEmptyListIsBelievedWhenItComesAgain) {
+TEST_F(PrefixWatcherTest, AnEmptyListIsAcceptedWhenItIsRepeated) {
   settle();
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
   std::vector<std::string> gone;
@@ -456,15 +457,15 @@
   simulation.compact();
   simulation.run(100 * kMs);
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, false);
-  const auto listed = [&] { return counts().contradictions > 0; };
-  ASSERT_TRUE(simulation.until(10 * kSecond, listed));
-  EXPECT_EQ(simulation.list().size(), 5u) << "not at the first telling";
+  const auto isContradicted = [&] { return counts().contradictions > 0; };
+  ASSERT_TRUE(simulation.until(10 * kSecond, isContradicted));
+  EXPECT_EQ(simulation.list().size(), 5u) << "the first empty list is not accepted";
   const auto took = simulation.until(kGrace, [&] { return simulation.list().empty(); });
   ASSERT_TRUE(took);
   EXPECT_LT(*took, kSecond);
 }
 
-TEST_F(PrefixWatcherTest, AnEmptyListThatDoesNotComeAgainIsNotBelieved) {
+TEST_F(PrefixWatcherTest, AnEmptyListThatIsNotRepeatedIsRejected) {
   settle();
   const std::size_t at = member();
   // This member's store has no keys of the prefix, but its revision is not behind the others'.
@@ -476,7 +477,7 @@
     empty.put(put, response);
   }
   simulation.members[at].lagging = empty;
-  simulation.handle(simulation.one(), Fetch{});
+  simulation.handle(simulation.firstSidecar(), Fetch{});
   simulation.run(2 * kSecond);
   EXPECT_EQ(simulation.list().size(), 5u);
   EXPECT_EQ(counts().contradictions, 1u);
@@ -486,10 +487,10 @@
   for (int n = 1; n <= 5; ++n) simulation.remove("n" + std::to_string(n));
   simulation.start();
   simulation.run(2 * kSecond);
-  ASSERT_EQ(simulation.one().published.size(), 1u);
-  EXPECT_TRUE(simulation.one().published[0].isComplete);
+  ASSERT_EQ(simulation.firstSidecar().published.size(), 1u);
+  EXPECT_TRUE(simulation.firstSidecar().published[0].isComplete);
   simulation.put("n1", instanceJson(9001));
-  expectCurrentWithin(20 * kMs, "and watched");
+  expectCurrentWithin(20 * kMs, "the empty prefix is watched");
 }
 
 // ---- Size, bounds, calls ----------------------------------------------------------------------------------
@@ -509,7 +510,7 @@
   EXPECT_EQ(simulation.list().size(), 10'004u);
 }
 
-TEST_F(PrefixWatcherTest, MoreKeysThanTheBoundAreNotTaken) {
+TEST_F(PrefixWatcherTest, AListWithMoreKeysThanMaxKeysIsRejected) {
   settle();
   simulation.options.maxKeys = 6;
   simulation.all.push_back(std::make_unique<Simulation::Sidecar>(simulation.options, 5));
@@ -531,43 +532,43 @@
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
   simulation.start();
   simulation.run(60 * kSecond);
-  EXPECT_TRUE(simulation.one().published.empty());
-  EXPECT_LE(simulation.calls.size(), 60u) << "calls while nobody answers: under one a second";
-  EXPECT_LE(simulation.one().reports.size(), 10u);
+  EXPECT_TRUE(simulation.firstSidecar().published.empty());
+  EXPECT_LE(simulation.calls.size(), 60u) << "at most one call a second while no member responds";
+  EXPECT_LE(simulation.firstSidecar().reports.size(), 10u);
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, false);
-  ASSERT_TRUE(simulation.until(simulation.options.maxBackoff + kSecond, [&] { return current(); }));
+  ASSERT_TRUE(simulation.until(simulation.options.maxBackoff + kSecond, [&] { return isCurrent(); }));
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
   simulation.run(60 * kSecond);
-  EXPECT_EQ(simulation.list().size(), 5u) << "no failed call takes anyone away";
-  EXPECT_GT(simulation.one().watcher.freshness(simulation.now).age.count(), 59 * kSecond);
+  EXPECT_EQ(simulation.list().size(), 5u) << "a failed call removes no instance";
+  EXPECT_GT(simulation.firstSidecar().watcher.freshness(simulation.now).age.count(), 59 * kSecond);
   simulation.remove("n1");
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, false);
-  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "back");
+  expectCurrentWithin(simulation.options.maxBackoff + kSecond, "the members respond again");
 }
 
 // Without changes and faults, each audit interval costs one Range call and one progress request.
 TEST_F(PrefixWatcherTest, CallsWhileIdleStayUnderTheStatedBound) {
   settle();
   const auto calls = simulation.calls.size();
-  const auto progress = simulation.progressAsked;
+  const auto progress = simulation.progressRequests;
   simulation.run(60 * kSecond);
   EXPECT_LE(simulation.calls.size() - calls,
             60 * kSecond / static_cast<std::size_t>(simulation.options.audit) + 1);
-  EXPECT_LE(simulation.progressAsked - progress,
+  EXPECT_LE(simulation.progressRequests - progress,
             60 * kSecond / static_cast<std::size_t>(simulation.options.audit) + 1);
 }
 
 TEST_F(PrefixWatcherTest, AFetchIsAnsweredByAListOrItsFailure) {
   settle();
-  const auto before = simulation.one().published.size();
-  simulation.handle(simulation.one(), Fetch{});
+  const auto before = simulation.firstSidecar().published.size();
+  simulation.handle(simulation.firstSidecar(), Fetch{});
   simulation.run(100 * kMs);
-  ASSERT_EQ(simulation.one().published.size(), before + 1);
-  EXPECT_TRUE(simulation.one().published.back().isComplete);
+  ASSERT_EQ(simulation.firstSidecar().published.size(), before + 1);
+  EXPECT_TRUE(simulation.firstSidecar().published.back().isComplete);
   for (std::size_t n = 0; n < 3; ++n) simulation.down(n, true);
-  simulation.handle(simulation.one(), Fetch{});
+  simulation.handle(simulation.firstSidecar(), Fetch{});
   simulation.run(10 * kSecond);
-  EXPECT_EQ(simulation.one().fetchFailed, 1);
+  EXPECT_EQ(simulation.firstSidecar().fetchFailed, 1);
 }
 
 // After an outage, 500 sidecars must not overload etcd: in each second it gets at most two calls per
@@ -677,19 +678,19 @@
     simulation.members[n].cluster = cluster;
   }
   simulation.run(30 * kSecond);
-  Ports want;
+  Ports expected;
   for (const auto& [key, value] : simulation.content()) {
     const std::string id = key.substr(std::string("/ivypost/nodes/").size());
-    want[id] = parseInstance(id, value).address.port();
+    expected[id] = parseInstance(id, value).address.port();
   }
-  RC_ASSERT(Simulation::ports(simulation.list()) == want);
-  RC_ASSERT(Simulation::ports(simulation.one().watcher.instances()) == want);
+  RC_ASSERT(Simulation::ports(simulation.list()) == expected);
+  RC_ASSERT(Simulation::ports(simulation.firstSidecar().watcher.instances()) == expected);
   std::set<std::pair<std::string, int>> ever;
   for (const auto& [key, value] : simulation.everPut) {
     const std::string id = key.substr(std::string("/ivypost/nodes/").size());
     ever.insert({id, parseInstance(id, value).address.port()});
   }
-  for (const auto& publish : simulation.one().published) {
+  for (const auto& publish : simulation.firstSidecar().published) {
     for (const auto& instance : publish.instances)
       RC_ASSERT(ever.count({instance.id, instance.address.port()}) > 0);
   }
--- a/tests/discovery/etcd/sidecar_test.cpp
+++ b/tests/discovery/etcd/sidecar_test.cpp
@@ -95,23 +95,23 @@
     return entry.dump();
   }
   void put(std::size_t n, Micros notice = 0) {
-    if (againstPlatform()) return tell(n, fakes::Discovery::State::Up, notice);
+    if (usesPlatform()) return setPlatformState(n, fakes::Discovery::State::Up, notice);
     checker.told("s1", nodes[n]->id(), true, nowMicros());
     cluster.put(key(n), value(n));
   }
   void remove(std::size_t n, Micros notice = 0) {
-    if (againstPlatform()) return tell(n, fakes::Discovery::State::Removed, notice);
+    if (usesPlatform()) return setPlatformState(n, fakes::Discovery::State::Removed, notice);
     cluster.remove(key(n));
     checker.told("s1", nodes[n]->id(), false, nowMicros());
   }
-  void tell(std::size_t n, fakes::Discovery::State state, Micros notice) {
+  void setPlatformState(std::size_t n, fakes::Discovery::State state, Micros notice) {
     fakes::Discovery::Entry entry;
     entry.id = nodes[n]->id();
     entry.addresses[""] = addresses[n];
     entry.state = state;
     discovery.put(entry, notice);
   }
-  static bool againstPlatform() { return std::getenv("IVYPOST_ETCD_AGAINST") != nullptr; }
+  static bool usesPlatform() { return std::getenv("IVYPOST_ETCD_AGAINST") != nullptr; }
 
   void load(double rate) {
     fakes::Client::Load load;
@@ -142,7 +142,7 @@
     return condition();
   }
 
-  std::string judged() {
+  std::string violations() {
     checker.settle(nowMicros() + 60 * kSecond);
     std::string text;
     for (const auto& breach : checker.breaches()) {
@@ -206,7 +206,7 @@
 TEST(EtcdMembership, NoRequestReachesARemovedNodeAfterTwoSeconds) {
   constexpr std::size_t kNodes = 8;
   SidecarOnEtcd run(kNodes);
-  const bool platform = SidecarOnEtcd::againstPlatform();
+  const bool platform = SidecarOnEtcd::usesPlatform();
   run.start(platform ? configuration::OperatorFile{} : run.file);
   ASSERT_TRUE(run.until([&] { return run.sidecar->freshness().isConfirmed; }));
   run.load(300);
@@ -214,7 +214,7 @@
   const auto pick = [&](std::size_t most) { return static_cast<std::size_t>(random() % most); };
   std::vector<Removal> removals;
   std::map<std::size_t, std::size_t> gone;  // index of the removal, by node
-  std::size_t sick = 0;                     // the member with the current fault
+  std::size_t faultyMember = 0;             // the member with the current fault
   int fault = -1;
   Micros faultUntil = 0, nextChange = 0;
   std::uint64_t faults = 0;
@@ -232,14 +232,14 @@
       removal.lastAt = now;
     }
     if (now >= faultUntil) {
-      if (fault >= 0) (run.cluster.*switches[fault])(sick, false);
+      if (fault >= 0) (run.cluster.*switches[fault])(faultyMember, false);
       fault = -1;
       faultUntil = now + static_cast<Micros>(pick(500)) * kMs;
       const std::size_t what = pick(10);
-      sick = pick(3);
+      faultyMember = pick(3);
       if (what < std::size(switches)) {
         fault = static_cast<int>(what);
-        (run.cluster.*switches[fault])(sick, true);
+        (run.cluster.*switches[fault])(faultyMember, true);
         faultUntil += static_cast<Micros>(200 + pick(2500)) * kMs;
         ++faults;
       } else if (what == 7) {
@@ -247,7 +247,7 @@
       } else if (what == 8) {
         for (std::size_t n = 0; n < 3; ++n) run.cluster.dropStreams(n);
       } else {
-        run.cluster.cutFragment(sick);
+        run.cluster.cutFragment(faultyMember);
       }
     }
     if (now < nextChange) return;
@@ -267,7 +267,7 @@
   });
   run.client->stop();
   run.run(2 * kSecond);
-  EXPECT_EQ(run.judged(), "");
+  EXPECT_EQ(run.violations(), "");
   std::vector<Micros> times;
   for (const Removal& removal : removals) times.push_back(removal.lastAt - removal.at);
   std::sort(times.begin(), times.end());
@@ -304,11 +304,11 @@
   ASSERT_TRUE(run.until([&] { return run.discovery.calls() > 1; }));
   run.load(200);
   run.run(300 * kMs);
-  EXPECT_EQ(run.nodes[3]->arrivals(), 0u) << "only etcd knows it";
+  EXPECT_EQ(run.nodes[3]->arrivals(), 0u) << "only etcd lists the node";
   const auto config = parseConfig(run.configuration().dump());
-  configuration::OperatorFile away = run.file;
-  away.membership.etcd.endpoints = {"http://127.0.0.1:1"};
-  run.sidecar->reload(config, away);
+  configuration::OperatorFile unreachable = run.file;
+  unreachable.membership.etcd.endpoints = {"http://127.0.0.1:1"};
+  run.sidecar->reload(config, unreachable);
   run.run(500 * kMs);
   EXPECT_EQ(run.nodes[3]->arrivals(), 0u);
   configuration::OperatorFile bad = run.file;
@@ -316,19 +316,19 @@
   bad.membership.etcd.endpoints = {"https://127.0.0.1:1"};
   EXPECT_THROW(run.sidecar->reload(config, bad), settings::FormatError);
   run.sidecar->reload(config, run.file);
-  EXPECT_TRUE(run.until([&] { return run.nodes[3]->arrivals() > 0; })) << "etcd counts now";
+  EXPECT_TRUE(run.until([&] { return run.nodes[3]->arrivals() > 0; })) << "etcd is the active source";
   // Back to the platform's discovery, which does not list node n3.
   run.sidecar->reload(config, {});
   run.checker.told("s1", "n3", false, nowMicros());
   run.run(3 * kSecond);
   run.client->stop();
   run.run(2 * kSecond);
-  EXPECT_EQ(run.judged(), "");
+  EXPECT_EQ(run.violations(), "");
   EXPECT_EQ(run.checker.tally().served, run.checker.tally().sent);
 }
 
 // A program that is built without etcd reports it in one line.
-TEST(EtcdMembership, NeedsTheProgramThatHasIt) {
+TEST(EtcdMembership, NeedsAProgramBuiltWithEtcd) {
   SidecarOnEtcd run(1);
   try {
     const Sidecar sidecar(run.io, parseConfig(run.configuration().dump()), run.file);
--- a/tests/discovery/etcd/simulation.h
+++ b/tests/discovery/etcd/simulation.h
@@ -40,10 +40,11 @@
 class Simulation {
  public:
   struct Member {
-    bool down = false;             // calls fail immediately, streams end
-    bool stalled = false;          // requests are accepted and not answered
-    bool withheld = false;         // events are not sent; progress requests and calls are answered
-    bool behind = false;           // watches deliver no events, and reads wait for revisions that the member does not have
+    bool down = false;      // calls fail immediately, streams end
+    bool stalled = false;   // requests are accepted and not answered
+    bool withheld = false;  // events are not sent; progress requests and calls are answered
+    bool behind =
+        false;  // watches deliver no events, and reads wait for revisions that the member does not have
     std::optional<Store> lagging;  // the member answers from this old store, which a correct member would not
     std::uint64_t cluster = 7;
     bool progressAhead = false, repeated = false, cutFragment = false;
@@ -60,7 +61,8 @@
     std::size_t member = 0;
     Watches watches;
     std::vector<WatchResult> held;  // responses that are delayed while the member stalls
-    Micros clearAt = 0;             // earliest time of the next delivery, so that messages on a stream stay in order
+    Micros nextDeliveryAt =
+        0;  // earliest time of the next delivery, so that messages on a stream stay in order
   };
 
   explicit Simulation(std::size_t count = 3, std::size_t sidecars = 1, std::uint64_t seed = 1)
@@ -71,8 +73,8 @@
       all.push_back(std::make_unique<Sidecar>(options, seed * 1000 + n));
   }
 
-  Sidecar& one() { return *all.front(); }
-  const std::map<std::string, Instance>& list() { return one().list; }
+  Sidecar& firstSidecar() { return *all.front(); }
+  const std::map<std::string, Instance>& list() { return firstSidecar().list; }
 
   // ---- The store ----
   static std::string key(const std::string& id) { return "/ivypost/nodes/" + id; }
@@ -177,7 +179,7 @@
 
   Micros latency() { return kMs + static_cast<Micros>(random_() % 2000); }
   bool reported(const std::string& part) {
-    const auto& reports = one().reports;
+    const auto& reports = firstSidecar().reports;
     return std::any_of(reports.begin(), reports.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
@@ -195,7 +197,7 @@
   std::vector<Micros> calls;                // times at which calls and streams reached etcd
   std::function<void(std::size_t)> onList;  // called when this member has read the first page of a list
   std::size_t fragmentEvents = 0;
-  std::uint64_t progressAsked = 0;
+  std::uint64_t progressRequests = 0;
 
  private:
   const Store& storeOf(const Member& member) const { return member.lagging ? *member.lagging : store; }
@@ -239,7 +241,7 @@
     });
   }
   void execute(Sidecar& sidecar, const ProgressRequest& ask) {
-    ++progressAsked;
+    ++progressRequests;
     after(latency(), [this, &sidecar, ask] {
       if (sidecar.stream != ask.stream) return;
       pb::WatchRequest request;
@@ -295,15 +297,15 @@
       sidecar.held.push_back(std::move(watched));
       return;
     }
-    sidecar.clearAt = std::max(sidecar.clearAt, now + latency());
-    after(sidecar.clearAt - now, [this, &sidecar, watched = std::move(watched)] {
+    sidecar.nextDeliveryAt = std::max(sidecar.nextDeliveryAt, now + latency());
+    after(sidecar.nextDeliveryAt - now, [this, &sidecar, watched = std::move(watched)] {
       if (watched.stream == sidecar.stream) handle(sidecar, watched);
     });
   }
   void endStream(Sidecar& sidecar, StatusCode status, const std::string& text) {
     const std::uint64_t stream = sidecar.stream;
-    sidecar.clearAt = std::max(sidecar.clearAt, now + latency());
-    after(sidecar.clearAt - now, [this, &sidecar, stream, status, text] {
+    sidecar.nextDeliveryAt = std::max(sidecar.nextDeliveryAt, now + latency());
+    after(sidecar.nextDeliveryAt - now, [this, &sidecar, stream, status, text] {
       if (sidecar.stream != stream) return;
       sidecar.stream = 0;
       handle(sidecar, WatchEnd{stream, status, text});
--- a/tests/discovery/platform_source_test.cpp
+++ b/tests/discovery/platform_source_test.cpp
@@ -55,7 +55,7 @@
 // call has to be sent and answered by then, so it must not wait for a backoff.
 class SilentWatchTest : public PlatformSourceTest, public testing::WithParamInterface<const char*> {};
 
-TEST_P(SilentWatchTest, IsOpenedAnewAtOnceWhereTheListIsAsked) {
+TEST_P(SilentWatchTest, IsReopenedImmediatelyIfDiscoveryIsPolled) {
   watch(false, {milliseconds(30), milliseconds(30), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
   discovery.requests[0].raw(GetParam());  // the response stays incomplete
@@ -84,7 +84,7 @@
 // Checks the timeouts against the limits within which a change counts as notified. Polled: 2 s after the
 // watch's wait; 4 s after SIGHUP, of which 0.94 s may be backoff. Pushed: 6 s after the watch became
 // silent.
-TEST(PlatformSourceTimes, LeaveRoomForTheCallThatFindsOut) {
+TEST(PlatformSourceTimes, LeaveTimeForTheCallAfterASilentWatch) {
   EXPECT_LE(PlatformSource::kPolledTimeouts.watchGrace, milliseconds(1000));
   EXPECT_LE(PlatformSource::kPolledTimeouts.watchWait, milliseconds(60'000));
   EXPECT_LE(PlatformSource::kPolledTimeouts.plainCall, milliseconds(3000));
@@ -94,7 +94,7 @@
 }
 
 // A plain call without a response is reported as a failure, after which the caller backs off.
-TEST_F(PlatformSourceTest, APlainCallThatIsNotAnsweredHasFailed) {
+TEST_F(PlatformSourceTest, APlainCallWithoutAResponseIsAFailure) {
   watch(false, {milliseconds(60'000), milliseconds(60'000), milliseconds(20)});
   ASSERT_TRUE(calls(1));
   platform->fetch();
@@ -126,7 +126,8 @@
     watch(pushed, {milliseconds(20), milliseconds(20), milliseconds(60'000)});
     ASSERT_TRUE(calls(1));
     discovery.requests[0].reply(200, listOf(42, "draining"));
-    std::this_thread::sleep_until(Clock::now() + milliseconds(41));  // the event loop is blocked until after the timeout
+    std::this_thread::sleep_until(Clock::now() +
+                                  milliseconds(41));  // the event loop is blocked until after the timeout
     ASSERT_TRUE(calls(2));
     EXPECT_EQ(discovery.lines.size(), lines + 1);
     EXPECT_EQ(failures, 0);
@@ -149,7 +150,7 @@
 
 // A second response after the first one, received with it or later, must not be read as the response to the
 // next call.
-TEST_F(PlatformSourceTest, WhatComesBehindAnAnswerIsNotTheNextOne) {
+TEST_F(PlatformSourceTest, BytesBehindAResponseAreNotReadAsTheNextResponse) {
   watch(true, {milliseconds(20'000), milliseconds(20'000), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
   const std::string late = listOf(43, "up");
@@ -179,13 +180,13 @@
 
 // Checks previousUntil, the time until which the previous list is known to have been current. It bounds the
 // start times of the instances that a list adds.
-TEST_F(PlatformSourceTest, TellsUntilWhenTheListBeforeWasCurrent) {
+TEST_F(PlatformSourceTest, ReportsUntilWhenThePreviousListWasCurrent) {
   watch(false, {milliseconds(300), milliseconds(100), milliseconds(60'000)});
   ASSERT_TRUE(calls(1));
   discovery.requests[0].reply(200, listOf(42, "up"));
   ASSERT_TRUE(calls(2));
   ASSERT_EQ(lists.size(), 1u);
-  EXPECT_FALSE(lists[0].previousUntil) << "of the first list nothing is known";
+  EXPECT_FALSE(lists[0].previousUntil) << "the first list has no previous list";
   // An open watch reports a change immediately, however long there was none.
   ASSERT_TRUE(until(io, [end = Clock::now() + milliseconds(100)] { return Clock::now() >= end; }));
   const TimePoint replied = now();
@@ -218,7 +219,8 @@
   ASSERT_TRUE(calls(8));
   ASSERT_EQ(lists.size(), 4u);
   EXPECT_GE(*lists[3].previousUntil, answered);
-  EXPECT_LE(*lists[3].previousUntil, renewed) << "a plain call may find what has long been there";
+  EXPECT_LE(*lists[3].previousUntil, renewed)
+      << "a plain call may return changes that are older than the call";
 }
 
 // With a list from the previous process the first call is a watch. Once it has waited for longer than
@@ -237,19 +239,19 @@
 
 // An overloaded, slow or failing discovery: the last list stays, there is a pause between calls, and the
 // next valid response is accepted.
-struct Trouble {
+struct FaultyResponse {
   const char* name;
   const char* bytes;  // of the response
   bool closes;        // the peer closes the connection after the bytes
 };
-std::ostream& operator<<(std::ostream& out, const Trouble& one) {
+std::ostream& operator<<(std::ostream& out, const FaultyResponse& one) {
   return out << one.name;
 }
-class TroubledDiscoveryTest : public PlatformSourceTest, public testing::WithParamInterface<Trouble> {};
+class FaultyDiscoveryTest : public PlatformSourceTest, public testing::WithParamInterface<FaultyResponse> {};
 
-TEST_P(TroubledDiscoveryTest, CostsNoListAndIsNotAskedWithoutPause) {
+TEST_P(FaultyDiscoveryTest, LeavesTheLastListAndIsNotCalledWithoutPause) {
   for (const bool pushed : {true, false}) {
-    SCOPED_TRACE(pushed ? "pushed" : "asked");
+    SCOPED_TRACE(pushed ? "pushed" : "polled");
     discovery.requests.clear();
     lists.clear();
     failures = 0;
@@ -271,22 +273,22 @@
     EXPECT_EQ(lists[0].instances.at(0).state, balancer::EndpointState::Draining);
     EXPECT_TRUE(platform->freshness().isConfirmed);
     if (pushed) {
-      EXPECT_GE(Clock::now() - from, milliseconds(3 * 100 - 5)) << "an agent is called without pause";
+      EXPECT_GE(Clock::now() - from, milliseconds(3 * 100 - 5)) << "an agent is called again without a pause";
     }
     platform.reset();
   }
 }
 INSTANTIATE_TEST_SUITE_P(
-    Of, TroubledDiscoveryTest,
-    testing::Values(Trouble{"crowded", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false},
-                    Trouble{"crowded, with a time",
-                            "HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", false},
-                    Trouble{"silent", "", false}, Trouble{"closed", "", true},
-                    Trouble{"slow head", "HTTP/1.1 200", false},
-                    Trouble{"slow body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", false},
-                    Trouble{"cut body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", true},
-                    Trouble{"no list", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n{}", false},
-                    Trouble{"no JSON", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n]]", false}));
+    Of, FaultyDiscoveryTest,
+    testing::Values(FaultyResponse{"crowded", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", false},
+                    FaultyResponse{"crowded, with a time",
+                                   "HTTP/1.1 429 x\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", false},
+                    FaultyResponse{"silent", "", false}, FaultyResponse{"closed", "", true},
+                    FaultyResponse{"slow head", "HTTP/1.1 200", false},
+                    FaultyResponse{"slow body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", false},
+                    FaultyResponse{"cut body", "HTTP/1.1 200 x\r\nContent-Length: 50\r\n\r\n{", true},
+                    FaultyResponse{"no list", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n{}", false},
+                    FaultyResponse{"no JSON", "HTTP/1.1 200 x\r\nContent-Length: 2\r\n\r\n]]", false}));
 
 }  // namespace
 }  // namespace ivypost::discovery
--- a/tests/discovery/source_manager_test.cpp
+++ b/tests/discovery/source_manager_test.cpp
@@ -17,11 +17,11 @@
   const auto a = handover.add();
   EXPECT_EQ(handover.onList(a, false), Decision::Apply);
   const auto b = handover.add();
-  EXPECT_EQ(handover.onList(b, false), Decision::Ignore) << "changes alone are no list";
-  EXPECT_EQ(handover.onList(a, false), Decision::Apply) << "no gap";
+  EXPECT_EQ(handover.onList(b, false), Decision::Ignore) << "a pending source needs a complete list";
+  EXPECT_EQ(handover.onList(a, false), Decision::Apply) << "the active source stays until then";
   EXPECT_EQ(handover.onList(b, true), Decision::Switch);
   EXPECT_EQ(handover.onList(b, false), Decision::Apply);
-  EXPECT_EQ(handover.onList(a, true), Decision::Ignore) << "the old one has gone";
+  EXPECT_EQ(handover.onList(a, true), Decision::Ignore) << "the previous source has been replaced";
 }
 
 TEST(SourceHandover, OnlyTheSourceAddedLastTakesOver) {
@@ -72,7 +72,7 @@
 
 TEST_F(SourceManagerTest, SwitchesWithoutAGapAndDestroysTheSourceBeforeLater) {
   FakeSource& first = start();
-  EXPECT_EQ(first.watches, 0) << "the sidecar says when";
+  EXPECT_EQ(first.watches, 0) << "the first source is watched when the sidecar requests it";
   first.callbacks.onList(list(true, 1));
   FakeSource& second = start();
   EXPECT_EQ(second.watches, 1);
@@ -82,12 +82,12 @@
   manager.setPlatformAddress({});
   EXPECT_EQ(first.addressChanges + second.addressChanges, 2);
   second.age = Duration(5);
-  EXPECT_EQ(manager.freshness().age, Duration::zero()) << "the first one's";
+  EXPECT_EQ(manager.freshness().age, Duration::zero()) << "the active source's age";
   second.callbacks.onList(list(true, 101));
   ASSERT_EQ(lists.size(), 3u);
   EXPECT_TRUE(lists.back().isComplete);
   EXPECT_EQ(manager.freshness().age, Duration(5));
-  EXPECT_EQ(alive, 2) << "not while it may be the one that calls";
+  EXPECT_EQ(alive, 2) << "the replaced source may be the one that is calling";
   runHandlers();
   EXPECT_EQ(alive, 1);
   manager.fetch();
