--- a/src/discovery/etcd/watcher_events.h
+++ b/src/discovery/etcd/watcher_events.h
@@ -18,15 +18,14 @@
 /// An entry of the endpoint list.
 using discovery::Instance;
 
-// ---- Actions: what a PrefixWatcher wants done
-// ---------------------------------------------------------------
+// ---- Actions: what a PrefixWatcher requests ---------------------------------------------------------------
 
 /// Sends a linearizable Range call. Its result is one RangeResult.
 struct RangeCall {
   std::uint64_t call = 0;    ///< its id
   std::size_t endpoint = 0;  ///< index in Options::endpoints
   std::string key;           ///< the first key of the range
-  std::string end;           ///< the first key behind it
+  std::string end;           ///< the end of the range, exclusive
   std::int64_t limit = 0;    ///< maximum number of keys in the response
   Revision revision = 0;     ///< revision of the store to read; 0: the latest
   bool isAudit = false;      ///< request keys without values, ordered by descending modRevision
@@ -38,20 +37,20 @@
   std::uint64_t stream = 0;  ///< its id
   std::size_t endpoint = 0;  ///< index in Options::endpoints
   std::string key;           ///< the first key of the range
-  std::string end;           ///< the first key behind it
-  Revision from = 0;         ///< the first revision whose events are wanted
+  std::string end;           ///< the end of the range, exclusive
+  Revision from = 0;         ///< the first revision whose events are requested
 };
 /// Requests a watch progress notification on a stream.
 struct ProgressRequest {
-  std::uint64_t stream = 0;  ///< of a WatchCall
+  std::uint64_t stream = 0;  ///< id of the WatchCall
 };
 /// Closes a stream; it has no further results.
 struct WatchClose {
-  std::uint64_t stream = 0;  ///< of a WatchCall
+  std::uint64_t stream = 0;  ///< id of the WatchCall
 };
 /// Publishes the endpoint list, or the changes in it. The changes of one revision are published together.
 struct Publish {
-  Revision revision = 0;            ///< of the store
+  Revision revision = 0;            ///< revision of the store
   bool isComplete = false;          ///< the list holds all instances; otherwise only the changed ones
   std::vector<Instance> instances;  ///< removed instances have the state Gone
 };
@@ -61,14 +60,13 @@
 struct LogLine {
   std::string text;  ///< without a line end
 };
-/// Any of them.
+/// An action.
 using Action =
     std::variant<RangeCall, WatchCall, ProgressRequest, WatchClose, Publish, FetchFailure, LogLine>;
 /// Actions in the order of their execution.
 using Actions = std::vector<Action>;
 
-// ---- Inputs: what has happened
-// ------------------------------------------------------------------------------
+// ---- Inputs: events that a PrefixWatcher handles ----------------------------------------------------------
 
 /// Starts the watcher.
 struct Start {};
@@ -81,15 +79,15 @@
   std::uint64_t call = 0;              ///< its id
   StatusCode status = StatusCode::Ok;  ///< the members below are valid only if it is Ok, except `text`
   std::string text{};                  ///< message of a failure
-  Header header{};                     ///< who answered
+  Header header{};                     ///< header of the response
   std::vector<KeyValue> kvs{};         ///< the keys in the range, up to the call's limit
   bool hasMore = false;                ///< the range has keys beyond the call's limit
   std::int64_t count = 0;              ///< number of all keys in the range
 };
 /// A response on a stream.
 struct WatchResult {
-  std::uint64_t stream = 0;  ///< of the WatchCall
-  Header header{};           ///< who answered
+  std::uint64_t stream = 0;  ///< id of the WatchCall
+  Header header{};           ///< header of the response
   bool isCreated = false;    ///< the server has created the watch
   bool isCanceled = false;   ///< the server has ended the watch
   Revision compactRevision =
@@ -100,11 +98,11 @@
 };
 /// A stream has ended without a WatchClose.
 struct WatchEnd {
-  std::uint64_t stream = 0;                     ///< of the WatchCall
+  std::uint64_t stream = 0;                     ///< id of the WatchCall
   StatusCode status = StatusCode::Unavailable;  ///< cause of the end
   std::string text;                             ///< message of the server or of gRPC
 };
-/// Any of them.
+/// An input.
 using Input = std::variant<Start, Fetch, TimerExpired, RangeResult, WatchResult, WatchEnd>;
 
 }  // namespace ivypost::discovery::etcd
--- a/src/discovery/platform_source.h
+++ b/src/discovery/platform_source.h
@@ -31,10 +31,9 @@
  public:
   /// Timeouts of the calls.
   struct Timeouts {
-    std::chrono::milliseconds watchWait;  ///< how long discovery may hold a watch open until a change
-    std::chrono::milliseconds
-        watchGrace;  ///< a watch times out if its response is later than its wait by this time
-    std::chrono::milliseconds plainCall;  ///< timeout of a call that does not wait for a change
+    std::chrono::milliseconds watchWait;   ///< how long discovery may hold a watch open until a change
+    std::chrono::milliseconds watchGrace;  ///< a watch without a response times out this long after its wait
+    std::chrono::milliseconds plainCall;   ///< timeout of a call that does not wait for a change
   };
   /// For a polled discovery. A change that a silent watch misses counts as notified 2 s after the end of
   /// the watch's wait, and the new watch has to be answered by then. A plain call may be queued behind the
--- a/tests/discovery/etcd/etcd_source_test.cpp
+++ b/tests/discovery/etcd/etcd_source_test.cpp
@@ -195,7 +195,7 @@
   EXPECT_TRUE(until([&] { return list.size() == 2; })) << log;
 }
 
-// ---- Who may ----------------------------------------------------------------------------------------------
+// ---- Authentication and TLS -------------------------------------------------------------------------------
 
 TEST_F(EtcdSourceTest, TokensAreAskedForAndRenewed) {
   const File password("secret\n");
--- a/tests/discovery/etcd/prefix_watcher_test.cpp
+++ b/tests/discovery/etcd/prefix_watcher_test.cpp
@@ -597,7 +597,7 @@
   for (const auto& sidecar : simulation.all) EXPECT_EQ(sidecar->list.size(), 49u);
 }
 
-// ---- Any series of faults ---------------------------------------------------------------------------------
+// ---- Random sequences of faults ---------------------------------------------------------------------------
 
 // After any sequence of faults and a quiet period, the list equals the store's, and it never held an
 // instance that was not put.
