--- a/tests/attempts_test.cpp
+++ b/tests/attempts_test.cpp
@@ -14,7 +14,7 @@
 namespace ivypost {
 namespace {
 
-// Enlarges the send buffer of this process's socket that is bound to the address, to 200'000 bytes.
+// Sets the send buffer of this process's socket with this local address to 200'000 bytes.
 void growSendBuffer(const tcp::endpoint& of) {
   for (int descriptor = 3; descriptor < 256; ++descriptor) {
     tcp::endpoint at;
@@ -158,7 +158,7 @@
   asks.send(idempotent().text());
   blockEventLoop(kLate);
   ASSERT_TRUE(wait([&] { return arrived() == 1; }));
-  EXPECT_LE(remainingMs(usedUpstream().requests[0]), 4800 + 20);  // the kernel's tick, both ways
+  EXPECT_LE(remainingMs(usedUpstream().requests[0]), 4800 + 20);  // kernel timer tick at both ends
 }
 
 // The request waits in the balancer, since its only upstream is at its concurrency limit.
--- a/tests/start_time_test.cpp
+++ b/tests/start_time_test.cpp
@@ -101,8 +101,8 @@
   const double warmFraction = fractionOfNewest(kWarmUp / 3);
   RecordProperty("cold", std::to_string(warmingUpFraction));
   RecordProperty("warm", std::to_string(warmFraction));
-  std::printf("%s: %.3f of the requests while cold, %.3f while warm\n", GetParam().name, warmingUpFraction,
-              warmFraction);
+  std::printf("%s: %.3f of the requests during slow start, %.3f after it\n", GetParam().name,
+              warmingUpFraction, warmFraction);
   EXPECT_LT(warmingUpFraction, 0.15) << "a fully warm upstream gets a quarter";
   EXPECT_GT(warmFraction, 0.19);
 }
