--- a/src/sidecar/admission_controller.cpp
+++ b/src/sidecar/admission_controller.cpp
@@ -13,7 +13,8 @@
 
 // The minimum Retry-After in microseconds, if the platform asks for that header.
 constexpr Micros kMinRetryAfter = 100'000;
-// A rejection costs less than forwarding a request: this many count as one against the limit per turn.
+// A rejection costs less than forwarding a request: this many rejections count as one forwarded request in
+// the limit per turn.
 constexpr std::int64_t kRejectionsPerForward = 8;
 
 std::vector<double> quotasOf(const Config& config) {
@@ -92,7 +93,7 @@
   const Micros at = now();
   const bool isBeyondQuota = countsArrivals_ && quotas_.recordArrival(request.tenant, at);
   if (!queue_) return callbacks_.forward(std::move(request));
-  // The queue is empty and the limit of this turn is not reached: the usual case costs only a post to the
+  // The usual case, with an empty queue and the limit per turn not reached, costs only a post to the event
   // loop.
   if (!isOverloaded && queued_.empty() && forwardedInTurn_ < maxForwardsPerTurn_) {
     ++forwardedInTurn_;
--- a/src/sidecar/admission_controller.h
+++ b/src/sidecar/admission_controller.h
@@ -28,7 +28,7 @@
 /// bounded by the operator's settings; the controller holds only the requests in the queue.
 class AdmissionController {
  public:
-  /// Execute the decisions on requests. Made from the event loop, also from within submit() and apply().
+  /// Execute the decisions on requests. Called on the event loop, also from within submit() and apply().
   struct Callbacks {
     /// Takes a request that is admitted.
     std::function<void(ClientRequest)> forward;
@@ -53,7 +53,8 @@
   void restrict(const degradation::Restrictions& restrictions);
 
   /// Forwards, queues or rejects a request whose id was not submitted before. `isOverloaded`: there is no
-  /// capacity for a further request, so a queued request of the lowest priority is rejected in its place.
+  /// capacity for a further request, so the request is queued, and the queued request of the lowest priority
+  /// (possibly this one) is rejected.
   void submit(ClientRequest request, bool isOverloaded);
   /// Removes a request whose client has left or has its response. False if the request is not in the queue.
   bool withdraw(balancer::RequestId id);
@@ -65,7 +66,8 @@
   /// Whether the operator has enabled the queue.
   [[nodiscard]] bool hasQueue() const { return queue_ != nullptr; }
   /// Whether a request of this class with `remaining` microseconds until its deadline can't be served: the
-  /// degradation level excludes its class, or recent requests took longer than that.
+  /// degradation level excludes its class, or `remaining` is less than the recent average queue time plus the
+  /// recent average response time.
   [[nodiscard]] bool isTooLate(std::uint32_t requestClass, Micros remaining) const;
   /// Microseconds after which a client that is rejected now may retry; 0: the platform's settings ask for no
   /// Retry-After.
@@ -86,14 +88,15 @@
     admission::QueuedRequest entry;
   };
 
-  // By class. Classes in the operator's order weigh more than any weight of the platform, in that order; the
-  // others have the platform's weights.
+  // Returns the priority weight of each class. The classes in the operator's priority order get greater
+  // weights than all others, the first one the greatest; the others keep the weights of the platform's
+  // settings.
   [[nodiscard]] std::vector<double> priorityWeightsOf(const configuration::OperatorFile& file) const;
   void execute(const admission::Decision& decision);
   // Forwards and rejects as many requests as one turn of the event loop allows.
   void runTurn();
-  // Posts a turn behind all handlers that are ready now, so that requests received by then are read before
-  // it.
+  // Posts runTurn() to the event loop, behind all handlers that are ready now: requests that have already
+  // been received are then read before it runs.
   void scheduleTurn();
 
   boost::asio::io_context& io_;
--- a/src/sidecar/client_request.h
+++ b/src/sidecar/client_request.h
@@ -28,7 +28,7 @@
   std::optional<std::uint64_t> length;
   /// The request's deadline: an estimate until the last byte of the body has been received.
   Clock::time_point deadline;
-  /// The time that the client grants, counted from the last byte of the body. No attempt is given more.
+  /// The time that the client grants, counted from the last byte of the body. No attempt gets a longer time.
   Clock::duration clientTimeout{};
 };
 
--- a/src/sidecar/client_session.cpp
+++ b/src/sidecar/client_session.cpp
@@ -20,14 +20,16 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The session answers 504 itself when the decision module's answer is this late.
+// The session itself answers 504 if the decision module has not answered this long after the request's
+// deadline.
 constexpr milliseconds kLateAnswerGrace{10};
 // After the last answer, what the client still sends is read and discarded for this time: closing at once
 // would reset the connection and could lose the answer. At most kMaxDiscard bytes, to bound the processor
 // time.
 constexpr milliseconds kLingerTime{200};
 constexpr std::size_t kMaxDiscard = 64UL * 1024;
-// The limit for each connection while the server stops: the most that the kernel can hold unread for it.
+// The limit of discarded bytes per connection while the server stops: the most unread bytes that the kernel
+// can hold for a connection.
 constexpr std::size_t kMaxFinalDiscard = 8UL * 1024 * 1024;
 // The longest wait for a client to acknowledge all of its last answer: a client that reads nothing must not
 // hold its slot or delay the exit of the process.
@@ -165,7 +167,7 @@
   socket_.close(ignored);
   if (upload_) upload_->pipe.fail();
   if (const auto stream = std::exchange(responsePipe_, nullptr)) stream->abandon();
-  const auto self = shared_from_this();  // onClosed() may drop the server's reference, the last other one
+  const auto self = shared_from_this();  // onClosed() may drop the last other reference
   host_.onClosed(slot_);
   if (waiting && host_.endRequest(*this)) host_.cancelRequest(request_);
 }
--- a/src/sidecar/client_session.h
+++ b/src/sidecar/client_session.h
@@ -58,25 +58,26 @@
   [[nodiscard]] bool mayCountAsIdle(Micros time) const;
   /// Whether closing the connection loses no request and no answer of its client.
   [[nodiscard]] bool mayBeEvicted();
-  /// Whether the connection is idle and closing it now loses neither a request nor an answer. A request that
-  /// crosses the close resets the connection, which may discard data that the client has not acknowledged.
+  /// Whether the connection is idle and closing it now loses neither a request nor an answer. For that, all
+  /// sent data must be acknowledged: a request that crosses the close makes the kernel reset the connection,
+  /// which may discard unacknowledged data.
   [[nodiscard]] bool mayCloseIdle();
-  /// Whether the client of the waiting request has left, or can't be seen to leave since its input is no
-  /// longer read. The connection is then closed or answered from the event loop and not within this call, as
-  /// the caller may still be working on the request.
+  /// Whether the client of the waiting request has left. Also true if its input is no longer read, since a
+  /// close could then not be detected. If true, the connection is closed or answered from the event loop and
+  /// not within this call, as the caller may still be working on the request.
   [[nodiscard]] bool isClientGone();
-  /// The server is stopping: gives a request that is still read or waits for its answer the final one. A
-  /// request that is still being read has not run.
+  /// Called when the server stops: sends the final answer to a request that is being read, which has not run,
+  /// or that waits for its answer.
   void sendFinalAnswer();
   /// The process is about to exit: closes the connection. Reads what is unread first, since closing over
-  /// unread bytes would reset the connection and could lose the answer; and resets the connection under an
-  /// incomplete streamed answer, so that the client can't take it for a complete one.
+  /// unread bytes would reset the connection and could lose the answer. If a streamed answer is incomplete,
+  /// resets the connection, so that the client can't take it for a complete one.
   void closeAtExit();
   /// The id of the last request that was accepted; 0: none yet.
   [[nodiscard]] balancer::RequestId request() const { return request_; }
-  /// When the last byte of that request was received.
+  /// When the last byte of the last accepted request was received.
   [[nodiscard]] Clock::time_point arrivedAt() const { return arrivedAt_; }
-  /// The X-Trace-Id of that request.
+  /// The X-Trace-Id of the last accepted request.
   [[nodiscard]] std::uint64_t trace() const { return trace_; }
   /// Writes the answer to the current request, then continues with the next request or closes the connection.
   void write(Answer answer);
@@ -105,8 +106,8 @@
   bool mayReadAhead();
   // Reads what has been received since reading ahead stopped. False if the client has left.
   bool resumeReadAhead();
-  // Polls whether the client has left while its input is not read: with unread data in front, reading can't
-  // show the close.
+  // Polls whether the client has left while its input is not read: a close behind unread data can't be
+  // detected by reading.
   void pollForClose();
   // Reads what has been received into the buffer. While a request waits for its answer, this detects a client
   // that sends more and then closes.
@@ -143,15 +144,15 @@
   void onUploadPiece(boost::system::error_code error);
   void continueUpload();
   // Whether more of an upload may be read than its pipe has capacity for. The client's close is seen only
-  // after all that it sent has been read, and no attempt may begin after the close: until an attempt takes
-  // bytes, reading stops only at the memory budget.
+  // after all that it sent has been read, and no attempt may begin after the close. So until an attempt has
+  // taken bytes, reading stops only at the memory budget.
   bool mayReadBeyondPipe();
   void onPipeCapacity();
   void onBody(boost::system::error_code error);
   std::string_view received() const;
   void onRead(boost::system::error_code error);
-  // How long a request that has just been read was unread before: in the accept queue, or because the event
-  // loop was late. The client's time counts from the last byte of the request.
+  // How long the kernel held the request that has just been read: while the connection was in the accept
+  // queue, or because the event loop was late. The client's time counts from the last byte of the request.
   std::chrono::milliseconds unreadTime();
 
   // client_session_writing.cpp
--- a/src/sidecar/client_session_host.h
+++ b/src/sidecar/client_session_host.h
@@ -44,7 +44,7 @@
   virtual void openRequest(std::shared_ptr<ClientSession> session) = 0;
   /// Forwards an open request towards the upstreams. The request may be answered before this returns.
   virtual void forward(ClientRequest request) = 0;
-  /// The session's request is no longer open: no answer is pending. False if it was not open.
+  /// Marks the session's request as no longer open: no answer is pending. False if it was not open.
   virtual bool endRequest(const ClientSession& session) = 0;
   /// Cancels what remains of a request that was ended: its place in the queue, or its attempts.
   virtual void cancelRequest(balancer::RequestId id) = 0;
--- a/src/sidecar/client_session_reading.cpp
+++ b/src/sidecar/client_session_reading.cpp
@@ -18,7 +18,7 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The kernel measures times in ticks of 10 ms at the most; a shorter time may be none at all.
+// The kernel measures times in ticks of at most 10 ms, so a measured time below this may really be 0.
 constexpr milliseconds kKernelTick{10};
 // The time for a request head while requests are rejected because of a drain.
 constexpr milliseconds kMaxHeadTimeInDrain{300};
@@ -33,7 +33,7 @@
 void ClientSession::read() {
   const bool first = slot_->state == admission::ConnectionLimiter::State::Silent;
   state_ = State::Reading;
-  // The time for the first request began with the accept, and its timer is running.
+  // The timer for the first request has been running since the accept.
   if (!host_.effects().acceptsRequests) {
     setDeadline(Clock::now() + kMaxHeadTimeInDrain);
   } else if (!first) {
@@ -84,7 +84,8 @@
   }
   if (parser_->is_done()) return onRead(error);
   if (parser_->content_length().value_or(0) > kMaxBody) return onRead(http::error::body_limit);
-  // A body that has arrived with the head costs less to read than the client's new connection would.
+  // A complete body that has arrived with the head is read before a rejection: that costs less than the new
+  // connection that the client needs if this one is closed.
   if (parser_->content_length_remaining().value_or(kMaxBody) > buffer_.size()) {
     if (auto refused = host_.rejectionFromHead(parser_->get(), unreadTime())) {
       keepAlive_ = false;
--- a/src/sidecar/control/endpoint_table.cpp
+++ b/src/sidecar/control/endpoint_table.cpp
@@ -101,8 +101,8 @@
 }
 
 // Prevents requests for an endpoint from reaching another process that now has its address: of two endpoints
-// with one address, the one that started last keeps it, and the other is gone even if the list still names
-// it. Returns false if that is `upstream`.
+// with one address, the one that started last keeps it, and the other one counts as gone even if the list
+// still names it. Returns false if `upstream` is the one that counts as gone.
 bool EndpointTable::claimAddress(EndpointId upstream, MembershipUpdate& update) {
   const EndpointRecord& own = records_[upstream];
   const auto holder = holders_.try_emplace(own.address, upstream).first;
--- a/src/sidecar/control/endpoint_table.h
+++ b/src/sidecar/control/endpoint_table.h
@@ -21,7 +21,7 @@
 
 namespace ivypost {
 
-/// What is known of one endpoint.
+/// The table's entry for one endpoint.
 struct EndpointRecord {
   std::string id;                  ///< id in endpoint lists; empty: the number is free
   Endpoint address;                ///< from the last list that named the endpoint
--- a/src/sidecar/control/exclusion_call.h
+++ b/src/sidecar/control/exclusion_call.h
@@ -19,7 +19,7 @@
 
 /// The change that an Exclude or Include call requests.
 /// \param call names the endpoint.
-/// \param endpoints tells whether lists name it, and its start.
+/// \param endpoints provides whether lists name the endpoint, and its start time.
 /// \param now wall-clock time, which may be wrong.
 [[nodiscard]] exclusion::Change changeOf(const admin::Call& call, const EndpointTable& endpoints,
                                          exclusion::WallTime now);
--- a/src/sidecar/control/open_request.cpp
+++ b/src/sidecar/control/open_request.cpp
@@ -10,7 +10,7 @@
 using balancer::Outcome;
 using std::chrono::microseconds;
 
-// Margin between writing a retry and the end of its window, within which it has to arrive.
+// A retry is written at least this long before its window ends, so that it arrives within the window.
 constexpr microseconds kWindowMargin{10'000};
 
 }  // namespace
--- a/src/sidecar/control/open_request.h
+++ b/src/sidecar/control/open_request.h
@@ -19,7 +19,7 @@
 struct AttemptRecord {
   EndpointId upstream = 0;        ///< the endpoint that it is sent to
   Clock::time_point writtenAt{};  ///< when its last byte was written; the epoch: not written
-  bool mayHaveRun = true;         ///< until its outcome proves otherwise
+  bool mayHaveRun = true;         ///< on the upstream; true until the outcome proves otherwise
 };
 
 /// A request, from its arrival until it is finished and has no attempt in flight.
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -18,24 +18,24 @@
 /// The wall clock may be wrong by any amount, from the start or after a step, in this process or in the one
 /// that makes the lists. So the stated time is used only as far as the monotonic clock doesn't contradict it:
 ///   - no endpoint has started later than now;
-///   - a start that the previous list did not state happened at most kNoticeDelay before the time until
-///     which that list was known to be current. If the stated time is older, the start counts as now: an
-///     endpoint that is still warming up but taken for warm would be overloaded, while the opposite error
-///     ends with the slow start.
+///   - a start that no earlier list stated happened at most kNoticeDelay before the time until which the
+///     previous list was known to be current. If the stated time is earlier, the endpoint counts as started
+///     now: without a slow start, an endpoint that has just started would be overloaded, while an unneeded
+///     slow start ends by itself.
 ///
 /// Endpoints of the first list may have started at any time.
 ///
 /// Invariant: an estimate never changes. The same endpoint with the same stated time has the same estimate
-/// for as long as it is remembered, even if lists omit it meanwhile: an endpoint that is listed again does
-/// not count as newly started. Estimates are in this process's monotonic time.
+/// for as long as the estimate is remembered, even if lists omit the endpoint meanwhile: an endpoint that is
+/// listed again does not count as newly started. Estimates are in this process's monotonic time.
 class StartTimeEstimator {
  public:
   /// Microseconds; monotonic time unless stated otherwise.
   using Micros = std::int64_t;
 
   /// Maximum delay from a start until a list states it, while the source is connected. New endpoints are
-  /// listed up to 2 s after their start; a wall clock that is ahead by less can't be distinguished from such
-  /// a delay.
+  /// listed up to 2 s after their start; a wall clock that is ahead by less than kNoticeDelay can't be
+  /// distinguished from such a delay.
   static constexpr Micros kNoticeDelay = 2'500'000;
   /// Maximum number of remembered starts; beyond it the one that was first stated longest ago is evicted.
   /// Twice the endpoints of the largest fleet.
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -26,13 +26,13 @@
   Deadlines(const Deadlines&) = delete;
   Deadlines& operator=(const Deadlines&) = delete;
 
-  /// Makes no more callbacks, since their owners are about to be destroyed. Final.
+  /// Stops all callbacks permanently; to be called before their owners are destroyed.
   void stop() noexcept { isStopped_ = true; }
 
   /// One deadline. Cancelled when it is destroyed.
   class Deadline {
    public:
-    /// Not set yet.
+    /// Creates a deadline that is not set. `all`: the set that it belongs to.
     explicit Deadline(std::shared_ptr<Deadlines> all) : deadlines_(std::move(all)) {}
     Deadline(const Deadline&) = delete;
     Deadline& operator=(const Deadline&) = delete;
--- a/src/sidecar/listener.cpp
+++ b/src/sidecar/listener.cpp
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 
 // Accepting pauses for this time when the system has no descriptor or memory for a new connection, and after
-// kMaxFailuresInARow consecutive failures, as of connections that ended in the kernel's queue.
+// kMaxFailuresInARow consecutive failures, for example because connections ended in the kernel's queue.
 constexpr milliseconds kAcceptPause{10};
 constexpr int kMaxFailuresInARow = 16;
 
@@ -47,8 +47,8 @@
     acceptor_.listen();
   }
   acceptor_.non_blocking(true);
-  // Without this, Asio skips a connection that ended in the queue and waits for a new one, although others
-  // are already in the queue.
+  // Without this option, Asio skips a connection that ended in the queue and waits for a new one, although
+  // others are already in the queue.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
--- a/src/sidecar/request_parser.cpp
+++ b/src/sidecar/request_parser.cpp
@@ -15,8 +15,8 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-// End-to-end headers that the platform's protocol and HTTP itself need: one that Connection names would be
-// removed before forwarding, so such a request is rejected.
+// End-to-end headers that the platform's protocol or HTTP itself needs. A request whose Connection header
+// names one of them is rejected, since that header would be removed before forwarding.
 constexpr std::array<const char*, 10> kEndToEnd = {
     "Host",         "Content-Length",  "X-Trace-Id",   "X-Qos",      "X-Customer", "Idempotency-Key",
     "Content-Type", "X-Expires-In-Ms", "X-Second-Try", "X-Size-Hint"};
@@ -111,7 +111,7 @@
   if (codings > 0) {
     if (head.version() < 11) return SyntaxError{400, "a transfer coding in HTTP/1.0"};
     if (codings == 1 && head.count(http::field::content_length) == 0) {
-      // Several codings of which the last is chunked delimit the body, and are merely unsupported (RFC 9112,
+      // A list of codings that ends with chunked delimits the body; it is valid but unsupported (RFC 9112,
       // 6.1).
       const std::string_view coding = view(head[http::field::transfer_encoding]);
       const std::size_t comma = coding.rfind(',');
--- a/src/sidecar/request_validator.cpp
+++ b/src/sidecar/request_validator.cpp
@@ -35,7 +35,8 @@
   return std::string_view(found->value().data(), found->value().size());
 }
 
-// Whether a header that the sidecar evaluates occurs more than once: the upstream might take another value.
+// Whether a header that the sidecar evaluates occurs more than once: the upstream might use another one of
+// its values.
 bool hasRepeatedHeader(const RequestHead& head) {
   for (const char* name : {"X-Trace-Id", "X-Qos", "X-Customer", "X-Expires-In-Ms", "Idempotency-Key",
                            "X-Size-Hint", "X-Second-Try"}) {
--- a/src/sidecar/response_writer.h
+++ b/src/sidecar/response_writer.h
@@ -20,7 +20,7 @@
 struct Answer {
   /// The HTTP status.
   unsigned status = 502;
-  /// The body, if it is complete.
+  /// The body, if it is not streamed.
   std::string body;
   /// The value of Content-Type.
   std::string contentType = "text/plain";
@@ -53,7 +53,7 @@
 /// An answer of one line of text; a line end is added.
 [[nodiscard]] Answer textAnswer(unsigned status, std::string_view line);
 
-/// The answer to a request whose body could not be read: 413 where it was too large, else 400.
+/// The answer to a request whose body could not be read: 413 if it was too large, otherwise 400.
 [[nodiscard]] Answer answerToBodyError(const boost::system::error_code& error);
 
 }  // namespace ivypost
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -20,7 +20,7 @@
 
 // The interval between sweeps of the connections while the server drains or stops.
 constexpr milliseconds kSweepInterval{20};
-// The fraction of the pools' descriptors that client connections may hold.
+// The fraction of the descriptors for client and upstream connections that client connections may hold.
 constexpr double kClientFraction = 0.6112;
 
 admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config,
@@ -58,7 +58,7 @@
 
 Server::~Server() {
   deadlines_->stop();
-  // Handlers of the sessions may be queued and run after this.
+  // Handlers of the sessions that are already queued may run after the destruction.
   for (const auto& [id, session] : sessions_) session->detach();
 }
 
--- a/src/sidecar/server.h
+++ b/src/sidecar/server.h
@@ -43,8 +43,8 @@
   struct Callbacks {
     /// Takes a request that was validated and admitted.
     std::function<void(ClientRequest)> onRequest;
-    /// The answer to this request is no longer needed: its client has left, or the server has answered since
-    /// the deadline passed or the process stops.
+    /// The answer to this request is no longer needed: its client has left, or the server itself has answered
+    /// because the deadline has passed or the process stops.
     std::function<void(balancer::RequestId)> onRequestEnded;
     /// The body of GET /status/level, as JSON. Called only if the operator has enabled that page.
     std::function<std::string()> levelStatus;
@@ -67,9 +67,9 @@
   /// streamed body.
   void answer(balancer::RequestId id, Answer answer);
 
-  /// Whether the answer to this request is no longer needed: it is not open, or its client has closed,
-  /// half-closed or reset the connection according to the kernel (usually one system call). Such a connection
-  /// is closed soon after, from the event loop, which ends the request.
+  /// Whether the answer to this request is no longer needed: the request is not open, or its client has
+  /// closed, half-closed or reset the connection according to the kernel (usually one system call). Such a
+  /// connection is closed soon after, from the event loop, which ends the request.
   [[nodiscard]] bool isClientGone(balancer::RequestId id);
 
   /// Applies what the lifecycle allows from now on.
@@ -106,8 +106,8 @@
 
   // Closes idle connections while the server drains or stops, and calls onEnded() once the process may exit.
   void sweep();
-  // Sends all clients their last answers and closes their connections, if the lifecycle lets the process exit
-  // and either no connection is in use or it must exit. False if the process continues.
+  // Sends all clients their last answers and closes their connections, if according to the lifecycle the
+  // process must exit, or may exit and no connection is in use. False if the process continues.
   bool closeAllAtExit();
 
   // The answer to a request that the sidecar serves without an endpoint: /ready and the status pages.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -199,8 +199,8 @@
   executor_.forget(end.id.request);
 }
 
-// Once the answer has begun to stream to the client, no other answer can replace it, whatever happens to the
-// rest.
+// Once the answer has begun to stream to the client, no other answer can replace it, even if the rest of its
+// body fails.
 void Sidecar::onAnswerStarted(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
   if (found == requests_.end() || found->second.isFinished) return begin.body->abandon();
--- a/src/sidecar/upstream/connection_pool.h
+++ b/src/sidecar/upstream/connection_pool.h
@@ -66,8 +66,8 @@
   /// calls failConnecting().
   void remove(EndpointId upstream);
   /// Closes the endpoint's connections that are not established yet; their attempts end as ConnectFailed,
-  /// never sent. For an upstream that must get no new requests: a connection that is established late would
-  /// carry a request to it after the time in which that is allowed.
+  /// never sent. Called when an upstream must get no new requests: otherwise a connection that is established
+  /// late would still carry its request to the upstream.
   void failConnecting(EndpointId upstream);
   /// Closes the endpoint's idle connections. The endpoint must have had an address.
   void closeIdle(EndpointId upstream);
@@ -77,10 +77,11 @@
   /// Closes the attempt's connection at once. The attempt ends as Cancelled, or as Timeout if its deadline
   /// has passed. Ignored if the attempt has ended.
   void cancel(AttemptId id);
-  /// Ends the attempts of a finished request whose last byte has not been sent as Moot, whether or not
+  /// Ends as Moot those attempts of a finished request whose last byte has not been sent, whether or not
   /// running attempts may be cancelled.
   void cancelUnsent(balancer::RequestId request);
-  /// Requests the load report. Times out after 300 ms. The endpoint must have had an address.
+  /// Sends a probe, which requests the endpoint's load report. Times out after 300 ms. The endpoint must have
+  /// had an address.
   void probe(EndpointId upstream);
 
   /// The number of connections in any state.
--- a/src/sidecar/upstream/upstream_exchange.cpp
+++ b/src/sidecar/upstream/upstream_exchange.cpp
@@ -75,7 +75,7 @@
   unwrittenBody_ = body;
   dropSent(sent);
   // The last byte of a repeated request must be sent within its window too. A body that exceeds the send
-  // buffer is sent only if the upstream reads, so that the connect timeout covers it as well.
+  // buffer is sent only if the upstream reads, so the connect timeout limits this write as well.
   auto until = std::min(job_->deadline, job_->writeBy);
   if (body.size() > kStreamingThreshold) {
     until = std::min(until, now + kUploadStallTimeout);
--- a/src/sidecar/upstream/upstream_request.h
+++ b/src/sidecar/upstream/upstream_request.h
@@ -14,8 +14,8 @@
 /// The time left for an attempt, which its head states to the upstream.
 ///
 /// While a body is still being received, the request's deadline is an estimate that includes the time to
-/// receive the rest. The client grants its time from the last byte on, so that the result never exceeds that
-/// time.
+/// receive the rest. The client's time counts from the last byte of the body, so the result is limited to
+/// that time.
 /// \param deadline when the attempt times out.
 /// \param upload the body that is still being received; null if the body is in the message.
 /// \param now the time of the call.
