--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -26,7 +26,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint32_t kMaxHeader = 8 * 1024;
-// Calls have no body. One of up to this size is read and discarded.
+// Calls need no body. A body of up to this size is read and discarded.
 constexpr std::size_t kMaxBody = 16UL * 1024;
 // An unanswered connection is closed after this period, if it was not evicted before.
 constexpr milliseconds kCallTimeout{10'000};
@@ -116,7 +116,7 @@
     }
   }
 
-  // No error: the call is complete, or more of it must be received.
+  // Parses the received bytes. Returns no error if the call is complete or more of it must be received.
   error_code parseBuffer() {
     error_code error;
     while (!error && !parser_.is_done() && buffer_.size() > 0)
--- a/src/admission/admission_queue.cpp
+++ b/src/admission/admission_queue.cpp
@@ -114,8 +114,8 @@
   return (turn_ + 1) % kFairTurnInterval == 0 ? servedLongestAgo : best;
 }
 
-// Evicts from the non-empty lane of the lowest priority the request that has waited longest, as the one with
-// the least time left.
+// Evicts from the non-empty lane of the lowest priority the request that has waited longest, since it
+// probably has the least time left.
 std::optional<Decision> AdmissionQueue::evictFrom(std::optional<std::uint32_t> tenant, Outcome outcome) {
   for (std::size_t lane = lanes_.size(); lane-- > 0;) {
     const auto& requests = lanes_.at(lane).requests;
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -79,15 +79,15 @@
 /// Invariant: each request that is pushed gets exactly one decision, or is withdrawn; the queue holds no more
 /// than the settings' maxRequests. All times are of the caller's monotonic clock.
 ///
-/// While the core keeps up, requests are forwarded in the order of arrival and hardly wait. A queue that has
-/// not been empty for the settings' interval indicates overload and not a burst. Under overload
+/// While the processor core is not overloaded, requests are forwarded in the order of arrival and hardly
+/// wait. A queue that has not been empty for the settings' interval indicates overload and not a burst. Under
+/// overload
 /// - requests are served by priority: those within their tenant's quota before those beyond it, then by the
 ///   priority weight of the class, then last in, first out (older requests have less time left, and their
 ///   clients are more likely to have given up). One turn in kFairTurnInterval goes to the lane that was
 ///   served longest ago, so that no lane starves;
-/// - requests that have waited longer than targetDelay are rejected, the lowest priority first; in the lane
-/// of the
-///   highest priority, those that have waited longer than interval.
+/// - requests that have waited longer than targetDelay, or longer than interval in the lane of the highest
+///   priority, are rejected, those of the lowest priority first.
 ///
 /// This is the controlled delay with adaptive LIFO of "Fail at Scale" (B. Maurer, ACM Queue 13-8, 2015).
 /// CoDel's own drop rate (RFC 8289, 5.3: interval / sqrt(count)) is not used: it is made for flows that slow
@@ -105,8 +105,8 @@
   AdmissionQueue(const AdmissionQueueSettings& settings, const std::vector<double>& priorityWeights);
 
   /// Queues a request whose id is not in the queue and whose class has a weight (std::out_of_range
-  /// otherwise). If that exceeds a limit, returns the decision on the request that is rejected in return,
-  /// which may be the same one.
+  /// otherwise). If that exceeds a limit, returns the decision on the request that is rejected to keep the
+  /// limit, which may be `request` itself.
   std::optional<Decision> push(const QueuedRequest& request, Micros now);
   /// Decides on the next request, and removes it; none: the queue is empty.
   [[nodiscard]] std::optional<Decision> next(Micros now);
--- a/src/admission/connection_limiter.h
+++ b/src/admission/connection_limiter.h
@@ -22,19 +22,20 @@
   // NOLINTBEGIN(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
   /// The most concurrent client connections, including those that are closing; at least 1.
   std::size_t maxConnections = 0;
-  /// While no more than this fraction is open, every connection is kept alive after a response. 1: always.
-  /// The protocol lets either side close a connection after a response.
+  /// While no more than this fraction of maxConnections is open, every connection is kept alive after a
+  /// response. 1: always. The protocol lets either side close a connection after a response.
   double keepAnyFraction = 0.5;
-  /// While no more than this fraction is open, a connection is kept alive if its client has reused it within
-  /// idleTimeout; no less than keepAnyFraction. 1: always.
+  /// While no more than this fraction of maxConnections is open, a connection is kept alive if its client has
+  /// reused it within idleTimeout; no less than keepAnyFraction. 1: always.
   double keepReusedFraction = 0.8;
-  /// While more than this fraction is active, new requests are rejected at once: the remaining slots are for
-  /// connections whose requests are rejected. 1: no such limit.
+  /// While more than this fraction of maxConnections is active, new requests are rejected at once: the
+  /// remaining slots are for connections whose requests are rejected. 1: no such limit.
   double activeFraction = 0.9;
   /// A connection that has sent nothing since it was accepted may be evicted after this time.
   Micros silentTimeout = 100'000;
-  /// A connection that is idle between requests may be evicted after this time. The platform requires at
-  /// least this value; a client whose request crosses the close sends the request again.
+  /// A connection that is idle between requests may be evicted after this time. The platform requires that
+  /// idle connections be kept for at least this time; a client whose request crosses the close sends the
+  /// request again.
   Micros idleTimeout = 2'000'000;
   // NOLINTEND(cppcoreguidelines-avoid-magic-numbers,readability-magic-numbers)
 };
--- a/src/admission/tenant_quotas.h
+++ b/src/admission/tenant_quotas.h
@@ -10,8 +10,8 @@
 
 namespace ivypost::admission {
 
-/// Decides which requests are within their tenant's quota, a fraction of all traffic. Of a tenant that sends
-/// more, only the excess requests are marked as beyond the quota. No I/O and no clock.
+/// Decides which requests are within their tenant's quota, a fraction of all traffic. If a tenant sends more,
+/// only its excess requests are marked as beyond the quota. No I/O and no clock.
 ///
 /// Invariant: rates are sums that decay exponentially with kTimeConstant of the caller's monotonic clock, so
 /// that a tenant that sent little may send a burst before it exceeds its quota, and the requests of a tenant
--- a/src/admission/trace_ids.h
+++ b/src/admission/trace_ids.h
@@ -12,14 +12,15 @@
 
 namespace ivypost::admission {
 
-/// The trace ids in use: those of open requests, and of requests that were closed recently. A duplicate of an
-/// open request may be read only after that request is closed, and its attempts would then be taken for those
-/// of the first request. No I/O and no clock.
+/// The trace ids in use: those of open requests, and of requests that were closed recently. The ids of closed
+/// requests count as in use since a duplicate of an open request may be read only after that request is
+/// closed: the attempts of the duplicate would then be taken for those of the first request. No I/O and no
+/// clock.
 ///
 /// Bounds: the caller bounds the open ids (one per client connection). At most kMaxClosed closed ids are
 /// retained, each for kRetention of the caller's monotonic clock; beyond that, the id closed longest ago is
-/// removed early. The table is full at 5,461 requests a second: more than a fraction of a core handles, fewer
-/// than a whole core does.
+/// removed early. The table is full at 5,461 requests a second: more than a sidecar with a fraction of a core
+/// can handle, but fewer than one with a whole core can.
 class TraceIds {
  public:
   /// Microseconds for which the id of a closed request is retained: longer than an overloaded core delays
--- a/src/degradation/level_controller.h
+++ b/src/degradation/level_controller.h
@@ -21,8 +21,8 @@
 ///   - signals are smoothed;
 ///   - a signal stops requesting a level at a lower threshold than the one at which it started (hysteresis);
 ///   - escalations go one level at a time, at least Settings::escalationInterval apart;
-///   - recoveries go one level at a time, after a delay that doubles with each recovery that did not hold,
-///     as in a circuit breaker's half-open state.
+///   - recoveries go one level at a time, after a delay that doubles with each recovery that was followed by
+///     an escalation within Settings::probationPeriod, as in a circuit breaker's half-open state.
 ///
 /// The reasons are in docs/design/reduced-service.md.
 class LevelController {
--- a/src/degradation/restrictions.cpp
+++ b/src/degradation/restrictions.cpp
@@ -4,7 +4,8 @@
 namespace ivypost::degradation {
 namespace {
 
-// Fraction of health checks. A quarter of them still detects that an upstream has recovered, only later.
+// Fraction of the usual health checks at Thrifty and Protect. A quarter of them still detects that an
+// upstream has recovered, only later.
 constexpr double kReducedHealthChecks = 0.25;
 
 }  // namespace
--- a/src/degradation/settings.cpp
+++ b/src/degradation/settings.cpp
@@ -16,7 +16,8 @@
 constexpr Duration kUsualSmoothing = 500ms;
 // Half of the usual time, since a lagging event loop delays every request.
 constexpr Duration kLagSmoothing = 250ms;
-// Longer, since traffic is bursty and these signals do not show that the sidecar itself is overloaded.
+// Longer than usual, since traffic is bursty and these signals do not show that the sidecar itself is
+// overloaded.
 constexpr Duration kTrafficSmoothing = 2s;
 // No smoothing, since an age grows steadily.
 constexpr Duration kAgeSmoothing = 0s;
--- a/src/degradation/settings.h
+++ b/src/degradation/settings.h
@@ -47,11 +47,12 @@
   /// Time constants of the signals' exponential smoothing, 0 or more; 0: not smoothed.
   PerSignal<Duration> smoothingTimes;
   /// Minimum time between two escalations, more than 0, so that a level's restrictions can take effect before
-  /// the next one.
+  /// the next escalation.
   Duration escalationInterval = std::chrono::milliseconds(300);
   /// Time without any signal requesting the present level until the first recovery, more than 0.
   Duration recoveryDelay = std::chrono::seconds(2);
-  /// Maximum of the delay, which doubles with each recovery that did not hold; at least recoveryDelay.
+  /// Maximum of the recovery delay, which doubles with each recovery that is followed by an escalation within
+  /// probationPeriod; at least recoveryDelay.
   Duration maxRecoveryDelay = std::chrono::seconds(32);
   /// Time without escalation after which a recovery has held and the delay is reset; more than 0.
   Duration probationPeriod = std::chrono::seconds(10);
--- a/src/exclusion/exclusion_file.cpp
+++ b/src/exclusion/exclusion_file.cpp
@@ -18,7 +18,8 @@
 constexpr std::size_t kMaxEntryText = 6 * ExclusionSet::kMaxIdLength + 32;
 // The file holds the excluded ids and the included ids.
 constexpr std::size_t kMaxText = 2 * ExclusionSet::kMaxEntries * kMaxEntryText;
-// Usually the complete file. A buffer for the largest file would take a tenth of a small sidecar's memory.
+// Bytes per read, usually the complete file. A buffer for the largest file would take a tenth of a small
+// sidecar's memory.
 constexpr std::size_t kReadSize = 4096;
 // Number of files written for one change. A failed sync may concern only that file's pages, so a second file
 // is written. If that fails too, the disk is taken to be faulty, and the event loop is not blocked any
@@ -65,14 +66,16 @@
   return a.tv_sec == b.tv_sec && a.tv_nsec == b.tv_nsec;
 }
 
-// Times are compared for equality only, so that a step of the clock in either direction hides no change.
+// The file's times are compared for equality only, so that a step of the clock in either direction hides no
+// change.
 bool isSameVersion(const struct stat& a, const struct stat& b) {
   return a.st_dev == b.st_dev && a.st_ino == b.st_ino && a.st_size == b.st_size &&
          isSameTime(a.st_mtim, b.st_mtim) && isSameTime(a.st_ctim, b.st_ctim);
 }
 
 bool mustBeStored(Outcome outcome) {
-  // Unchanged is written too: the file may contain another process's change whose sync has failed.
+  // The set is written even if the outcome is Unchanged: the file may contain another process's change whose
+  // sync has failed.
   return outcome == Outcome::Changed || outcome == Outcome::Unchanged;
 }
 
@@ -199,7 +202,8 @@
 // Replaces the file by a new one.
 ExclusionFile::Write ExclusionFile::write(const std::string& text) {
   Write write;
-  // Opened first: a folder that can't be opened can't be synced, and then the file must not be renamed.
+  // The folder is opened first: if it can't be opened, it can't be synced, and then the file must not be
+  // renamed.
   const Descriptor folder(files_, files_.open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC, 0));
   if (!folder.isOpen()) {
     write.error = lastError();
--- a/src/exclusion/exclusion_file.h
+++ b/src/exclusion/exclusion_file.h
@@ -22,9 +22,9 @@
 /// Invariant: at any time the file holds a complete set, either the one before a change or the one after it.
 /// A change that was reported as made is durable: both the file and its folder entry are synced. A change
 /// that was reported as failed is not in force in this process, and the file's earlier content has been
-/// restored. Only if that fails too, which is logged, may a process that starts later apply the change. The
-/// lock determines the order of changes, and no clock does. A process that can't read the file keeps the set
-/// that it has.
+/// restored. If restoring fails too, that is logged, and a process that starts later may apply the change.
+/// The order of changes is determined by the lock and not by a clock. A process that can't read the file
+/// keeps the set that it has.
 ///
 /// Each write creates a new file, syncs it, renames it and syncs the folder, under a lock that excludes other
 /// writers and also readers, except for a process's first read. After a failed sync the pages may be lost
--- a/src/exclusion/exclusion_set.h
+++ b/src/exclusion/exclusion_set.h
@@ -47,17 +47,18 @@
 /// Invariant: an endpoint is excluded by its id alone, from an exclude to the next include, regardless of the
 /// contents of lists and of the number of excludes. After an include it counts as started at that time, since
 /// operators restart endpoints while they are excluded, and lists may not state the new start yet. Times are
-/// those of the wall clock of the process that received the call. A process that learns of no change keeps
-/// its set.
+/// those of the wall clock of the process that received the call. Entries do not expire: a process applies
+/// its set until an operator's call or a newer stored set replaces it.
 class ExclusionSet {
  public:
   /// Maximum number of excluded ids, and of remembered included ids. Further exclusions are rejected. A
-  /// further inclusion evicts the one with the earliest time, whose endpoint has had the longest time to warm
-  /// up.
+  /// further inclusion evicts the included id with the earliest time, whose endpoint has had the longest time
+  /// to warm up.
   static constexpr std::size_t kMaxEntries = 1024;
   /// Maximum length of an id, in bytes.
   static constexpr std::size_t kMaxIdLength = 256;
-  /// The latest time that is stored. It is far in the future, and in microseconds still an exact double.
+  /// The latest time that is stored. It is far in the future, and a double still holds it exactly in
+  /// microseconds.
   static constexpr WallTime kMaxTime{std::chrono::milliseconds((std::int64_t{1} << 53) / 1000)};
 
   /// Applies a change; the set stays as it is unless the outcome is Outcome::Changed. An included endpoint
--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -78,8 +78,8 @@
   }
 }
 
-// Whether `duration` has passed since `start`. If not, nextChange_ is moved forward to the end of it where
-// needed.
+// Whether `duration` has passed since `start`. If not, and if the end of that period is earlier than
+// nextChange_, sets nextChange_ to it.
 bool Lifecycle::hasElapsed(TimePoint start, Duration duration, TimePoint now) {
   const TimePoint end = start + duration;
   if (now >= end) return true;
@@ -113,7 +113,7 @@
   if (!effects.sendsFinalResponses) return effects;
   effects.acceptsRequests = false;
   if (!finalResponsesAt_) finalResponsesAt_ = now;
-  // Both are evaluated, so that nextChange() is the earlier of those that have not elapsed.
+  // Both periods are evaluated, so that nextChange() is the earliest end of a period that has not elapsed.
   const bool isDue = hasElapsed(stateEnteredAt_, exitDelay(), now);
   const bool responsesHadTime = hasElapsed(*finalResponsesAt_, kMinFinalResponsePeriod, now);
   effects.mustExit = isDue && responsesHadTime;
--- a/src/lifecycle/lifecycle.h
+++ b/src/lifecycle/lifecycle.h
@@ -16,7 +16,7 @@
 
 /// The state of the sidecar as a whole.
 enum class State : std::uint8_t {
-  Starting,  ///< Not ready to serve yet; only if another process may serve meanwhile.
+  Starting,  ///< Not ready to serve yet; used only if another process may serve meanwhile.
   Ready,     ///< Serves.
   Draining,  ///< Operators have requested a drain; the process keeps running.
   Stopping,  ///< SIGTERM was received; final.
@@ -44,7 +44,8 @@
   bool keepsConnections = false;
   /// Idle connections are closed, in repeated sweeps.
   bool closesIdleConnections = false;
-  /// Requests are accepted; otherwise they are rejected at once, and a request head gets only a short time.
+  /// Requests are accepted; otherwise they are rejected at once, and a request head must arrive within a
+  /// short time.
   bool acceptsRequests = true;
   /// The process exits once every open connection is idle.
   bool mayExit = false;
@@ -83,17 +84,17 @@
   /// How long a new process without endpoints waits for discovery.
   static constexpr Duration kDiscoveryTimeoutWithoutEndpoints{4'000'000};
   /// From the beginning of a drain until idle connections are closed. The platform continues to open
-  /// connections for 0.3 s, and clients use theirs: until then connections are closed only after responses,
-  /// so that hardly a request crosses a close.
+  /// connections for 0.3 s, and clients continue to use the open ones: before this delay has passed, a
+  /// connection is closed only after a response, so that hardly any request crosses a close.
   static constexpr Duration kDrainIdleCloseDelay{1'000'000};
-  /// From the beginning of a drain until requests are rejected. The platform requires that, 4 s after
-  /// the beginning, no request of the last 2 s is in flight, whatever its deadline; the margin below 2 s
-  /// covers kMaxSchedulingDelay.
+  /// From the beginning of a drain until requests are rejected. The platform requires that, 4 s after the
+  /// beginning, no request that arrived within the last 2 s is in flight, whatever its deadline. So requests
+  /// are rejected before 2 s have passed; the margin covers kMaxSchedulingDelay.
   static constexpr Duration kDrainRequestPeriod{1'800'000};
   /// How long connections are accepted after SIGTERM if no other process listens: clients continue to connect
   /// for up to 0.4 s.
   static constexpr Duration kStopAcceptPeriod{500'000};
-  /// The time after the last accept for requests that clients have already sent to arrive.
+  /// The time after the last accept in which requests that clients have already sent can still arrive.
   static constexpr Duration kStopLinger{200'000};
   /// The upper limit of the longest deadline in the computation of the time of SIGKILL.
   static constexpr Duration kMaxCountedDeadline{3'000'000};
--- a/src/sidecar/client_session_writing.cpp
+++ b/src/sidecar/client_session_writing.cpp
@@ -56,7 +56,7 @@
   const std::size_t sent = network::writeSome(socket_, parts, error);
   if (!error) return onWritten();
   if (!network::isTransient(error)) {
-    // Closed from the event loop, since the caller may still be using this session.
+    // The connection is closed from the event loop, since the caller may still be using this session.
     asio::post(io_, [self = shared_from_this()] { self->close(); });
     return;
   }
@@ -89,7 +89,8 @@
       });
     }
   };
-  // Written from the event loop, since the caller is still processing what it has read of the answer.
+  // The body is written from the event loop, since the caller is still processing what it has read of the
+  // answer.
   asio::post(io_, [self = shared_from_this()] {
     if (self->responsePipe_ && !self->isWaitingToWrite_) self->writeStreamed();
   });
--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -148,7 +148,7 @@
 
 std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
   if (!admissionController_.rejectsBeforeBody()) return std::nullopt;
-  // A request with an error gets its answer after it has been read completely.
+  // A request whose head has an error is answered after it has been read completely.
   const auto hint = validator_.hintOf(head, unread);
   if (!hint || !admissionController_.isTooLate(hint->requestClass, hint->remaining)) return std::nullopt;
   return rejection("refused: too late");
@@ -210,7 +210,7 @@
   isSweeping_ = effects_.closesIdleConnections;
   if (!isSweeping_) return;
   const Micros time = now();
-  // A client whose request crosses the close retries it on a new connection.
+  // If a client sends a request while its connection is being closed, it retries on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
     if (session->mayCountAsIdle(time) && session->mayCloseIdle()) {
@@ -228,7 +228,7 @@
 
 bool Server::closeAllAtExit() {
   if (!effects_.mayExit) return false;
-  // A connection with unread input has a request that is about to be read.
+  // A connection with unread input does not count as idle, since its request is about to be read.
   const bool allIdle =
       std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isIdle(); });
   if (!allIdle && !effects_.mustExit) return false;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -113,7 +113,8 @@
   if (!(file.peers == gossipOptions_)) {
     if (healthView_) {
       healthView_->leave();
-      // Destroyed from the event loop, after its handlers that are already queued.
+      // The previous health view is destroyed from the event loop, after its handlers that are already
+      // queued.
       asio::post(io_, [old = std::move(healthView_)] {});
     }
     gossipOptions_ = file.peers;
@@ -141,7 +142,8 @@
   event.requestClass = client.requestClass;
   event.tenant = client.tenant;
   event.key = client.key;
-  // Computed anew, since the request may have waited in the admission queue after it was read.
+  // The remaining time is computed anew, since the request may have waited in the admission queue after it
+  // was read.
   event.expiresIn = std::max<Micros>(0, duration_cast<microseconds>(client.deadline - Clock::now()).count());
   event.work = client.work;
   event.isRetry = client.isRetry;
--- a/src/streaming/byte_budget.h
+++ b/src/streaming/byte_budget.h
@@ -8,9 +8,10 @@
 
 namespace ivypost::streaming {
 
-/// The memory budget, in bytes, of all bodies in transit in this process. Protects the memory limit against
-/// many large bodies at the same time. There is no waiting for the budget: a pipe that gets none works with
-/// its minimum capacity, so that a transfer that has begun can always be completed. Not thread-safe.
+/// The memory budget, in bytes, of all bodies in transit in this process. Keeps the process within its memory
+/// limit when many large bodies are in transit. Nothing waits for the budget: a pipe that gets no bytes from
+/// it works with its minimum capacity, so that a transfer that has begun can always be completed. Not
+/// thread-safe.
 class ByteBudget {
  private:
   struct Account {
--- a/src/streaming/stall_timer.h
+++ b/src/streaming/stall_timer.h
@@ -15,7 +15,7 @@
   using TimePoint = std::chrono::steady_clock::time_point;  ///< Monotonic.
   using Duration = std::chrono::microseconds;               ///< The unit of all computations here.
 
-  /// The minimum rate: half of the 64 kB per second that the platform's contract allows clients to write at.
+  /// The minimum rate: half of the 64 kB per second at which the platform's contract allows clients to write.
   static constexpr std::int64_t kMinBytesPerSecond = 32'000;
   /// The period at the start of a body in which no bytes are required.
   static constexpr Duration kGracePeriod = std::chrono::milliseconds(2500);
@@ -35,8 +35,8 @@
   void extendBy(Duration pause) { begin_ += pause; }
   /// The time at which the body is abandoned if no bytes are received before.
   [[nodiscard]] TimePoint deadline() const;
-  /// The time that `bytes` more take at the rate so far, but no longer than at kMinBytesPerSecond; at that
-  /// rate if no bytes have been received.
+  /// The time to receive `bytes` more at the rate so far, or at kMinBytesPerSecond if that is faster or if no
+  /// bytes have been received.
   [[nodiscard]] Duration expectedTime(std::uint64_t bytes) const;
 
  private:
