--- a/src/admission/trace_ids.h
+++ b/src/admission/trace_ids.h
@@ -14,8 +14,8 @@
 
 /// The trace ids in use: those of open requests, and of requests that were closed recently. The ids of closed
 /// requests count as in use since a duplicate of an open request may be read only after that request is
-/// closed: the attempts of the duplicate would then be taken for those of the first request. No I/O and no
-/// clock.
+/// closed: without this, the attempts of the duplicate would be mistaken for those of the first request. No
+/// I/O and no clock.
 ///
 /// Bounds: the caller bounds the open ids (one per client connection). At most kMaxClosed closed ids are
 /// retained, each for kRetention of the caller's monotonic clock; beyond that, the id closed longest ago is
@@ -23,8 +23,8 @@
 /// can handle, but fewer than one with a whole core can.
 class TraceIds {
  public:
-  /// Microseconds for which the id of a closed request is retained: longer than an overloaded core delays
-  /// reading.
+  /// Microseconds for which the id of a closed request is retained: longer than an overloaded core delays the
+  /// reading of a duplicate.
   static constexpr Micros kRetention = 3'000'000;
   /// The most ids of closed requests that are retained.
   static constexpr std::size_t kMaxClosed = 16'384;
--- a/src/degradation/load_monitor.h
+++ b/src/degradation/load_monitor.h
@@ -14,13 +14,12 @@
 
 /// The measurements of one tick. Fractions are 0 to 1.
 struct Measurements {
-  Duration cpuTime{};              ///< CPU time used by the process since its start.
-  Duration eventLoopLag{};         ///< Delay from when the tick was due until it ran.
-  double openRequestFraction = 0;  ///< Open requests divided by their limit; 0 without a limit.
-  double busyConnectionFraction =
-      0;                         ///< Busy part of the connection limit; the greater of clients and upstreams.
-  double overQuotaFraction = 0;  ///< Requests of tenants over their quota, divided by all.
-  Duration endpointListAge{};    ///< Time since the endpoint list was last known to be current.
+  Duration cpuTime{};                 ///< CPU time used by the process since its start.
+  Duration eventLoopLag{};            ///< Delay from when the tick was due until it ran.
+  double openRequestFraction = 0;     ///< Open requests divided by their limit; 0 without a limit.
+  double busyConnectionFraction = 0;  ///< Busy connections / limit; the greater of clients and upstreams.
+  double overQuotaFraction = 0;       ///< Requests of tenants over their quota, divided by all.
+  Duration endpointListAge{};         ///< Time since the endpoint list was last known to be current.
 };
 
 /// Converts counted events and measurements into signals and passes them to a LevelController. No I/O and no
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -32,8 +32,8 @@
 constexpr double kRelayMemoryFraction = 0.35;
 constexpr double kMaxMemoryMb = 1e6;
 constexpr double kBytesPerMb = 1e6;
-// The minimum of Config::poolSockets(), whatever limit is configured: one client connection and one upstream
-// connection.
+// The minimum of Config::poolSockets() if the operators' console is configured: one client connection and one
+// upstream connection.
 constexpr double kMinPoolSockets = 2;
 // While a process is replaced, the old one and the new one share the limits, so each uses half of them.
 constexpr int kProcessesDuringReplacement = 2;
--- a/src/sidecar/control/endpoint_table.h
+++ b/src/sidecar/control/endpoint_table.h
@@ -70,7 +70,8 @@
   /// The count of numbers, both in use and free.
   [[nodiscard]] std::size_t size() const { return records_.size(); }
 
-  /// Adds a reference to the endpoint, to be removed by dropUse(). Its number is not freed meanwhile.
+  /// Adds a reference to the endpoint, to be removed by dropUse(). The endpoint's number is not freed before
+  /// that.
   void addUse(EndpointId upstream) { ++records_[upstream].uses; }
   /// Removes a reference. Frees the number if it was the last one and no list names the endpoint.
   void dropUse(EndpointId upstream);
--- a/src/sidecar/control/start_time_estimator.h
+++ b/src/sidecar/control/start_time_estimator.h
@@ -26,7 +26,7 @@
 /// Endpoints of the first list may have started at any time.
 ///
 /// Invariant: an estimate never changes. The same endpoint with the same stated time has the same estimate
-/// for as long as the estimate is remembered, even if lists omit the endpoint meanwhile: an endpoint that is
+/// for as long as the estimate is remembered, even if some lists omit the endpoint: an endpoint that is
 /// listed again does not count as newly started. Estimates are in this process's monotonic time.
 class StartTimeEstimator {
  public:
--- a/src/sidecar/deadlines.h
+++ b/src/sidecar/deadlines.h
@@ -17,8 +17,8 @@
 
 /// The deadlines of all connections to clients, or of all connections to upstreams. Most deadlines are moved
 /// or cancelled before they expire and are later than the earliest one, so the kernel's timer is rarely set;
-/// one timer per connection would cost two system calls per request. Shared by its deadlines. Not
-/// thread-safe: all calls are made on the event loop.
+/// one timer per connection would cost two system calls per request. Each Deadline keeps its Deadlines alive.
+/// Not thread-safe: all calls are made on the event loop.
 class Deadlines : public std::enable_shared_from_this<Deadlines> {
  public:
   /// Creates an empty set of deadlines. `io` must outlive it.
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -77,8 +77,8 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): CLI11's own set-up may throw, and then ends the program.
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  // A SIGHUP that arrives before the signal handler is set can be ignored: the file is read after that
-  // anyway.
+  // A SIGHUP that arrives before the signal handler is set can be ignored, since the file is read only after
+  // that.
   std::signal(SIGHUP, SIG_IGN);
   // By default the C library keeps the freed memory of large bodies, fragmented into blocks that fit no
   // further body, and the process grows over its memory limit.
--- a/src/sidecar/request_validator.h
+++ b/src/sidecar/request_validator.h
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Checks the head of a client's request against the platform's settings. A pure function of the message, the
+// Checks the head of a client's request by the platform's settings. A pure function of the message, the
 // settings and the time: no I/O, no clock and no state.
 #ifndef IVYPOST_REQUEST_VALIDATOR_H_
 #define IVYPOST_REQUEST_VALIDATOR_H_
--- a/src/sidecar/response_writer.h
+++ b/src/sidecar/response_writer.h
@@ -43,7 +43,8 @@
 };
 
 /// The head of an answer. `httpVersion`: of the request, 10 or 11; for HTTP/1.0, which has no chunks, a body
-/// of unknown length is ended by closing the connection. `closesConnection`: the connection is closed anyway.
+/// of unknown length is ended by closing the connection. `closesConnection`: the connection is closed after
+/// the answer in any case.
 [[nodiscard]] ResponseHead formatResponseHead(const Answer& answer, unsigned httpVersion,
                                               bool closesConnection);
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -231,8 +231,7 @@
     if (entry.state != balancer::EndpointState::Gone)
       pool_.setAddress(entry.upstream, endpoints_[entry.upstream].address);
   }
-  // A list without a serving endpoint is applied all the same: draining and removed endpoints get no new
-  // attempts.
+  // A list without a serving endpoint is applied too: draining and removed endpoints get no new attempts.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
     return entry.state == balancer::EndpointState::Serving;
   });
--- a/src/sidecar/upstream/upstream_exchange.h
+++ b/src/sidecar/upstream/upstream_exchange.h
@@ -58,8 +58,8 @@
 class UpstreamExchange {
  public:
   /// The send buffer of the socket in bytes, as set with SO_SNDBUF (Linux doubles it). It limits the bytes of
-  /// a request that the kernel holds while the upstream does not read. With a small buffer the write of a
-  /// large body blocks then, so that the request is known not to have arrived completely.
+  /// a request that the kernel holds while the upstream does not read. With a small buffer, the write of a
+  /// large body blocks in that case, and the request is known not to have arrived completely.
   static constexpr int kSendBufferSize = 16 * 1024;
 
   /// Both arguments must outlive the exchange.
--- a/src/sidecar/upstream/upstream_job.h
+++ b/src/sidecar/upstream/upstream_job.h
@@ -73,7 +73,7 @@
   streaming::ByteBudget& budget;         ///< for streamed answers; outlives the pool
   UpstreamHost& host;                    ///< the pool
   std::shared_ptr<Deadlines> deadlines;  ///< the deadlines of all connections
-  Clock::duration connectTimeout{};      ///< for connecting, and for a body over the send buffer
+  Clock::duration connectTimeout{};      ///< limit for connecting and for writing a body over the send buffer
   Clock::duration idleTime{};            ///< an idle connection is closed after this period
 };
 
