--- a/src/sidecar/server.cpp
+++ b/src/sidecar/server.cpp
@@ -20,7 +20,7 @@
 
 // The interval between sweeps of the connections while the server drains or stops.
 constexpr milliseconds kSweepInterval{20};
-// The fraction of the pools' descriptors that client connections may hold.
+// The fraction of the descriptors for client and upstream connections that client connections may hold.
 constexpr double kClientFraction = 0.6112;
 
 admission::ConnectionLimiterSettings connectionLimiterSettings(const Config& config,
@@ -58,7 +58,7 @@
 
 Server::~Server() {
   deadlines_->stop();
-  // Handlers of the sessions may be queued and run after this.
+  // Handlers of the sessions that are already queued may run after the destruction.
   for (const auto& [id, session] : sessions_) session->detach();
 }
 
@@ -148,7 +148,7 @@
 
 std::optional<Answer> Server::rejectionFromHead(const RequestHead& head, milliseconds unread) const {
   if (!admissionController_.rejectsBeforeBody()) return std::nullopt;
-  // A request with an error gets its answer after it has been read completely.
+  // A request whose head has an error is answered after it has been read completely.
   const auto hint = validator_.hintOf(head, unread);
   if (!hint || !admissionController_.isTooLate(hint->requestClass, hint->remaining)) return std::nullopt;
   return rejection("refused: too late");
@@ -210,7 +210,7 @@
   isSweeping_ = effects_.closesIdleConnections;
   if (!isSweeping_) return;
   const Micros time = now();
-  // A client whose request crosses the close retries it on a new connection.
+  // If a client sends a request while its connection is being closed, it retries on a new connection.
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
     if (session->mayCountAsIdle(time) && session->mayCloseIdle()) {
@@ -228,7 +228,7 @@
 
 bool Server::closeAllAtExit() {
   if (!effects_.mayExit) return false;
-  // A connection with unread input has a request that is about to be read.
+  // A connection with unread input does not count as idle, since its request is about to be read.
   const bool allIdle =
       std::all_of(sessions_.begin(), sessions_.end(), [](const auto& one) { return one.second->isIdle(); });
   if (!allIdle && !effects_.mustExit) return false;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -113,7 +113,8 @@
   if (!(file.peers == gossipOptions_)) {
     if (healthView_) {
       healthView_->leave();
-      // Destroyed from the event loop, after its handlers that are already queued.
+      // The previous health view is destroyed from the event loop, after its handlers that are already
+      // queued.
       asio::post(io_, [old = std::move(healthView_)] {});
     }
     gossipOptions_ = file.peers;
@@ -141,7 +142,8 @@
   event.requestClass = client.requestClass;
   event.tenant = client.tenant;
   event.key = client.key;
-  // Computed anew, since the request may have waited in the admission queue after it was read.
+  // The remaining time is computed anew, since the request may have waited in the admission queue after it
+  // was read.
   event.expiresIn = std::max<Micros>(0, duration_cast<microseconds>(client.deadline - Clock::now()).count());
   event.work = client.work;
   event.isRetry = client.isRetry;
@@ -199,8 +201,8 @@
   executor_.forget(end.id.request);
 }
 
-// Once the answer has begun to stream to the client, no other answer can replace it, whatever happens to the
-// rest.
+// Once the answer has begun to stream to the client, no other answer can replace it, even if the rest of its
+// body fails.
 void Sidecar::onAnswerStarted(StreamBegin begin) {
   const auto found = requests_.find(begin.id.request);
   if (found == requests_.end() || found->second.isFinished) return begin.body->abandon();
@@ -229,8 +231,7 @@
     if (entry.state != balancer::EndpointState::Gone)
       pool_.setAddress(entry.upstream, endpoints_[entry.upstream].address);
   }
-  // A list without a serving endpoint is applied all the same: draining and removed endpoints get no new
-  // attempts.
+  // A list without a serving endpoint is applied too: draining and removed endpoints get no new attempts.
   const bool anyUp = std::any_of(update.entries.begin(), update.entries.end(), [](const auto& entry) {
     return entry.state == balancer::EndpointState::Serving;
   });
