--- a/src/configuration/operator_file.h
+++ b/src/configuration/operator_file.h
@@ -37,7 +37,7 @@
     /// Class names in descending priority under overload, each once. Classes that are not listed follow, in
     /// the order of the weights that the platform assigns.
     std::vector<std::string> order;
-    /// Requests forwarded from the queue in one turn of the event loop; 1 to 1024.
+    /// The largest number of requests forwarded in one turn of the event loop; 1 to 1024.
     std::int64_t maxForwardsPerTurn = 8;
   } admission;  ///< [admission]
 
