--- a/tests/settings/site_test.cpp
+++ b/tests/settings/site_test.cpp
@@ -47,7 +47,7 @@
 
 // An invalid index or count of sidecars must not prevent the start: a sidecar that doesn't start is worse
 // than work that is divided wrongly.
-TEST(SiteTest, WrongDivisionIsRemarkedAndNotRejected) {
+TEST(SiteTest, InvalidSidecarPositionIsReportedAndNotRejected) {
   const Site none = siteOf(" balancers=0");
   EXPECT_EQ(none.settings.sidecars, 1U);
   EXPECT_EQ(none.remarks, std::vector<std::string>{"balancers is 0; taken for 1"});
--- a/tests/util/backoff_test.cpp
+++ b/tests/util/backoff_test.cpp
@@ -37,7 +37,7 @@
 }
 
 // Clients that failed at the same moment must not retry at the same moments.
-TEST(DecorrelatedJitterTest, DrawsApartThoseThatFailedTogether) {
+TEST(DecorrelatedJitterTest, SpreadsRetriesThatFailedTogether) {
   std::mt19937_64 random(7);
   std::uniform_real_distribution<double> uniform(0, 1);
   constexpr int kMany = 200;
--- a/tests/util/bounded_math_test.cpp
+++ b/tests/util/bounded_math_test.cpp
@@ -9,7 +9,7 @@
 namespace ivypost::util {
 namespace {
 
-TEST(BoundedMathTest, WhatIsNoNumberBecomesTheSafeBound) {
+TEST(BoundedMathTest, ClampsToTheRangeAndNanToTheLowerBound) {
   const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
   EXPECT_EQ(within(nan, 2, 5), 2);
   EXPECT_EQ(within(-inf, 2, 5), 2);
