--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -14,9 +14,9 @@
 // Ownership. handle() copies what it needs from the event and appends actions to the caller's buffer in the
 // order in which they have to be executed. It never clears the buffer.
 //
-// Memory. Grows with the requests that are open or have an attempt in flight, and by about 200 bytes for each
-// EndpointId that the caller has assigned; the retry budget keeps the arrival time of each request of the
-// last retryBudgetWindow.
+// Memory. The balancer's memory grows with the requests that are open or have an attempt in flight, and by
+// about 200 bytes for each EndpointId that the caller has assigned; the retry budget keeps the arrival time
+// of each request of the last retryBudgetWindow.
 //
 // Connections. The caller opens them as needed; CloseIdle asks it to close the idle connections to an
 // upstream. If the idle time-out is unknown (idleTimeout 0), the balancer keeps no connection subset and
@@ -26,7 +26,7 @@
 // out.
 //
 // Settings without effect. Some settings are part of the interface but are not read by any decision: kinds
-// (only validated), hasKeyAffinity and with it key, maxOpen, reportSource, wasteCost, answerSlack,
+// (only validated), hasKeyAffinity (and so NewRequest::key), maxOpen, reportSource, wasteCost, answerSlack,
 // drainGrace, fallWindow, quotaPerSecond. Of these, answerSlack, drainGrace and fallWindow would only relax
 // rules that the module keeps more strictly: it answers by the deadline, stops sending to a draining upstream
 // at once, and limits the load of an upstream in slow start over windows of any length.
@@ -73,10 +73,10 @@
   Micros latencyObjective = 0;  ///< an answer within this time has the full weight
   /// latencyObjective grows by this multiple of the request's own expected work, up to the deadline.
   double objectiveStretch = 0;
-  Micros deadline = 0;                      ///< how long the client waits, over all its tries
+  Micros deadline = 0;                      ///< total time for which the client waits, its retries included
   Semantics semantics = Semantics::Unsafe;  ///< whether an attempt that may have run may be repeated
-  RetryGroup group = RetryGroup::All;       ///< of Keyed requests: where they may be retried
-  Micros retryWindow = 0;  ///< of Keyed requests: how long after the first attempt they may be retried
+  RetryGroup group = RetryGroup::All;       ///< upstreams at which a Keyed request may be retried
+  Micros retryWindow = 0;  ///< time after the first attempt within which a Keyed request may be retried
   double lateWeight = 0;   ///< weight of an answer after latencyObjective, as a fraction of `weight`
   double weight = 1;       ///< relative priority when not all requests can be served
   bool stream = false;     ///< answers are streamed
@@ -103,12 +103,12 @@
   std::uint32_t sidecars = 1;         ///< number of sidecars
   std::uint32_t sidecar = 0;   ///< this sidecar's index, below `sidecars`; a larger one is taken modulo it
   bool mustSubscribe = false;  ///< membership changes arrive only after Subscribe or Fetch
-  Micros resolution = 1000;    ///< the shortest gap between two calls with a later `now`
+  Micros resolution = 1000;    ///< granularity of `now`: it stays equal or grows by at least this
 
-  Micros connectTimeout = 0;                  ///< of a new connection
-  Micros idleTimeout = 0;                     ///< after which an idle connection closes; 0: unknown
+  Micros connectTimeout = 0;                  ///< time-out for opening a connection
+  Micros idleTimeout = 0;                     ///< idle time after which a connection is closed; 0: unknown
   std::uint32_t maxStreamsPerConnection = 0;  ///< concurrent attempts on one connection; 0: unknown
-  std::uint32_t maxAttempts = 1;              ///< for each request
+  std::uint32_t maxAttempts = 1;              ///< maximum number of attempts for each request
   std::uint32_t maxOpen = 0;                  ///< open requests; 0: no limit
   Micros maxRetryAfter = 0;                   ///< upper bound of Reject::retryAfter
   bool retryAfter = false;                    ///< whether Reject may carry a retryAfter
@@ -118,23 +118,23 @@
   bool hasKeyAffinity = false;  ///< an upstream serves a key at lower cost soon after serving it before
   bool weightByWork = false;    ///< RequestClass::weight is for a unit of work, not for a request
   double overShareWeight = 1;   ///< weight of traffic beyond a tenant's share, as a fraction of its class's
-  double crossZoneCost = 0;     ///< of an attempt in another zone; above 0, the own zone is preferred
-  double probeCost = 0;         ///< of one probe, as a fraction of a request's weight
-  double wasteCost = 0;         ///< of wasted work
+  double crossZoneCost = 0;     ///< cost of an attempt in another zone; above 0: prefer the own zone
+  double probeCost = 0;         ///< cost of one probe, as a fraction of a request's weight
+  double wasteCost = 0;         ///< cost of wasted work
   ReportSource reportSource = ReportSource::None;  ///< what carries load reports
   bool reportsBusyRequests = false;                ///< load reports have the column BusyRequests
 
-  Micros answerSlack = 0;      ///< after the deadline, in which the final answer may still come
-  Micros pollWithin = 0;       ///< upper bound of the time until discovery is polled at the start or again
-  double startCapacity = 1;    ///< minimum fraction of its capacity that an upstream has in slow start
+  Micros answerSlack = 0;      ///< time after the deadline within which the final answer is still accepted
+  Micros pollWithin = 0;       ///< upper bound of the delay of discovery's first poll and of retries
+  double startCapacity = 1;    ///< lower bound of an upstream's capacity at launch, as a fraction
   Micros slowStartWindow = 0;  ///< time from its launch until an upstream has its full capacity
-  Micros drainGrace = 0;       ///< time in which a draining upstream may still be sent to
+  Micros drainGrace = 0;       ///< time for which requests may still be sent to a draining upstream
   /// An upstream in slow start collapses at a load of this multiple of its capacity; 0: it can't collapse.
   double fallMultiple = 0;
   Micros fallWindow = 0;  ///< the window over which that load is measured
-  /// In any window of retryBudgetWindow, the attempts beyond each request's first number at most
-  /// retryBudgetFloor + retryBudgetRatio x the requests that arrived in it. 0: no such rule; the module then
-  /// applies a default budget.
+  /// In any window of this length, the number of retries (attempts other than a request's first) is at most
+  /// retryBudgetFloor + retryBudgetRatio x the requests that arrived in the window. 0: no such rule; the
+  /// balancer then applies a default budget.
   Micros retryBudgetWindow = 0;
   double retryBudgetFloor = 0;  ///< retries allowed in a window without any request
   double retryBudgetRatio = 0;  ///< retries allowed for each request
@@ -144,7 +144,7 @@
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
-/// The state of an upstream in the endpoint list. Only a serving one may be sent to.
+/// The state of an upstream in the endpoint list. Requests are sent only to serving upstreams.
 enum class EndpointState { Serving, Draining, Gone };
 
 /// An upstream as the endpoint list has it.
@@ -173,14 +173,14 @@
   RequestId request = 0;                ///< not open yet
   std::uint32_t requestClass = 0;       ///< index into Settings::classes
   std::optional<std::uint32_t> tenant;  ///< index into Settings::tenants; none: unknown
-  std::optional<std::uint64_t> key;     ///< of the data that it concerns, for key affinity
+  std::optional<std::uint64_t> key;     ///< identifies the data that the request concerns, for key affinity
   Micros expiresIn = 0;                 ///< time until its deadline
   std::optional<Micros> work;           ///< rough estimate of its service time
   bool isRetry = false;                 ///< the client marks it as a repetition of an earlier request
 };
 
-/// The outcome of an attempt: Full is a rejection by the upstream, Moot an attempt that was dropped before it
-/// was sent. Only Full, ConnectFailed and Moot prove that the attempt never ran.
+/// The outcome of an attempt: Full is a rejection by the upstream, Moot an attempt that the caller dropped
+/// before sending it. Only Full, ConnectFailed and Moot prove that the attempt never ran.
 enum class Outcome { Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot };
 
 /// The load of an upstream as it reports it; columns that it does not report are empty.
@@ -232,16 +232,16 @@
   double probeFraction = 1;  ///< fraction of the usual probes, 0 to 1; other values are brought into range
 };
 
-/// What the other sidecars that this one can reach report of an upstream. It is valid for `validFor`, so it
-/// has to be repeated for as long as the reports last. Without such events the balancer decides by its own
-/// attempts alone. A report can eject an upstream or permit a trial attempt at an ejected one; it never
-/// permits an attempt that the rules forbid.
+/// What the other sidecars that this one can reach report of an upstream. The event is valid for `validFor`;
+/// the caller repeats it for as long as there are such reports. Without these events the balancer decides by
+/// its own attempts alone. A report can eject an upstream or permit a trial attempt at an ejected one; it
+/// never permits an attempt that the rules on retries, drains and slow start forbid.
 struct HealthReport {
-  EndpointId upstream = 0;              ///< ignored if no list has named it
-  Micros launchedAt = 0;                ///< of the reported incarnation; ignored if the list has another one
-  std::uint32_t reachableSidecars = 0;  ///< including this one
-  std::uint32_t unhealthyReports = 0;   ///< other sidecars whose own attempts find it unhealthy
-  bool hasHealthyReport = false;        ///< another sidecar finds it healthy by a later attempt than those
+  EndpointId upstream = 0;  ///< the event is ignored if no list has contained this upstream
+  Micros launchedAt = 0;    ///< of the reported incarnation; if the list has another, it is ignored
+  std::uint32_t reachableSidecars = 0;  ///< number of sidecars that this one can reach, itself included
+  std::uint32_t unhealthyReports = 0;   ///< number of other sidecars that report it unhealthy
+  bool hasHealthyReport = false;        ///< another sidecar reports a success after all of these failures
   bool ownsNextTrial = true;            ///< if it is ejected, this sidecar makes the next trial attempt
   Micros validFor = 0;                  ///< 0 to 2 s; other values are brought into range
 };
@@ -273,11 +273,11 @@
 struct Fail {
   RequestId request = 0;  ///< finished by it
 };
-/// Pass TimerDue after the delay. It replaces the timer that was set before.
+/// Pass TimerDue after the delay. This timer replaces the one that was set before.
 struct SetTimer {
   Micros delay = 0;  ///< above 0
 };
-/// Probe the upstream and pass the ProbeResult.
+/// Probe the upstream and pass the outcome as a ProbeResult event.
 struct Probe {
   EndpointId upstream = 0;  ///< a serving one
 };
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -11,12 +11,12 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// In a fleet of few sidecars. A limit starts low, since all sidecars may start at once, and rises by one for
-// every `limit` timely answers.
+// The start limit in a fleet of few sidecars. It is low, since all sidecars may start at once; a limit rises
+// by one for every `limit` timely answers.
 constexpr double kStartLimit = 1;
 constexpr double kMinLimit = 0.1;
 constexpr double kMaxLimit = 1e6;
-// Factor by which the slowness threshold is at most raised for endpoints below the mean size.
+// Maximum factor by which the slowness threshold is raised for endpoints below the mean size.
 constexpr double kMaxSlowStretch = 2;
 
 }  // namespace
@@ -56,7 +56,7 @@
   }
 }
 
-// Half of the threshold scales with the request's hint of work.
+// Half of the latency threshold scales with the request's hint of work.
 bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const {
   const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
   const double threshold = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -14,8 +14,8 @@
 
 /// A finished attempt. Times are microseconds.
 struct FinishedAttempt {
-  Micros sentAt = 0;              ///< a limit that was cut later than this is not cut again
-  Micros latency = 0;             ///< from the Send to the outcome, without AttemptOutcome::clientLimitedTime
+  Micros sentAt = 0;   ///< send time; if the limit was cut after it, this attempt does not cut it again
+  Micros latency = 0;  ///< from the Send to the outcome, without AttemptOutcome::clientLimitedTime
   Outcome outcome = Outcome::Ok;  ///< as reported by the caller; decides whether the limit grows or falls
 };
 
@@ -31,7 +31,7 @@
   /// may start at once.
   [[nodiscard]] double startLimit() const { return startLimit_; }
 
-  /// Updates the endpoint's limit by an outcome. A limit below one is enforced by a backoff.
+  /// Updates the endpoint's limit by an outcome. A limit below one is enforced by a backoff between attempts.
   void adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
               const EventContext& context) const;
 
@@ -41,7 +41,7 @@
   const Settings& settings_;
   const EndpointRegistry& endpoints_;
   double startLimit_ = 1;
-  double limitGrowth_ = 1;  // added for every `limit` timely answers
+  double limitGrowth_ = 1;  // increase of a limit for every `limit` timely answers
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -36,8 +36,8 @@
   void join(Endpoint& endpoint, Micros now) const;
   /// Updates the number of open connections by the outcome of an attempt.
   static void learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome);
-  /// Removes the endpoint from the subset if its outcome after `latency` microseconds is no success or far
-  /// slower than usual, if it is not listed any more, or if the subset is too large.
+  /// Removes the endpoint from the subset if the outcome is no success, if `latency` (microseconds) is far
+  /// above the usual, if the endpoint is not listed any more, or if the subset is too large.
   void leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome, Micros latency,
                     Micros now) const;
 
@@ -45,8 +45,8 @@
   /// traffic would otherwise fill the endpoints' connection tables with unused connections.
   void closeUnused(EndpointId id, const EventContext& context) const;
   /// Closes idle connections to a draining endpoint, so that they don't delay its drain: when the drain is
-  /// announced, at each outcome there, and once more shortly before Settings::closeDrainingWithin has passed,
-  /// since some become idle without an outcome.
+  /// announced, at each outcome of an attempt at the endpoint, and once more shortly before
+  /// Settings::closeDrainingWithin has passed, since a connection can become idle without an outcome.
   void closeDraining(EndpointId id, const EventContext& context) const;
   /// To be called when Settings::closeDrainingWithin has nearly passed.
   void closeDrainingAgain(EndpointId id, const EventContext& context) const;
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -16,7 +16,7 @@
   /// What is due at that time.
   enum class Kind {
     Deadline,       ///< a request's deadline passes
-    Hold,           ///< the end of a request's hold: it could no longer be served in time
+    Hold,           ///< a held request could not be answered in time any more, so its hold ends
     ProbeTimeout,   ///< the result of a probe is overdue
     Ready,          ///< an endpoint may be ready again; held requests are retried after every event
     Discovery,      ///< discovery is polled
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -9,16 +9,16 @@
 namespace {
 
 // At the start, sidecars poll discovery in the order of their indices, kFleetCallGap microseconds apart, but
-// all within kDiscoverySpread of pollWithin. The backoff after failed calls starts at kDiscoveryRetry of
-// pollWithin or kSpreadRetry of the start's spread and grows to kDiscoveryLongest and kSpreadLongest of them;
-// the larger of both counts.
+// all within kDiscoverySpread x pollWithin. The backoff after failed calls starts at the larger of
+// kDiscoveryRetry x pollWithin and kSpreadRetry x the spread of the first polls, and grows to the larger of
+// kDiscoveryLongest x pollWithin and kSpreadLongest x that spread.
 constexpr double kFleetCallGap = 35'000;
 constexpr double kDiscoverySpread = 0.5;
 constexpr double kDiscoveryRetry = 1.0 / 32;
 constexpr double kSpreadRetry = 0.25;
 constexpr double kDiscoveryLongest = 0.25;
 constexpr double kSpreadLongest = 1.5;
-// The backoff takes pollWithin for at least this multiple of Settings::resolution.
+// For the backoff, pollWithin is raised to at least this multiple of Settings::resolution.
 constexpr Micros kMinSteps = 32;
 
 }  // namespace
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -19,8 +19,8 @@
 /// later.
 void backOff(Endpoint& endpoint, double span, const EventContext& context);
 
-/// Backs off after a rejection or a failed connect. Without it, an endpoint that fails quickly would always
-/// have the fewest attempts in flight and attract the traffic. The backoff lasts one `serviceTime`
+/// Backs off after a rejection or a failed connect. Without the backoff, an endpoint that fails quickly would
+/// always have the fewest attempts in flight and attract the traffic. The backoff lasts one `serviceTime`
 /// (microseconds), doubles at each further rejection in a row, and is jittered by half either way.
 /// `resolution` is the lower bound of `serviceTime`.
 void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
--- a/src/balancer/endpoint_registry.h
+++ b/src/balancer/endpoint_registry.h
@@ -15,8 +15,9 @@
 /// The id that stands for no endpoint.
 constexpr EndpointId kNoEndpoint = static_cast<EndpointId>(-1);
 
-/// For this long after an own answer, in microseconds, this sidecar ignores unhealthy reports of others about
-/// an endpoint: about the time until the others have an attempt there too.
+/// After an endpoint has answered this sidecar successfully, the sidecar ignores other sidecars' unhealthy
+/// reports about it for this long, in microseconds: about the time until the others have made an attempt at
+/// it too.
 constexpr Micros kOwnEvidenceValidity = 1'000'000;
 
 /// The state of an endpoint. Each group of fields is written by the component named above it. Times are
@@ -28,7 +29,7 @@
   std::uint32_t zone = 0;             ///< from the list; attempts outside Settings::zone may cost more
   std::optional<std::uint32_t> cell;  ///< from the list; none: the endpoint is a cell by itself
   double size = 1;                    ///< relative capacity from the list, above 0
-  Micros launchedAt = 0;              ///< process start time from the list; 0: long ago, so it is warm
+  Micros launchedAt = 0;              ///< process start time from the list; 0: long ago, so not in slow start
   std::uint64_t identity = 0;  ///< from the list; an endpoint with another identity starts without a history
 
   // RequestLifecycle
@@ -51,17 +52,17 @@
   double limit = 1;               ///< upper bound of inFlight
   Micros limitCutAt = 0;          ///< attempts sent before this do not cut the limit again
   Micros backoffUntil = 0;        ///< end of its backoff after a rejection or by a limit below one
-  int consecutiveRejections = 0;  ///< and failed connects; scales the backoff
+  int consecutiveRejections = 0;  ///< rejections and failed connects in a row; scales the backoff
 
   // OutlierDetection
   double failureRate = 0;        ///< smoothed fraction of failed attempts, 0 to 1
   Micros ejectedUntil = 0;       ///< end of its ejection; 0 or past: not ejected
-  int consecutiveEjections = 0;  ///< without readmission between them; scales the ejection time
-  bool isHalfOpen = false;       ///< ejected or in trial after it: one attempt at a time
+  int consecutiveEjections = 0;  ///< ejections without a readmission in between; scales the ejection time
+  bool isHalfOpen = false;       ///< ejected, or in trial after an ejection: gets one attempt at a time
   bool isAnswering = true;       ///< the last outcome was an answer, successful or not
   Micros lastServedAt = -kOwnEvidenceValidity;  ///< when it last answered this sidecar successfully
-  Micros reportsValidUntil = 0;                 ///< until then, only one sidecar may send a trial attempt
-  bool isTrialOwner = false;                    ///< that sidecar is this one
+  Micros reportsValidUntil = 0;  ///< when health reports expire; until then one sidecar sends trials
+  bool isTrialOwner = false;     ///< this sidecar is the one that may send trial attempts
 
   // ConnectionSubset
   std::uint32_t connections = 0;  ///< open connections, as far as the outcomes of attempts show
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 // Odds of an endpoint that is warming up and has a credit, or that this sidecar has to try after an ejection,
-// relative to all warm endpoints together. High, since the credit or trial has already been granted.
+// relative to all warm endpoints together. The odds are high, since the credit or trial has already been
+// granted.
 constexpr double kWarmingOdds = 0.125;
 // If attempts in another zone have a cost, the odds of endpoints there are multiplied by this factor.
 constexpr double kCrossZoneOdds = 0.25;
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -34,8 +34,8 @@
         loadReports_(loadReports),
         subset_(subset) {}
 
-  /// The ready endpoints that the rules permit for the request; only those that it has not been sent to, if
-  /// there are any.
+  /// The ready endpoints that the rules permit for the request. If the request has not been sent to some of
+  /// them yet, only those are returned.
   /// @return a list that is valid until the next call of eligible() or lastResort()
   const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -14,7 +14,7 @@
 /// The state shared by all decisions about one event. No component has its own clock or random numbers.
 struct EventContext {
   Micros now;                    ///< the time of the event, in microseconds
-  bool lacksLoadInformation;     ///< own requests in flight don't indicate the endpoints' load
+  bool lacksLoadInformation;     ///< this sidecar's requests in flight don't indicate the endpoints' load
   std::vector<Action>& actions;  ///< the caller's buffer; actions are appended in the order of execution
   RandomSource& random;          ///< the balancer's only source; the order of draws is part of its behaviour
   Deadlines& deadlines;          ///< where a component schedules a later call
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -16,7 +16,7 @@
 constexpr double kMaxProbeCost = 0.016;
 constexpr double kMaxProbes = 4;
 constexpr double kProbeTimeoutMultiple = 4;
-// Lower costs are taken as this, to avoid a division by zero.
+// Lower costs of a probe are raised to this, to avoid a division by zero.
 constexpr double kMinCost = 1e-9;
 
 // Busy requests in proportion to the endpoint's size; -1 if the result does not report them.
@@ -107,9 +107,9 @@
   return request.overloadedProbes >= maxProbes(request, 0);
 }
 
-// The lower a request's relative weight, the fewer probes it gets at this cost. rejectPick() passes a cost of
-// 0: a request is given up only when as many probes as would be made at no cost have found overload, since
-// the fewer probes at a high cost say too little about the other endpoints.
+// The maximum number of probes for the request if one probe costs `cost`; fewer for a lower relative weight.
+// rejectPick() passes a cost of 0, so that a request is rejected only when as many probes have found overload
+// as would be made at no cost: fewer probes say too little about the other endpoints.
 int HealthCheck::maxProbes(const Request& request, double cost) const {
   const double probes = std::min(kMaxProbes, kMaxProbeCost / std::max(kMinCost, cost));
   return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -14,12 +14,12 @@
 
 namespace ivypost::balancer::internal {
 
-/// Probes the picked endpoint before a request is sent to it. For many sidecars with little traffic each:
-/// their own in-flight counts are nearly all zero and don't show the load that the other sidecars cause. The
-/// pick is kept unless the probe shows that the endpoint is not ready.
+/// Probes the picked endpoint before a request is sent to it. Intended for fleets of many sidecars with
+/// little traffic each: a sidecar's own in-flight counts are then nearly all zero and don't show the load
+/// that the other sidecars cause. The pick is kept unless the probe shows that the endpoint is not ready.
 ///
-/// At most kMaxProbes probes for each request, fewer at a higher cost or a lower weight of the request; a
-/// request waits for at most one probe at a time.
+/// A request gets at most kMaxProbes probes, fewer if a probe costs more or the request's weight is lower; it
+/// waits for at most one probe at a time.
 class HealthCheck {
  public:
   /// Overloaded: its busy requests would delay the request too long. BusierThanUsual: it has more busy
@@ -65,7 +65,7 @@
   double probeCredit_ = 0;            // fraction of a probe saved up under reduced service, up to 1
   std::vector<RequestId> waiting_;    // requests that wait for a probe
   std::vector<double> probeLatency_;  // smoothed latency of probes by zone, microseconds; 0: no answer yet
-  double typicalBusyRequests_ = -1;   // smoothed busy requests for the size, as reported; -1: unknown
+  double typicalBusyRequests_ = -1;  // smoothed reported busy requests per unit of endpoint size; -1: unknown
   double previousTypicalBusyRequests_ = -1;  // typicalBusyRequests_ before the last result
 };
 
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -11,7 +11,7 @@
 
 namespace ivypost::balancer::internal {
 
-/// Gain of an exponential average once it has many samples: about the last twenty count.
+/// Gain of an exponential average once it has many samples: it then averages over about the last twenty.
 constexpr double kLatencyGain = 0.05;
 
 /// Draw odds and an endpoint's slowness stay within this factor of their mean, in both directions.
@@ -23,7 +23,7 @@
 
 /// The endpoint's latency relative to the typical latency of the requests' classes; 1 is average.
 [[nodiscard]] inline double slowness(const Endpoint& endpoint, Micros now) {
-  if (endpoint.logSlowness == 0) return 1;  // no samples: most endpoints of a long list
+  if (endpoint.logSlowness == 0) return 1;  // no samples yet, as for most endpoints of a long list
   return std::exp(endpoint.logSlowness * retainedFraction(endpoint.slownessAt, kSlownessMemory, now));
 }
 
--- a/src/balancer/load_information.h
+++ b/src/balancer/load_information.h
@@ -10,16 +10,17 @@
 
 namespace ivypost::balancer::internal {
 
-/// In a fleet of at most this many sidecars each sees enough of the load: own requests in flight indicate the
-/// endpoints' load, concurrency limits grow by one, and polls of discovery need not be spread.
+/// In a fleet of at most this many sidecars each sees enough of the load: its own requests in flight indicate
+/// the endpoints' load, concurrency limits grow by one, and polls of discovery need not be spread.
 constexpr double kSmallFleetSidecars = 4;
 
 /// A sidecar with fewer own requests in flight per endpoint than this lacks load information.
 constexpr double kMinInFlightPerEndpoint = 0.1;
 
-/// Whether own in-flight counts say nothing about load: other sidecars send too, and hardly any endpoint has
-/// an own request in flight. The number in flight is computed with the baseline latency: requests that are in
-/// flight only because some endpoints are congested say nothing about the others.
+/// Whether this sidecar's in-flight counts say nothing about the endpoints' load: other sidecars send too,
+/// and hardly any endpoint has a request of this sidecar in flight. The number in flight is computed with the
+/// baseline latency: requests that are in flight only because some endpoints are congested say nothing about
+/// the others.
 [[nodiscard]] inline bool lacksLoadInformation(const Settings& settings, const LatencyStatistics& latency,
                                                const SendRate& sendRate, std::size_t listed, Micros now) {
   if (settings.sidecars <= kSmallFleetSidecars) return false;
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -12,8 +12,9 @@
 // An endpoint is overloaded when its busy requests exceed its parallelism by more than this multiple of the
 // parallelism's square root, which allows for random variation.
 constexpr double kQueueingTolerance = 1;
-// Gains of a report of lower, and of higher, parallelism than estimated. The gain for higher values is
-// smaller: CPU shares lag behind, so while load rises reports show far too much parallelism.
+// Gains of the smoothed parallelism, for reports below and above the present estimate. The gain for higher
+// values is smaller: reported CPU shares lag behind, so while load rises reports show far too much
+// parallelism.
 constexpr double kParallelismFallGain = 0.1;
 constexpr double kParallelismRiseGain = 0.02;
 // Above this CPU share, the parallelism can be extrapolated to a full CPU.
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -57,8 +57,8 @@
     return id;
   }
 
-  /// After what time a rejected client should retry, in microseconds, up to Settings::maxRetryAfter; 0: no
-  /// advice. Draws a random number unless it is 0.
+  /// The time after which a rejected client should retry, in microseconds, up to Settings::maxRetryAfter; 0:
+  /// no advice. Draws a random number unless it is 0.
   [[nodiscard]] Micros retryAfter(const EventContext& context) const;
 
  private:
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -16,14 +16,14 @@
 constexpr double kFailureGain = 0.2;
 constexpr double kFailureExcess = 0.3;
 // At most kMaxEjected of the listed endpoints may be ejected at once: if more of them fail, load, the network
-// or this sidecar is the likely cause. Health reports of others may eject up to kMaxEjectedByReports. They
-// need kRequiredUnhealthyReports, or one less if fewer than kFewReachableSidecars are reachable.
+// or this sidecar is the likely cause. Health reports of others may eject up to kMaxEjectedByReports. Such an
+// ejection needs kRequiredUnhealthyReports, or one less if fewer than kFewReachableSidecars are reachable.
 constexpr double kMaxEjected = 0.5;
 constexpr double kMaxEjectedByReports = 0.25;
 constexpr std::uint32_t kRequiredUnhealthyReports = 3;
 constexpr std::uint32_t kFewReachableSidecars = 6;
 constexpr Micros kMaxReportValidity = 2'000'000;
-// Ejection times are jittered from this factor to as much above 1.
+// Lower bound of the random factor of ejection times; the upper bound is as far above 1 as this is below it.
 constexpr double kShortestEjection = 0.75;
 
 }  // namespace
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -26,9 +26,9 @@
   /// Records the outcome of an own attempt at the endpoint.
   void observe(EndpointId id, Outcome outcome, const EventContext& context);
 
-  /// Applies a report of other sidecars, unless an own recent success contradicts it. Enough unhealthy
-  /// reports eject the endpoint as own failures do, but fewer endpoints in all and never the last ready one;
-  /// a healthy report only permits a trial.
+  /// Applies a report of other sidecars, unless this sidecar's own attempt has recently succeeded there.
+  /// Enough unhealthy reports eject the endpoint as own failures do, but reports may eject a smaller fraction
+  /// of the endpoints, and never the last ready one. A healthy report only permits a trial.
   void apply(const HealthReport& event, const EventContext& context);
 
  private:
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -32,8 +32,8 @@
   return util::within(weight(request) / greatest, kMinRelativeWeight, 1);
 }
 
-// The weight for a unit of work. Without Settings::weightByWork, RequestClass::weight is for a request and is
-// divided by the class's typical latency, or the overall latency before the class's first answer.
+// The class's weight per unit of work. Without Settings::weightByWork, RequestClass::weight is for a request
+// and is divided by the class's typical latency, or the overall latency before the class's first answer.
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
   const double latency = typical > 0 ? typical : latency_.overallLatency();
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -12,7 +12,7 @@
 namespace ivypost::balancer::internal {
 
 /// The weight of a request relative to others when not all can be served: that of its class, reduced in
-/// proportion to the recent traffic of its tenant beyond its share through this sidecar.
+/// proportion to its tenant's recent traffic through this sidecar beyond the tenant's share.
 class Priority {
  public:
   /// Both arguments must outlive the object.
@@ -22,7 +22,7 @@
   /// To be called when an attempt of the request is sent: counts towards its tenant's usage.
   void countUsage(const Request& request, Micros now);
 
-  /// The weight of a request for a unit of work: RequestClass::weight, divided by a latency in microseconds
+  /// The weight of a request per unit of work: RequestClass::weight, divided by a latency in microseconds
   /// unless Settings::weightByWork.
   [[nodiscard]] double weight(const Request& request) const;
   /// The weight relative to the class with the greatest weight, from kMinRelativeWeight to 1.
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -33,7 +33,7 @@
   double relativeWork = 1;              ///< its expected work relative to the typical work of its class
   Micros latencyObjective = 0;          ///< time from its arrival within which an answer has the full weight
   Micros deadline = 0;                  ///< when it must have its final answer, unless it is streaming
-  Micros holdUntil = 0;                 ///< when it is too late to be served in time
+  Micros holdUntil = 0;                 ///< time from which it can no longer be answered in time
   EndpointId probedEndpoint = kNoEndpoint;  ///< the endpoint last probed for it
   Micros probeDeadline = 0;                 ///< when that probe times out
   int probes = 0;                           ///< probes started for it by HealthCheck; at most kMaxProbes
@@ -43,7 +43,7 @@
   bool isFinished = false;                  ///< it has its final answer, or the client has disconnected
   bool isStreaming = false;                 ///< an attempt's answer is being streamed to the client
   bool isBodyConsumed = false;              ///< the body can't be sent again
-  bool hasEarnedCredit = false;  ///< endpoints that are warming up have received their credit for it
+  bool hasEarnedCredit = false;  ///< endpoints warming up have received their credit for this request
 };
 
 /// The requests that are open or have an attempt in flight, by id. Only looked up, never iterated, since the
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -47,7 +47,7 @@
 /// What the rules still permit for a request.
 struct Permission {
   bool maySend = false;             ///< another attempt may be sent now
-  const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's retry group
+  const Attempt* anchor = nullptr;  ///< if set, endpoints must be in this attempt's retry group
   bool mayReject = false;           ///< it may be rejected: the client can safely retry it
   bool mayFail = false;             ///< it may be failed; false once it is finished or streaming
 };
@@ -56,8 +56,9 @@
 /// precedence over every other component.
 ///
 /// Invariant: no request takes effect twice. An Unsafe request is retried or rejected only if every earlier
-/// attempt is known never to have run; a Keyed request that may have run only within its group and window,
-/// which starts, by this sidecar's clock, with the first attempt that may have run.
+/// attempt is known never to have run. A Keyed request that may have run is retried or rejected only within
+/// its retry group and window; the window starts, by this sidecar's clock, with the first attempt that may
+/// have run.
 class RetryPolicy {
  public:
   /// Both arguments must outlive the object.
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -42,7 +42,7 @@
   /// When the sidecar's backoff ends for the request: the lower its relative weight, the later.
   [[nodiscard]] Micros backoffEnd(const Request& request) const;
 
-  /// Whether the request must not be sent now, however many endpoints are ready.
+  /// Whether the request must not be sent now, even if endpoints are ready.
   [[nodiscard]] bool mustWait(const Request& request, const EventContext& context) const {
     return (backoffDuration_ > 0 && context.now < backoffEnd(request)) || isAtLimit(context);
   }
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -16,8 +16,8 @@
 /// Invariant: an attempt is sent to an endpoint that is warming up only for a credit of one. With every
 /// request that may be sent, the endpoint earns its fraction of the present capacity of all listed endpoints;
 /// if all sidecars do so, its load relative to its capacity is that of a warm one. Times are by this
-/// sidecar's clock and the endpoint's launchedAt; a sidecar that has not received a restart's list treats the
-/// endpoint as warm.
+/// sidecar's clock and the endpoint's launchedAt; a sidecar whose list does not show an endpoint's restart
+/// yet treats the endpoint as warm.
 class SlowStart {
  public:
   /// `settings` must outlive the object.
