--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -275,7 +275,8 @@
                           entry.state == State::Alive && !found->second.hasLeft();
     if (isDenied && message.kind == Kind::Page && (!doubtful || flipCoin())) doubtful = held;
   }
-  // The sender considers this member alive; the ping carries its death, which it refutes if it still runs.
+  // The page's sender considers `doubtful` alive, but this sidecar considers it dead. The ping carries the
+  // death, so that the member refutes it if it still runs.
   if (doubtful) ping(doubtful->address, doubtful->id, Need::Optional, now, out);
   if (!corrections.empty() && usesAntiEntropy(message.sender)) {
     Message answer = makeMessage(Kind::Rumours, ++lastNonce_);
--- a/src/gossip/entry_codec.h
+++ b/src/gossip/entry_codec.h
@@ -10,7 +10,7 @@
 #include "gossip/message.h"
 
 /// \file
-/// The compact encoding of updates: a datagram holds 12 to 20 entries, against six updates of 31 bytes. The
+/// The compact encoding of updates: a datagram holds 12 to 20 entries, but only six updates of 31 bytes. The
 /// decoder rejects wrong lengths, numbers out of range and more entries than a datagram can hold.
 ///
 /// Entries are sorted by address. Each one is:
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -10,8 +10,8 @@
 namespace ivypost::gossip {
 namespace {
 
-// The most indirect probes that run for other sidecars at once, so for as many sidecars with a failed probe
-// at the same moment; further requests are dropped.
+// The maximum number of indirect probes that this sidecar runs for others at once: one for each sidecar whose
+// own probe has failed at that moment. Further requests are dropped.
 constexpr std::size_t kMaxIndirectProbes = 64;
 // A relay sends a nack after this fraction of the probe time-out without an ack.
 constexpr double kNackTimeoutFraction = 0.8;
@@ -150,9 +150,9 @@
 }
 
 // Sends one more ping per period, to a member of the own region (without regions, to any), while no ping of
-// the last quarter of isolatedAfter was answered. Without it a small region that is cut off would count as
-// isolated, since most of its probes go to unreachable regions. The member is random, so a sidecar that
-// reaches few remains isolated.
+// the last quarter of isolatedAfter was answered. Without this ping a small region that is cut off would
+// count as isolated, since most of its probes go to unreachable regions. The member is random, so a sidecar
+// that reaches few remains isolated.
 void Members::pingOwnRegion(Micros now, std::vector<Outgoing>& out) {
   if (lastAnsweredPingAt_ && now - *lastAnsweredPingAt_ < settings_.isolatedAfter / 4) return;
   std::vector<const Member*> inRegion;
@@ -173,8 +173,8 @@
   ping(one.address, one.id, Need::Required, now, out);
 }
 
-// Dead members that have not left, and seeds and addresses of forgotten members at which no member is
-// reachable.
+// The addresses to ping in order to reconnect: those of dead members that have not left, and seeds and
+// addresses of forgotten members at which no member is reachable.
 std::vector<Members::ReconnectCandidate> Members::reconnectCandidates() {
   std::vector<ReconnectCandidate> candidates;
   std::vector<Address> reachable = {settings_.address};
--- a/src/gossip/members.cpp
+++ b/src/gossip/members.cpp
@@ -156,7 +156,7 @@
 
 bool Members::receive(const Message& message, Micros now, std::vector<Outgoing>& out) {
   if (message.sender == settings_.self) {
-    // An echo of an own message is harmless; another process under this name is a conflict.
+    // An echo of this sidecar's own message is harmless; another process with the same name is a conflict.
     if (message.address != settings_.address || message.incarnation > settings_.incarnation)
       nameConflictAt_ = now;
     return false;
@@ -216,9 +216,9 @@
   send(message.address, std::move(ack), isNewcomer ? Need::Optional : Need::Required, now, out);
 }
 
-// False for a replay, and for a message of an earlier incarnation than one seen before. A ping of the latter
-// kind is answered, once per period at the most, with the incarnation that the sender has to exceed:
-// otherwise a sidecar whose clock was set back before a restart could not rejoin.
+// False for a replay, and for a message of an earlier incarnation than one seen before. A ping of an earlier
+// incarnation is answered, once per period at the most, with the known incarnation, so that the sender can
+// choose a higher one: otherwise a sidecar whose clock was set back before a restart could not rejoin.
 bool Members::acceptSequence(Member& member, const Message& message, Micros now, std::vector<Outgoing>& out) {
   if (message.incarnation < member.windowIncarnation) {
     if (message.kind != Kind::Ping ||
--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -19,14 +19,14 @@
 
 /// A message to be sent.
 struct Outgoing {
-  Address to;       ///< the receiver's
+  Address to;       ///< the receiver's address
   Message message;  ///< without payload and seal
 };
 
 /// A change of a member's state, for the log.
 struct Change {
-  PeerId id = 0;               ///< the member's
-  Address address;             ///< the member's last known
+  PeerId id = 0;               ///< the member's id
+  Address address;             ///< the member's last known address
   State state = State::Alive;  ///< the new state
 };
 
@@ -52,7 +52,7 @@
 class Members {
  public:
   /// The membership of a sidecar that has just started and knows only its seeds. Out-of-range times in
-  /// `settings` are clamped. `seed`: of the random numbers.
+  /// `settings` are clamped. `seed` initialises the random numbers.
   Members(Settings settings, std::uint64_t seed, Micros now);
 
   /// Runs the timers that are due, and appends the messages to send. To be called at nextTick() or shortly
@@ -68,13 +68,13 @@
   /// Announces a new payload to kAnnouncementFanOut random members, which then ping to fetch it before their
   /// next probe. Limited to kAnnouncementsPerSecond.
   void announce(Micros now, std::vector<Outgoing>& out);
-  /// Processes a message whose seal was verified, and appends the answers. False if it is dropped: an own
-  /// message, a replay, one of an earlier incarnation, or one whose sender the table has no room for.
+  /// Processes a message whose seal was verified, and appends the answers. False if the message is dropped:
+  /// it is this sidecar's own, a replay, from an earlier incarnation of its sender, or from a sender for
+  /// which the table has no room.
   bool receive(const Message& message, Micros now, std::vector<Outgoing>& out);
 
-  /// The time since the ping that this ack or nack answers was sent; none if it answers no recent ping of
-  /// this sidecar. An upper bound for the time that the ack's payload was in transit. To be called before
-  /// receive().
+  /// The time since this sidecar sent the ping that this ack or nack answers; none if it answers no recent
+  /// ping. An upper bound for the time that the ack's payload was in transit. To be called before receive().
   [[nodiscard]] std::optional<Micros> elapsedSincePing(const Message& ack, Micros now) const;
 
   /// Whether this sidecar must not rely on the membership: no ping was answered within isolatedAfter, or
@@ -117,12 +117,12 @@
   struct Member {
     Update update;
     Micros stateSince = 0;
-    Micros deadline = 0;                  // of a suspicion
-    std::vector<PeerId> witnesses;        // of the suspicion, independent; 1 + kConfirmations at the most
-    std::uint32_t transmissionsLeft = 0;  // of the update to other members
+    Micros deadline = 0;            // end of the suspicion
+    std::vector<PeerId> witnesses;  // independent witnesses of the suspicion; at most 1 + kConfirmations
+    std::uint32_t transmissionsLeft = 0;  // how often the update is still sent to others
     ReplayWindow window;
-    std::uint64_t windowIncarnation = 0;  // whose sequence the window tracks; 0: no message received from it
-    Micros lastMessageAt = 0;             // received from this member
+    std::uint64_t windowIncarnation = 0;  // incarnation that the window tracks; 0: no message received yet
+    Micros lastMessageAt = 0;             // when a message from this member last arrived
     Micros correctedAt = 0;               // when a ping of an earlier incarnation was last answered
     [[nodiscard]] bool hasLeft() const { return update.state == State::Dead && update.witness == update.id; }
   };
@@ -134,7 +134,7 @@
     Micros askRelaysAt = 0;
     bool areRelaysAsked = false;
     bool isAcked = false;
-    bool isSuspected = false;                // by others, when the probe began
+    bool isSuspected = false;                // others suspected the target when the probe began
     std::vector<std::uint32_t> relayNonces;  // nonces of the requests for indirect probes
     std::uint32_t nacks = 0;                 // relays that have answered, with a nack or an ack
   };
@@ -271,7 +271,7 @@
   std::size_t nextInProbeOrder_ = 0;
   std::optional<Probe> probe_;
   std::vector<IndirectProbe> indirectProbes_;
-  std::vector<SentPing> sentPings_;  // recent ones without an answer
+  std::vector<SentPing> sentPings_;  // recent pings without an answer
   std::uint64_t sequence_ = 0;
   std::uint32_t lastNonce_;
   int localHealth_ = 0;
@@ -293,7 +293,7 @@
   Micros nextAntiEntropy_;
   Micros nextPull_;
   Micros pullInterval_ = kPullInterval;
-  Micros startedAt_;                        // or when the first member became reachable after none was
+  Micros startedAt_;                        // start, or when a member became reachable after none was
   std::uint16_t maxReportedReachable_ = 0;  // the highest TableSummary::reachable received
   bool hasPendingUpdates_ = false;          // some member may have transmissions left
   bool tableChanged_ = true;
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -70,12 +70,12 @@
 /// The highest region number: an entry has six bits for it.
 constexpr std::uint8_t kMaxRegion = 63;
 
-/// What a sidecar holds of a member, as disseminated to others (SWIM, section 4.2).
+/// What a sidecar knows of a member, as disseminated to others (SWIM, section 4.2).
 struct Update {
-  PeerId id = 0;                  ///< the member's
+  PeerId id = 0;                  ///< the member's id
   std::uint64_t incarnation = 0;  ///< rises with each start and each refutation of the member
-  Address address;                ///< the member's
-  State state = State::Alive;     ///< the member's
+  Address address;                ///< the member's address
+  State state = State::Alive;     ///< the member's state
   PeerId witness = 0;             ///< reporter of Suspect or Dead; the member itself if it has left
   std::uint8_t region = 0;        ///< the member's Settings::region; 0: unknown
   bool usesAntiEntropy = false;   ///< whether the member takes part in anti-entropy
@@ -113,7 +113,7 @@
   Ack = 2,       ///< answer to the ping or relay request with this nonce
   Relay = 3,     ///< request for an indirect probe of `target` (SWIM's ping-req); answered with Ack or Nack
   Nack = 4,      ///< the relay is alive but has no ack from the target yet (Lifeguard, section 3.1)
-  Announce = 5,  ///< the sender has a new payload; answered with a Ping, to get it in the ack
+  Announce = 5,  ///< the sender has a new payload; answered with a Ping, whose ack carries the payload
   Rumours = 6,   ///< updates; not answered
   Pull = 7,      ///< request for the entries of `range` that `filter` lacks; answered with Pages
   Page = 8,      ///< part of the answer to the pull with this nonce
@@ -125,8 +125,8 @@
 struct Message {
   Kind kind = Kind::Ping;             ///< the type
   PeerId sender = 0;                  ///< the sender's id
-  std::uint64_t incarnation = 0;      ///< the sender's
-  Address address;                    ///< the sender's
+  std::uint64_t incarnation = 0;      ///< the sender's incarnation
+  Address address;                    ///< the sender's address
   std::uint64_t sequence = 0;         ///< increases within the sender's incarnation, from 1
   std::uint32_t nonce = 0;            ///< identifies a request; an answer repeats it
   std::optional<Update> target;       ///< Relay only: the member to probe
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -16,7 +16,7 @@
 struct Settings {
   PeerId self = 0;                ///< this sidecar's id
   Address address;                ///< this sidecar's address for the others
-  std::uint64_t incarnation = 1;  ///< higher than before any restart; Unix time in ms satisfies this
+  std::uint64_t incarnation = 1;  ///< must be higher than in earlier runs; Unix time in ms is
   std::vector<Address> seeds;     ///< addresses to join at; this sidecar's own one is allowed
   /// SWIM's protocol period: one member is probed per period. Lifeguard stretches it while the process is
   /// slow. At least one millisecond.
@@ -46,26 +46,27 @@
 
 /// The maximum number of members in a table, without the own one; further ones are not added.
 constexpr std::size_t kMaxMembers = 4096;
-/// The quorum is computed from the expected number divided by this, so that a wrong number isolates no
-/// sidecar.
+/// The expected number of sidecars is divided by this before the quorum is computed from it, so that a wrong
+/// expected number isolates no sidecar.
 constexpr std::uint32_t kExpectedTolerance = 4;
 /// The maximum of Lifeguard's local health multiplier (LHM, section 3.1, S = 8); the minimum is 0.
 constexpr int kMaxLocalHealth = 8;
-/// The shortest suspicion lasts this times log10(members) periods (Lifeguard, section 3.2, alpha).
+/// The shortest suspicion lasts kSuspicionFactor x log10(members) periods (Lifeguard, section 3.2, alpha).
 constexpr double kSuspicionFactor = 5;
 /// The longest suspicion as a multiple of the shortest (Lifeguard, section 3.2, beta).
 constexpr double kMaxSuspicionFactor = 6;
 /// The number of confirming witnesses that reduces a suspicion to the shortest (Lifeguard, section 3.2, K).
 constexpr std::uint32_t kConfirmations = 3;
-/// Each change is sent this times log2(members + 1) times (SWIM, section 4.1, lambda).
+/// Each change of a member is sent kTransmissionFactor x log2(members + 1) times (SWIM, section 4.1, lambda).
 constexpr double kTransmissionFactor = 3;
 /// The number of members that an announcement is sent to; a receiver to which the payload is new announces it
 /// in turn.
 constexpr std::uint32_t kAnnouncementFanOut = 3;
 /// The maximum number of announcements per second.
 constexpr double kAnnouncementsPerSecond = 8;
-/// Suspicions grow with the logarithm of the fleet size up to 10 to this power members. In larger fleets
-/// refutations still arrive in time, because rumours are sent every kGossipInterval instead of every period.
+/// The duration of suspicions grows with the logarithm of the fleet size, up to a size of 10 to this power.
+/// In larger fleets refutations still arrive in time, because rumours are sent every kGossipInterval instead
+/// of every period.
 constexpr double kMaxFleetSizeLog10 = 2;
 /// The expected number of sidecars that, on learning of a suspicion, probe the suspect out of turn, so that
 /// the time to further witnesses or a refutation does not grow with the fleet.
@@ -75,7 +76,7 @@
 /// The number of members that rumours are sent to in one round.
 constexpr std::uint32_t kGossipFanOut = 2;
 /// All but one of a round's rumours go to members heard from within this time, in microseconds: in a
-/// partition those to the other side would be lost.
+/// partition, rumours to members on the other side would be lost.
 constexpr Micros kRecentContact = 1'500'000;
 /// The maximum number of pages that answer one pull.
 constexpr std::uint32_t kPagesPerPull = 4;
@@ -86,8 +87,8 @@
 constexpr std::size_t kMaxOutstandingPulls = 3;
 /// The time-out of a pull, in microseconds, at both its sender and its receiver.
 constexpr Micros kPullTimeout = 500'000;
-/// The refill rate of the byte budget per second, as a fraction of Settings::bytesPerSecond. Together with
-/// kDepthFraction and kDebtFraction it makes 1, the most that is sent in any second.
+/// The refill rate of the byte budget per second, as a fraction of Settings::bytesPerSecond. The sum of this,
+/// kDepthFraction and kDebtFraction is 1, so that at most bytesPerSecond are sent in any second.
 constexpr double kRateFraction = 0.85;
 /// The depth of the byte budget, as a fraction of Settings::bytesPerSecond.
 constexpr double kDepthFraction = 0.1;
@@ -97,14 +98,14 @@
 constexpr double kPullFraction = 0.25;
 /// The share of Settings::bytesPerSecond that rumours may use, so that some is left for answers.
 constexpr double kGossipFraction = 0.4;
-/// The interval from a productive pull to the next, in microseconds; after each other pull it doubles, up to
-/// kMaxPullInterval.
+/// The interval from a productive pull to the next, in microseconds; after each unproductive pull the
+/// interval doubles, up to kMaxPullInterval.
 constexpr Micros kPullInterval = 100'000;
 /// The longest interval between pulls while tables differ, in microseconds.
 constexpr Micros kMaxPullInterval = 1'000'000;
-/// A sidecar that has started is joining: it pulls the table and sends no probes yet. Otherwise, in a
-/// simultaneous start, all would probe the few members that they know, mainly the seeds. Joining ends when
-/// the sidecar reaches this fraction of the members that others report.
+/// A sidecar that has just started is joining: it pulls the table and sends no probes yet. Otherwise, when a
+/// fleet starts at once, all sidecars would probe the few members that they know, mainly the seeds. Joining
+/// ends when the sidecar reaches this fraction of the members that others report.
 constexpr double kJoinedFraction = 0.8;
 /// The minimum duration of joining, in microseconds.
 constexpr Micros kMinJoiningTime = 1'000'000;
@@ -115,8 +116,8 @@
 constexpr std::size_t kMaxDifferingTables = 8;
 /// How long a record of a differing table is kept, in microseconds.
 constexpr Micros kDifferingTableLifetime = 2'000'000;
-/// The maximum number of addresses kept of dead members that were forgotten. They are pinged occasionally, by
-/// which the sides of a long partition find each other again. Beyond it a random one is dropped.
+/// The maximum number of addresses kept of dead members that were forgotten. They are pinged occasionally, so
+/// that the sides of a long partition find each other again. Beyond this number a random address is dropped.
 constexpr std::size_t kMaxForgottenAddresses = 32;
 /// A gap between two ticks of more than this many periods counts as a pause of this process.
 constexpr double kMinPausePeriods = 4;
--- a/src/gossip/transport.h
+++ b/src/gossip/transport.h
@@ -56,7 +56,7 @@
   };
 
   /// Begins to send and receive. `listen`: the address to bind to; binding is retried every second while it
-  /// is in use, for instance while a process is replaced. `seed`: of the random numbers.
+  /// is in use, for instance while a process is replaced. `seed` initialises the random numbers.
   Transport(boost::asio::io_context& io, const Settings& settings, const Address& listen, const Seal& seal,
             std::uint64_t seed, Callbacks callbacks);
   Transport(const Transport&) = delete;
--- a/src/health_reports/health_report_table.cpp
+++ b/src/health_reports/health_report_table.cpp
@@ -10,7 +10,8 @@
 namespace ivypost::health_reports {
 namespace {
 
-// The minimum interval between renewals of an own report whose status is unchanged; a renewal resets its age.
+// The minimum interval between renewals of this sidecar's own report while its status is unchanged. A renewal
+// updates the report's age.
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(500);
 // The highest received version that exceedVersion() accepts. No clock yields a higher one, and accepting one
 // could make this sidecar's version overflow.
@@ -116,8 +117,9 @@
   return isChanged;
 }
 
-// Guards against versions from before a restart when the wall clock was ahead: other sidecars would use those
-// reports until they expire. The reports made since the restart get higher versions and are sent again.
+// If the wall clock was ahead before a restart, this sidecar's earlier reports have higher versions than its
+// present ones, and other sidecars would use them until they expire. Therefore the reports made since the
+// restart get versions above the received one and are sent again.
 void HealthReportTable::exceedVersion(std::uint64_t version) {
   if (version <= version_ || version > kMaxVersionToExceed) return;
   version_ = version;
@@ -134,7 +136,8 @@
   while (reader.left() > 0) {
     const std::optional<HealthReport> report = decode(reader);
     if (!report) return ReceiveResult::Malformed;
-    // An own report, possibly from before a restart, is not merged; its version must be exceeded.
+    // A report of this sidecar itself, possibly from before a restart, is not merged. This sidecar's reports
+    // must have higher versions, or other sidecars would ignore them.
     if (report->reporter == self_) {
       exceedVersion(report->version);
     } else if (merge(*report, delay, now)) {
--- a/src/health_reports/health_report_table.h
+++ b/src/health_reports/health_report_table.h
@@ -21,8 +21,8 @@
 /// The maximum number of reports on one incarnation, one per reporter. Beyond it other sidecars' reports are
 /// rejected.
 constexpr std::size_t kMaxReportersPerIncarnation = 16;
-/// The maximum number of reports by one other sidecar, so that one that reports wrongly fills a small part of
-/// the table. Further ones are rejected.
+/// The maximum number of reports by one other sidecar, so that a sidecar with wrong reports can fill only a
+/// small part of the table. Its further reports are rejected.
 constexpr std::size_t kMaxReportsPerReporter = kMaxIncarnations / 4;
 /// The maximum number of reports in a table. Beyond it other sidecars' reports are rejected; own ones are
 /// always stored.
@@ -40,11 +40,11 @@
 /// Invariant: a report is valid for kTimeToLive at the most after the last attempt that it is based on, by an
 /// elapsed time that is never underestimated; only for its own incarnation; and only while its reporter is
 /// reachable. The table is bounded, whatever is received. The merge is commutative, associative and
-/// idempotent: of one reporter's reports on one incarnation the highest version is valid, and of one version
-/// the oldest age. Clocks: the age is measured by the reporter's clock until the report is first sent, by
-/// each forwarder's while it is stored there, and by the receiver's from before it requested the report. So
-/// delays make a report older, never younger. A sidecar that receives nothing has only its own reports after
-/// kTimeToLive.
+/// idempotent: of one reporter's reports on one incarnation the one with the highest version is kept, and of
+/// equal versions the greatest age. Clocks: the age is measured by the reporter's clock until the report is
+/// first sent, by each forwarder's while it is stored there, and by the receiver's from before it requested
+/// the report. So delays make a report older, never younger. If a sidecar receives nothing for kTimeToLive,
+/// the reports of all others have expired and only its own remain.
 class HealthReportTable {
  public:
   /// Returns whether a sidecar is reachable.
@@ -53,8 +53,8 @@
   using IsListed = std::function<bool(const Incarnation&)>;
 
   /// `self`: this sidecar. `version`: higher than all versions sent before a restart, which Unix time in
-  /// microseconds satisfies. If it is not, because the wall clock was set back, the table raises its version
-  /// above the earlier ones as soon as it receives them.
+  /// microseconds satisfies. If it is lower, because the wall clock was set back, the table raises its
+  /// version above the earlier ones as soon as it receives them.
   HealthReportTable(PeerId self, std::uint64_t version) : self_(self), version_(version) {}
 
   /// Records an own attempt that ended at `now`, `sinceSent` after it was sent, and updates this sidecar's
@@ -64,8 +64,8 @@
 
   /// Merges reports encoded by encodeNext(). `delay`: an upper bound for the time that they were in transit.
   ReceiveResult receive(std::span<const std::uint8_t> bytes, Duration delay, TimePoint now);
-  /// Merges one report, with `delay` added to its age. True if its reporter is new for the incarnation or has
-  /// changed its status.
+  /// Merges one report, with `delay` added to its age. True if the table had no report of this reporter on
+  /// this incarnation, or if the report replaces one with another status.
   bool merge(const HealthReport& report, Duration delay, TimePoint now);
 
   /// Encodes the next reports to send, in `maxBytes` at the most: recently changed ones first, then the
@@ -124,7 +124,7 @@
 
   PeerId self_;
   std::uint64_t version_;
-  std::uint32_t transmissions_ = 4;  // until the number of sidecars is known
+  std::uint32_t transmissions_ = 4;  // value until setFleetSize() is called
   Entries entries_;
   std::map<Incarnation, AttemptHistory> histories_;
   Key lastSent_;
--- a/src/sidecar/gossip_health_view.cpp
+++ b/src/sidecar/gossip_health_view.cpp
@@ -27,8 +27,8 @@
 }
 
 // A number that increases across restarts of this sidecar as long as its wall clock is right. If the clock
-// was set back, other sidecars hold higher incarnations and versions, which this one exceeds as soon as it
-// receives them.
+// was set back, other sidecars hold higher incarnations and versions of this sidecar; it raises its own above
+// them as soon as it receives them.
 std::uint64_t incarnationNumber() {
   return static_cast<std::uint64_t>(std::max<Micros>(1000, unixNow()));
 }
--- a/src/sidecar/gossip_health_view.h
+++ b/src/sidecar/gossip_health_view.h
@@ -65,7 +65,7 @@
   /// can't be read.
   static Identity identityOf(const gossip::Options& options, const Config& config);
 
-  /// Joins the fleet. `seed`: of the random numbers.
+  /// Joins the fleet. `seed` initialises the random numbers.
   GossipHealthView(boost::asio::io_context& io, const Identity& identity, std::uint64_t seed,
                    Callbacks callbacks);
 
