--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-// Slow start: the load of an endpoint that is warming up, from all sidecars together. It may get N requests
-// of mean work in any Settings::fallWindow plus an allowance for random variation: N + 2 * sqrt(N) + 2, or N
-// + 3 * sqrt(N) + 3 for N below 30.
+// Slow start: the load of an endpoint that is warming up, from all sidecars together. In any
+// Settings::fallWindow it may get the N requests of mean work that its capacity and fallMultiple allow, plus
+// an allowance for random variation: N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 for N below 30.
 #include "balancer/slow_start.h"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
 
   Endpoint& warmingUp() { return endpoints_[kWarmingUp]; }
   bool hasCredit(Micros now) { return slowStart_.hasCredit(warmingUp(), now); }
-  // Earns the credit for `requests` requests that may be sent.
+  // Adds the credit that endpoints earn by `requests` requests.
   void earn(Micros now, int requests = 1) {
     for (int n = 0; n < requests; ++n) {
       Request request = requestOf();
@@ -64,7 +64,8 @@
   void spend(Micros now, double relativeWork = 1) {
     slowStart_.spendCredit(warmingUp(), requestOf(relativeWork), now);
   }
-  // Sends as many requests of mean work as it may get at once; returns their number.
+  // Sends the endpoint that is warming up as many requests of mean work as its credit allows; returns their
+  // number.
   int sendAll(Micros now) {
     int sent = 0;
     for (; hasCredit(now) && sent < 1000; ++sent) spend(now);
@@ -127,7 +128,7 @@
     for (; !sidecar.hasCredit(kStart) && earned < 1000; ++earned) sidecar.earn(kStart);
     return earned;
   };
-  // Each request earns 0.32 * 1.5 / 2.
+  // Each request earns the endpoint a credit of 0.32 * 1.5 / 2.
   EXPECT_EQ(earnedUntilNext(light, 1), 5);
   EXPECT_EQ(earnedUntilNext(heavy, 4), 17);
 }
@@ -184,9 +185,9 @@
 };
 
 // The highest ratio, over all windows, of the work sent to an endpoint that is warming up beside nine warm
-// ones to the allowed work. Clients send as much as all endpoints can serve when warm. Until `quietUntil` all
-// of it goes to the other endpoints; from then on the endpoint gets a request of `relativeWork` whenever it
-// has a credit.
+// ones to the allowed work. Clients send as many requests as all endpoints can serve when warm. Until
+// `quietUntil` all requests go to the warm endpoints; from then on the endpoint that is warming up gets a
+// request of `relativeWork` whenever it has a credit.
 double worstWindow(const Settings& settings, const Fleet& fleet, double relativeWork, Micros quietUntil) {
   constexpr EndpointId kEndpoints = 10;
   std::vector<Sidecar> sidecars(static_cast<std::size_t>(fleet.sidecars), Sidecar(settings, kEndpoints));
@@ -216,7 +217,8 @@
   }
 }
 
-// Requests of four times the mean work: if they were charged like others, each fleet would exceed the limit.
+// The requests have four times the mean work: if each were charged one credit, each fleet would exceed the
+// limit.
 TEST(SlowStart, KeepsTheBudgetOverAllSidecarsWhereItGetsHeavyRequestsAlone) {
   for (const Fleet& fleet : {Fleet{1, 200}, Fleet{4, 200}, Fleet{12, 1000}}) {
     EXPECT_LE(worstWindow(startSettings(), fleet, 4, kStart), 1) << fleet.sidecars;
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -99,7 +99,8 @@
   EXPECT_GT(got[2], 20);
 }
 
-// Keys are not assigned to fixed upstreams: that gained nothing, unlike weights from recent service times.
+// Keys are not assigned to fixed upstreams: key affinity gains nothing, unlike weights from recent service
+// times.
 
 // Learned slowness expires, so that an upstream that was slow is used again; and the time that a heavy
 // request takes (by its work hint) does not count as slowness.
@@ -134,7 +135,7 @@
 }
 
 // Guards against heavy requests that go to small upstreams and miss their latency objective there: at low
-// load they made up most of the value that came late.
+// load such requests would make up most of the weight of late answers.
 TEST(Pick, HeavyRequestsPreferLargeUpstreamsMoreThanLightOnes) {
   BalancerFixture fixture;
   fixture.updateList(Kind::Saved, {serving(0, 1), serving(2, 3)});
@@ -636,7 +637,8 @@
   return fit;
 }
 
-// Guards against retries to an upstream whose queue was full a millisecond ago: it is still full.
+// Guards against retries to an upstream that has just rejected a request: its queue is still full a
+// millisecond later.
 TEST(Limits, ARejectionBacksOffForAboutAServiceTime) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -664,8 +666,8 @@
   EXPECT_EQ(fixture.first<Send>().request, 101u);
 }
 
-// Runs `rounds` of at most `inUse` requests to upstream 0, answered after `answer`; returns how many attempts
-// the limit then allows.
+// Runs `rounds` rounds of at most `inUse` requests each to upstream 0, answered after `answer`; returns how
+// many attempts the limit then allows.
 std::size_t attemptsThatFitAfter(BalancerFixture& fixture, int rounds, std::size_t inUse,
                                  Micros answer = 20 * kMs, Micros pause = kSecond) {
   RequestId id = 1'000'000;
@@ -731,8 +733,8 @@
   EXPECT_GE(attemptsThatFitAfter(fixture, 60, 100, 20 * kMs, 0), 10u);
 }
 
-// Guards against a start limit of two: four sidecars with two attempts each at every upstream made small
-// upstreams slow from the first second on.
+// Guards against a start limit of two: four sidecars with two attempts each at every upstream would make
+// small upstreams slow from the first second on.
 TEST(Limits, StartLowUntilTheFirstTimelyAnswer) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -765,8 +767,8 @@
   EXPECT_TRUE(fixture.balancer.ready(0, fixture.now + kSecond)) << "the backoff is under a second";
 }
 
-// Guards against network latency counted as slowness: answers of an idle upstream in a distant zone took a
-// fifth of the latency objective.
+// Guards against network latency that counts as slowness: answers of an idle upstream in a distant zone can
+// take a fifth of the latency objective.
 TEST(Limits, NetworkLatencyDoesNotMakeAnAnswerSlow) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -817,8 +819,8 @@
   EXPECT_LE(slowAnswers(0.95), 1u);
 }
 
-// Where objectiveStretch lets the latency objective grow with a request's work, the request is held longer,
-// and the latency from which its answer counts as slow is higher.
+// If objectiveStretch lets the latency objective grow with a request's work, the request is held longer, and
+// the latency from which its answer counts as slow is higher.
 TEST(Admission, ALatencyObjectiveThatGrowsWithTheWorkLengthensTheHold) {
   const auto heldFor = [](double objectiveStretch) {
     Settings s = plainSettings();
@@ -838,8 +840,8 @@
   EXPECT_EQ(heldFor(1e9), kSecond) << "at most until the deadline";
 }
 
-// Guards against limits cut by heavy requests alone, at upstreams that are not overloaded, where the work
-// within a class differs widely.
+// Guards against limits that heavy requests cut at upstreams that are not overloaded: in a class whose
+// requests differ widely in work, a heavy one takes longer in any case.
 TEST(Limits, AHeavyRequestMayTakeLonger) {
   const auto fitAfterLongAnswers = [](Micros work, Micros lag = 110 * kMs) {
     BalancerFixture fixture;
@@ -965,8 +967,8 @@
   EXPECT_EQ(order, (std::vector<RequestId>{101, 102, 100}));
 }
 
-// Guards against clients' retries, with half of their latency objective gone, that are served before fresh
-// requests.
+// Guards against serving clients' retries, which have already used half of their latency objective, before
+// fresh requests.
 TEST(Admission, AFreshRequestGoesBeforeANewerRepeat) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -982,7 +984,8 @@
 }
 
 // Guards against unmarked retries that go first under overload: a request with much less time than its class
-// usually has is a retry, and what its client has waited counts against the latency objective.
+// usually has is a retry, and the time that its client has already waited counts towards its latency
+// objective.
 TEST(Admission, ARequestShortenedByItsDeadlineCountsAsLate) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -1092,8 +1095,9 @@
 }
 
 // Guards against a failing upstream that the cap on ejections keeps in service: it fails fast, so its
-// in-flight count is the lowest and it draws most requests. With nine of 18 upstreams failing and eight
-// ejected, the ninth got a third of all requests, and two thirds of all were answered with an error.
+// in-flight count is the lowest and it draws most requests. Without a backoff, with nine of 18 upstreams
+// failing and eight ejected, the ninth would get a third of all requests, and two thirds of all requests
+// would be answered with an error.
 TEST(Health, AFailingUpstreamBeyondTheCapOnEjectionsIsBackedOff) {
   constexpr EndpointId kBroken = 5;
   BalancerFixture fixture;
@@ -1354,8 +1358,8 @@
   EXPECT_EQ(fixture.balancer.openRequests(), 0u);
 }
 
-// The rest of a stream goes at the client's rate and says nothing about the upstream, so the attempt leaves
-// the in-flight count when the stream starts.
+// Once a stream has started, the client's rate determines its duration, which says nothing about the
+// upstream's load. So the attempt leaves the in-flight count when the stream starts.
 TEST(Answers, AStartedStreamLeavesTheInFlightCountOnce) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -1381,8 +1385,8 @@
   EXPECT_EQ(fixture.balancer.inFlight(0), 1u);
 }
 
-// A request whose body is no longer buffered is not retried: it is rejected where a repeat by the client is
-// harmless, and fails otherwise.
+// A request whose body is no longer buffered is not retried: it is rejected if the client may safely retry
+// it, and fails otherwise.
 TEST(Answers, ARequestWithoutItsBodyIsNotRetried) {
   struct Case {
     std::uint32_t cls;
--- a/tests/cold_budget_test.cpp
+++ b/tests/cold_budget_test.cpp
@@ -1,8 +1,8 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The budget of an upstream in slow start (cold): in any span of fallWindow all sidecars together may send it
-// at most N requests of mean work, with N = fallMultiple x present capacity x fallWindow, and an allowance
-// for chance.
+// The budget of an upstream in slow start: in any span of fallWindow all sidecars together may send it at
+// most N requests of mean work, with N = fallMultiple x present capacity x fallWindow, plus an allowance for
+// random variation.
 #include <cctype>
 #include <cmath>
 #include <ostream>
@@ -75,7 +75,7 @@
   return s;
 }
 
-// The budget N with the allowance for chance.
+// The budget N plus the allowance for random variation.
 double allowedWork(double n) {
   return n + (n < 30 ? 3 * std::sqrt(n) + 3 : 2 * std::sqrt(n) + 2);
 }
@@ -105,11 +105,11 @@
 struct Shape {
   std::uint32_t sidecars;
   EndpointId upstreams;
-  Micros work;  // mean of a request on a warm core; an upstream has two cores
+  Micros work;  // mean service time on a core at full speed; an upstream has two
 };
 
-// Runs one course for four seconds or more after the cold upstreams' start; returns the worst ratio of them
-// all.
+// Runs one course for four seconds or more after the launch of the upstreams in slow start; returns the worst
+// ratio of any of them.
 double runCourse(const SlowStartSettings& slowStart, const Shape& shape, Course course, std::uint64_t seed) {
   const Settings s = settingsOf(slowStart, shape.sidecars);
   const double warmPerSecond = 2e6 / static_cast<double>(shape.work);
@@ -166,7 +166,7 @@
   return "unknown";
 }
 
-// GoogleTest prints the parameter with it, as part of the name in ctest.
+// GoogleTest prints the test's parameter with this operator, as part of the name in ctest.
 std::ostream& operator<<(std::ostream& out, Course course) {
   return out << nameOf(course);
 }
@@ -174,8 +174,8 @@
 // One test for each course, so that they run in parallel: together they take minutes under sanitizers.
 class SlowStartBudgetTest : public testing::TestWithParam<Course> {};
 
-// All sidecars get the list with the start within 50 ms, so every attempt after the start counts against the
-// budget.
+// All sidecars get the list that shows the launch within 50 ms, so every attempt after the launch counts
+// towards the budget.
 TEST_P(SlowStartBudgetTest, IsKeptOverTheSumOfAllProcesses) {
   constexpr Shape kShapes[] = {{1, 4, 50 * kMs},   {1, 4, 5 * kMs},    {4, 20, 200 * kMs},
                                {12, 4, 50 * kMs},  {12, 10, 10 * kMs}, {40, 4, 50 * kMs},
@@ -208,8 +208,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Courses, SlowStartBudgetTest, testing::ValuesIn(allCourses()), testNameOf);
 
-// The more requests a window has, the less the allowance for chance covers. Uses the lower fallMultiple,
-// which leaves the least margin above the share of an upstream in slow start.
+// The more requests a window has, the smaller the allowance for random variation is relative to N. Uses the
+// lower fallMultiple, which leaves the least margin above the share of an upstream in slow start.
 TEST(SlowStartBudget, IsKeptWhenAWindowHasManyRequests) {
   constexpr Shape kShapes[] = {{1, 4, kMs}, {1, 20, 2 * kMs}};
   for (const Shape& shape : kShapes) {
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -34,7 +34,7 @@
     Mode mode = Mode::Sound;
     EndpointState state = EndpointState::Serving;
     std::vector<Micros> sentAt;  ///< time of each attempt that was sent to it
-    std::vector<double> work;    ///< of each of these, relative to the mean
+    std::vector<double> work;    ///< work of each of these attempts, relative to the mean
     double peakLoad = 0;         ///< highest load of one fallWindow, relative to the capacity at its end
   };
   /// Requests that arrived, and their final answers: within the latency objective, late, rejected, failed.
@@ -78,8 +78,8 @@
     }
   }
 
-  /// Starts a second process beside each, as in a rolling restart; each of the two gets `part` of the one's
-  /// former traffic.
+  /// Starts a second process beside each, as in a rolling restart; each of the two gets `part` of the first
+  /// process's former traffic.
   void startSecondProcesses(double part) {
     const auto before = static_cast<std::uint32_t>(sidecars_.size());
     for (std::uint32_t n = 0; n < before; ++n) {
@@ -156,8 +156,8 @@
   }
 
   Micros now;                           ///< the simulated clock
-  Micros work = 50 * kMs;               ///< mean of a request, on a core of size one
-  std::uint32_t requestClass = kKeyed;  ///< of all requests
+  Micros work = 50 * kMs;               ///< mean service time of a request, on a core of size one
+  std::uint32_t requestClass = kKeyed;  ///< class of all requests
   double rateFactor = 1;                ///< factor of the arrival rate, for arrivals scheduled from now on
   bool sendsWorkHints = false;          ///< whether requests carry their work as a hint
 
--- a/tests/grown_fleet_test.cpp
+++ b/tests/grown_fleet_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// A hundred sidecars that share sixty upstreams: effects of their sum, which a test of one balancer cannot
+// A hundred sidecars that share sixty upstreams: their combined effects, which a test of one balancer cannot
 // show.
 #include <memory>
 #include <tuple>
@@ -22,7 +22,7 @@
   return s;
 }
 
-// Nodes that have been warm since the start, in three sizes.
+// Nodes of three relative capacities that are past their slow start from the beginning.
 std::vector<Fleet::Node> warmNodes(std::size_t count) {
   std::vector<Fleet::Node> nodes(count);
   for (std::size_t n = 0; n < count; ++n) nodes[n].size = n % 3 == 0 ? 0.6 : n % 3 == 1 ? 1 : 1.6;
@@ -37,8 +37,8 @@
 }
 
 // Six in ten upstreams are replaced in a large fleet. Guards against slow start that starves new upstreams:
-// every sidecar drew one so seldom that it was warm before its first credit was spent, and the old ones
-// carried the whole load.
+// every sidecar would draw a new upstream so seldom that its slow start would end before its first credit is
+// spent, and the old upstreams would carry the whole load.
 TEST(LargeFleet, UpstreamsInSlowStartGetTheirShareAndAreNotOverloaded) {
   for (const std::uint32_t sidecars : {1u, 5u, 100u}) {
     const auto nodes = warmNodes(60);
@@ -61,7 +61,8 @@
       toSlowStart += sends;
       EXPECT_LT(fleet.node(id).peakLoad, 2.5) << sidecars << " sidecars, upstream " << id;
     }
-    // Their part of the capacity: 36 new ones at 0.3 to 0.6 of their own, beside 24 warm ones.
+    // Their share of the present capacity: 36 new upstreams have 0.3 to 0.6 of their full capacity, 24 others
+    // all of it.
     EXPECT_GT(toSlowStart / toAll, 0.25) << sidecars;
     EXPECT_LT(toSlowStart / toAll, 0.5) << sidecars;
     const auto count = fleet.takeCounts();
@@ -70,7 +71,7 @@
 }
 
 // One sidecar with six in ten requests, and 99 with a request every two or three seconds each: new upstreams
-// get the same sum.
+// get the same load in total.
 TEST(LargeFleet, OneSidecarWithMostOfTheTrafficOverloadsNoUpstreamInSlowStart) {
   const auto nodes = warmNodes(60);
   const double rate = 0.55 * capacityPerSecond(Fleet(largeFleetSettings(1), nodes, 1), nodes) / 14;
@@ -95,8 +96,8 @@
 }
 
 // A third of the upstreams, with half of the capacity, leave at once, and the load is 1.5 times what is left.
-// Guards against limits that allow every sidecar a burst of its own: together they queued ten requests at
-// each upstream, and some upstreams stay slow for long after that.
+// Guards against limits that allow every sidecar a burst of its own: together they would queue ten requests
+// at each upstream, and some upstreams would stay slow for long after that.
 TEST(LargeFleet, AttemptsInFlightStayBelowOverloadWhenCapacityIsLost) {
   const auto nodes = warmNodes(60);
   const double rate = 0.75 * capacityPerSecond(Fleet(largeFleetSettings(1), nodes, 1), nodes);
@@ -148,9 +149,9 @@
   }
 }
 
-// The same while clients offer twice the capacity. Guards against slow-start credit earned by rejected
-// requests: upstreams in slow start got most of the attempts and kept them until they timed out, and the warm
-// upstreams were idle, because those attempts used up the limits.
+// The same outage while clients offer twice the capacity. Guards against slow-start credit earned by rejected
+// requests: upstreams in slow start would get most of the attempts and keep them until they time out, and the
+// warm upstreams would be idle, because those attempts use up the limits.
 TEST(LargeFleet, RejectedRequestsEarnNoSlowStartCredit) {
   for (const std::uint64_t seed : {1u, 2u}) {
     SCOPED_TRACE(seed);
@@ -229,7 +230,7 @@
   std::vector<Micros> at;      // time of each call
   std::vector<Micros> first;   // time of each sidecar's first call, 0: never
   std::vector<Micros> listed;  // time at which each sidecar got its first list, 0: never
-  // The most calls in any `span`.
+  // The greatest number of calls within any time of length `span`.
   int most(Micros span) const {
     int most = 0;
     for (std::size_t n = 0, from = 0; n < at.size(); ++n) {
@@ -296,9 +297,9 @@
   return calls;
 }
 
-// Guards against a thundering herd: seventy sidecars started and called together, and those whose calls
-// failed retried in step. Discovery spent its time on calls that had already timed out, and most sidecars
-// never got a list.
+// Guards against a thundering herd: if seventy sidecars start and call together, and those whose calls fail
+// retry in step, discovery spends its time on calls that have already timed out, and most sidecars never get
+// a list.
 TEST(LargeFleet, SidecarsThatStartTogetherAllGetTheirListSoon) {
   for (const std::uint32_t sidecars : {1u, 5u, 100u}) {
     const Calls calls = callDiscovery(sidecars, kSecond, 0);
--- a/tests/hearsay_test.cpp
+++ b/tests/hearsay_test.cpp
@@ -70,7 +70,7 @@
   int out = 0;
   for (EndpointId id = 0; id < 10; ++id) out += fixture.balancer.ready(id, fixture.now) ? 0 : 1;
   EXPECT_EQ(out, 2);
-  // A quarter of three upstreams is none: all stay ready, whatever the reports say.
+  // A quarter of three upstreams, rounded down, is none: all three stay ready, whatever the reports say.
   BalancerFixture few;
   few.start(3);
   for (EndpointId id = 0; id < 3; ++id) few.feed(failureReport(id, 11));
@@ -94,8 +94,8 @@
   fixture.feed(failureReport(1000, 11));  // no upstream has this id
 }
 
-// An upstream ejected by reports: for as long as they last, only the sidecar whose turn it is tries it, after
-// the ejection.
+// When the ejection of an upstream by reports ends, only the sidecar whose turn it is may send it a trial
+// attempt, for as long as reports are valid.
 TEST(HealthReport, ATrialIsOneSidecarsTurn) {
   for (const bool turn : {false, true}) {
     BalancerFixture fixture;
@@ -132,8 +132,8 @@
   EXPECT_EQ(at4, 1u);
 }
 
-// Guards against old reports in a sidecar that gets no new ones because it is isolated or was stopped: once
-// they expire it decides without them, before any other event.
+// Guards against the use of old reports by a sidecar that gets no new ones because it is isolated or was
+// stopped: once the reports expire, the sidecar decides without them, even before any other event.
 TEST(HealthReport, ExpiresWithoutFurtherEvents) {
   BalancerFixture fixture;
   fixture.start(10);
@@ -182,8 +182,8 @@
   EXPECT_EQ(sent, sentWithout);
 }
 
-// Many sidecars and one upstream that fails every attempt: the trials a second do not grow with the number of
-// sidecars.
+// With one upstream that fails every attempt, the number of trials per second does not grow with the number
+// of sidecars.
 TEST(HealthReport, TrialsDoNotGrowWithTheNumberOfSidecars) {
   for (const std::size_t sidecars : {3, 12, 48}) {
     std::vector<BalancerFixture> fixtures;
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// One of many sidecars, with little traffic: its connections and connection subset, probes before a send,
-// backoff.
+// Tests one of many sidecars, with little traffic: its connections and connection subset, its probes before a
+// send, and its backoff.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -20,8 +20,8 @@
   return s;
 }
 
-// Sends one request that is answered after `lag` and returns its upstream; the next one comes `every` after
-// it. The fixture then holds the actions of its outcome.
+// Sends one request that is answered after `lag`, and returns its upstream. Advances the clock by `every` in
+// all. The fixture then holds the actions that the outcome caused.
 EndpointId sendAndAnswer(BalancerFixture& fixture, RequestId id, Micros lag = 50 * kMs,
                          Micros every = kSecond) {
   const EndpointId to = fixture.sendRequest(id);
@@ -31,14 +31,15 @@
   return to;
 }
 
-// Requests by upstream, of `requests` that are sent one after the other.
+// Sends `requests` requests one after the other; returns the number sent to each upstream.
 std::map<EndpointId, int> countSends(BalancerFixture& fixture, RequestId& id, int requests) {
   std::map<EndpointId, int> sends;
   for (int n = 0; n < requests; ++n) ++sends[sendAndAnswer(fixture, id++)];
   return sends;
 }
 
-// Requests at even intervals, each answered after `lag`; each probe reports no busy requests.
+// A client that sends requests at even intervals. Each is answered after `lag`; each probe reports no busy
+// requests.
 class SteadyLoad {
  public:
   SteadyLoad(BalancerFixture& fixture, Micros every, Micros answerAfter)
@@ -196,8 +197,8 @@
   }
 }
 
-// Guards against a subset sized by requests: with long-lived connections it grew to the whole fleet in every
-// sidecar, and the handshakes of the first second overloaded the upstreams.
+// Guards against a subset sized by the number of requests: with long-lived connections every sidecar's subset
+// would grow to the whole fleet, and the handshakes of the first second would overload the upstreams.
 TEST(ConnectionSubset, GrowsWithRequestsInFlightNotWithRequests) {
   for (const Micros lag : {5 * kMs, 50 * kMs}) {
     Settings s = largeFleetSettings();
@@ -237,8 +238,8 @@
   return fixture.feed(r);
 }
 
-// Guards against picks without load information: they leave queues so uneven that upstreams become overloaded
-// one after the other.
+// Guards against picks without load information: such picks make the queues so uneven that upstreams become
+// overloaded one after the other.
 TEST(Probes, ThePickedUpstreamIsProbedAndThenSentTo) {
   BalancerFixture fixture(probingSettings());
   fixture.start(10);
@@ -289,8 +290,9 @@
   EXPECT_EQ(fixture.balancer.openRequests(), 0u);
 }
 
-// Guards against rejecting a request for one overloaded upstream: in a fleet of 12 at low load, three probes
-// had found busier upstreams with free capacity, and the fourth one's overload rejected the request.
+// Guards against rejecting a request because of one overloaded upstream: in a fleet of 12 at low load, three
+// probes can find upstreams that are busier than usual but have free capacity, and the fourth an overloaded
+// one.
 TEST(Probes, OneOverloadedAmongBusyUpstreamsRejectsNothing) {
   for (int overloadedAt = 0; overloadedAt < 4; ++overloadedAt) {
     BalancerFixture fixture(probingSettings());
@@ -324,7 +326,8 @@
   return fixture.feed(r);
 }
 
-// Feeds a request whose probes all report these figures; returns whether it was sent, after its answer.
+// Feeds a request whose probes all report these figures, and its answer if it was sent; returns whether it
+// was.
 bool isSent(BalancerFixture& fixture, RequestId id, double busy, std::optional<double> cpu,
             std::optional<double> queued) {
   fixture.request(id);
@@ -340,8 +343,8 @@
   return sent;
 }
 
-// Guards against a fixed overload threshold where upstreams report no served-per-second column: two busy
-// requests counted as overload, even with four cores, and probes rejected half the load.
+// Guards against a fixed overload threshold for upstreams that report no served-per-second column: two busy
+// requests would count as overload, even with four cores, and half the load would be rejected after probes.
 TEST(Probes, OverloadDependsOnTheParallelismOfTheUpstream) {
   for (const bool byQueue : {false, true}) {
     BalancerFixture fixture(probingSettings());
@@ -360,7 +363,7 @@
 }
 
 // Guards against sidecars that stop probing under overload: with answers that take a second, their own queued
-// attempts looked like load information.
+// attempts would look like load information.
 TEST(Probes, ContinueWhenOverloadDelaysTheAnswers) {
   Settings s = probingSettings();
   for (RequestClass& cls : s.classes) cls.latencyObjective = cls.deadline = 2 * kSecond;
@@ -376,8 +379,8 @@
   EXPECT_GT(load.probes, 20) << "nearly three in flight, by overload alone";
 }
 
-// Guards against an overestimated parallelism: the reported CPU share lags behind, so while load rises the
-// estimate is three times too high.
+// Guards against an overestimated parallelism: the reported CPU share lags behind, so while load rises a
+// single report shows three times the real parallelism.
 TEST(Probes, ParallelismFollowsLowReportsFasterThanHighOnes) {
   BalancerFixture fixture(probingSettings());
   fixture.start(10);
@@ -426,9 +429,9 @@
   EXPECT_NE(fixture.first<Probe>().upstream, silent);
 }
 
-// Guards against a probe timeout below the round trip to a distant zone: with data centres 20 ms apart,
-// reports refreshed once a second and a price that allows one probe a request, nearly all first probes timed
-// out.
+// Guards against a probe timeout below the round trip to a distant zone: with data centres 20 ms apart, load
+// reports refreshed once a second and a probe cost that allows one probe for each request, nearly all first
+// probes would time out.
 TEST(Probes, TimeOutByTheLatencyOfTheUpstreamsZone) {
   constexpr Micros kFar = 40 * kMs;
   Settings s = probingSettings();
@@ -558,7 +561,8 @@
 
 // ---- Backoff and limits ---------------------------------------------------------------------------------
 
-// Guards against retry storms: 18 attempts for one request, each rejected by another full upstream.
+// Guards against retry storms: without the backoff, one request would cause 18 attempts, each rejected by
+// another full upstream.
 TEST(Backoff, RejectionsInARowBackOffASidecarWithoutLoadInformation) {
   Settings s = largeFleetSettings();
   s.maxAttempts = 6;
@@ -654,8 +658,8 @@
   EXPECT_GT(heldFor(kUnsafe), 4 * heldFor(kSafe));
 }
 
-// Guards against low-value requests that compete on equal terms: in a tenant's burst all found the same
-// overload.
+// Guards against requests of low value that get as many probes as others: in a tenant's burst all of them
+// would find the same overload.
 TEST(Probes, AreFewerForARequestOfLowValue) {
   Settings s = probingSettings();
   s.weightByWork = true;
@@ -674,7 +678,7 @@
 }
 
 // Guards against limits that shrink with the number of sidecars without bound: one of a hundred sidecars,
-// with most of the traffic, rejected a third of it.
+// with most of the traffic, would reject a third of it.
 TEST(Limits, ScaleWithTenSidecarsAtMost) {
   const auto fit = [](std::uint32_t sidecars) {
     Settings s = plainSettings();
@@ -700,8 +704,8 @@
 
 // ---- Reports --------------------------------------------------------------------------------------------
 
-// Guards against a fixed preference for the own zone: one zone had half the traffic and a fifth of the
-// capacity.
+// Guards against a fixed preference for the own zone: it would overload a zone with half the traffic and a
+// fifth of the capacity.
 TEST(Pick, TheZonePreferenceShrinksAsTheOwnZoneReportsBusyCpu) {
   const auto farShare = [](double ownCpu) {
     Settings s = plainSettings();
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -225,10 +225,11 @@
   std::map<EndpointId, EndpointEntry> entries_;
   std::set<EndpointId> allowed_;
   std::map<EndpointId, Micros>
-      idleSince_;  // draining or gone upstreams: since the announcement or the last outcome
+      idleSince_;  // draining or gone upstreams: time of the announcement or the last outcome
   std::vector<Micros> requestsAt_, retriesAt_;
   std::map<RequestId, TrackedRequest> requests_;
-  std::deque<std::pair<Micros, double>> arrivals_;  // with the share of an upstream of size 1 then
+  std::deque<std::pair<Micros, double>>
+      arrivals_;  // arrival time, share of an upstream of size 1 at that time
   std::deque<std::pair<Micros, EndpointId>> recent_;
 };
 
@@ -252,7 +253,7 @@
   std::map<RequestId, std::uint32_t> attempts;
   std::set<RequestId> streaming;
   std::vector<Micros> timers;
-  std::vector<EndpointId> probed;  // some get a result late or never
+  std::vector<EndpointId> probed;  // some of these probes get a result late or never
   RequestId next = 1;
 
   const auto feed = [&](const Event& event) {
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -143,7 +143,7 @@
     for (; balancer.ready(0, now) && sentCount < most; ++sentCount) {
       request(id++);
       if (count<Send>() > 0) continue;
-      feed(Withdrawn{id - 1});  // the limit of the whole sidecar holds it back
+      feed(Withdrawn{id - 1});  // the sidecar-wide limit holds the request back
       break;
     }
     return sentCount;
