--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -71,7 +71,7 @@
 /// A class of requests with the same objective and retry rules.
 struct RequestClass {
   Micros latencyObjective = 0;  ///< an answer within this time has the full weight
-  /// latencyObjective grows by this multiple of the request's own expected work, up to the deadline.
+  /// latencyObjective grows by this multiple of the request's expected work, up to the deadline.
   double objectiveStretch = 0;
   Micros deadline = 0;                      ///< total time for which the client waits, its retries included
   Semantics semantics = Semantics::Unsafe;  ///< whether an attempt that may have run may be repeated
@@ -194,7 +194,7 @@
   std::uint32_t attempt = 0;         ///< index in the order of the request's Sends
   EndpointId upstream = 0;           ///< as in its Send
   Outcome outcome = Outcome::Ok;     ///< how it ended
-  Micros latency = 0;                ///< since it was sent; for information, not read by any decision
+  Micros latency = 0;                ///< time since the Send; for information, not read by any decision
   bool endsRequest = false;          ///< the request has its final answer
   std::optional<LoadReport> report;  ///< if the answer carried one
   /// The part of the time since the Send in which the transfer waited for the client; it is not counted
@@ -218,7 +218,7 @@
 struct ProbeResult {
   EndpointId upstream = 0;           ///< as in the Probe
   bool ok = false;                   ///< the upstream answered and is healthy
-  Micros latency = 0;                ///< since the Probe
+  Micros latency = 0;                ///< time since the Probe
   std::optional<LoadReport> report;  ///< if the answer carried one
 };
 
@@ -238,7 +238,7 @@
 /// never permits an attempt that the rules on retries, drains and slow start forbid.
 struct HealthReport {
   EndpointId upstream = 0;  ///< the event is ignored if no list has contained this upstream
-  Micros launchedAt = 0;    ///< of the reported incarnation; if the list has another, it is ignored
+  Micros launchedAt = 0;    ///< launch time of the reported incarnation; it must be the listed one
   std::uint32_t reachableSidecars = 0;  ///< number of sidecars that this one can reach, itself included
   std::uint32_t unhealthyReports = 0;   ///< number of other sidecars that report it unhealthy
   bool hasHealthyReport = false;        ///< another sidecar reports a success after all of these failures
@@ -320,7 +320,7 @@
   std::uint32_t inFlight(EndpointId upstream) const;
   /// Whether the upstream may get an attempt at `now`; false for an unknown one.
   bool ready(EndpointId upstream, Micros now) const;
-  /// The upstream that the next random draw is compared with, if there is one.
+  /// The upstream with which the next randomly drawn one is compared, if there is one.
   std::optional<EndpointId> remembered() const;
   /// Requests without a final answer.
   std::size_t openRequests() const;
--- a/src/balancer/decisions.h
+++ b/src/balancer/decisions.h
@@ -51,7 +51,7 @@
   SlowStart slowStart{settings};
   /// Permits or forbids each attempt, rejection and failure; no other component overrides it.
   RetryPolicy retryPolicy{settings, slowStart};
-  /// Weighs requests against each other when not all can be served.
+  /// Ranks requests by their weight when not all can be served.
   Priority priority{settings, latency};
   /// Whether an endpoint may get an attempt now, by the state that all components have set.
   EndpointReadiness readiness{slowStart, latency};
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -57,8 +57,8 @@
   }
 
  private:
-  /// The preference for the own zone falls with the idle CPU that its endpoints report, so that a zone with
-  /// more traffic than capacity is not overloaded.
+  /// The less idle CPU the endpoints of this sidecar's zone report, the weaker the preference for that zone,
+  /// so that a zone with more traffic than capacity is not overloaded.
   [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
     return settings_.crossZoneCost <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
   }
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -50,7 +50,7 @@
   [[nodiscard]] bool acceptsPick(const Request& request, Verdict verdict) const;
   /// Discards the pick and puts the endpoint in backoff, for `typicalLatency` microseconds if it is
   /// overloaded.
-  /// @return whether so many probes found overload that the request should be rejected
+  /// @return whether enough probes have found overload for the request to be rejected
   bool rejectPick(Request& request, Verdict verdict, double typicalLatency, const EventContext& context);
 
  private:
--- a/src/balancer/load_information.h
+++ b/src/balancer/load_information.h
@@ -14,7 +14,7 @@
 /// the endpoints' load, concurrency limits grow by one, and polls of discovery need not be spread.
 constexpr double kSmallFleetSidecars = 4;
 
-/// A sidecar with fewer own requests in flight per endpoint than this lacks load information.
+/// A sidecar that has fewer requests of its clients in flight per endpoint than this lacks load information.
 constexpr double kMinInFlightPerEndpoint = 0.1;
 
 /// Whether this sidecar's in-flight counts say nothing about the endpoints' load: other sidecars send too,
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -19,7 +19,7 @@
 constexpr double kParallelismRiseGain = 0.02;
 // Above this CPU share, the parallelism can be extrapolated to a full CPU.
 constexpr double kInformativeCpu = 0.3;
-// Gain of one report in the own zone's CPU share.
+// Gain of one report in the smoothed CPU share of this sidecar's zone.
 constexpr double kZoneCpuGain = 0.2;
 constexpr double kMicrosPerSecond = 1e6;
 
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -32,7 +32,7 @@
   [[nodiscard]] bool isOverloaded(const Request& request, const Endpoint& endpoint,
                                   const LoadReport& report) const;
 
-  /// Smoothed CPU share reported by endpoints of the own zone, 0 to 1; 0 before the first report.
+  /// Smoothed CPU share reported by the endpoints of this sidecar's zone, 0 to 1; 0 before the first report.
   [[nodiscard]] double ownZoneCpu() const { return ownZoneCpu_; }
 
  private:
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -23,7 +23,7 @@
                    const LatencyStatistics& latency)
       : settings_(settings), endpoints_(endpoints), readiness_(readiness), latency_(latency) {}
 
-  /// Records the outcome of an own attempt at the endpoint.
+  /// Records the outcome of this sidecar's attempt at the endpoint.
   void observe(EndpointId id, Outcome outcome, const EventContext& context);
 
   /// Applies a report of other sidecars, unless this sidecar's own attempt has recently succeeded there.
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -9,15 +9,16 @@
 // Upper bound of the load of an endpoint that is warming up, relative to its capacity, as a multiple of the
 // load that a warm endpoint has while all are warm.
 constexpr double kMaxLoadShare = 1.5;
-// The same bound as a fraction of Settings::fallMultiple. The clients' demand may exceed the capacity of all
-// warm endpoints; this leaves room for an overload of 1 / 0.6, so 1.67 times, before the endpoint's load
-// reaches the multiple.
+// The same bound as a fraction of Settings::fallMultiple. The clients' demand may exceed the capacity that
+// all endpoints have when warm; with this fraction it may be 1 / 0.6, so 1.67 times, that capacity before the
+// endpoint's load reaches fallMultiple.
 constexpr double kMaxFallMultipleFraction = 0.6;
 
 }  // namespace
 
-// Called only for requests that may be sent, since rejected requests load no endpoint. An endpoint in backoff
-// or ejected earns nothing: all sidecars would spend the saved credit at once when that ends.
+// Called only for requests that may be sent, since rejected requests load no endpoint. An endpoint that is
+// ejected or in backoff earns no credit: all sidecars would spend the saved credit at once when the ejection
+// or backoff ends.
 void SlowStart::earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const {
   if (request.hasEarnedCredit) return;
   request.hasEarnedCredit = true;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -11,13 +11,14 @@
 namespace ivypost::balancer::internal {
 
 /// Limits the load that all sidecars together put on an endpoint that is warming up (launched less than
-/// Settings::slowStartWindow ago), which would collapse under a warm one's load.
+/// Settings::slowStartWindow ago). Such an endpoint would collapse under the load of a warm one, which has
+/// its full capacity.
 ///
 /// Invariant: an attempt is sent to an endpoint that is warming up only for a credit of one. With every
-/// request that may be sent, the endpoint earns its fraction of the present capacity of all listed endpoints;
-/// if all sidecars do so, its load relative to its capacity is that of a warm one. Times are by this
-/// sidecar's clock and the endpoint's launchedAt; a sidecar whose list does not show an endpoint's restart
-/// yet treats the endpoint as warm.
+/// request that may be sent, the endpoint earns a credit equal to its fraction of the present capacity of all
+/// listed endpoints. If all sidecars do so, its load relative to its capacity is that of a warm endpoint.
+/// Times are by this sidecar's clock and the endpoint's launchedAt; a sidecar whose list does not show an
+/// endpoint's restart yet treats the endpoint as warm.
 class SlowStart {
  public:
   /// `settings` must outlive the object.
--- a/src/gossip/byte_budget.h
+++ b/src/gossip/byte_budget.h
@@ -13,7 +13,7 @@
 /// sent, a sum that the caller sets to the operator's limit.
 class ByteBudget {
  public:
-  /// Microseconds of the own monotonic clock.
+  /// Microseconds of this process's monotonic clock.
   using Micros = std::int64_t;
   /// A full bucket. `rate`: bytes refilled per second. `depth`: the capacity in bytes. `debt`: bytes that
   /// takeWithDebt() may overdraw.
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -149,10 +149,10 @@
   if (found != members_.end()) suspect(found->second, settings_.self, now);
 }
 
-// Sends one more ping per period, to a member of the own region (without regions, to any), while no ping of
-// the last quarter of isolatedAfter was answered. Without this ping a small region that is cut off would
-// count as isolated, since most of its probes go to unreachable regions. The member is random, so a sidecar
-// that reaches few remains isolated.
+// Sends one more ping per period, to a member of this sidecar's region (without regions, to any member),
+// while no ping of the last quarter of isolatedAfter was answered. Without this ping a small region that is
+// cut off would count as isolated, since most of its probes go to unreachable regions. The member is random,
+// so a sidecar that reaches few remains isolated.
 void Members::pingOwnRegion(Micros now, std::vector<Outgoing>& out) {
   if (lastAnsweredPingAt_ && now - *lastAnsweredPingAt_ < settings_.isolatedAfter / 4) return;
   std::vector<const Member*> inRegion;
--- a/src/gossip/members.h
+++ b/src/gossip/members.h
@@ -63,7 +63,7 @@
   /// Appends the messages that announce this sidecar's departure, so that the others need not detect it. The
   /// caller sends nothing after these.
   void leave(Micros now, std::vector<Outgoing>& out);
-  /// Counts the bytes of a payload that the caller added to a message against Settings::bytesPerSecond.
+  /// Counts the bytes of a payload that the caller added to a message towards Settings::bytesPerSecond.
   void charge(std::size_t bytes, Micros now);
   /// Announces a new payload to kAnnouncementFanOut random members, which then ping to fetch it before their
   /// next probe. Limited to kAnnouncementsPerSecond.
@@ -205,7 +205,7 @@
     return uniform() < kHalf;
   }
   void updateQuorum(Micros now);
-  // ---- member_table.cpp; functions returning bool: whether the table or the own incarnation changed ----
+  // ---- member_table.cpp; a returned bool: whether the table or this sidecar's incarnation changed ----
   bool apply(const Update& update, Micros now);
   bool applyToSelf(const Update& update, Micros now);
   bool addMember(const Update& update, Micros now);
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -45,7 +45,7 @@
 /// The protocol version sent and accepted.
 constexpr std::uint8_t kVersion = 1;
 
-/// Where a sidecar receives datagrams, IPv4, in host byte order.
+/// The IPv4 address and port at which a sidecar receives datagrams, in host byte order.
 struct Address {
   std::uint32_t ip = 0;    ///< 0: unknown
   std::uint16_t port = 0;  ///< UDP port
@@ -147,7 +147,7 @@
 [[nodiscard]] std::size_t roomForPayload(const Message& message);
 /// The bytes left for entries beside the message's other contents; 0 if those alone don't fit.
 [[nodiscard]] std::size_t roomForEntries(const Message& message);
-/// The most updates in one message: a datagram has room for four.
+/// The most updates in one message: with its other sections, a datagram has room for four.
 constexpr std::size_t kMaxUpdates = 4;
 /// The most entries in one message: an entry has at least 10 bytes, so no datagram holds more.
 constexpr std::size_t kMaxEntries = 20;
--- a/src/gossip/options.h
+++ b/src/gossip/options.h
@@ -23,11 +23,11 @@
 /// The settings in [peers] of the operator's file, as written there. Times are microseconds.
 struct Options {
   bool on = false;                  ///< whether gossip is enabled
-  std::string address;              ///< address of this sidecar for the others; empty: the platform's
+  std::string address;              ///< address for other sidecars; empty: the platform's setting
   std::string listen;               ///< address to bind to; empty: `address`
-  std::vector<std::string> seeds;   ///< addresses of other sidecars; empty: the platform's
+  std::vector<std::string> seeds;   ///< addresses of other sidecars; empty: the platform's setting
   std::string keyFile;              ///< path of the fleet's key file
-  std::int64_t sidecars = 0;        ///< expected number of sidecars; 0: the platform's
+  std::int64_t sidecars = 0;        ///< expected number of sidecars; 0: the platform's setting
   std::int64_t region = 0;          ///< 1 to kMaxRegion; 0: not set
   std::int64_t regionSidecars = 0;  ///< expected number in the region, this one included; 0: not set
   std::int64_t bytesPerSecond = Settings{}.bytesPerSecond;  ///< kMinBytesPerSecond to kMaxBytesPerSecond
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -17,7 +17,7 @@
   PeerId self = 0;                ///< this sidecar's id
   Address address;                ///< this sidecar's address for the others
   std::uint64_t incarnation = 1;  ///< must be higher than in earlier runs; Unix time in ms is
-  std::vector<Address> seeds;     ///< addresses to join at; this sidecar's own one is allowed
+  std::vector<Address> seeds;     ///< addresses to join at; this sidecar's address is allowed
   /// SWIM's protocol period: one member is probed per period. Lifeguard stretches it while the process is
   /// slow. At least one millisecond.
   Micros period = 250'000;
@@ -44,7 +44,7 @@
 /// The size of the IPv4 header without options and the UDP header (RFC 791, RFC 768), in bytes.
 constexpr std::size_t kDatagramOverhead = 28;
 
-/// The maximum number of members in a table, without the own one; further ones are not added.
+/// The maximum number of members in a table, without this sidecar; further ones are not added.
 constexpr std::size_t kMaxMembers = 4096;
 /// The expected number of sidecars is divided by this before the quorum is computed from it, so that a wrong
 /// expected number isolates no sidecar.
@@ -83,7 +83,7 @@
 /// The maximum number of received pulls that wait for an answer; further ones are dropped, and their senders
 /// retry.
 constexpr std::size_t kMaxPendingAnswers = 8;
-/// The maximum number of own pulls whose answers are incomplete.
+/// The maximum number of this sidecar's pulls whose answers are incomplete.
 constexpr std::size_t kMaxOutstandingPulls = 3;
 /// The time-out of a pull, in microseconds, at both its sender and its receiver.
 constexpr Micros kPullTimeout = 500'000;
--- a/src/gossip/transport.cpp
+++ b/src/gossip/transport.cpp
@@ -66,8 +66,8 @@
   });
 }
 
-// Guards the proxied requests against a flood of datagrams: beyond the limit of an interval, reading resumes
-// in the next one.
+// Guards the proxied requests against a flood of datagrams: once kMaxReadsPerInterval datagrams have been
+// read, reading resumes in the next interval.
 void Transport::readDatagrams() {
   if (const Micros interval = now() / kReadInterval; interval != readInterval_) {
     readInterval_ = interval;
@@ -79,7 +79,7 @@
     if (error == asio::error::would_block) return waitReadable();
     ++readsInInterval_;
     // Errors are ignored: an ICMP "port unreachable" for an earlier datagram may be reported here, and other
-    // errors concern this one call. They count against the limit, so that a persistent error can't make the
+    // errors concern this one call. They count towards the limit, so that a persistent error can't make the
     // loop spin.
     if (!error) handleDatagram(length);
   }
--- a/src/health_reports/health_report_table.h
+++ b/src/health_reports/health_report_table.h
@@ -24,8 +24,8 @@
 /// The maximum number of reports by one other sidecar, so that a sidecar with wrong reports can fill only a
 /// small part of the table. Its further reports are rejected.
 constexpr std::size_t kMaxReportsPerReporter = kMaxIncarnations / 4;
-/// The maximum number of reports in a table. Beyond it other sidecars' reports are rejected; own ones are
-/// always stored.
+/// The maximum number of reports in a table. Beyond it other sidecars' reports are rejected; this sidecar's
+/// are always stored.
 constexpr std::size_t kMaxReports = kMaxIncarnations * kMaxReportersPerIncarnation;
 
 /// The result of merging received bytes.
@@ -57,8 +57,8 @@
   /// version above the earlier ones as soon as it receives them.
   HealthReportTable(PeerId self, std::uint64_t version) : self_(self), version_(version) {}
 
-  /// Records an own attempt that ended at `now`, `sinceSent` after it was sent, and updates this sidecar's
-  /// report if needed. True if this sidecar's status for the incarnation has changed.
+  /// Records this sidecar's attempt that ended at `now`, `sinceSent` after it was sent, and updates this
+  /// sidecar's report if needed. True if this sidecar's status for the incarnation has changed.
   bool recordAttempt(const Incarnation& incarnation, AttemptHistory::Outcome outcome, Duration sinceSent,
                      TimePoint now);
 
@@ -93,7 +93,7 @@
   [[nodiscard]] std::vector<HealthReport> reports(TimePoint now) const;
   /// The incarnations with at least one report, sorted and unique.
   [[nodiscard]] std::vector<Incarnation> incarnations() const;
-  /// The number of reports in the table: kMaxReports at the most, plus own ones.
+  /// The number of reports in the table: kMaxReports at the most, plus this sidecar's own.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
--- a/src/sidecar/gossip_health_view.h
+++ b/src/sidecar/gossip_health_view.h
@@ -21,15 +21,15 @@
 
 namespace ivypost {
 
-/// Exchanges health reports with other sidecars: it turns own attempts into reports that gossip disseminates,
-/// and passes summaries of the other sidecars' reports to the balancer. Exists only if [peers] is on in the
-/// operator's file.
+/// Exchanges health reports with other sidecars: it turns this sidecar's attempts into reports that gossip
+/// disseminates, and passes summaries of the other sidecars' reports to the balancer. Exists only if [peers]
+/// is on in the operator's file.
 ///
 /// Invariant: the balancer gets summaries only while this sidecar is not isolated, and each summary expires
-/// after kReportValidity by the monotonic clock. So the balancer of an isolated sidecar decides as without
-/// peers after Settings::isolatedAfter plus kReportValidity at the latest, also right after a pause of the
-/// process, before any message or timer. Threads: everything runs on the io_context's one thread. Lifetime:
-/// as for gossip::Transport.
+/// after kReportValidity by the monotonic clock. So the balancer of an isolated sidecar decides by its own
+/// attempts alone after Settings::isolatedAfter plus kReportValidity at the latest, also right after a pause
+/// of the process, before any message or timer. Threads: everything runs on the io_context's one thread.
+/// Lifetime: as for gossip::Transport.
 class GossipHealthView {
  public:
   /// The interval between two summaries for the same upstream.
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -220,7 +220,8 @@
 
 // ---- Retries --------------------------------------------------------------------------------------------
 
-// For every semantics, group and outcome: whether the request is retried, where, and its final answer if not.
+// Checks for every semantics, group and outcome whether and where the request is retried, and which final
+// answer it gets otherwise.
 TEST(Repeats, TableOverSemanticsGroupAndOutcome) {
   for (const std::uint32_t cls : {kSafe, kKeyed, kUnsafe}) {
     for (const RetryGroup group : {RetryGroup::All, RetryGroup::Zone, RetryGroup::Cell}) {
@@ -712,7 +713,7 @@
   BalancerFixture fixture(s);
   fixture.start(2);
   const EndpointId first =
-      fixture.sendRequest(1);  // until the first answer the sidecar is without load information
+      fixture.sendRequest(1);  // until its first answer the sidecar lacks load information
   fixture.now += 10 * kMs;
   fixture.outcome(1, first, Outcome::Ok);
   const EndpointId other = 1 - first;
--- a/tests/fleet_rig.h
+++ b/tests/fleet_rig.h
@@ -311,7 +311,7 @@
                    now - open.arrivedAt <= settings_.classes[requestClass].latencyObjective ? &Count::inTime
                                                                                             : &Count::late);
     }
-    // As a separate event, as on a socket: the balancer must not be called from within handle().
+    // Delivered as a separate event, as from a socket: the balancer must not be called from within handle().
     push(now, [this, n, event] { feed(n, event); });
   }
 
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -282,7 +282,7 @@
   fixture.request(1);
   for (int probes = 0; probes < 4; ++probes) {
     ASSERT_EQ(fixture.count<Probe>(), 1u);
-    // 12 busy requests at 40 served a second: 300 ms of queued work, against a latency objective of 400 ms.
+    // 12 busy requests at 40 served a second: 300 ms of queued work, with a latency objective of 400 ms.
     report(fixture, fixture.first<Probe>().upstream, 12);
   }
   EXPECT_EQ(fixture.count<Send>(), 0u);
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -15,7 +15,7 @@
 namespace ivypost::balancer {
 namespace {
 
-// Upper bound of an upstream's load while it warms up, as a multiple of its load among warm ones only.
+// Upper bound of an upstream's load while it warms up, as a multiple of its load if all upstreams were warm.
 constexpr double kWarmingUpShare = 1.5;
 
 bool neverRan(Outcome outcome) {
