--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -34,8 +34,8 @@
         loadReports_(loadReports),
         subset_(subset) {}
 
-  /// The ready endpoints that the rules permit for the request; only those that it has not been sent to, if
-  /// there are any.
+  /// The ready endpoints that the rules permit for the request. If the request has not been sent to some of
+  /// them yet, only those are returned.
   /// @return a list that is valid until the next call of eligible() or lastResort()
   const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
@@ -57,8 +57,8 @@
   }
 
  private:
-  /// The preference for the own zone falls with the idle CPU that its endpoints report, so that a zone with
-  /// more traffic than capacity is not overloaded.
+  /// The less idle CPU the endpoints of this sidecar's zone report, the weaker the preference for that zone,
+  /// so that a zone with more traffic than capacity is not overloaded.
   [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
     return settings_.crossZoneCost <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
   }
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -12,13 +12,14 @@
 // An endpoint is overloaded when its busy requests exceed its parallelism by more than this multiple of the
 // parallelism's square root, which allows for random variation.
 constexpr double kQueueingTolerance = 1;
-// Gains of a report of lower, and of higher, parallelism than estimated. The gain for higher values is
-// smaller: CPU shares lag behind, so while load rises reports show far too much parallelism.
+// Gains of the smoothed parallelism, for reports below and above the present estimate. The gain for higher
+// values is smaller: reported CPU shares lag behind, so while load rises reports show far too much
+// parallelism.
 constexpr double kParallelismFallGain = 0.1;
 constexpr double kParallelismRiseGain = 0.02;
 // Above this CPU share, the parallelism can be extrapolated to a full CPU.
 constexpr double kInformativeCpu = 0.3;
-// Gain of one report in the own zone's CPU share.
+// Gain of one report in the smoothed CPU share of this sidecar's zone.
 constexpr double kZoneCpuGain = 0.2;
 constexpr double kMicrosPerSecond = 1e6;
 
