--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -690,7 +690,8 @@
   EXPECT_NEAR(static_cast<double>(fixture.fillUpstream0(id)), 0.7 * before, 1.5);
 }
 
-// Guards against limits cut for slow answers of small upstreams, which take longer without any overload.
+// Guards against limits cut for slow answers of small upstreams, which take longer even when they are not
+// overloaded.
 TEST(Limits, SmallUpstreamsMayTakeLonger) {
   BalancerFixture fixture;
   fixture.updateList(Kind::Saved, {serving(0, 1), serving(1, 3)});
@@ -706,7 +707,7 @@
   EXPECT_GE(fit, 2u);
 }
 
-// Guards against start limits of many sidecars that overload an upstream together.
+// Guards against start limits that, added up over many sidecars, overload an upstream.
 TEST(Limits, LimitsOfManySidecarsStartBelowOne) {
   Settings s = plainSettings();
   s.sidecars = 16;
@@ -749,7 +750,8 @@
   EXPECT_FALSE(fixture.balancer.ready(0, fixture.now));
 }
 
-// Guards against a lower bound of one: ten sidecars with one attempt each already overload an upstream.
+// Guards against limits with a lower bound of one: ten sidecars with one attempt each already overload an
+// upstream.
 TEST(Limits, MayFallBelowOneAndThenBackOffBetweenAttempts) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -786,7 +788,7 @@
   EXPECT_GE(attemptsThatFitAfter(busy, 60, 100), 10u);
 }
 
-// Guards against fast growth of the limits of many sidecars, which add up at the upstream.
+// Guards against limits of many sidecars that grow fast: the limits add up at the upstream.
 TEST(Limits, ManySidecarsGrowTheirLimitsSlowly) {
   Settings s = plainSettings();
   s.sidecars = 16;
@@ -984,9 +986,9 @@
   EXPECT_EQ(fixture.first<Send>().request, 10u);
 }
 
-// Guards against unmarked retries that go first under overload: a request with much less time than its class
-// usually has is a retry, and the time that its client has already waited counts towards its latency
-// objective.
+// Guards against unmarked retries that are served before fresh requests under overload: a request with much
+// less time than its class usually has is a retry, and the time that its client has already waited counts
+// towards its latency objective.
 TEST(Admission, ARequestShortenedByItsDeadlineCountsAsLate) {
   BalancerFixture fixture;
   fixture.start(1);
@@ -1095,8 +1097,8 @@
   EXPECT_GE(ready, 2);
 }
 
-// Guards against a failing upstream that the cap on ejections keeps in service: it fails fast, so its
-// in-flight count is the lowest and it draws most requests. Without a backoff, with nine of 18 upstreams
+// Guards against a failing upstream that stays in service because of the cap on ejections: it fails fast, so
+// its in-flight count is the lowest and it draws most requests. Without a backoff, with nine of 18 upstreams
 // failing and eight ejected, the ninth would get a third of all requests, and two thirds of all requests
 // would be answered with an error.
 TEST(Health, AFailingUpstreamBeyondTheCapOnEjectionsIsBackedOff) {
--- a/tests/many_test.cpp
+++ b/tests/many_test.cpp
@@ -143,8 +143,8 @@
   EXPECT_FALSE(fixture.balancer.ready(to, fixture.now)) << "the second in a row";
 }
 
-// Guards against a group of stopped upstreams that fail connects at once: their in-flight count stays lowest,
-// so they draw the attempts of the others.
+// Guards against a group of stopped upstreams that fail connects at once: their in-flight counts stay lowest,
+// so they draw the attempts that other upstreams would get.
 TEST(Connections, AnUpstreamThatFailsConnectsIsBackedOff) {
   BalancerFixture fixture(largeFleetSettings());
   fixture.start(10);
@@ -610,8 +610,8 @@
   EXPECT_FALSE(readyAfter(300 * kMs));
 }
 
-// Guards against a hundred sidecars without load information that overload every upstream in the first
-// seconds.
+// Guards against overload of every upstream in the first seconds by a hundred sidecars without load
+// information.
 TEST(Backoff, WithoutLoadInformationTheSidecarsLimitStartsAtOneAndGrowsByTimelyAnswers) {
   BalancerFixture fixture(largeFleetSettings());
   fixture.start(60);
