--- a/src/discovery/etcd/api_client.cpp
+++ b/src/discovery/etcd/api_client.cpp
@@ -61,7 +61,7 @@
 
  private:
   struct Endpoint {
-    std::shared_ptr<grpc::Channel> channel;  // none: created together with the stubs at the first use
+    std::shared_ptr<grpc::Channel> channel;  // null until the first use, which creates it and the stubs
     std::unique_ptr<pb::KV::Stub> kv;
     std::unique_ptr<pb::Watch::Stub> watch;
     std::unique_ptr<pb::Auth::Stub> auth;
@@ -89,7 +89,8 @@
   std::vector<Endpoint> endpoints_;
   std::string token_;
   bool isAuthenticating_ = false;
-  // Operations that wait for the token; at most a call of the list, an audit and a stream.
+  // Operations that wait for the token: at most one Range call for the list, one for an audit, and one
+  // stream.
   std::vector<TokenCallback> waiting_;
   // Id of the stream that is open or waits for its token; 0: none.
   std::uint64_t requestedStream_ = 0;
--- a/src/discovery/etcd/key_mirror.h
+++ b/src/discovery/etcd/key_mirror.h
@@ -100,7 +100,7 @@
   std::uint64_t cluster_ = 0;
   Revision revision_ = 0;
   std::map<std::string, MirroredKey> keys_;  // by key
-  std::multiset<Revision> modRevisions_;     // of keys_
+  std::multiset<Revision> modRevisions_;     // the modRevisions in keys_
   std::deque<State>
       history_;  // ordered by revision, the last is the current state; not empty once there is a list
 };
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Tests the server over loopback sockets with slow, invalid, numerous and silent callers.
+// Tests the server over loopback sockets with callers that are slow, send invalid calls, are numerous or send
+// nothing.
 #include "admin/admin_server.h"
 
 #include <gtest/gtest.h>
--- a/tests/admission/admission_queue_test.cpp
+++ b/tests/admission/admission_queue_test.cpp
@@ -15,8 +15,8 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kFarDeadline = 1'000'000'000;
 
-// Class 1 has the highest priority: the order of classes in the settings does not imply their priority, as
-// for reserva-sala.
+// Class 1 has the highest priority: the priority of a class does not follow from its position in the
+// settings; an example is reserva-sala.
 const std::vector<double> kPriorityWeights = {2, 5, 1};
 
 QueuedRequest request(RequestId id, std::uint32_t requestClass, Micros arrived, bool beyond = false,
@@ -34,7 +34,7 @@
 
 TEST(AdmissionQueue, ForwardsInTheOrderOfArrivalWhileTheCoreKeepsUp) {
   AdmissionQueue queue({}, kPriorityWeights);
-  // Read in an order that differs from that of arrival.
+  // The requests are pushed in an order that differs from their order of arrival.
   queue.push(request(1, 0, 30), 100);
   queue.push(request(2, 1, 20, true), 100);
   queue.push(request(3, 2, 10), 100);
@@ -51,13 +51,14 @@
   queue.push(request(3, 0, 2), 0);
   queue.push(request(4, 1, 3), 0);
   queue.push(request(5, 1, 4), 0);
-  // Within quotas by priority and in the order of arrival, then beyond them.
+  // Requests within their tenant's quota come first, by priority and then in the order of arrival; requests
+  // beyond it follow.
   EXPECT_EQ(forwarded(queue, 5), (std::vector<RequestId>{4, 5, 3, 1, 2}));
 }
 
 // A queue that has not been empty for the interval is overloaded: the latest request is served first, and
-// requests that have waited longer than targetDelay are rejected; in the lane of the highest priority, those
-// that have waited longer than the interval.
+// requests that have waited longer than targetDelay are rejected. In the lane of the highest priority,
+// requests are rejected only if they have waited longer than the interval.
 TEST(AdmissionQueue, IsOverloadedWhenItWasNotEmptyForTheInterval) {
   const AdmissionQueueSettings settings;
   AdmissionQueue queue(settings, kPriorityWeights);
@@ -114,7 +115,7 @@
   expect(5, 1, 2);  // request 2 is beyond its tenant's quota, which outweighs its class
   expect(6, 1, 3);
   expect(7, 1, 1);
-  expect(8, 2, 8);  // the pushed request itself
+  expect(8, 2, 8);  // the pushed request itself is rejected
   EXPECT_EQ(queue.evict()->id, 4u);
   EXPECT_EQ(queue.size(), 3u);
 }
@@ -162,7 +163,8 @@
 }
 
 // Overload by a factor of four must hardly affect the class of the highest priority. Simulated clock; one
-// request per millisecond, a fifth of them of that class; the core forwards a quarter.
+// request arrives per millisecond, a fifth of the requests belong to that class, and the core can take a
+// quarter of them.
 TEST(AdmissionQueue, FavoursTheHighestPriorityUnderOverload) {
   AdmissionQueue queue({}, kPriorityWeights);
   std::map<RequestId, std::uint32_t> classOf;
--- a/tests/admission/connection_limit_io_test.cpp
+++ b/tests/admission/connection_limit_io_test.cpp
@@ -53,7 +53,7 @@
   for (int n = 0; n < 5; ++n) EXPECT_FALSE(holding[static_cast<std::size_t>(n)].closed());
 }
 
-// A connection that its client reuses is kept alive, while a connection with its first request is not.
+// A connection that its client reuses is kept alive; a connection that has carried only one request is not.
 TEST_F(ConnectionLimitTest, KeepsAConnectionThatIsUsedAgain) {
   start(1, kElevenConnections);
   std::vector<Client> holding;
--- a/tests/admission/expiring_average_test.cpp
+++ b/tests/admission/expiring_average_test.cpp
@@ -8,8 +8,8 @@
 
 constexpr Micros kMillisecond = 1000;
 
-// Guards against a lock-in: if the average has all requests rejected, no new measurement corrects it, so it
-// must expire.
+// Guards against permanent rejection: while a high average makes the sidecar reject all requests, no new
+// measurement can correct the average, so it must expire.
 TEST(ExpiringAverage, IsUnknownWhenNothingWasMeasuredLately) {
   ExpiringAverage average;
   EXPECT_EQ(average.value(0), 0);
--- a/tests/admission/metastable_overload_test.cpp
+++ b/tests/admission/metastable_overload_test.cpp
@@ -2,8 +2,8 @@
 //
 // Simulates a metastable overload: a core that answers 1,000 requests per second, and clients that send 700
 // per second and immediately retry rejected or timed-out requests up to three times. A short fault fills the
-// queue; after it, retries keep the queue full unless the sidecar limits what its core works on (Bronson et
-// al., "Metastable Failures in Distributed Systems", HotOS 2021).
+// queue; after it, retries keep the queue full unless the sidecar limits the requests that its core works on
+// (Bronson et al., "Metastable Failures in Distributed Systems", HotOS 2021).
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -158,8 +158,8 @@
   for (std::size_t second = 10; second < 19; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
 }
 
-// Shows that the simulated overload is metastable: when served in the order of arrival, the core works on
-// requests whose clients have timed out.
+// Shows that the simulated overload is metastable: if it serves requests in the order of arrival, the core
+// keeps working on requests whose clients have timed out.
 TEST_P(MetastableOverloadTest, PersistsWithoutTheQueue) {
   const auto served = Simulation(Order::InOrderOfArrival, GetParam()).run(20 * kSecond);
   for (std::size_t second = 1; second < 3; ++second) EXPECT_GE(served[second], 0.9 * kUsualRate) << second;
--- a/tests/admission/tenant_quotas_test.cpp
+++ b/tests/admission/tenant_quotas_test.cpp
@@ -50,7 +50,7 @@
   EXPECT_NEAR(within / (flood[0].requests + flood[1].requests), 0.21 * TenantQuotas::kTolerance, 0.02);
   EXPECT_NEAR(quotas.beyondQuotaFraction(30 * kSecond),
               flood[1].beyondQuota / (flood[0].requests + flood[1].requests), 0.03);
-  // Its excess traffic no longer counts after it has stopped.
+  // After the flood has ended, the earlier excess no longer reduces what the tenant may send.
   const auto after = simulate(quotas, 40 * kSecond, 50 * kSecond, 79, 21);
   EXPECT_EQ(after[0].beyondQuota + after[1].beyondQuota, 0);
 }
--- a/tests/degradation/level_controller_test.cpp
+++ b/tests/degradation/level_controller_test.cpp
@@ -162,7 +162,7 @@
   EXPECT_EQ(transitions.size(), 1u);
 }
 
-// Calm and overload alternate. The recovery delay doubles, so that transitions become rare whatever the
+// Low load and overload alternate. The recovery delay doubles, so that transitions become rare whatever the
 // length of the bursts.
 TEST(LevelController, ChangesRarelyWhenLoadComesInBursts) {
   for (const Duration burst : {Duration(100ms), Duration(1s), Duration(10s)}) {
@@ -188,7 +188,8 @@
   EXPECT_EQ(controller.level(), Level::Normal);
 }
 
-// The strictest requested level applies, until its signal falls below the exit threshold.
+// The strictest level that any signal requests applies, until that signal falls below the level's exit
+// threshold.
 TEST_F(LevelControllerTest, AppliesTheStricterOfTwoSignals) {
   const auto both = [](double cpu, double lag) {
     return [=](LevelController& observed, TimePoint now) {
--- a/tests/degradation/load_monitor_test.cpp
+++ b/tests/degradation/load_monitor_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-// Sets the measurements of a tick and counts the events before it.
+// Sets the measurements of a tick and reports to the monitor the events that precede the tick.
 using Load = std::function<void(LoadMonitor&, Measurements&, TimePoint)>;
 
 // Ticks from `from` to `to` inclusive on a simulated clock; returns the level.
@@ -65,7 +65,7 @@
 
 class LoadMonitorLevel : public testing::TestWithParam<LoadCase> {};
 
-// The level rises to the strictest one whose threshold is reached, and not beyond.
+// The level rises to the strictest level whose threshold the measurement reaches, and no further.
 TEST_P(LoadMonitorLevel, IsWhatTheMeasurementLeadsToAndNormalAgainAfterwards) {
   LoadMonitor monitor(defaultSettings(), 2, at(0s));
   EXPECT_EQ(run(monitor, 0s, 20s, GetParam().load), GetParam().level);
--- a/tests/degradation/names_test.cpp
+++ b/tests/degradation/names_test.cpp
@@ -1,6 +1,6 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// The names in the log, in `GET /status/level` and in the operator's file.
+// Checks the names that the log, `GET /status/level` and the operator's file use.
 #include <gtest/gtest.h>
 
 #include <string_view>
--- a/tests/degradation/restrictions_test.cpp
+++ b/tests/degradation/restrictions_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_TRUE(restrictionsAt(Level::Normal).allowsHedging);
 }
 
-// The restrictions that docs/operators/reduced-service.md lists.
+// Compares the restrictions of each level with the list in docs/operators/reduced-service.md.
 TEST(Restrictions, AreTheDocumentedOnes) {
   struct Row {
     Level level;
--- a/tests/degradation/settings_test.cpp
+++ b/tests/degradation/settings_test.cpp
@@ -33,7 +33,8 @@
   EXPECT_EQ(error(), "");
 }
 
-// The age grows steadily and does not show whether the sidecar is overloaded.
+// Only Thrifty, the first level above Normal, has a threshold for the endpoint list's age: the age grows
+// steadily while discovery fails, and does not show whether the sidecar is overloaded.
 TEST_F(SettingsTest, HaveAThresholdForEndpointListAgeAtThriftyOnly) {
   const auto& thrifty = settings.thresholds.at(Level::Thrifty, Signal::EndpointListAge);
   ASSERT_TRUE(thrifty);
--- a/tests/exclusion/exclusion_file_test.cpp
+++ b/tests/exclusion/exclusion_file_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Tests the file of excluded endpoints: sharing by two processes, invalid files, failing disks and crashes.
+// Tests the file of excluded endpoints: two processes that share it, invalid files, failing disks and
+// crashes.
 #include "exclusion/exclusion_file.h"
 
 #include <fcntl.h>
@@ -126,12 +127,12 @@
     text << std::ifstream(path(), std::ios::binary).rdbuf();
     return text.str();
   }
-  // Whether a process that starts now has the endpoint excluded.
+  // Whether a process that starts now excludes the endpoint.
   bool isExcludedAfterAStart(const std::string& id) {
     const auto read = file().readIfChanged();
     return read && read->isExcluded(id);
   }
-  // Excludes an endpoint that lists name.
+  // Excludes an endpoint that is in the endpoint list.
   static std::error_code exclude(ExclusionFile& file, ExclusionSet& set, const std::string& id) {
     return file.apply(set, {Change::Kind::Exclude, id, true, {}, {}}).error();
   }
@@ -305,7 +306,7 @@
             "FolderThenFile", {{"sync folder", EIO, 1}, {"sync .new", EIO, 1, 1}}, std::errc::io_error}),
     [](const auto& one) { return one.param.name; });
 
-// A rejected change does not have to be durable, so no file is written.
+// A change that the set rejects has nothing to store, so no file is written.
 TEST_F(ExclusionFileTest, ARejectedChangeWritesNothing) {
   TestFiles files;
   ExclusionFile mine = file(files);
@@ -331,7 +332,8 @@
   EXPECT_EQ(order, (std::vector<std::string>{"write .new", "sync .new", "rename .json", "sync folder"}));
 }
 
-// A failed sync may lose the pages, and a second sync of the same file would still succeed.
+// After a failed sync the kernel may drop the unwritten pages, and a second sync of the same file would still
+// succeed without them.
 TEST_F(ExclusionFileTest, AfterAFailedSyncTheSetIsWrittenIntoAnotherFile) {
   for (const char* call : {"sync .new", "sync folder"}) {
     TestFiles files;
@@ -438,8 +440,8 @@
   publish('a');
   ASSERT_TRUE(mine.readIfChanged());
   for (const char id : {'b', 'c', 'd', 'e'}) {
-    // Two renames for each read: the first one could free the inode number of the file that was read, and the
-    // second one's file could then get it.
+    // Two renames for each read: the first could free the inode number of the file that was read, and the
+    // file of the second could then get this number.
     publish('z');
     publish(id);
     const auto read = mine.readIfChanged();
@@ -456,8 +458,8 @@
 
 // ---- Killed processes -------------------------------------------------------------------------------------
 
-// Excludes "new" in a child process that is killed after its nth system call. Returns true if it made fewer
-// calls and was not killed. `kept`: whether it reported the change as made.
+// Excludes "new" in a child process that is killed after its nth system call. Returns true if the process
+// made fewer calls and was not killed. `kept`: set to whether the process reported the change as made.
 bool changeInKilledProcess(const std::string& folder, const std::vector<TestFiles::Fault>& faults, int nth,
                            bool& kept) {
   int line[2];
--- a/tests/exclusion/exclusion_set_test.cpp
+++ b/tests/exclusion/exclusion_set_test.cpp
@@ -15,7 +15,7 @@
   return WallTime(std::chrono::milliseconds(milliseconds));
 }
 
-// Excludes an endpoint that lists name.
+// Excludes an endpoint that is in the endpoint list.
 Outcome exclude(ExclusionSet& set, const std::string& endpoint) {
   return set.apply({Change::Kind::Exclude, endpoint, true, {}, at(1)});
 }
--- a/tests/gossip/anti_entropy_test.cpp
+++ b/tests/gossip/anti_entropy_test.cpp
@@ -108,7 +108,8 @@
   EXPECT_EQ(fixture.members.knownCount(), 1 + 2 * kPagesPerPull);
 }
 
-// An update of an earlier incarnation changes nothing, and its sender gets the later one in answer.
+// An update about an earlier incarnation of a member changes nothing, and its sender gets the later
+// incarnation in the answer.
 TEST(AntiEntropy, RejectsAndCorrectsAnEarlierIncarnation) {
   MembersFixture fixture;
   fixture.members.receive(fixture.messageFrom(2, Kind::Rumours, {alive(3, 7)}), kStart, fixture.out);
@@ -137,7 +138,7 @@
   EXPECT_EQ(fixture.members.knownCount(), 1u);
 }
 
-// A higher incarnation refutes a death for good, even if the death is received again.
+// A member that refuted its death with a higher incarnation stays alive, even if the death is received again.
 TEST(AntiEntropy, KeepsAMemberAliveThatRefutedItsDeath) {
   MembersFixture fixture;
   const Update death{3, 7, {}, State::Dead, 0};
@@ -296,7 +297,7 @@
 }
 
 // A region with three of twelve sidecars is cut off: no sidecar is isolated, since each reaches its whole
-// region. Without regions the three are isolated.
+// region. Without regions, the three sidecars that are cut off are isolated.
 TEST(AntiEntropy, IsNotIsolatedWhileItsRegionIsReachable) {
   for (const bool regions : {true, false}) {
     SimulatedNetwork net(25);
@@ -314,13 +315,14 @@
       isIsolated = isIsolated || !net.all([&](Members& one) { return !one.isIsolated(net.now); });
     }
     EXPECT_EQ(isIsolated, !regions);
-    net.run(70 * kSecond);  // longer than dead members are kept, with both seeds on one side
+    net.run(70 * kSecond);  // longer than the others keep dead members; both seeds are on one side
     net.faults.passes = nullptr;
     EXPECT_TRUE(net.until([&] { return allReach(net, 12); }, 8 * kSecond)) << regions;
   }
 }
 
-// Neither side has a reachable seed; they reconnect by the addresses kept of forgotten members.
+// The seeds are killed and the fleet is partitioned into two sides. After an hour the sides reconnect by the
+// addresses that they keep of forgotten members.
 TEST(AntiEntropy, ReconnectsTwoSidesWithoutSeedsAfterAnHour) {
   SimulatedNetwork net(27);
   for (std::size_t n = 0; n < 10; ++n) net.start(n, 10);
--- a/tests/gossip/bloom_filter_test.cpp
+++ b/tests/gossip/bloom_filter_test.cpp
@@ -21,7 +21,7 @@
       repeatedFalsePositives += filter.holds(mix(n)) && other.holds(mix(n)) ? 1 : 0;
     }
     EXPECT_LE(falsePositives, 1300)
-        << keys;  // one in 11 of 10'000 for the fullest filter, plus random variation
+        << keys;  // of 10'000 lookups, one in 11 is expected for the fullest filter, plus random variation
     EXPECT_LE(repeatedFalsePositives, falsePositives / 3 + 5)
         << keys << ": another salt has other false positives";
     EXPECT_LE(filter.bytes().size(), BloomFilter::kMaxBytes);
--- a/tests/gossip/entry_codec_test.cpp
+++ b/tests/gossip/entry_codec_test.cpp
@@ -27,7 +27,8 @@
           one.usesAntiEntropy = usesAntiEntropy;
         }
         if (state == 1) one.witness = id ^ 1;
-        if (state == 3) one.witness = id;  // it has left
+        if (state == 3)
+          one.witness = id;  // the member has left, which is encoded as a death that it witnessed itself
         return one;
       });
 }
--- a/tests/gossip/fleet_run.h
+++ b/tests/gossip/fleet_run.h
@@ -45,14 +45,14 @@
 constexpr Micros kSecond = 1'000'000;
 
 struct Line {
-  Micros at = 0;  // since the first event
+  Micros at = 0;  // time since the first event
   std::uint32_t sidecar = 0;
   std::string text;
 };
 
 // A sidecar's answer to GET /status/peers.
 struct Status {
-  Micros at = 0;  // of the answer, since the first event
+  Micros at = 0;  // time of the answer, since the first event
   std::uint32_t sidecar = 0;
   nlohmann::json body;
   std::size_t number(const char* key) const { return body.value(key, std::size_t{0}); }
@@ -114,7 +114,7 @@
     return found == statuses.rend() ? nullptr : &*found;
   }
   // The time from `from` until all sidecars reach `many` members and do so to the end of the run; none if
-  // some sidecar doesn't at the end.
+  // some sidecar reaches fewer at the end.
   std::optional<Micros> timeUntilAllReach(std::size_t many, Micros from) const {
     std::vector<std::optional<Micros>> since(result.sidecars.size());
     for (const Status& one : statuses) {
@@ -175,8 +175,8 @@
   Built built;
   Stops stops = Stops::None;
   double rate = 360;
-  std::string head;                                  // further keys of the scenario
-  bool statuses = false;                             // whether to poll them, kPollInterval after each answer
+  std::string head;       // further keys of the scenario
+  bool statuses = false;  // whether to poll GET /status/peers, kPollInterval after each answer
   std::function<void(const std::string&)> happened;  // called at each event; may be empty
   std::function<void()> second;                      // called once a second; may be empty
 };
--- a/tests/gossip/fuzz.cpp
+++ b/tests/gossip/fuzz.cpp
@@ -55,7 +55,8 @@
     if (message) {
       require(gossip::encode(*message).size() + gossip::kSealBytes <= gossip::kMaxDatagram,
               "a decoded message fits into a datagram");
-      // A fuzzer can hardly produce increasing sequence numbers, or the nonce of a ping that it doesn't see.
+      // Set here, since a fuzzer can hardly produce increasing sequence numbers, or the nonce of a ping that
+      // it does not see.
       message->sequence = ++sequence;
       for (const gossip::Outgoing& one : out)
         if (one.message.kind == gossip::Kind::Ping && message->kind == gossip::Kind::Ack)
--- a/tests/gossip/members_test.cpp
+++ b/tests/gossip/members_test.cpp
@@ -31,7 +31,8 @@
     ++keysByOwner[owner];
   }
   EXPECT_EQ(keysByOwner.size(), 12u);
-  for (const auto& [id, count] : keysByOwner) EXPECT_LT(count, 100);  // 50 expected, plus random variation
+  for (const auto& [id, count] : keysByOwner)
+    EXPECT_LT(count, 100);  // 50 keys per member are expected, plus random variation
 }
 
 TEST(Members, DetectADeathWithinItsTimeAndReassignOwnership) {
@@ -41,8 +42,8 @@
     ASSERT_TRUE(net.until([&] { return allReach(net, count); }, 20 * kSecond)) << count;
     const PeerId killed = SimulatedNetwork::idAt(1);
     net.kill(1);
-    // Each member is probed within as many periods as there are members; a suspicion follows, which lasts
-    // longest with few witnesses.
+    // Each member is probed within as many periods as there are members. A failed probe starts a suspicion,
+    // which lasts longest if it has few witnesses.
     ASSERT_TRUE(net.until([&] { return net.all([&](Members& one) { return !one.isReachable(killed); }); },
                           20 * kSecond))
         << count;
@@ -87,8 +88,8 @@
   EXPECT_TRUE(net.until([&] { return allReach(net, 12); }, 8 * kSecond));
 }
 
-// A member that receives nothing, one that can't send, and one that receives from a single other one are
-// isolated; one that can't send to a single other member is not.
+// A member is isolated if it receives nothing, if it can't send, or if it receives from a single other member
+// only. A member that can't send to one other member is not isolated.
 TEST(Members, AreIsolatedByTheirOwnClockWhenCutOff) {
   const struct {
     const char* what;
@@ -107,7 +108,8 @@
     startAll(net, 12);
     ASSERT_TRUE(net.until([&] { return allReach(net, 12); }, 10 * kSecond));
     net.faults.passes = row.passes;
-    // It is isolated by isolatedAfter without an answer, or by as long without a quorum.
+    // Member 4 is isolated after the time isolatedAfter without an answer, or after the same time without a
+    // quorum.
     net.until([&] { return net.at(4).isIsolated(net.now); }, 40 * kSecond);
     EXPECT_EQ(net.at(4).isIsolated(net.now), row.isIsolated) << row.what;
     for (std::size_t n = 0; n < 12; ++n)
@@ -116,7 +118,7 @@
 }
 
 // After a pause of the process a member is isolated before it has read any message, and remains so when it
-// reads answers that waited in the kernel meanwhile.
+// reads answers that the kernel queued during the pause.
 TEST(Members, AreIsolatedRightAfterAPauseOfTheProcess) {
   for (const Micros pause : {5 * kSecond, 30 * kSecond}) {
     SimulatedNetwork net(5);
@@ -149,8 +151,8 @@
   EXPECT_TRUE(net.until([&] { return allReach(net, 12); }, 10 * kSecond));
 }
 
-// A restart under the same name, with a higher incarnation, and with a lower one because the clock was set
-// back.
+// A member restarts under the same name, once with a higher incarnation and once with a lower one because its
+// clock was set back.
 TEST(Members, AcceptANewIncarnationAfterAHundredMilliseconds) {
   for (const std::uint64_t incarnation : {std::uint64_t{0}, std::uint64_t{1}}) {
     SimulatedNetwork net(13);
@@ -195,14 +197,15 @@
   EXPECT_TRUE(net.until([&] { return allReach(net, 4); }, 3 * kSecond));
   EXPECT_DOUBLE_EQ(net.at(0).reachableFraction(), 1.0);
   EXPECT_EQ(net.at(0).knownCount(), 3u);
-  // Found by the fuzz target: a member that returned after it had left was not counted as known again.
+  // Guards against a fault that the fuzz target found: a member that had left and returned was not counted as
+  // known.
   for (std::size_t n = 4; n < 12; ++n) net.start(n, 12);
   EXPECT_TRUE(net.until([&] { return allReach(net, 12); }, 10 * kSecond));
   EXPECT_TRUE(net.all([](Members& one) { return one.knownCount() == 11; }));
 }
 
-// The bytes that a member sends per second don't grow with the fleet, even if its expected size is wrong by a
-// factor of four either way.
+// The bytes that a member sends per second don't grow with the fleet, even if the configured fleet size is
+// four times too large or too small.
 TEST(Members, StayWithinBytesPerSecond) {
   std::map<std::size_t, double> bytes;
   for (const std::size_t count : {2, 12, 48, 300}) {
@@ -253,7 +256,8 @@
       members.takeChanges();
     }
     EXPECT_EQ(members.probeQueueSize(), kMaxMembers);
-    // The pings that answer announcements stay within their token bucket, and within the byte budget.
+    // The pings that answer announcements stay within the limit of their token bucket, or, with anti-entropy,
+    // of the byte budget.
     std::size_t bytes = 0;
     for (const Outgoing& one : out) bytes += encode(one.message).size() + kSealBytes + kDatagramOverhead;
     if (antiEntropy) {
--- a/tests/gossip/message_test.cpp
+++ b/tests/gossip/message_test.cpp
@@ -49,7 +49,7 @@
   }
 }
 
-// Six updates are too many, and a payload of 200 bytes does not fit beside the four that are sent.
+// Of six updates only four are encoded, and a payload of 200 bytes does not fit beside them.
 TEST(MessageCodec, OmitsWhatDoesNotFit) {
   const auto bytes = encode(someMessage(Kind::Ping, 6, 200));
   EXPECT_LE(bytes.size() + kSealBytes, kMaxDatagram);
@@ -71,7 +71,8 @@
   const auto good = encode(someMessage(Kind::Relay, 2, 0));
   ASSERT_TRUE(decode(good));
   for (std::size_t length = 0; length < good.size(); ++length) {
-    // Cut between the sections of the target and of the updates, the message is valid without updates.
+    // A message that is cut exactly between its target section and its updates section is valid, without
+    // updates.
     const bool isComplete = length == kHeaderBytes + 2 + kUpdateBytes;
     EXPECT_EQ(decode(std::span(good).first(length)).has_value(), isComplete) << length;
   }
--- a/tests/gossip/options_test.cpp
+++ b/tests/gossip/options_test.cpp
@@ -9,7 +9,7 @@
 namespace ivypost::gossip {
 namespace {
 
-// An error is one line with the key and the remedy; valid options have none.
+// The error for invalid options is one line with the key and the remedy; valid options yield no error.
 TEST(Options, DescribeAnInvalidValueInOneLine) {
   const struct {
     const char* what;
--- a/tests/gossip/processes_test.cpp
+++ b/tests/gossip/processes_test.cpp
@@ -1,6 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Fleets of sidecar processes with faults between them. The state of each over time is taken from its log.
+// Fleets of sidecar processes with network faults between them. The state of each sidecar over time is taken
+// from its log.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/udp.hpp>
@@ -18,15 +19,16 @@
 
 TEST(GossipProcesses, AHungEndpointIsDetectedOnceForAll) {
   const FleetRun calm = runFleet("[[event]]\nat = \"4s\"\ndo = \"hang\"\nnode = 1\nfor = \"6s\"\n");
-  // Far fewer than the twelve sidecars have lost own attempts at the node, but nearly all eject it.
+  // Far fewer than the twelve sidecars have sent attempts to the node that it did not answer, but nearly all
+  // eject it.
   EXPECT_GE(calm.countAll("upstream ejected", 0, 4 * kSecond), 9u);
   EXPECT_LE(calm.result.hungArrivals, 20u);
   for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_EQ(calm.count(n, "peers: deaf"), 0u) << n;
 }
 
 // Six sidecars are partitioned from the others, and a node hangs for these six only: the other side must not
-// eject it. The node recovers well before the partition heals; otherwise the reports would still be valid
-// then, and the other side would use them.
+// eject it. The node recovers well before the partition heals; otherwise the six sidecars' unhealthy reports
+// would still be valid when it heals, and the other side would use them.
 TEST(GossipProcesses, HalvesDecideAloneInAPartitionAndAgreeAfterwards) {
   const FleetRun halves = runFleet(
       "[[event]]\nat = \"4s\"\ndo = \"partition\"\ngroup = [1, 2, 3, 4, 5, 6]\nfor = \"10s\"\n"
@@ -50,7 +52,7 @@
   const FleetRun isolated =
       runFleet("[[event]]\nat = \"3s\"\ndo = \"deafen\"\ngroup = [1, 2, 3, 4]\nfor = \"4s\"\n", 12, 11);
   for (std::uint32_t n = 1; n <= 12; ++n) {
-    // The bound is deaf_after, the interval between two checks, and slack for a busy machine.
+    // The bound is the sum of deaf_after, the interval between two checks, and slack for a busy machine.
     EXPECT_EQ(isolated.count(n, "peers: deaf", kSecond, 4 * kSecond), n <= 4 ? 1u : 0u) << n;
     EXPECT_FALSE(isolated.endsIsolated(n)) << n;
   }
@@ -63,7 +65,7 @@
       "[[event]]\nat = \"5s\"\ndo = \"pause\"\ngroup = [1, 2, 3, 4]\nfor = \"5s\"\n",
       12, 16, {}, Stops::Some);
   for (std::uint32_t n = 1; n <= 12; ++n) EXPECT_FALSE(stopped.endsIsolated(n)) << n;
-  // None of the others becomes isolated, and at the end they reach the paused ones again.
+  // None of the other sidecars becomes isolated, and at the end they reach the paused sidecars again.
   for (std::uint32_t n = 5; n <= 12; ++n) {
     EXPECT_EQ(stopped.count(n, "peers: deaf"), 0u) << n;
     EXPECT_EQ(stopped.unreachableAtEnd(n), 0u) << n;
@@ -98,7 +100,8 @@
   for (std::uint32_t n = 1; n <= 6; ++n) EXPECT_EQ(twins.endsIsolated(n), n == 1) << n;
 }
 
-// A member with the key reports every node as failing, under its own name.
+// A member that has the fleet's key reports every node as failing; reports of a single member must not eject
+// a node.
 TEST(GossipProcesses, ALyingMemberEjectsNoEndpoint) {
   std::uint64_t sent = 0, version = 1;
   const FleetRun lies =
--- a/tests/gossip/regions_test.cpp
+++ b/tests/gossip/regions_test.cpp
@@ -13,7 +13,8 @@
 namespace ivypost::fleet {
 namespace {
 
-// They are destroyed with the run's io_context, so a test may read them only during the run.
+// Members in the test's process. They are destroyed with the run's io_context, so a test may read them only
+// during the run.
 using Guests = std::vector<std::shared_ptr<gossip::Transport>>;
 
 // The bound for the time from the end of a fault until all sidecars reach each other: 8 s at 660 sidecars,
@@ -51,8 +52,8 @@
   }
 }
 
-// One of two regions, with six of eighteen sidecars, is cut off for 20 s, and a node does not answer requests
-// of these six.
+// One of two regions, with six of eighteen sidecars, is cut off for 20 s, and a node does not answer the
+// requests of these six sidecars.
 TEST(GossipRegions, ARegionThatIsCutOffDecidesAloneAndAllAgreeAfterwards) {
   Plan plan;
   plan.sidecars = 18;
@@ -80,8 +81,8 @@
   }
   EXPECT_GE(ejected, 3u);
   expectConverged(cut, 18, 20 * kSecond);
-  // The node has answered for over twelve seconds, a report's time to live, so no unhealthy report is valid
-  // any more.
+  // The node has answered for over twelve seconds, a report's time to live, so all unhealthy reports about it
+  // have expired.
   for (std::uint32_t n = 1; n <= 18; ++n) {
     const Status* const last = cut.last(n);
     if (last == nullptr) continue;
@@ -109,7 +110,7 @@
   for (std::uint32_t n = 1; n <= 18; ++n) EXPECT_EQ(killed.unreachableAtEnd(n), 0u) << n;
 }
 
-// First all that sidecar 1 sends is lost; later sidecar 12 receives nothing but can send.
+// First, all packets that sidecar 1 sends are lost; later, sidecar 12 receives nothing but can send.
 TEST(GossipRegions, OnlySidecarsWithOneWayLossAreIsolated) {
   Plan plan;
   plan.seconds = 15;
@@ -127,8 +128,8 @@
   expectConverged(lost, 12, 8'500'000);
 }
 
-// A sidecar is paused for 30 s while it pulls the entry of a member that has just joined; another one joins
-// meanwhile.
+// A sidecar is paused for 30 s while it pulls the entry of a member that has just joined; another member
+// joins during the pause.
 TEST(GossipRegions, APausedSidecarLearnsOfMembersThatJoinedMeanwhile) {
   std::weak_ptr<Guests> guests;
   std::vector<std::size_t> reachableCounts;
--- a/tests/gossip/replay_window_test.cpp
+++ b/tests/gossip/replay_window_test.cpp
@@ -11,7 +11,7 @@
 namespace ivypost::gossip {
 namespace {
 
-// RFC 4303, section 3.4.3, compared with a list of all accepted sequence numbers.
+// Compares the window of RFC 4303, section 3.4.3, with a list of all accepted sequence numbers.
 RC_GTEST_PROP(ReplayWindow, AcceptsEachSequenceOnceAndNoneBehindTheWindow,
               (std::vector<std::uint8_t> steps)) {
   ReplayWindow window;
--- a/tests/health_reports/health_report_table_test.cpp
+++ b/tests/health_reports/health_report_table_test.cpp
@@ -44,7 +44,8 @@
   ASSERT_EQ(to.receive(from.encodeNext(kRoom, kStart), 250ms, kStart + 1s), ReceiveResult::Changed);
   auto summary = to.summarize(kIncarnation, everyone, kStart + 1s);
   EXPECT_EQ(summary.unhealthy, 1u);
-  EXPECT_EQ(summary.failures, 1u);  // as of the first report; the second and third are too soon for a renewal
+  EXPECT_EQ(summary.failures,
+            1u);  // as in the first report; the second and third failures come too soon to renew it
   EXPECT_EQ(summary.age, 250ms) << "the delay is added to the age";
   EXPECT_EQ(to.summarize(
                   kIncarnation, [](PeerId id) { return id != 1; }, kStart + 1s)
@@ -57,8 +58,9 @@
       << "own reports are not part of the summary";
 }
 
-// After a restart with the wall clock set back by an hour, earlier reports have higher versions. Once they
-// are received, new reports exceed them, so that the earlier ones are not valid until they expire.
+// After a restart with the wall clock set back by an hour, a reporter's earlier reports have higher versions
+// than its new ones. Once it receives an earlier report from another table, it gives its new reports still
+// higher versions. Otherwise other tables would keep the earlier reports until these expire.
 TEST(HealthReportTable, ExceedsVersionsFromBeforeARestartWithALaterClock) {
   constexpr std::uint64_t kNow = 1'790'000'000'000'000, kHour = 3'600'000'000;
   HealthReportTable other(2, kNow);
@@ -67,7 +69,8 @@
   other.receive(earlier.encodeNext(kRoom, kStart), 0s, kStart);
   ASSERT_EQ(other.summarize(kIncarnation, everyone, kStart).unhealthy, 1u);
   HealthReportTable one(1, kNow - kHour);
-  // It receives the other table's reports, its own earlier one included, and then finds the endpoint healthy.
+  // The restarted table receives the other table's reports, including its own earlier report, and then finds
+  // the endpoint healthy.
   one.merge(reportBy(3, 1, HealthStatus::Failing), 0s, kStart + 1s);
   one.receive(other.encodeNext(kRoom, kStart + 1s), 0s, kStart + 1s);
   for (int n = 0; n < 3; ++n)
@@ -79,7 +82,8 @@
   }));
 }
 
-// A report that was sent before the earlier version was received is sent again with a higher version.
+// A restarted reporter that has sent a report and then receives one of its reports from before the restart,
+// with a higher version, sends its new report again with a version above that.
 TEST(HealthReportTable, ResendsReportsOnceItReceivesVersionsFromBeforeARestart) {
   HealthReportTable other(2, 100), one(1, 100);
   other.merge(reportBy(1, 5000, HealthStatus::Failing), 0s, kStart);
@@ -94,7 +98,8 @@
   }));
 }
 
-// A version too high to be a time is ignored: exceeding it would make the own version overflow.
+// A reporter ignores a received version of its own reports that is too high to be a time: if it chose a still
+// higher version, that version would overflow.
 TEST(HealthReportTable, DoesNotExceedAnImplausibleVersion) {
   HealthReportTable liar(2, 100), one(1, 100), other(4, 100);
   liar.merge(reportBy(1, ~std::uint64_t{0}, HealthStatus::Failing), 0s, kStart);
@@ -145,7 +150,7 @@
     for (const HealthReport& one : received) second.merge(one, 0s, kStart);
   }
   RC_ASSERT(stateOf(first, kStart) == stateOf(second, kStart));
-  // The same by messages, of which half are lost.
+  // A third table receives the same reports in messages of which half are lost.
   HealthReportTable third(3, 1);
   for (int n = 0; n < 400; ++n) {
     const auto bytes = first.encodeNext(kRoom, kStart);
@@ -182,7 +187,8 @@
   for (PeerId reporter = 10; reporter < 100; ++reporter)
     one.merge(reportBy(reporter, 1, HealthStatus::Failing), 0s, kStart);
   EXPECT_EQ(one.summarize(kIncarnation, everyone, kStart).unhealthy, kMaxReportersPerIncarnation);
-  // In a table filled to its bound by many wrong reporters there is still room for own reports.
+  // A table that other reporters have filled to its bound still accepts reports from this sidecar's own
+  // attempts.
   for (PeerId reporter = 100; reporter < 300; ++reporter)
     for (std::uint64_t n = 0; n < kMaxReportsPerReporter; ++n)
       one.merge(reportBy(reporter, 1, HealthStatus::Failing, 0s, {reporter * 1000 + n, {}}), 0s, kStart);
@@ -201,8 +207,8 @@
   EXPECT_EQ(one.size(), 0u);
 }
 
-// Random bytes of lengths from 0 to 1,500 are rejected unless they consist of reports, and add no more than
-// those.
+// Random bytes of lengths from 0 to 1,500 are rejected unless they consist of reports, and add only the
+// reports that they consist of.
 RC_GTEST_PROP(HealthReportTable, RejectsAnyBytesWithoutHarm, (std::uint32_t seed)) {
   std::mt19937 random(seed);
   HealthReportTable one(1, 1);
--- a/tests/lifecycle/lifecycle_test.cpp
+++ b/tests/lifecycle/lifecycle_test.cpp
@@ -9,7 +9,7 @@
 
 namespace ivypost::lifecycle {
 
-// GoogleTest calls these for the text of a failure.
+// GoogleTest calls these functions to print values in failure messages.
 void PrintTo(const Effects& effects, std::ostream* out) {
   *out << "{isReady " << effects.isReady << ", acceptsConnections " << effects.acceptsConnections
        << ", keepsConnections " << effects.keepsConnections << ", closesIdleConnections "
@@ -102,7 +102,7 @@
   EXPECT_TRUE(lifecycle.effects().acceptsRequests);
   runUntil(1s + Lifecycle::kDrainRequestPeriod);
   EXPECT_FALSE(lifecycle.effects().acceptsRequests);
-  // At 4 s no request of the last 2 s may be in flight.
+  // 4 s after the beginning of a drain, no request that arrived in the last 2 s may be in flight.
   EXPECT_LT(Lifecycle::kDrainRequestPeriod, 2s);
   EXPECT_FALSE(lifecycle.nextChange()) << "the process goes on running";
   EXPECT_FALSE(lifecycle.effects().mayExit);
@@ -196,7 +196,8 @@
   EXPECT_FALSE(lifecycle.effects().mustExit);
 }
 
-// The earliest time of SIGKILL after SIGTERM is the longest deadline, but at most 3 s, plus 0.7 s.
+// SIGKILL follows SIGTERM at the earliest after the longest request deadline (counted as at most 3 s) plus
+// 0.7 s.
 struct StopCase {
   std::optional<Duration> deadline;
   Duration kill;
--- a/tests/sidecar/control/endpoint_table_test.cpp
+++ b/tests/sidecar/control/endpoint_table_test.cpp
@@ -111,7 +111,7 @@
   EXPECT_EQ(update.entries[0].state, EndpointState::Gone);
   EXPECT_EQ(update.entries[1].state, EndpointState::Serving);
   EXPECT_FALSE(table_[old].isListed);
-  // A later list that still names the old endpoint does not take the address back.
+  // A later list that still names the old endpoint does not assign the address to it again.
   const MembershipUpdate again = apply({instance("old", "10.0.0.1:80", EndpointState::Serving, kStart)});
   ASSERT_EQ(again.entries.size(), 1u);
   EXPECT_EQ(again.entries[0].state, EndpointState::Gone);
@@ -127,7 +127,8 @@
   const MembershipUpdate update = apply({instance("a", "10.0.0.1:80")});
   ASSERT_EQ(update.entries.size(), 1u);
   EXPECT_EQ(update.entries[0].state, EndpointState::Draining);
-  // received() returns the entry without the exclusion, for when the endpoint is included again.
+  // received() returns the entry as discovery sent it, without the exclusion, so that it can be applied when
+  // the endpoint is included again.
   const std::vector<discovery::Instance> received = table_.received({"a", "unknown"});
   ASSERT_EQ(received.size(), 1u);
   EXPECT_EQ(received[0].state, EndpointState::Serving);
--- a/tests/sidecar/control/open_request_test.cpp
+++ b/tests/sidecar/control/open_request_test.cpp
@@ -40,7 +40,7 @@
 
 TEST_F(WriteDeadlineTest, IgnoresAttemptsThatNeverRan) {
   addAttempt(milliseconds(100), false);
-  request_.attempts.push_back({});  // not written
+  request_.attempts.push_back({});  // an attempt whose request has not been written
   EXPECT_EQ(writeDeadline(request_, keyed_, deadline_), deadline_);
 }
 
--- a/tests/sidecar/control/start_time_estimator_test.cpp
+++ b/tests/sidecar/control/start_time_estimator_test.cpp
@@ -16,13 +16,13 @@
 constexpr Micros kUnix = 1'790'000'000 * kSecond;  // true Unix time at the start of the process
 constexpr Micros kBoot = 50'000 * kSecond;         // monotonic time at the start of the process
 
-// A list is the first to state the start of an upstream. Times are relative to the arrival of that list.
+// The first list that states the start of an upstream arrives. Times are relative to its arrival.
 struct Case {
   std::string name;
-  Micros clockError;                  // of this process's wall clock when it starts
+  Micros clockError;                  // error of this process's wall clock when the process starts
   std::optional<Micros> previousAgo;  // when the previous list was last current; empty: no previous list
   Micros startedAgo;                  // true start of the upstream
-  Micros listedError;                 // of the clock that the stated start was taken from
+  Micros listedError;                 // error of the clock from which the stated start was taken
   Micros expectedAgo;                 // the estimated start
 };
 std::ostream& operator<<(std::ostream& out, const Case& one) {
@@ -96,7 +96,7 @@
   starts.beginList(kBoot, kBoot + 60 * kSecond);  // a list without the endpoint
   starts.beginList(kBoot + 70 * kSecond, kBoot + 70 * kSecond);
   EXPECT_EQ(starts.startOf(1, startedAtMs), before);
-  // With another stated start it counts as started now.
+  // An endpoint for which the list states another start counts as started now.
   EXPECT_EQ(starts.startOf(1, startedAtMs + 1), kBoot + 70 * kSecond);
 }
 
@@ -107,7 +107,7 @@
   EXPECT_EQ(starts.remembered(), 0u);
 }
 
-// A start before the machine's boot, and the latest time that a list may state.
+// Lists state a start before the machine's boot, and the latest start that a list may state.
 TEST(StartTime, IsInRangeForAnyStatedTime) {
   for (const Micros clock : {kUnix, Micros{-kUnix}, Micros{0}}) {
     StartTimeEstimator starts(clock, 5);
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -22,7 +22,7 @@
  protected:
   AnswerParserTest() { parser_.begin(); }
 
-  // Parses the text in pieces of this size. Returns false at the first piece that is rejected.
+  // Parses the text in pieces of `piece` bytes. Returns false at the first piece that is rejected.
   bool parse(const std::string& text, std::size_t piece = std::string::npos) {
     return parse(parser_, text, piece);
   }
--- a/tests/sidecar/upstream/idle_connection_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -9,7 +9,7 @@
 TEST(IdleConnectionChoice, ChoosesTheMostRecentlyUsedThatHasSettled) {
   using std::chrono::milliseconds;
   struct Row {
-    std::vector<int> idleForMs;  // the longest idle first
+    std::vector<int> idleForMs;  // idle times of the connections, in descending order
     std::size_t chosen;
   };
   const std::vector<Row> table = {
@@ -17,9 +17,9 @@
       {{400}, 0},             //
       {{400, 30}, 1},         // the most recently used
       {{400, 30, 24}, 1},     // but not one that the upstream may be closing
-      {{400, 25, 24, 0}, 1},  // exactly the settling time
+      {{400, 25, 24, 0}, 1},  // idle for exactly the settling time
       {{400, 24, 3, 0}, 0},   //
-      {{24, 3, 0}, 2},        // none has been idle for the settling time
+      {{24, 3, 0}, 2},        // the most recently used, since none has been idle for the settling time
   };
   const Clock::time_point now{std::chrono::hours(1)};
   for (const Row& row : table) {
--- a/tests/sidecar/upstream/load_report_parser_test.cpp
+++ b/tests/sidecar/upstream/load_report_parser_test.cpp
@@ -33,7 +33,7 @@
       {"inflight=7,queue=2", 7},               // without a space
       {"queue=2  ,, inflight=7 ", 7},          // empty entries
       {"inflight=7 colour=blue =3 pears", 7},  // unknown names are skipped, whatever their values
-      {"inflight=7 inflight=8", 8},            // the last one counts
+      {"inflight=7 inflight=8", 8},            // the last value of a name is used
       {"inflight=0", 0},                       //
       {"inflight=1e9", 1e9},                   // at the limit
       {"inflight=1000000001", {}},             // above it
--- a/tests/streaming/body_buffering_test.cpp
+++ b/tests/streaming/body_buffering_test.cpp
@@ -24,8 +24,8 @@
   EXPECT_EQ(budget.inUse(), 0U);
 }
 
-// This holds for a body with a large stated length too: whether it is streamed is decided once the free bytes
-// are exceeded.
+// Even a body whose stated length exceeds the buffering limit is buffered up to the free bytes; whether it is
+// streamed is decided only when these are exceeded.
 TEST(BodyBufferingTest, BuffersTheFreeBytesOfALongBody) {
   const ByteBudget budget(0);
   BodyBuffering buffering(budget, kFreeBytes);
--- a/tests/streaming/stall_timer_test.cpp
+++ b/tests/streaming/stall_timer_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_LT(StallTimer::kGracePeriod, 3s);
 }
 
-// Guards against clients that hold a connection with single bytes, below the minimum rate.
+// Guards against clients that keep a connection open by sending single bytes, below the minimum rate.
 TEST(StallTimerTest, AClientBelowTheMinimumRateIsAbandoned) {
   StallTimer timer(kBegin);
   auto now = kBegin;
