--- a/src/network/nonblocking_io.h
+++ b/src/network/nonblocking_io.h
@@ -26,7 +26,7 @@
 /// The largest number of system calls for one read or write in one turn of the event loop: a kernel that
 /// takes one byte per call must not block the other connections.
 constexpr int kMaxCalls = 64;
-/// The delay before a call is repeated that failed because the system is short of memory.
+/// The delay before repeating a call that failed because the system is short of memory.
 constexpr std::chrono::milliseconds kShortagePause{5};
 
 /// Whether the call failed because the system is short of memory (recv(2), send(2)). The connection stays
--- a/tests/gossip/processes_test.cpp
+++ b/tests/gossip/processes_test.cpp
@@ -1,7 +1,7 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
 //
-// Fleets of sidecar processes with network faults between them. The state of each sidecar over time is taken
-// from its log.
+// Fleets of sidecar processes with injected faults. The state of each sidecar over time is taken from its
+// log.
 #include <gtest/gtest.h>
 
 #include <boost/asio/ip/udp.hpp>
@@ -100,8 +100,8 @@
   for (std::uint32_t n = 1; n <= 6; ++n) EXPECT_EQ(twins.endsIsolated(n), n == 1) << n;
 }
 
-// A member that has the fleet's key reports every node as failing; reports of a single member must not eject
-// a node.
+// A member that has the fleet's key reports every node as failing, under its own name; the reports of one
+// member must not eject a node.
 TEST(GossipProcesses, ALyingMemberEjectsNoEndpoint) {
   std::uint64_t sent = 0, version = 1;
   const FleetRun lies =
--- a/tests/sidecar/control/start_time_estimator_test.cpp
+++ b/tests/sidecar/control/start_time_estimator_test.cpp
@@ -52,7 +52,7 @@
         Case{"right, as late as may be", 0, 0, kDelay, 0, kDelay},
         Case{"right, first list", 0, std::nullopt, kHour, 0, kHour},
         Case{"right, first list, just started", 0, std::nullopt, kSecond, 0, kSecond},
-        // The wall clock of this process is ahead: an observed start counts as now.
+        // The wall clock of this process is ahead: a start that this process observed is estimated as now.
         Case{"an hour ahead", kHour, 0, 50'000, 0, 0}, Case{"5 s ahead", 5 * kSecond, 0, 50'000, 0, 0},
         Case{"an hour ahead, after an outage", kHour, 30 * kSecond, 20 * kSecond, 0, 0},
         Case{"2 s ahead, indistinguishable from a late list", 2 * kSecond, 0, 50'000, 0, 2'050'000},
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -105,7 +105,7 @@
   for (int n = 0; n < AnswerParser::kMaxInformational; ++n) hints += hint;
   EXPECT_TRUE(parse(hints + answer));
   EXPECT_TRUE(parser_.isComplete());
-  // The count starts anew for the next answer.
+  // The count of informational answers starts at 0 again for the next answer.
   parser_.begin();
   EXPECT_TRUE(parse(hints));
   EXPECT_FALSE(parse(hint));
