--- a/src/configuration/toml_table.h
+++ b/src/configuration/toml_table.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #ifndef TOML_HEADER_ONLY
-/// Without this macro the headers need the library's own translation unit.
+/// Makes toml++ header-only: without this macro, its headers need the library's own translation unit.
 #define TOML_HEADER_ONLY 1
 #endif
 #include <toml++/toml.h>
--- a/tests/gossip/anti_entropy_test.cpp
+++ b/tests/gossip/anti_entropy_test.cpp
@@ -291,7 +291,7 @@
   net.kill(4);
   net.kill(5);
   EXPECT_TRUE(net.until([&] { return allReach(net, 22); }, 20 * kSecond));
-  net.start(4, 24, [&](Settings& settings) { settings.antiEntropy = false; });  // a downgrade
+  net.start(4, 24, [&](Settings& settings) { settings.antiEntropy = false; });  // sidecar 4 is downgraded
   net.start(5, 24);
   EXPECT_TRUE(net.until([&] { return allReach(net, 24); }, 20 * kSecond));
 }
--- a/tests/gossip/options_test.cpp
+++ b/tests/gossip/options_test.cpp
@@ -14,7 +14,7 @@
   const struct {
     const char* what;
     std::function<void(Options&)> change;
-    const char* flaw;  // null: none
+    const char* flaw;  // expected error; null: the options are valid
   } rows[] = {
       {"the defaults and a key", [](Options&) {}, nullptr},
       {"no key", [](Options& o) { o.keyFile = ""; },
--- a/tests/sidecar/upstream/idle_connection_choice_test.cpp
+++ b/tests/sidecar/upstream/idle_connection_choice_test.cpp
@@ -13,7 +13,7 @@
     std::size_t chosen;
   };
   const std::vector<Row> table = {
-      {{0}, 0},               // a fresh idle connection is preferred to a new one
+      {{0}, 0},               // a connection that has just become idle is preferred to a new one
       {{400}, 0},             //
       {{400, 30}, 1},         // the most recently used
       {{400, 30, 24}, 1},     // but not one that the upstream may be closing
