--- a/src/discovery/etcd/options.h
+++ b/src/discovery/etcd/options.h
@@ -44,8 +44,8 @@
   /// Path of a file with the user's password, whose trailing line ends are ignored; set if and only if
   /// `user` is.
   std::string passwordFile;
-  /// Path of a PEM file with the certificate authorities that servers are verified against; empty: the
-  /// system's authorities.
+  /// Path of a PEM file with the certificate authorities by which the servers' certificates are verified;
+  /// empty: the system's authorities.
   std::string ca;
   /// Path of a PEM file with the sidecar's client certificate; empty: none.
   std::string certificate;
--- a/src/discovery/platform_connection.h
+++ b/src/discovery/platform_connection.h
@@ -27,8 +27,8 @@
 /// has released the connection. Only the event loop's thread may use it.
 class PlatformConnection : public std::enable_shared_from_this<PlatformConnection> {
  public:
-  /// Result of a call: exactly one of the two is called for each call, unless the connection is closed
-  /// first.
+  /// Receivers of a call's result: for each call exactly one of the two is called, or none if close() or
+  /// abandon() is called first.
   struct Callbacks {
     /// The body of a response with status 200. isOpen() says whether another call may follow.
     std::function<void(const std::string& body)> onResponse;
--- a/src/discovery/platform_source.h
+++ b/src/discovery/platform_source.h
@@ -35,15 +35,15 @@
     std::chrono::milliseconds watchGrace;  ///< a watch without a response times out this long after its wait
     std::chrono::milliseconds plainCall;   ///< timeout of a call that does not wait for a change
   };
-  /// For a polled discovery. If a watch gets no response, the platform expects the sidecar to know the
-  /// changes that it missed within 2 s after the end of the watch's wait, so the new watch has to be answered
-  /// by then. A plain call may be queued behind the calls of other sidecars for up to 2 s, so its timeout
-  /// must be longer, but only slightly: within 4 s after SIGHUP, the platform expects the sidecar to know the
-  /// list.
+  /// Timeouts for a polled discovery. If a watch gets no response, the platform expects the sidecar to know
+  /// the changes that it missed within 2 s after the end of the watch's wait, so the new watch has to be
+  /// answered by then. A plain call may be queued behind the calls of other sidecars for up to 2 s, so its
+  /// timeout must be longer, but only slightly: within 4 s after SIGHUP, the platform expects the sidecar to
+  /// know the list.
   static constexpr Timeouts kPolledTimeouts{std::chrono::milliseconds(20'000),
                                             std::chrono::milliseconds(1000), std::chrono::milliseconds(2500)};
-  /// For an agent on this machine: calls to it are cheap, so it is called often, and a silent agent is
-  /// detected soon.
+  /// Timeouts for an agent on this machine: calls to it are cheap, so it is called often, and a silent agent
+  /// is detected soon.
   static constexpr Timeouts kPushedTimeouts{std::chrono::milliseconds(1000), std::chrono::milliseconds(1000),
                                             std::chrono::milliseconds(500)};
 
--- a/tests/gossip/fleet_run.h
+++ b/tests/gossip/fleet_run.h
@@ -82,7 +82,7 @@
     }
     return all;
   }
-  // As count(), over all sidecars.
+  // Like count(), but counts the lines of all sidecars.
   std::size_t countAll(const std::string& text, Micros from = 0, Micros to = 3'600'000'000) const {
     std::size_t sum = 0;
     for (std::uint32_t n = 1; n <= result.sidecars.size(); ++n) sum += count(n, text, from, to);
