--- a/tests/gossip/options_test.cpp
+++ b/tests/gossip/options_test.cpp
@@ -9,12 +9,12 @@
 namespace ivypost::gossip {
 namespace {
 
-// An error is one line with the key and the remedy; valid options have none.
+// The error for invalid options is one line with the key and the remedy; valid options yield no error.
 TEST(Options, DescribeAnInvalidValueInOneLine) {
   const struct {
     const char* what;
     std::function<void(Options&)> change;
-    const char* flaw;  // null: none
+    const char* flaw;  // expected error; null: the options are valid
   } rows[] = {
       {"the defaults and a key", [](Options&) {}, nullptr},
       {"no key", [](Options& o) { o.keyFile = ""; },
--- a/tests/sidecar/upstream/answer_parser_test.cpp
+++ b/tests/sidecar/upstream/answer_parser_test.cpp
@@ -22,7 +22,7 @@
  protected:
   AnswerParserTest() { parser_.begin(); }
 
-  // Parses the text in pieces of this size. Returns false at the first piece that is rejected.
+  // Parses the text in pieces of `piece` bytes. Returns false at the first piece that is rejected.
   bool parse(const std::string& text, std::size_t piece = std::string::npos) {
     return parse(parser_, text, piece);
   }
@@ -105,7 +105,7 @@
   for (int n = 0; n < AnswerParser::kMaxInformational; ++n) hints += hint;
   EXPECT_TRUE(parse(hints + answer));
   EXPECT_TRUE(parser_.isComplete());
-  // The count starts anew for the next answer.
+  // The count of informational answers starts at 0 again for the next answer.
   parser_.begin();
   EXPECT_TRUE(parse(hints));
   EXPECT_FALSE(parse(hint));
