--- a/include/ivypost/balancer.h
+++ b/include/ivypost/balancer.h
@@ -33,8 +33,8 @@
 //
 // Errors. handle() throws std::invalid_argument, and changes nothing, for a class, zone or tenant index
 // outside the settings, a request id that is already open, a negative or infinite size (zero: unknown, taken
-// as 1), an attempt that was never sent, and for any event before the first list. Outcomes and withdrawals
-// of finished requests are legal and ignored.
+// as 1), an attempt that was never sent, and for any event before the first list. Outcomes and withdrawals of
+// finished requests are legal and ignored.
 #ifndef IVYPOST_BALANCER_H_
 #define IVYPOST_BALANCER_H_
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,6 +1,5 @@
 // Copyright 2026 The ivypost authors. SPDX-License-Identifier: Apache-2.0
-//
-// Routes events to the parts that decide. The interface (settings, events, actions) is
+// Dispatches events to the components that decide. The interface (settings, events, actions) is
 // include/ivypost/balancer.h.
 #include "ivypost/balancer.h"
 
@@ -23,8 +22,8 @@
 using internal::EventContext;
 using internal::Wake;
 
-/// Checks each event, gives it to the parts that it concerns, lets held requests be tried again, and arms
-/// the timer.
+/// Validates each event, passes it to the components that it concerns, retries held requests, and arms the
+/// timer.
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed, Micros now)
@@ -100,7 +99,7 @@
           decisions_.subset.closeDrainingAgain(static_cast<EndpointId>(wake->request), context);
           break;
         case Wake::Kind::Ready:
-          break;  // held requests are tried again after every event
+          break;  // held requests are retried after every event
         case Wake::Kind::ProbeTimeout:
         case Wake::Kind::Hold:
         case Wake::Kind::Deadline:
@@ -110,7 +109,7 @@
     }
   }
 
-  /// Events of a request, or of a probe that one waits for.
+  /// Events of a request, or of a probe that a request waits for.
   template <class RequestEvent>
   void on(const RequestEvent& event, const EventContext& context) {
     lifecycle_.on(event, context);
@@ -122,7 +121,7 @@
   internal::DiscoveryPolling discovery_{decisions_.settings};
   internal::RequestLifecycle lifecycle_{decisions_};
   Micros now_;
-  bool hasReceivedList_ = false;  // a list has come
+  bool hasReceivedList_ = false;  // the first endpoint list has been received
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed, Micros now)
--- a/src/balancer/bounded_settings.cpp
+++ b/src/balancer/bounded_settings.cpp
@@ -9,8 +9,8 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-constexpr double kMaxObjectiveStretch = 1e6;  // far above any sensible setting
-// An endpoint that is warming up and could do nothing at all would never earn a credit.
+constexpr double kMaxObjectiveStretch = 1e6;  // far above any useful value
+// With a start capacity of 0, an endpoint that is warming up would never earn a credit.
 constexpr double kMinStartCapacity = 0.01;
 
 }  // namespace
--- a/src/balancer/bounded_settings.h
+++ b/src/balancer/bounded_settings.h
@@ -6,7 +6,7 @@
 
 namespace ivypost::balancer::internal {
 
-/// The settings with contradictory or extreme figures brought into range.
+/// The settings with inconsistent or extreme values brought into range.
 /// @throws std::invalid_argument for settings without classes or with this sidecar's zone out of range
 [[nodiscard]] Settings boundedSettings(Settings settings);
 
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -11,19 +11,20 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Of few sidecars. A limit starts low, since all sidecars start at once, and rises by one for each limit's
-// worth of timely answers.
+// In a fleet of few sidecars. A limit starts low, since all sidecars may start at once, and rises by one for
+// every `limit` timely answers.
 constexpr double kStartLimit = 1;
 constexpr double kMinLimit = 0.1;
 constexpr double kMaxLimit = 1e6;
-// Endpoints below the mean size get up to so many times longer before an answer is slow.
+// Factor by which the slowness threshold is at most raised for endpoints below the mean size.
 constexpr double kMaxSlowStretch = 2;
 
 }  // namespace
 
-// A limit settles at about the root of its growth, and those of all sidecars add up, so for more than a few
-// of them growth falls with the square of their number. Limits bind only sidecars that have load information,
-// and of these there can only be so many.
+// A limit settles at about the square root of its growth, and the limits of all sidecars add up, so in a
+// fleet of more than a few sidecars the growth falls with the square of their number. Limits are enforced
+// only by sidecars with load information, and the number of these is bounded: each has on average at least
+// kMinInFlightPerEndpoint requests in flight at an endpoint.
 ConcurrencyLimit::ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints)
     : settings_(settings), endpoints_(endpoints) {
   const double fleetFactor =
@@ -37,7 +38,8 @@
   const bool answered = attempt.outcome == Outcome::Ok || attempt.outcome == Outcome::Error;
   if (!answered && attempt.outcome != Outcome::Full && attempt.outcome != Outcome::Timeout) return;
   if (answered && !isSlow(endpoint, request, attempt.latency)) {
-    // Guards against limits that grow in quiet times and let the next burst overload everybody.
+    // A limit grows only while it is nearly used up. Otherwise it would grow in quiet times and let the next
+    // burst overload all endpoints.
     if (endpoint.inFlight + 2 > endpoint.limit)
       endpoint.limit = std::min(kMaxLimit, endpoint.limit + std::min(1.0, limitGrowth_ / endpoint.limit));
   } else if (answered && endpoint.cpuShare && *endpoint.cpuShare < kOverloadCpuThreshold) {
@@ -47,18 +49,19 @@
     endpoint.limitCutAt = context.now;
   }
   if (endpoint.limit < 1 && !context.lacksLoadInformation) {
-    // Guards against overload by many sidecars at once, when one attempt from each is already too much.
+    // When one attempt from each sidecar is already too much, a limit below one is enforced by a backoff
+    // between attempts.
     const auto duration = static_cast<double>(std::max(attempt.latency, settings_.resolution));
     backOff(endpoint, std::min(duration * (1 / endpoint.limit - 1), 1.0 * kBaseEjection), context);
   }
 }
 
-// Half of what is allowed scales with the request's hint of work.
+// Half of the threshold scales with the request's hint of work.
 bool ConcurrencyLimit::isSlow(const Endpoint& endpoint, const Request& request, Micros latency) const {
   const double stretch = std::clamp(endpoints_.meanSize() / endpoint.size, 1.0, kMaxSlowStretch);
   const double threshold = kSlowFraction * static_cast<double>(request.latencyObjective) * stretch *
                            (1 + request.relativeWork) / 2;
-  // As numbers without a bound: before the first answer the least latency is the largest time there is.
+  // Subtracted as doubles, which can't overflow: before the first answer minLatency is the largest Micros.
   return static_cast<double>(latency) - static_cast<double>(endpoint.minLatency) > threshold;
 }
 
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -9,28 +9,29 @@
 
 namespace ivypost::balancer::internal {
 
-/// A limit falls by this factor, once a round trip, at a rejection, a time-out or a slow answer.
+/// A rejection, a time-out or a slow answer multiplies a limit by this factor, at most once per round trip.
 constexpr double kLimitBackoff = 0.7;
 
-/// An attempt that has its outcome. Times are microseconds.
+/// A finished attempt. Times are microseconds.
 struct FinishedAttempt {
-  Micros sentAt = 0;              ///< does not cut a limit again that was cut after this
-  Micros latency = 0;             ///< from its sending to the outcome, less what the client's own pace took
-  Outcome outcome = Outcome::Ok;  ///< as the caller reported it; decides whether the limit grows or falls
+  Micros sentAt = 0;              ///< a limit that was cut later than this is not cut again
+  Micros latency = 0;             ///< from the Send to the outcome, without AttemptOutcome::clientLimitedTime
+  Outcome outcome = Outcome::Ok;  ///< as reported by the caller; decides whether the limit grows or falls
 };
 
-/// How many attempts of this sidecar an endpoint may have in flight. Guards against overload: each sidecar
-/// sees only its own part of an endpoint's queue, but rejections and slow answers reach them all, and
-/// all give way (additive increase, multiplicative decrease).
+/// Limits this sidecar's attempts in flight at each endpoint, to prevent overload. Each sidecar sees only its
+/// own part of an endpoint's queue, but rejections and slow answers reach all sidecars, and all reduce their
+/// limits (additive increase, multiplicative decrease).
 class ConcurrencyLimit {
  public:
-  /// Both must outlive it.
+  /// Both arguments must outlive the object.
   ConcurrencyLimit(const Settings& settings, const EndpointRegistry& endpoints);
 
-  /// Of an endpoint just named, in attempts; above 0, at most 1: all sidecars start at once.
+  /// Limit of an endpoint that has just been listed, in attempts; above 0 and at most 1, since all sidecars
+  /// may start at once.
   [[nodiscard]] double startLimit() const { return startLimit_; }
 
-  /// Takes an outcome into the endpoint's limit. A limit under one is kept by backoff.
+  /// Updates the endpoint's limit by an outcome. A limit below one is enforced by a backoff.
   void adjust(Endpoint& endpoint, const Request& request, const FinishedAttempt& attempt,
               const EventContext& context) const;
 
@@ -40,7 +41,7 @@
   const Settings& settings_;
   const EndpointRegistry& endpoints_;
   double startLimit_ = 1;
-  double limitGrowth_ = 1;  // for each limit's worth of timely answers
+  double limitGrowth_ = 1;  // added for every `limit` timely answers
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/connection_subset.cpp
+++ b/src/balancer/connection_subset.cpp
@@ -8,15 +8,16 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// The subset has as many as the sidecar uses so often in the time that an idle connection is kept, so many at
-// least, so many a request out at most.
+// The subset has as many endpoints as the sidecar can send to kUsesPerConnection times each within the time
+// that an idle connection is kept; at least kMinSubsetSize, and at most kSubsetSizePerInFlight for each
+// request that is usually in flight.
 constexpr double kUsesPerConnection = 4;
 constexpr double kMinSubsetSize = 4;
 constexpr double kSubsetSizePerInFlight = 4;
 
 }  // namespace
 
-// How many endpoints are worth a connection kept.
+// The number of endpoints to which connections should be kept.
 double ConnectionSubset::targetSize(Micros now) const {
   const double byUse = sendRate_.sendsInIdleTime(now) / kUsesPerConnection;
   const double inFlight = sendRate_.typicalInFlight(latency_.baselineLatency(), now);
@@ -31,7 +32,7 @@
   return endpoint.connections > 0 && static_cast<double>(now - endpoint.lastOutcomeAt) < sendRate_.idleTime();
 }
 
-// Whether a send finds a free stream on an open connection; where nothing is known of them it does.
+// Whether a send finds a free stream on an open connection; true if the connections' limits are unknown.
 bool ConnectionSubset::canReuseConnection(const Endpoint& endpoint, Micros now) const {
   if (settings_.idleTimeout <= 0 || settings_.maxStreamsPerConnection == 0) return true;
   return isConnected(endpoint, now) &&
@@ -40,7 +41,8 @@
 
 bool ConnectionSubset::connect(Endpoint& endpoint, Micros now) const {
   const bool needsConnection = !canReuseConnection(endpoint, now);
-  if (needsConnection && endpoint.inFlight == 0) endpoint.connections = 0;  // what was open has idled out
+  if (needsConnection && endpoint.inFlight == 0)
+    endpoint.connections = 0;  // open connections have closed by their idle time-out
   return needsConnection;
 }
 
@@ -48,7 +50,7 @@
   if (settings_.idleTimeout > 0 && freeSlots(now) >= 1) endpoint.isInSubset = true;
 }
 
-// Guards against what died with all its connections: a reset, or the second failed connect in a row.
+// A reset, or the second failed connect in a row, is taken as the loss of all connections to the endpoint.
 void ConnectionSubset::learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome) {
   const bool failed = outcome == Outcome::ConnectFailed;
   if (outcome == Outcome::Reset || (failed && endpoint.hasConnectFailed)) endpoint.connections = 0;
@@ -59,7 +61,7 @@
   if (!failed) ++endpoint.connections;
 }
 
-// How many more the subset takes.
+// How many more endpoints fit into the subset; below 0 when it has too many.
 double ConnectionSubset::freeSlots(Micros now) const {
   const auto& listed = endpoints_.listed();
   return targetSize(now) -
--- a/src/balancer/connection_subset.h
+++ b/src/balancer/connection_subset.h
@@ -11,41 +11,44 @@
 
 namespace ivypost::balancer::internal {
 
-/// Which endpoints this sidecar keeps connections to. One with little traffic keeps them to a
-/// subset; connections to other endpoints, and to those that drain, are closed.
+/// Chooses the endpoints to which this sidecar keeps connections open. A sidecar with little traffic keeps
+/// them to a subset; connections to other endpoints, and to draining ones, are closed.
 ///
-/// Where nothing is known of connections (Settings::idleTimeout 0) there is no subset and only drains close.
+/// If the idle time-out is unknown (Settings::idleTimeout 0) there is no subset, and connections are closed
+/// only to draining endpoints.
 class ConnectionSubset {
  public:
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   ConnectionSubset(const Settings& settings, EndpointRegistry& endpoints, const SendRate& sendRate,
                    const LatencyStatistics& latency)
       : settings_(settings), endpoints_(endpoints), sendRate_(sendRate), latency_(latency) {}
 
-  /// Whether traffic is too little to use every endpoint's connection: the subset is smaller than the list.
+  /// Whether there is too little traffic to use a connection to every endpoint, so that the subset is smaller
+  /// than the list.
   [[nodiscard]] bool isPartial(Micros now) const;
-  /// Whether a connection to it stands open, as far as attempts have shown.
+  /// Whether a connection to the endpoint is open, as far as the outcomes of attempts show.
   [[nodiscard]] bool isConnected(const Endpoint& endpoint, Micros now) const;
 
-  /// An attempt is about to be sent, not yet in flight.
-  /// @return whether it needs a new connection; where nothing is known of them it does not
+  /// To be called before an attempt is sent and counted as in flight.
+  /// @return whether it needs a new connection; false if the connections' limits are unknown
   bool connect(Endpoint& endpoint, Micros now) const;
-  /// An attempt was sent: the endpoint joins the subset while it has free slots.
+  /// To be called when an attempt was sent: the endpoint joins the subset if that has free slots.
   void join(Endpoint& endpoint, Micros now) const;
-  /// Learns from the outcome of an attempt which connections are open.
+  /// Updates the number of open connections by the outcome of an attempt.
   static void learnConnection(Endpoint& endpoint, const Attempt& attempt, Outcome outcome);
-  /// An endpoint that did not answer well, after `latency` microseconds, leaves the subset.
+  /// Removes the endpoint from the subset if its outcome after `latency` microseconds is no success or far
+  /// slower than usual, if it is not listed any more, or if the subset is too large.
   void leaveIfUnfit(Endpoint& endpoint, const Request& request, Outcome outcome, Micros latency,
                     Micros now) const;
 
-  /// Guards against connections that many sidecars with little traffic keep open to no use: they fill the
-  /// endpoints' tables. One that will idle out before its next use is closed at once.
+  /// Closes connections that would reach their idle time-out before their next use. Many sidecars with little
+  /// traffic would otherwise fill the endpoints' connection tables with unused connections.
   void closeUnused(EndpointId id, const EventContext& context) const;
-  /// Guards against idle connections that hold up a drain: they are closed at the notice, at each outcome
-  /// there, and once more shortly before the time is up (Settings::closeDrainingWithin): some become idle
-  /// without an outcome.
+  /// Closes idle connections to a draining endpoint, so that they don't delay its drain: when the drain is
+  /// announced, at each outcome there, and once more shortly before Settings::closeDrainingWithin has passed,
+  /// since some become idle without an outcome.
   void closeDraining(EndpointId id, const EventContext& context) const;
-  /// That time is nearly up.
+  /// To be called when Settings::closeDrainingWithin has nearly passed.
   void closeDrainingAgain(EndpointId id, const EventContext& context) const;
 
  private:
--- a/src/balancer/deadline.h
+++ b/src/balancer/deadline.h
@@ -11,34 +11,34 @@
 
 namespace ivypost::balancer::internal {
 
-/// A moment at which the balancer has something to do without an event from outside.
+/// A time at which the balancer has to act without an external event.
 struct Wake {
-  /// Which part of the balancer acts at the moment, and on what.
+  /// What is due at that time.
   enum class Kind {
     Deadline,       ///< a request's deadline passes
-    Hold,           ///< a request is no longer worth holding
-    ProbeTimeout,   ///< the answer of a health check is overdue
-    Ready,          ///< an endpoint may be ready again: held requests are served after every event
-    Discovery,      ///< the endpoint list is asked for
-    CloseDraining,  ///< connections to a draining endpoint are closed once more
+    Hold,           ///< the end of a request's hold: it could no longer be served in time
+    ProbeTimeout,   ///< the result of a probe is overdue
+    Ready,          ///< an endpoint may be ready again; held requests are retried after every event
+    Discovery,      ///< discovery is polled
+    CloseDraining,  ///< idle connections to a draining endpoint are closed again
   };
-  Micros at = 0;               ///< microseconds by the clock of the events; due from then on
-  RequestId request = 0;       ///< or the endpoint's id, for CloseDraining; 0 where there is none
-  Kind kind = Kind::Deadline;  ///< set by the part that pushed it
-  /// Orders by time alone, so that a heap with std::greater has the earliest on top.
+  Micros at = 0;               ///< due from this time on, in microseconds by the clock of the events
+  RequestId request = 0;       ///< the endpoint's id for CloseDraining; 0 for kinds without a request
+  Kind kind = Kind::Deadline;  ///< selects the component that handles it
+  /// Compares by time only, so that a heap with std::greater has the earliest on top.
   bool operator>(const Wake& other) const { return at > other.at; }
 };
 
-/// All deadlines of the balancer, and the one timer that the caller keeps for them.
+/// All deadlines of the balancer, and the state of the caller's single timer.
 ///
-/// Its size is bounded by the requests and endpoints that wait: each pushes a constant number of them for
-/// each event that concerns it, and all are taken off as they fall due.
+/// The size is bounded by the requests and endpoints that wait: each event adds a constant number of
+/// deadlines for each request or endpoint that it concerns, and deadlines are removed when they are due.
 class Deadlines {
  public:
-  /// Adds a deadline. One that is no longer needed can't be removed: its owner ignores it when it falls due.
+  /// Adds a deadline. It can't be removed before it is due; an owner that no longer needs it ignores it then.
   void push(const Wake& wake) { wakes_.push(wake); }
 
-  /// Takes off the earliest deadline that has passed; none if there is no such.
+  /// Removes and returns the earliest deadline if it is due; none otherwise.
   std::optional<Wake> popDue(Micros now) {
     if (wakes_.empty() || wakes_.top().at > now) return std::nullopt;
     const Wake wake = wakes_.top();
@@ -46,12 +46,12 @@
     return wake;
   }
 
-  /// The caller's timer has fired; one that fires early stays armed.
+  /// To be called when the caller's timer has fired; after one that fires early the timer stays armed.
   void timerFired(Micros now) {
     if (armedFor_ <= now) armedFor_ = 0;
   }
 
-  /// The timer to set, at least a microsecond ahead; none if the one that is set comes early enough.
+  /// The timer to set, at least one microsecond ahead; none if the armed timer fires early enough.
   std::optional<SetTimer> arm(Micros now) {
     if (wakes_.empty() || (armedFor_ != 0 && armedFor_ <= wakes_.top().at)) return std::nullopt;
     armedFor_ = std::max(wakes_.top().at, now + 1);
@@ -60,7 +60,7 @@
 
  private:
   std::priority_queue<Wake, std::vector<Wake>, std::greater<>> wakes_;
-  Micros armedFor_ = 0;  // 0: no timer is out
+  Micros armedFor_ = 0;  // when the caller's timer fires; 0: not armed
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/decay.h
+++ b/src/balancer/decay.h
@@ -8,8 +8,8 @@
 
 namespace ivypost::balancer::internal {
 
-/// The part that a memory of `memory` microseconds keeps at `now` of what was learned at `at`: 1 at once, 1/e
-/// after `memory`.
+/// Exponential decay with the time constant `memory`, in microseconds: the fraction of a value recorded at
+/// `at` that is retained at `now`; 1 at once, 1/e after `memory`.
 [[nodiscard]] inline double retainedFraction(Micros at, double memory, Micros now) {
   return std::exp(-static_cast<double>(now - at) / memory);
 }
--- a/src/balancer/decisions.h
+++ b/src/balancer/decisions.h
@@ -23,53 +23,53 @@
 
 namespace ivypost::balancer::internal {
 
-/// The parts that decide, each with what it depends on: a part uses only those above it.
+/// The components that decide. Each depends only on those that are declared above it.
 struct Decisions {
   /// @throws std::invalid_argument as boundedSettings()
   Decisions(const Settings& given, Micros startedAt)
       : settings(boundedSettings(given)), sendRate(settings, startedAt) {}
-  // The parts refer to each other.
+  // Not copyable or movable: the components refer to each other.
   Decisions(const Decisions&) = delete;
   Decisions& operator=(const Decisions&) = delete;
   Decisions(Decisions&&) = delete;
   Decisions& operator=(Decisions&&) = delete;
   ~Decisions() = default;
 
-  /// What the caller gave, brought into range by boundedSettings(); fixed for the balancer's life.
+  /// The caller's settings, brought into range by boundedSettings(); fixed for the balancer's lifetime.
   const Settings settings;
-  /// The last such event, with its part of the usual probes in 0 to 1; full service before the first.
+  /// The last ReducedService, with probeFraction brought into 0 to 1; no restriction before the first.
   ReducedService reducedService;
-  /// What is known of each endpoint; the other parts keep their figures of an endpoint in it.
+  /// The state of each endpoint; the other components keep their per-endpoint state in it.
   EndpointRegistry endpoints;
-  /// Counts each attempt that is sent, for the usual number in flight and the size of the subset.
+  /// The rate of sent attempts, from which the usual number in flight and the subset's size follow.
   SendRate sendRate;
-  /// Learns from good answers; gives other parts the time scale.
+  /// Typical latencies, from successful answers; the other components scale their times by them.
   LatencyStatistics latency{settings.classes.size()};
   /// Makes a Request of each NewRequest: its work, latency objective and deadline.
   RequestEstimates estimates{settings};
-  /// Limits attempts to endpoints that are warming up by their credit.
+  /// Limits attempts to endpoints that are warming up, by credits.
   SlowStart slowStart{settings};
-  /// Permits or forbids each attempt, rejection and failure; no other part overrules it.
+  /// Permits or forbids each attempt, rejection and failure; no other component overrides it.
   RetryPolicy retryPolicy{settings, slowStart};
   /// Weighs requests against each other when not all can be served.
   Priority priority{settings, latency};
-  /// Whether an endpoint may get an attempt now, by the state that all parts have set.
+  /// Whether an endpoint may get an attempt now, by the state that all components have set.
   EndpointReadiness readiness{slowStart, latency};
-  /// Learns load from what endpoints report with answers or probes.
+  /// Estimates load from the reports in answers or probe results.
   LoadReports loadReports{settings, latency};
   /// Bounds this sidecar's attempts in flight at each endpoint.
   ConcurrencyLimit concurrencyLimit{settings, endpoints};
-  /// Bounds this sidecar's attempts in flight at all endpoints when load information is lacking.
+  /// Bounds this sidecar's attempts in flight over all endpoints while it lacks load information.
   SidecarLimit sidecarLimit{endpoints, readiness, latency, sendRate, priority};
-  /// Ejects endpoints that fail, and lets them back by trial attempts.
+  /// Ejects failing endpoints and readmits them by trial attempts.
   OutlierDetection outlierDetection{settings, endpoints, readiness, latency};
-  /// To which endpoints a connection is kept open.
+  /// Chooses the endpoints to which connections are kept open.
   ConnectionSubset subset{settings, endpoints, sendRate, latency};
-  /// Probes a picked endpoint before the request is sent, where the settings allow it.
+  /// Probes the picked endpoint before the request is sent, if the settings allow it.
   HealthCheck healthCheck{settings, endpoints, loadReports, priority};
-  /// Holds requests that no endpoint is ready for, and advises rejected clients when to retry.
+  /// Holds requests for which no endpoint is ready, and computes when rejected clients should retry.
   LoadShedding loadShedding{settings, priority, latency, sidecarLimit};
-  /// Picks the endpoint of each attempt among those that the other parts leave.
+  /// Picks the endpoint of each attempt among those that the other components permit.
   EndpointSelection selection{settings, endpoints, slowStart, readiness, retryPolicy, loadReports, subset};
 };
 
--- a/src/balancer/discovery_polling.cpp
+++ b/src/balancer/discovery_polling.cpp
@@ -8,15 +8,17 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// At their start all sidecars ask discovery by their numbers, one in this time (microseconds), but all within
-// this part of pollWithin. Failed calls back off from these parts of pollWithin or that spread, up to these.
+// At the start, sidecars poll discovery in the order of their indices, kFleetCallGap microseconds apart, but
+// all within kDiscoverySpread of pollWithin. The backoff after failed calls starts at kDiscoveryRetry of
+// pollWithin or kSpreadRetry of the start's spread and grows to kDiscoveryLongest and kSpreadLongest of them;
+// the larger of both counts.
 constexpr double kFleetCallGap = 35'000;
 constexpr double kDiscoverySpread = 0.5;
 constexpr double kDiscoveryRetry = 1.0 / 32;
 constexpr double kSpreadRetry = 0.25;
 constexpr double kDiscoveryLongest = 0.25;
 constexpr double kSpreadLongest = 1.5;
-// pollWithin counts for at least so many steps of the clock.
+// The backoff takes pollWithin for at least this multiple of Settings::resolution.
 constexpr Micros kMinSteps = 32;
 
 }  // namespace
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -8,20 +8,20 @@
 
 namespace ivypost::balancer::internal {
 
-/// When discovery is asked for the endpoint list: at the start, and again after calls that failed,
-/// spread so that a fleet which starts or loses discovery together does not ask together.
+/// Decides when discovery is polled for the endpoint list: at the start, and again after failed calls. The
+/// polls are spread in time, so that a fleet that starts or loses discovery at once doesn't poll at once.
 class DiscoveryPolling {
  public:
-  /// `settings` must outlive it.
+  /// `settings` must outlive the object.
   explicit DiscoveryPolling(const Settings& settings) : settings_(settings) {}
 
-  /// The sidecar has its saved list, which may be stale.
+  /// To be called when the saved list was received, which may be stale: schedules the first poll.
   void start(const EventContext& context);
-  /// A call failed: the next one comes after a backoff with decorrelated jitter.
+  /// To be called when a call failed: schedules the next one after a backoff with decorrelated jitter.
   void callFailed(const EventContext& context);
-  /// A list has come.
+  /// To be called when a list was received: resets the backoff.
   void listReceived(const EventContext& context);
-  /// Asks now: Subscribe where changes come only so (Settings::mustSubscribe), else Fetch.
+  /// Polls now: by Subscribe if changes arrive only that way (Settings::mustSubscribe), else by Fetch.
   void poll(const EventContext& context) const;
 
  private:
--- a/src/balancer/endpoint_backoff.h
+++ b/src/balancer/endpoint_backoff.h
@@ -8,19 +8,21 @@
 
 namespace ivypost::balancer::internal {
 
-/// The first ejection of an endpoint lasts this long, in microseconds, each further one twice as long, up to
-/// so many doublings. No other backoff of an endpoint lasts longer than the first. A second is long against a
-/// service time and short against a client's patience.
+/// Duration of an endpoint's first ejection, in microseconds; each further one in a row lasts twice as long,
+/// up to kMaxEjectionDoublings. No other backoff of an endpoint lasts longer than the first ejection. A
+/// second is long compared with a service time and short compared with a client's deadline.
 constexpr Micros kBaseEjection = 1'000'000;
-/// Bounds the ejections of an endpoint that fails every trial: 2^3, so 8 seconds, at the most.
+/// Bounds the ejections of an endpoint that fails every trial to 2^3 times the first, so 8 seconds.
 constexpr int kMaxEjectionDoublings = 3;
 
-/// Leaves the endpoint alone for `span` microseconds from now, or longer if it is in backoff already.
+/// Keeps the endpoint in backoff for `span` microseconds from now, or until a running backoff ends if that is
+/// later.
 void backOff(Endpoint& endpoint, double span, const EventContext& context);
 
-/// Guards against an endpoint whose quick rejections or failed connects keep its count lowest. It
-/// is left alone for about one service time (microseconds), twice as long at each further rejection in a row,
-/// jittered by half either way. `resolution` is the shortest span that means anything.
+/// Backs off after a rejection or a failed connect. Without it, an endpoint that fails quickly would always
+/// have the fewest attempts in flight and attract the traffic. The backoff lasts one `serviceTime`
+/// (microseconds), doubles at each further rejection in a row, and is jittered by half either way.
+/// `resolution` is the lower bound of `serviceTime`.
 void backOffExponentially(Endpoint& endpoint, Micros serviceTime, Micros resolution,
                           const EventContext& context);
 
--- a/src/balancer/endpoint_registry.cpp
+++ b/src/balancer/endpoint_registry.cpp
@@ -7,7 +7,7 @@
                                                 RandomSource& random) {
   std::vector<EndpointId> before = listed_;
   if (update.kind != MembershipUpdate::Kind::Changes) {
-    // Whoever is missing from a full list is gone.
+    // Endpoints missing from a full list are gone.
     for (const EndpointId id : listed_) endpoints_[id].isListed = false;
     listed_.clear();
   }
@@ -25,7 +25,7 @@
   const bool restarted = entry.launchedAt != endpoint.launchedAt || entry.identity != endpoint.identity;
   if (!endpoint.isKnown || restarted) {
     const std::uint32_t inFlight = endpoint.inFlight;
-    endpoint = Endpoint{};  // a restarted process, or another one, has no history
+    endpoint = Endpoint{};  // a restarted or different process has no history
     endpoint.inFlight = inFlight;
     endpoint.launchedAt = entry.launchedAt;
     endpoint.identity = entry.identity;
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -8,21 +8,22 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Odds of an endpoint that is warming up and has its credit, and of a trial that is this sidecar's turn,
-// against all warm ones together: its turn has come already.
+// Odds of an endpoint that is warming up and has a credit, or that this sidecar has to try after an ejection,
+// relative to all warm endpoints together. High, since the credit or trial has already been granted.
 constexpr double kWarmingOdds = 0.125;
-// Where crossing zones has a price, an endpoint in another zone is drawn at this part of its odds.
+// If attempts in another zone have a cost, the odds of endpoints there are multiplied by this factor.
 constexpr double kCrossZoneOdds = 0.25;
-// All endpoints outside the subset together keep this share of the draws, so that better ones are found.
+// All endpoints outside the subset together keep this share of the draws, so that better ones can be found.
 constexpr double kOutsideSubsetShare = 0.02;
 
-// How well an endpoint suits a request, around one, within kMaxBias either way. It follows the size against
-// the mean: at zero counts the draw decides alone, and a uniform draw without load information overloads the
-// small. Heavy requests (`exponent`: the root of their relative work) bend it further and light ones less: on
-// a slow endpoint the heavy cannot be in time. Bounded, so that no endpoint is left out.
+// The draw weight of an endpoint for a request: 1 on average, within a factor of kMaxBias. It is proportional
+// to the endpoint's size: while all in-flight counts are zero the draw alone decides, and a uniform draw
+// would overload small endpoints. `exponent` (the square root of the request's relative work) strengthens the
+// preference for heavy requests, which a slow endpoint can't serve in time, and weakens it for light ones. It
+// is bounded so that every endpoint can be drawn.
 double suitability(const Endpoint& endpoint, double meanSize, double exponent, Micros now) {
   const double speed = endpoint.size / meanSize / std::sqrt(slowness(endpoint, now));
-  // Most requests have no hint of their work, and a power of one costs as much as any.
+  // Most requests have no hint of their work; std::pow with an exponent of 1 costs as much as any other.
   const double odds = exponent == 1 ? speed : std::pow(speed, exponent);
   return std::clamp(odds, 1 / kMaxBias, kMaxBias);
 }
@@ -35,12 +36,12 @@
   if (!allowed.maySend) return eligible_;
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    // A ready one is listed and has its credit: of the rules only the repeat group is left.
+    // A ready endpoint is listed and has its credit, so only the retry group remains to be checked.
     if (readiness_.isReady(endpoint, now) && retryPolicy_.isInGroup(id, endpoint, request, allowed))
       eligible_.push_back(id);
   }
   if (request.attempts.empty()) return eligible_;
-  // A repeat goes to an endpoint that this request has not met, as long as there is one.
+  // A retry goes to an endpoint that this request has not been sent to, if there is one.
   const auto met = [&](EndpointId id) {
     return std::any_of(request.attempts.begin(), request.attempts.end(),
                        [id](const Attempt& attempt) { return attempt.endpoint == id; });
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -17,12 +17,12 @@
 
 namespace ivypost::balancer::internal {
 
-/// Which endpoint an attempt goes to: one random draw against one remembered endpoint, compared by this
-/// sidecar's own requests in flight. The remembered one wins only when it is strictly lighter; the memory
-/// moves to the draw only when that is strictly lighter or nothing is remembered (docs/DESIGN-ivypost.md).
+/// Picks the endpoint of an attempt: the less loaded of one randomly drawn and one remembered endpoint, by
+/// this sidecar's own attempts in flight. The remembered endpoint is picked only if it has strictly fewer;
+/// the drawn one is remembered only if it has strictly fewer or none is remembered (docs/DESIGN-ivypost.md).
 class EndpointSelection {
  public:
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   EndpointSelection(const Settings& settings, const EndpointRegistry& endpoints, const SlowStart& slowStart,
                     const EndpointReadiness& readiness, const RetryPolicy& retryPolicy,
                     const LoadReports& loadReports, const ConnectionSubset& subset)
@@ -34,15 +34,16 @@
         loadReports_(loadReports),
         subset_(subset) {}
 
-  /// The ready endpoints that the rules allow the request; those it has not met, as long as there is one.
+  /// The ready endpoints that the rules permit for the request; only those that it has not been sent to, if
+  /// there are any.
   /// @return a list that is valid until the next call of eligible() or lastResort()
   const std::vector<EndpointId>& eligible(const Request& request, const Permission& allowed, Micros now);
 
-  /// Ejected endpoints that answer at all, are free, and that the rules allow the request.
+  /// Ejected endpoints that still answer, have no attempt in flight, and are permitted by the rules.
   /// @return as eligible()
   const std::vector<EndpointId>& lastResort(const Request& request, const Permission& allowed, Micros now);
 
-  /// One of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
+  /// Picks one of `eligible`, which must not be empty, for an ordinary attempt. Draws one random number.
   EndpointId pick(const std::vector<EndpointId>& eligible, const Request& request,
                   const EventContext& context);
 
@@ -50,14 +51,14 @@
   [[nodiscard]] std::optional<EndpointId> remembered() const {
     return remembered_ == kNoEndpoint ? std::nullopt : std::optional<EndpointId>(remembered_);
   }
-  /// The list has changed: one that left it is remembered no more.
+  /// To be called when the list has changed: forgets a remembered endpoint that is no longer listed.
   void forgetUnlisted() {
     if (remembered_ != kNoEndpoint && !endpoints_[remembered_].isListed) remembered_ = kNoEndpoint;
   }
 
  private:
-  /// Guards against an own zone that has more traffic than it can carry: the less CPU its endpoints report
-  /// spare, the less it is preferred.
+  /// The preference for the own zone falls with the idle CPU that its endpoints report, so that a zone with
+  /// more traffic than capacity is not overloaded.
   [[nodiscard]] double zoneOdds(const Endpoint& endpoint) const {
     return settings_.crossZoneCost <= 0 || endpoint.zone == settings_.zone ? 1 : crossZoneOdds();
   }
@@ -72,9 +73,9 @@
   const RetryPolicy& retryPolicy_;
   const LoadReports& loadReports_;
   const ConnectionSubset& subset_;
-  EndpointId remembered_ = kNoEndpoint;  // the remembered endpoint
+  EndpointId remembered_ = kNoEndpoint;
   std::vector<EndpointId> eligible_;
-  std::vector<double> odds_;  // running sums, for the draw
+  std::vector<double> odds_;  // cumulative odds, for the draw
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/event_context.h
+++ b/src/balancer/event_context.h
@@ -11,17 +11,15 @@
 
 namespace ivypost::balancer::internal {
 
-/// What every decision about one event shares. No part of the module has a clock or random numbers of its
-/// own.
+/// The state shared by all decisions about one event. No component has its own clock or random numbers.
 struct EventContext {
-  Micros now;                 ///< the time of the event, in microseconds
-  bool lacksLoadInformation;  ///< own requests in flight tell nothing of the endpoints' load
-  std::vector<Action>&
-      actions;           ///< the caller's buffer; actions are appended in the order they are to be done
-  RandomSource& random;  ///< the balancer's only one; the order of the draws is part of its behaviour
-  Deadlines& deadlines;  ///< where a part asks to be called again at a later time
+  Micros now;                    ///< the time of the event, in microseconds
+  bool lacksLoadInformation;     ///< own requests in flight don't indicate the endpoints' load
+  std::vector<Action>& actions;  ///< the caller's buffer; actions are appended in the order of execution
+  RandomSource& random;          ///< the balancer's only source; the order of draws is part of its behaviour
+  Deadlines& deadlines;          ///< where a component schedules a later call
 
-  /// Appends an action, one of the alternatives of Action, behind those that the event has already led to.
+  /// Appends an action, one of the alternatives of Action, after those that the event has already caused.
   template <class T>
   void act(T action) const {
     actions.emplace_back(std::move(action));
--- a/src/balancer/health_check.cpp
+++ b/src/balancer/health_check.cpp
@@ -11,15 +11,15 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// So many probes a request at most, none beyond what costs this part of its weight, and one is given up after
-// so many times the usual time of a probe.
+// A request gets at most kMaxProbes probes, whose total cost is at most kMaxProbeCost of its weight. A probe
+// times out after kProbeTimeoutMultiple of the typical latency of probes.
 constexpr double kMaxProbeCost = 0.016;
 constexpr double kMaxProbes = 4;
 constexpr double kProbeTimeoutMultiple = 4;
-// A price below it counts as this much.
+// Lower costs are taken as this, to avoid a division by zero.
 constexpr double kMinCost = 1e-9;
 
-// Requests in hand for the endpoint's size; -1 where the result tells none.
+// Busy requests in proportion to the endpoint's size; -1 if the result does not report them.
 double busyRequestsForSize(const ProbeResult& event, const Endpoint& endpoint) {
   return event.report ? event.report->busyRequests.value_or(-1) / endpoint.size : -1;
 }
@@ -46,8 +46,8 @@
   return true;
 }
 
-// How long a probe of this endpoint is waited for, by the usual time of one into its zone: another data
-// centre is far. Before one was answered from there it is what a connection may take.
+// The time-out of a probe of this endpoint, by the typical latency of probes into its zone, since another
+// data centre may be far away. Before the first answer from that zone it is the connect time-out.
 Micros HealthCheck::probeTimeout(const Endpoint& endpoint) const {
   const double usual = probeLatency_[endpoint.zone];
   const auto timeout =
@@ -78,7 +78,7 @@
 HealthCheck::Verdict HealthCheck::judge(const ProbeResult& event, const Request& request) const {
   const Endpoint& endpoint = endpoints_[event.upstream];
   const double busyForSize = busyRequestsForSize(event, endpoint);
-  // One that has no figures yet is not overloaded for that: reports may be far between.
+  // An endpoint that has not reported yet does not count as overloaded: reports may be rare.
   if (event.ok && !endpoint.hasReported) return Verdict::HasCapacity;
   if (!event.ok || busyForSize < 0 || loadReports_.isOverloaded(request, endpoint, *event.report))
     return Verdict::Overloaded;
@@ -92,8 +92,9 @@
   return verdict == Verdict::BusierThanUsual && request.probes >= maxProbes(request, settings_.probeCost);
 }
 
-// Guards against rejecting for one overloaded endpoint a request whose other probes have met capacity. One
-// that is only busier than usual is left out of this request's other probes.
+// One overloaded endpoint must not cause a rejection while other endpoints have capacity, so overloaded
+// probes are counted. An endpoint that is only busier than usual is put in backoff for the time of the
+// request's other probes.
 bool HealthCheck::rejectPick(Request& request, Verdict verdict, double typicalLatency,
                              const EventContext& context) {
   Endpoint& endpoint = endpoints_[request.probedEndpoint];
@@ -106,8 +107,9 @@
   return request.overloadedProbes >= maxProbes(request, 0);
 }
 
-// The less a request weighs against the greatest weight, the fewer probes at this price. When as many as are
-// for nothing find overload, it gives way: fewer, where they are dear, prove nothing of the others.
+// The lower a request's relative weight, the fewer probes it gets at this cost. rejectPick() passes a cost of
+// 0: a request is given up only when as many probes as would be made at no cost have found overload, since
+// the fewer probes at a high cost say too little about the other endpoints.
 int HealthCheck::maxProbes(const Request& request, double cost) const {
   const double probes = std::min(kMaxProbes, kMaxProbeCost / std::max(kMinCost, cost));
   return std::max(1, static_cast<int>(std::ceil(std::floor(probes) * priority_.relativeWeight(request))));
--- a/src/balancer/health_check.h
+++ b/src/balancer/health_check.h
@@ -14,41 +14,43 @@
 
 namespace ivypost::balancer::internal {
 
-/// Probes the picked endpoint before a request is sent to it. Guards against picks without load information
-/// of many sidecars with little traffic each: own counts are nearly all zero and tell nothing of what the
-/// others send. The pick stands unless the endpoint proves not to be ready.
+/// Probes the picked endpoint before a request is sent to it. For many sidecars with little traffic each:
+/// their own in-flight counts are nearly all zero and don't show the load that the other sidecars cause. The
+/// pick is kept unless the probe shows that the endpoint is not ready.
 ///
-/// At most kMaxProbes probes a request, fewer the dearer they are and the less it weighs; every request
-/// waits for one at most.
+/// At most kMaxProbes probes for each request, fewer at a higher cost or a lower weight of the request; a
+/// request waits for at most one probe at a time.
 class HealthCheck {
  public:
-  /// Overloaded, if what is in hand takes it too long; busier, if it has more in hand for its size than those
-  /// probed before.
+  /// Overloaded: its busy requests would delay the request too long. BusierThanUsual: it has more busy
+  /// requests for its size than the endpoints probed before.
   enum class Verdict { HasCapacity, BusierThanUsual, Overloaded };
 
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   HealthCheck(const Settings& settings, EndpointRegistry& endpoints, LoadReports& loadReports,
               const Priority& priority);
 
-  /// Whether a request with a pick is preceded by a probe. Under reduced service one probe in so many,
-  /// evenly.
+  /// Whether to probe the picked endpoint before sending the request. Under reduced service only
+  /// ReducedService::probeFraction of the probes are made, at even intervals.
   bool shouldProbe(const Request& request, const ReducedService& reduced, const EventContext& context);
-  /// Asks for a probe of the endpoint; the request waits for it.
+  /// Requests a probe of the endpoint; the request waits for its result.
   void startProbe(RequestId id, Request& request, EndpointId to, const EventContext& context);
 
-  /// The requests that wait for a probe, in the order they began to.
+  /// The requests that wait for a probe, in the order in which they started to wait.
   [[nodiscard]] const std::vector<RequestId>& waiting() const { return waiting_; }
-  /// The request waits no more.
+  /// Ends the request's wait for a probe, if it waits.
   void stopWaiting(RequestId id) { std::erase(waiting_, id); }
 
-  /// A probe's result came, of an endpoint that the registry contains.
+  /// Updates the statistics by a probe result of an endpoint that the registry contains.
   void learn(const ProbeResult& event);
-  /// What the probe last learned from says of the endpoint for a request that waited for it.
+  /// The verdict on the endpoint for a request that waited for the probe; `event` must be the last one passed
+  /// to learn().
   [[nodiscard]] Verdict judge(const ProbeResult& event, const Request& request) const;
-  /// Whether the pick stands with this verdict, the endpoint being ready still.
+  /// Whether the pick is kept with this verdict, provided that the endpoint is still ready.
   [[nodiscard]] bool acceptsPick(const Request& request, Verdict verdict) const;
-  /// The pick does not stand: the endpoint is in backoff, `typicalLatency` microseconds if it is overloaded.
-  /// @return whether as many probes as cost nothing have found overload, so that the request gives way
+  /// Discards the pick and puts the endpoint in backoff, for `typicalLatency` microseconds if it is
+  /// overloaded.
+  /// @return whether so many probes found overload that the request should be rejected
   bool rejectPick(Request& request, Verdict verdict, double typicalLatency, const EventContext& context);
 
  private:
@@ -59,13 +61,12 @@
   EndpointRegistry& endpoints_;
   LoadReports& loadReports_;
   const Priority& priority_;
-  bool isEnabled_;                  // endpoints are probed before they are sent to
-  double probeCredit_ = 0;          // of one probe, under reduced service
-  std::vector<RequestId> waiting_;  // wait for a probe
-  std::vector<double>
-      probeLatency_;  // smoothed time of a probe, by zone, microseconds; 0: none was answered yet
-  double typicalBusyRequests_ = -1;  // smoothed, of requests in hand for the size, as reported; -1: unknown
-  double previousTypicalBusyRequests_ = -1;  // what it was before the last result
+  bool isEnabled_;                    // whether the settings permit probes and make them useful
+  double probeCredit_ = 0;            // fraction of a probe saved up under reduced service, up to 1
+  std::vector<RequestId> waiting_;    // requests that wait for a probe
+  std::vector<double> probeLatency_;  // smoothed latency of probes by zone, microseconds; 0: no answer yet
+  double typicalBusyRequests_ = -1;   // smoothed busy requests for the size, as reported; -1: unknown
+  double previousTypicalBusyRequests_ = -1;  // typicalBusyRequests_ before the last result
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/latency_statistics.cpp
+++ b/src/balancer/latency_statistics.cpp
@@ -8,13 +8,13 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Weight in the calm average of an answer that is longer than it: a busy minute hardly moves it.
+// Gain of the baseline latency when it rises: low, so that a busy minute hardly changes it.
 constexpr double kBaselineRiseGain = 0.003;
-// Weight of one answer in an endpoint's slowness.
+// Gain of one answer in an endpoint's slowness.
 constexpr double kSlownessGain = 0.1;
 
 void learnSlowness(Endpoint& endpoint, double ratio, Micros now) {
-  endpoint.logSlowness = std::log(slowness(endpoint, now));  // what is not forgotten yet
+  endpoint.logSlowness = std::log(slowness(endpoint, now));  // the part that has not decayed yet
   util::smooth(endpoint.logSlowness, std::log(std::clamp(ratio, 1 / kMaxBias, kMaxBias)), kSlownessGain);
   endpoint.slownessAt = now;
 }
--- a/src/balancer/latency_statistics.h
+++ b/src/balancer/latency_statistics.h
@@ -11,45 +11,45 @@
 
 namespace ivypost::balancer::internal {
 
-/// Weight of one sample in a smoothed figure that has many: about the last twenty count.
+/// Gain of an exponential average once it has many samples: about the last twenty count.
 constexpr double kLatencyGain = 0.05;
 
-/// Draw odds, and an endpoint's slowness, stay within this factor of the mean, either way.
+/// Draw odds and an endpoint's slowness stay within this factor of their mean, in both directions.
 constexpr double kMaxBias = 8;
 
-/// How long an endpoint's answer times are remembered, in microseconds: one that was slow once is tried
-/// again.
+/// Time constant with which an endpoint's slowness decays, in microseconds, so that an endpoint that was slow
+/// is tried again.
 constexpr double kSlownessMemory = 1e7;
 
-/// How an endpoint's answers have compared with the usual of their class, around 1.
+/// The endpoint's latency relative to the typical latency of the requests' classes; 1 is average.
 [[nodiscard]] inline double slowness(const Endpoint& endpoint, Micros now) {
-  if (endpoint.logSlowness == 0) return 1;  // nothing learned: most of a long list
+  if (endpoint.logSlowness == 0) return 1;  // no samples: most endpoints of a long list
   return std::exp(endpoint.logSlowness * retainedFraction(endpoint.slownessAt, kSlownessMemory, now));
 }
 
-/// Smoothed times to an answer, in microseconds, of good answers alone: over all, by class and by endpoint.
+/// Smoothed latencies of successful answers, in microseconds: overall, by class and by endpoint.
 class LatencyStatistics {
  public:
-  /// `classes`: how many request classes the settings have; a requestClass is less than that.
+  /// `classes`: the number of request classes in the settings; each requestClass is below it.
   explicit LatencyStatistics(std::size_t classes) : typicalLatency_(classes), classAnswers_(classes) {}
 
-  /// A good answer of the endpoint came after `latency` microseconds.
+  /// Records a successful answer of the endpoint after `latency` microseconds.
   void learn(Endpoint& endpoint, const Request& request, Micros latency, Micros now);
 
-  /// Of the class; 0 before its first answer.
+  /// Smoothed latency of the class; 0 before its first answer.
   [[nodiscard]] double typicalLatency(std::uint32_t requestClass) const {
     return typicalLatency_[requestClass];
   }
-  /// Over all classes; a second before the first answer.
+  /// Smoothed latency of all classes; a second before the first answer.
   [[nodiscard]] double overallLatency() const { return overallLatency_; }
-  /// A low, slow average of overallLatency(): what it is in calm times.
+  /// The latency under low load: an average of overallLatency() that falls quickly and rises slowly.
   [[nodiscard]] double baselineLatency() const { return baselineLatency_; }
-  /// How many answers it was learned from.
+  /// The number of recorded answers.
   [[nodiscard]] double answers() const { return answers_; }
 
  private:
   static constexpr double kInitialLatency =
-      1e6;  // microseconds: before anything is known patience does less harm
+      1e6;  // microseconds; before the first answer, too long a value does less harm than too short a one
 
   std::vector<double> typicalLatency_, classAnswers_;  // by class
   double overallLatency_ = kInitialLatency;
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -9,24 +9,24 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Overloaded is one with more in hand than it works on at once and so many times the root of that, for
-// chance.
+// An endpoint is overloaded when its busy requests exceed its parallelism by more than this multiple of the
+// parallelism's square root, which allows for random variation.
 constexpr double kQueueingTolerance = 1;
-// Weights of a report that tells of fewer, and of more, requests worked on at once than thought: CPU shares
-// trail, so reports tell of far too many while load rises.
+// Gains of a report of lower, and of higher, parallelism than estimated. The gain for higher values is
+// smaller: CPU shares lag behind, so while load rises reports show far too much parallelism.
 constexpr double kParallelismFallGain = 0.1;
 constexpr double kParallelismRiseGain = 0.02;
-// A CPU busier than this tells how many requests would fill it.
+// Above this CPU share, the parallelism can be extrapolated to a full CPU.
 constexpr double kInformativeCpu = 0.3;
-// Weight of one report in the own zone's CPU share.
+// Gain of one report in the own zone's CPU share.
 constexpr double kZoneCpuGain = 0.2;
 constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
 
-// An endpoint works on as many requests at once as it has in hand less those waiting; or as it would have in
-// hand if its CPU had nothing to spare; or, when it has none, as the time to an answer leaves of them against
-// that of calm times (Little's law).
+// Estimates an endpoint's parallelism, the number of requests that it processes at once: its busy requests
+// less the queued ones; or the busy requests extrapolated to a full CPU; or, if the CPU is already full, the
+// busy requests times the ratio of baseline to current latency (Little's law).
 void LoadReports::learn(Endpoint& endpoint, const LoadReport& report) {
   if (report.cpuShare) {
     endpoint.cpuShare = util::within(*report.cpuShare, 0, 1);
@@ -44,7 +44,7 @@
     parallelism = *report.busyRequests / *report.cpuShare;
   }
   parallelism /= endpoint.size;
-  if (!(parallelism > 0)) return;  // nothing, or not a number
+  if (!(parallelism > 0)) return;  // none, or NaN
   const double gain = parallelism < parallelism_ ? kParallelismFallGain : kParallelismRiseGain;
   util::smooth(parallelism_, parallelism, parallelism_ <= 0 ? 1 : gain);
 }
@@ -52,7 +52,7 @@
 bool LoadReports::isOverloaded(const Request& request, const Endpoint& endpoint,
                                const LoadReport& report) const {
   const double busy = *report.busyRequests;
-  // Little's law: what is in hand over what is served a second is the time that a request spends there.
+  // Little's law: busy requests divided by the requests served per second are the latency in seconds.
   if (report.servedPerSecond) {
     return busy >= 2 && busy * kMicrosPerSecond > *report.servedPerSecond * kSlowFraction *
                                                       static_cast<double>(request.latencyObjective);
--- a/src/balancer/load_reports.h
+++ b/src/balancer/load_reports.h
@@ -9,37 +9,37 @@
 
 namespace ivypost::balancer::internal {
 
-/// An answer is slow that took more than this part of its latency objective beyond the shortest from that
-/// endpoint: what is lost to queueing then begins to cost the objective.
+/// An answer is slow if it took longer than the endpoint's shortest one by more than this fraction of the
+/// latency objective: queueing then begins to endanger the objective.
 constexpr double kSlowFraction = 0.15;
 
-/// An endpoint that reports less of its CPU busy than this is not overloaded, however slow an answer was.
+/// An endpoint that reports a CPU share below this is not overloaded, however slow its answers are.
 constexpr double kOverloadCpuThreshold = 0.8;
 
-/// What endpoints report of their load, with answers or with probes.
+/// The load that endpoints report with answers or probe results.
 class LoadReports {
  public:
-  /// Both must outlive it.
+  /// Both arguments must outlive the object.
   LoadReports(const Settings& settings, const LatencyStatistics& latency)
       : settings_(settings), latency_(latency) {}
 
-  /// Takes a report of the endpoint, whether with an answer or a probe. Columns that it lacks change nothing;
+  /// Records a report of the endpoint from an answer or a probe result. Columns that it lacks change nothing;
   /// a CPU share outside 0 to 1 is brought into range.
   void learn(Endpoint& endpoint, const LoadReport& report);
 
-  /// Whether what the endpoint has in hand would take the request too long. The report must have
+  /// Whether the endpoint's busy requests would delay the request too long. The report must have
   /// busyRequests.
   [[nodiscard]] bool isOverloaded(const Request& request, const Endpoint& endpoint,
                                   const LoadReport& report) const;
 
-  /// Smoothed CPU share that endpoints of the own zone report, 0 to 1; 0 before the first.
+  /// Smoothed CPU share reported by endpoints of the own zone, 0 to 1; 0 before the first report.
   [[nodiscard]] double ownZoneCpu() const { return ownZoneCpu_; }
 
  private:
   const Settings& settings_;
   const LatencyStatistics& latency_;
   double parallelism_ =
-      0;  // smoothed, of requests that an endpoint works on at once, for its size; 0: unknown
+      0;  // smoothed number of requests processed at once by an endpoint of size 1; 0: unknown
   double ownZoneCpu_ = 0;
 };
 
--- a/src/balancer/load_shedding.cpp
+++ b/src/balancer/load_shedding.cpp
@@ -18,7 +18,8 @@
     context.deadlines.push({sidecarLimit_.backoffEnd(requests.at(id)), 0, Wake::Kind::Ready});
 }
 
-// When what is out and what is held will be answered at the pace of now (Little's law), spread in time.
+// The time until the requests in flight and held will have been answered at the present rate (Little's law),
+// with jitter.
 Micros LoadShedding::retryAfter(const EventContext& context) const {
   const auto longest = static_cast<double>(settings_.retryAfter ? settings_.maxRetryAfter : 0);
   const double wait = latency_.overallLatency() *
--- a/src/balancer/load_shedding.h
+++ b/src/balancer/load_shedding.h
@@ -14,31 +14,32 @@
 
 namespace ivypost::balancer::internal {
 
-/// Requests that are held because nobody is ready for them, and what a rejected one is advised.
+/// Holds requests for which no endpoint is ready, and computes the retry advice of rejected ones.
 ///
-/// Requests are only ever held when nobody is ready, so their order acts only in scarcity: by their
-/// weight, then the newest, since the oldest are the likeliest to be late whatever is done. Each is held for
-/// as long as it can still be served in time (Request::holdUntil); the caller bounds how many are open.
+/// Requests are held only while no endpoint is ready, so their order matters only under overload: the highest
+/// weight first, then the newest, since the oldest are the most likely to be late in any case. Each is held
+/// for as long as it can still be served in time (Request::holdUntil); the caller limits the number of open
+/// requests.
 class LoadShedding {
  public:
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   LoadShedding(const Settings& settings, const Priority& priority, const LatencyStatistics& latency,
                const SidecarLimit& sidecarLimit)
       : settings_(settings), priority_(priority), latency_(latency), sidecarLimit_(sidecarLimit) {}
 
-  /// Adds a request that nobody is ready for and that isn't held yet; wakes the balancer at its holdUntil and
-  /// at the end of the sidecar's backoff.
+  /// Holds a request that is not held yet; schedules a wake-up at its holdUntil and at the end of the
+  /// sidecar's backoff.
   void hold(RequestId id, const Request& request, const EventContext& context);
-  /// The request is held no more, if it was.
+  /// Stops holding the request, if it is held.
   void release(RequestId id) { std::erase(held_, id); }
-  /// How many requests are held now.
+  /// The number of held requests.
   [[nodiscard]] std::size_t size() const { return held_.size(); }
 
-  /// The sidecar is in backoff: those held are tried again when that ends for them.
+  /// To be called when the sidecar's backoff has started: schedules a retry of each held request at its end.
   void wakeAfterBackoff(const RequestTable& requests, const EventContext& context) const;
 
-  /// Takes off that of the greatest weight of those held that `isServable(request)` says can go out now; none
-  /// if none can.
+  /// Removes and returns the held request with the greatest weight among those for which
+  /// `isServable(request)` is true; none if there is none.
   template <class IsServable>
   std::optional<RequestId> takeHighestWeight(const RequestTable& requests, IsServable isServable) {
     auto next = held_.end();
@@ -56,8 +57,8 @@
     return id;
   }
 
-  /// When a rejected client may come back, in microseconds, up to Settings::maxRetryAfter; 0: no advice.
-  /// Draws a random number where there is advice.
+  /// After what time a rejected client should retry, in microseconds, up to Settings::maxRetryAfter; 0: no
+  /// advice. Draws a random number unless it is 0.
   [[nodiscard]] Micros retryAfter(const EventContext& context) const;
 
  private:
@@ -65,7 +66,7 @@
   const Priority& priority_;
   const LatencyStatistics& latency_;
   const SidecarLimit& sidecarLimit_;
-  std::vector<RequestId> held_;  // in the order they came to be held
+  std::vector<RequestId> held_;  // in the order in which they were held
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -11,19 +11,19 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// The failure rate of an endpoint is smoothed with this weight for one outcome; this far above that of all
-// endpoints together it is ejected: at two failures close together, not at one.
+// Gain of one outcome in an endpoint's failure rate. The endpoint is ejected when its rate exceeds that of
+// all endpoints together by kFailureExcess: at two failures in short succession, but not at one.
 constexpr double kFailureGain = 0.2;
 constexpr double kFailureExcess = 0.3;
-// At most this share of the listed may be ejected at once: beyond it suspect load, the network or us.
-// What others say adds to them up to the second share alone. So many others have to agree, one less where few
-// are heard.
+// At most kMaxEjected of the listed endpoints may be ejected at once: if more of them fail, load, the network
+// or this sidecar is the likely cause. Health reports of others may eject up to kMaxEjectedByReports. They
+// need kRequiredUnhealthyReports, or one less if fewer than kFewReachableSidecars are reachable.
 constexpr double kMaxEjected = 0.5;
 constexpr double kMaxEjectedByReports = 0.25;
 constexpr std::uint32_t kRequiredUnhealthyReports = 3;
 constexpr std::uint32_t kFewReachableSidecars = 6;
 constexpr Micros kMaxReportValidity = 2'000'000;
-// Jitter of an ejection's length, from this part of it to as much above it.
+// Ejection times are jittered from this factor to as much above 1.
 constexpr double kShortestEjection = 0.75;
 
 }  // namespace
@@ -75,7 +75,7 @@
     eject(event.upstream, kMaxEjectedByReports, context);
 }
 
-// False if so many are out already, of `maxFraction` of the listed, that this one has to stay.
+// Ejects the endpoint. False if more than `maxFraction` of the listed endpoints would then be ejected.
 bool OutlierDetection::eject(EndpointId id, double maxFraction, const EventContext& context) {
   const auto& listed = endpoints_.listed();
   const auto ejected = std::count_if(listed.begin(), listed.end(), [&](EndpointId other) {
@@ -86,7 +86,7 @@
   if (others + 1 > maxFraction * static_cast<double>(listed.size())) return false;
   const double duration = static_cast<double>(kBaseEjection) *
                           std::exp2(std::min(endpoint.consecutiveEjections, kMaxEjectionDoublings));
-  // Jittered, so that sidecars which saw the same failure do not come back together.
+  // Jittered, so that sidecars that saw the same failure don't all retry the endpoint at once.
   endpoint.ejectedUntil =
       context.now + static_cast<Micros>(duration * (kShortestEjection + context.random.uniform() / 2));
   context.deadlines.push({endpoint.ejectedUntil, 0, Wake::Kind::Ready});
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -10,25 +10,25 @@
 
 namespace ivypost::balancer::internal {
 
-/// Ejects endpoints that fail what they get (errors, resets, no connection, silence), by own attempts or by
-/// what enough other sidecars have found, and takes them back after trials.
+/// Ejects endpoints whose attempts fail (errors, resets, failed connects, time-outs), by the outcomes of own
+/// attempts or by health reports of enough other sidecars, and readmits them after successful trials.
 ///
-/// Invariant: at most half of the listed are ejected at once. Ejections are by this sidecar's clock; what
-/// others have said counts for two seconds at most, and a sidecar that hears nothing goes by its own
+/// Invariant: at most half of the listed endpoints are ejected at once. Ejections are timed by this sidecar's
+/// clock; health reports are valid for at most two seconds, and without them a sidecar decides by its own
 /// attempts.
 class OutlierDetection {
  public:
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   OutlierDetection(const Settings& settings, EndpointRegistry& endpoints, const EndpointReadiness& readiness,
                    const LatencyStatistics& latency)
       : settings_(settings), endpoints_(endpoints), readiness_(readiness), latency_(latency) {}
 
-  /// An own attempt at the endpoint has this outcome.
+  /// Records the outcome of an own attempt at the endpoint.
   void observe(EndpointId id, Outcome outcome, const EventContext& context);
 
-  /// Others have said something of an endpoint. Own fresh evidence beats it. What enough others have found is
-  /// an ejection like one's own, but of fewer endpoints and never of the last ready; that one of them was
-  /// served since only permits a trial.
+  /// Applies a report of other sidecars, unless an own recent success contradicts it. Enough unhealthy
+  /// reports eject the endpoint as own failures do, but fewer endpoints in all and never the last ready one;
+  /// a healthy report only permits a trial.
   void apply(const HealthReport& event, const EventContext& context);
 
  private:
@@ -38,7 +38,7 @@
   EndpointRegistry& endpoints_;
   const EndpointReadiness& readiness_;
   const LatencyStatistics& latency_;
-  double fleetFailureRate_ = 0;  // smoothed over all endpoints, 0 to 1
+  double fleetFailureRate_ = 0;  // smoothed fraction of failed attempts at all endpoints, 0 to 1
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/priority.cpp
+++ b/src/balancer/priority.cpp
@@ -8,9 +8,9 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// A request is never given less than this part of the greatest weight.
+// Lower bound of a request's weight, as a fraction of the greatest class weight.
 constexpr double kMinRelativeWeight = 0.01;
-// What a tenant has sent is remembered about this long, in microseconds.
+// Time constant with which a tenant's usage decays, in microseconds.
 constexpr double kUsageMemory = 5e6;
 
 }  // namespace
@@ -32,8 +32,8 @@
   return util::within(weight(request) / greatest, kMinRelativeWeight, 1);
 }
 
-// By the request, or by its time to an answer where weight does not go by work; a class not answered yet
-// takes the usual time.
+// The weight for a unit of work. Without Settings::weightByWork, RequestClass::weight is for a request and is
+// divided by the class's typical latency, or the overall latency before the class's first answer.
 double Priority::classWeight(std::uint32_t cls) const {
   const double typical = latency_.typicalLatency(cls);
   const double latency = typical > 0 ? typical : latency_.overallLatency();
--- a/src/balancer/priority.h
+++ b/src/balancer/priority.h
@@ -11,20 +11,21 @@
 
 namespace ivypost::balancer::internal {
 
-/// What a request weighs against others when not all can be served: by the weight of its class, which falls
-/// as far as its tenant has lately sent more than its share through this sidecar.
+/// The weight of a request relative to others when not all can be served: that of its class, reduced in
+/// proportion to the recent traffic of its tenant beyond its share through this sidecar.
 class Priority {
  public:
-  /// Both must outlive it.
+  /// Both arguments must outlive the object.
   Priority(const Settings& settings, const LatencyStatistics& latency)
       : settings_(settings), latency_(latency), tenantUsage_(settings.tenants.size()) {}
 
-  /// An attempt of the request is sent.
+  /// To be called when an attempt of the request is sent: counts towards its tenant's usage.
   void countUsage(const Request& request, Micros now);
 
-  /// In the unit of RequestClass::weight, or that by microsecond of work (Settings::weightByWork).
+  /// The weight of a request for a unit of work: RequestClass::weight, divided by a latency in microseconds
+  /// unless Settings::weightByWork.
   [[nodiscard]] double weight(const Request& request) const;
-  /// Against the class of the greatest weight, from kMinRelativeWeight to 1.
+  /// The weight relative to the class with the greatest weight, from kMinRelativeWeight to 1.
   [[nodiscard]] double relativeWeight(const Request& request) const;
 
  private:
@@ -32,7 +33,7 @@
 
   const Settings& settings_;
   const LatencyStatistics& latency_;
-  std::vector<double> tenantUsage_;  // attempts sent lately, faded
+  std::vector<double> tenantUsage_;  // attempts recently sent, decayed over kUsageMemory
   double totalUsage_ = 0;
   Micros usageAt_ = 0;
 };
--- a/src/balancer/random_source.h
+++ b/src/balancer/random_source.h
@@ -7,11 +7,11 @@
 
 namespace ivypost::balancer::internal {
 
-/// The balancer's one source of random numbers. The same seed gives the same numbers, so the order in which
-/// the decisions draw from it is part of the module's behaviour.
+/// The balancer's only source of random numbers. The same seed gives the same numbers, so the order in which
+/// decisions draw from it is part of the module's behaviour.
 class RandomSource {
  public:
-  /// Any seed will do; sidecars need different ones, lest they all draw alike.
+  /// Any seed is valid; sidecars need different ones, or they all draw the same numbers.
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
   /// A number in [0, 1), with all 53 bits of a double's fraction.
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -14,40 +14,40 @@
 
 /// One attempt of a request at an endpoint. Times are microseconds.
 struct Attempt {
-  EndpointId endpoint = kNoEndpoint;  ///< where it was sent; always one that the registry contains
-  std::uint32_t zone = 0;             ///< the endpoint's, at the time
-  std::optional<std::uint32_t> cell;  ///< the endpoint's, at the time
-  Micros sentAt = 0;                  ///< the time of the event that led to it; repeat windows begin here
-  bool isPending = true;              ///< until its first outcome; further ones are ignored
-  bool countsAsInFlight = true;       ///< among those in flight
-  bool needsConnection = false;       ///< needs a new connection
-  bool mayHaveRun = true;             ///< until an outcome proves otherwise
+  EndpointId endpoint = kNoEndpoint;  ///< where it was sent; the registry contains it
+  std::uint32_t zone = 0;             ///< the endpoint's zone at that time
+  std::optional<std::uint32_t> cell;  ///< the endpoint's cell at that time
+  Micros sentAt = 0;                  ///< the time of the event that caused it; retry windows start here
+  bool isPending = true;              ///< it has no outcome yet; later outcomes are ignored
+  bool countsAsInFlight = true;       ///< included in the in-flight counts; a streaming attempt is not
+  bool needsConnection = false;       ///< no open connection had a free stream when it was sent
+  bool mayHaveRun = true;             ///< false once an outcome proves that it never ran
 };
 
-/// A request from its arrival until it has its final answer and none of its attempts is out. Times are
+/// A request, from its arrival until it has its final answer and no attempt in flight. Times are
 /// microseconds.
 struct Request {
-  std::uint32_t requestClass = 0;       ///< index into Settings::classes; always in range
-  std::optional<std::uint32_t> tenant;  ///< index into Settings::tenants; none: of no known tenant
-  double timeliness = 1;        ///< part of its weight that an answer may still earn, as far as is known
-  double relativeWork = 1;      ///< its expected work against the usual of its class
-  Micros latencyObjective = 0;  ///< a span since its arrival: an answer inside it earns the full weight
-  Micros deadline = 0;          ///< the moment by which it must have its final answer, unless it is streaming
-  Micros holdUntil = 0;         ///< not worth holding any longer
-  EndpointId probedEndpoint = kNoEndpoint;  ///< waits for a probe of this endpoint
-  Micros probeDeadline = 0;                 ///< the moment from which that probe counts as unanswered
-  int probes = 0;                     ///< how many were started for it, by HealthCheck; bounded by kMaxProbes
-  int overloadedProbes = 0;           ///< how many of them found overload or went unanswered
-  std::vector<Attempt> attempts;      ///< in the order of their Send; an attempt's number is its index
-  std::uint32_t pendingAttempts = 0;  ///< attempts without an outcome
-  bool isFinished = false;            ///< it has its final answer, or the client has left
-  bool isStreaming = false;           ///< an attempt is the client's now
-  bool isBodyConsumed = false;        ///< the body can't be sent again
-  bool hasEarnedCredit = false;       ///< endpoints that are warming up have had their credit for it
+  std::uint32_t requestClass = 0;       ///< index into Settings::classes, in range
+  std::optional<std::uint32_t> tenant;  ///< index into Settings::tenants; none: unknown tenant
+  double timeliness = 1;                ///< estimated fraction of its weight that an answer still has
+  double relativeWork = 1;              ///< its expected work relative to the typical work of its class
+  Micros latencyObjective = 0;          ///< time from its arrival within which an answer has the full weight
+  Micros deadline = 0;                  ///< when it must have its final answer, unless it is streaming
+  Micros holdUntil = 0;                 ///< when it is too late to be served in time
+  EndpointId probedEndpoint = kNoEndpoint;  ///< the endpoint last probed for it
+  Micros probeDeadline = 0;                 ///< when that probe times out
+  int probes = 0;                           ///< probes started for it by HealthCheck; at most kMaxProbes
+  int overloadedProbes = 0;                 ///< how many of them found overload or timed out
+  std::vector<Attempt> attempts;            ///< in the order of their Send; an attempt's number is its index
+  std::uint32_t pendingAttempts = 0;        ///< attempts without an outcome
+  bool isFinished = false;                  ///< it has its final answer, or the client has disconnected
+  bool isStreaming = false;                 ///< an attempt's answer is being streamed to the client
+  bool isBodyConsumed = false;              ///< the body can't be sent again
+  bool hasEarnedCredit = false;  ///< endpoints that are warming up have received their credit for it
 };
 
-/// The requests that are open or have an attempt out, by id: looked up only, never iterated, so their order
-/// decides nothing.
+/// The requests that are open or have an attempt in flight, by id. Only looked up, never iterated, since the
+/// order of iteration would influence decisions.
 using RequestTable = std::unordered_map<RequestId, Request>;
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/request_estimates.cpp
+++ b/src/balancer/request_estimates.cpp
@@ -9,9 +9,10 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// A request is never taken for this many times heavier or lighter than its class: hints of work are rough.
+// Relative work is bounded by this factor in both directions, since hints of work are rough.
 constexpr double kMaxRelativeWork = 4;
-// A try this much shorter than its class's usual one was cut short by what the client has waited already.
+// A request whose time to its deadline is below this fraction of the class's typical one is taken for a retry
+// by a client that has already spent part of its time.
 constexpr double kShortenedAttempt = 0.9;
 
 }  // namespace
@@ -35,7 +36,7 @@
   return cls.latencyObjective + static_cast<Micros>(std::min(stretch, allowance));
 }
 
-// How heavy a request is within its class, where it brings a hint of its work.
+// The request's hint of work relative to the typical hint of its class; 1 without a hint.
 double RequestEstimates::relativeWork(const NewRequest& event) {
   if (!event.work || *event.work <= 0) return 1;
   const auto work = static_cast<double>(*event.work);
@@ -44,9 +45,9 @@
   return std::clamp(work / typical, 1 / kMaxRelativeWork, kMaxRelativeWork);
 }
 
-// Guards against repeats of clients that take the place of fresh requests though their latency objective is
-// gone. A try cut short by the client's deadline tells how much has passed; of one that is only marked as a
-// repeat nobody knows, so it counts half way between in time and late.
+// Prevents clients' retries that can't meet their latency objective any more from displacing fresh requests.
+// A shortened time to the deadline shows how much time has passed; for a request that is only marked as a
+// retry this is unknown, so its weight is the mean of in time and late.
 double RequestEstimates::timeliness(const NewRequest& event, Micros latencyObjective) {
   const RequestClass& cls = settings_.classes[event.requestClass];
   const auto span = static_cast<double>(event.expiresIn);
--- a/src/balancer/request_estimates.h
+++ b/src/balancer/request_estimates.h
@@ -9,16 +9,17 @@
 
 namespace ivypost::balancer::internal {
 
-/// What is known of a request as it arrives, by its hints and by those of its class before it.
+/// Estimates a request's work, objective and timeliness at its arrival, from its hints and from earlier
+/// requests of its class.
 class RequestEstimates {
  public:
-  /// `settings` must outlive it.
+  /// `settings` must outlive the object.
   explicit RequestEstimates(const Settings& settings)
       : settings_(settings),
         typicalTimeout_(settings.classes.size()),
         typicalWork_(settings.classes.size()) {}
 
-  /// The record of a request that arrives at `now`, with its deadline, and learns from it.
+  /// Returns the record of a request that arrives at `now`, and updates the class's statistics.
   Request makeRequest(const NewRequest& event, Micros now);
 
  private:
@@ -28,8 +29,8 @@
 
   const Settings& settings_;
   std::vector<double>
-      typicalTimeout_;               // time that clients give a try, by class: the longest, slowly forgotten
-  std::vector<double> typicalWork_;  // smoothed hint of work, by class
+      typicalTimeout_;               // time from arrival to deadline, by class: the longest, slowly decaying
+  std::vector<double> typicalWork_;  // smoothed hints of work, by class
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/request_lifecycle.cpp
+++ b/src/balancer/request_lifecycle.cpp
@@ -10,7 +10,7 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Cancels every attempt that is out.
+// For cancelAllBut(): cancels all attempts in flight.
 constexpr std::uint32_t kNoSurvivor = static_cast<std::uint32_t>(-1);
 
 }  // namespace
@@ -44,7 +44,7 @@
   ++open_;
   decisions_.retryPolicy.countRequest(context.now);
   context.deadlines.push({request.deadline, event.request, Wake::Kind::Deadline});
-  // Held no longer than leaves time to be served: work for a client that has gone is wasted.
+  // The hold ends while there is still time to be served: work for a client that has given up is wasted.
   request.holdUntil = std::min(request.deadline, context.now + request.latencyObjective) -
                       static_cast<Micros>(decisions_.latency.typicalLatency(event.requestClass));
   if (!decisions_.sidecarLimit.mustWait(request, context))
@@ -52,8 +52,8 @@
   dispatch(event.request, request, context);
 }
 
-// Sends the request if the rules and the ready set allow; else holds it while an attempt may still come, or
-// answers it.
+// Sends the request if the rules permit it and an endpoint is ready; otherwise holds it while it may still be
+// served in time, or else makes a last attempt or answers it.
 void RequestLifecycle::dispatch(RequestId id, Request& request, const EventContext& context) {
   const Permission allowed = permission(request, context);
   const std::vector<EndpointId>& choice = eligible(request, allowed, context);
@@ -74,8 +74,9 @@
   }
 }
 
-// Guards against rejecting what an ejected endpoint might still serve: one that answers at all answers some.
-// That is its trial. One that is silent gets nothing: a rejection lets the client try again.
+// Sends to an ejected endpoint rather than reject the request: an ejected endpoint that still answers may
+// serve it, and the attempt is the endpoint's trial. A silent endpoint gets no such attempt, since a
+// rejection at least lets the client retry.
 void RequestLifecycle::sendAsLastResort(RequestId id, Request& request, const EventContext& context) {
   const std::vector<EndpointId>& choice =
       decisions_.selection.lastResort(request, permission(request, context), context.now);
@@ -89,7 +90,7 @@
 void RequestLifecycle::send(RequestId id, Request& request, EndpointId to, const EventContext& context) {
   const Micros now = context.now;
   Endpoint& endpoint = decisions_.endpoints[to];
-  // Guards the rules against every other part of this module: they have the last word.
+  // Final check against the rules, whatever the other components have decided.
   if (!decisions_.retryPolicy.mayGoTo(to, endpoint, request, permission(request, context), now))
     return answer(id, request, context);
   decisions_.retryPolicy.countAttempt(request, now);
@@ -106,7 +107,7 @@
   context.act(Send{id, to, 0});
 }
 
-// The final answer. A rejection, where the rules allow it, since it lets the client try again.
+// Gives the final answer: a rejection if the rules permit it, since it lets the client retry.
 void RequestLifecycle::answer(RequestId id, Request& request, const EventContext& context) {
   const Permission allowed = permission(request, context);
   if (!allowed.mayReject && !allowed.mayFail) return;
@@ -118,12 +119,13 @@
   close(id, request, context);
 }
 
-// The request is over: what is still out for it serves nobody.
+// Finishes the request and cancels its attempts in flight, unless its answer is being streamed.
 void RequestLifecycle::close(RequestId id, Request& request, const EventContext& context) {
   if (!request.isFinished) --open_;
   request.isFinished = true;
   decisions_.healthCheck.stopWaiting(id);
-  decisions_.loadShedding.release(id);  // guards against a hold that grows for as long as nobody is ready
+  decisions_.loadShedding.release(
+      id);  // finished requests must not accumulate among the held ones while no endpoint is ready
   if (!request.isStreaming) cancelAllBut(kNoSurvivor, id, request, context);
   if (request.pendingAttempts == 0) requests_.erase(id);
 }
@@ -136,7 +138,8 @@
   }
 }
 
-// Any outcome leaves the count; so does an answer that begins to stream: the rest is its client's pace.
+// Removes an attempt from the in-flight counts: at its outcome, or when its answer starts to stream, since
+// the duration of the stream depends on the client.
 void RequestLifecycle::releaseInFlight(Attempt& attempt) {
   if (attempt.countsAsInFlight) {
     decisions_.sidecarLimit.countEnd();
@@ -162,11 +165,11 @@
   } else if (event.endsRequest) {
     close(event.request, request, context);
   } else if (request.pendingAttempts == 0) {
-    dispatch(event.request, request, context);  // nothing of it is out any more
+    dispatch(event.request, request, context);  // no attempt is in flight any more
   }
 }
 
-// Tells every part what the outcome says of the endpoint, in this order: each may make it back off.
+// Passes the outcome to every component. The order matters, since each may put the endpoint in backoff.
 void RequestLifecycle::learn(const AttemptOutcome& event, const Request& request, const Attempt& attempt,
                              const EventContext& context) {
   Endpoint& endpoint = decisions_.endpoints[attempt.endpoint];
@@ -174,14 +177,14 @@
   const FinishedAttempt finished{attempt.sentAt, context.now - attempt.sentAt - event.clientLimitedTime,
                                  event.outcome};
   ConnectionSubset::learnConnection(endpoint, attempt, event.outcome);
-  // A connect that failed where other connections stand says nothing of the endpoint.
+  // A failed connect says nothing about the endpoint while other connections to it are open.
   const bool hasOtherConnection =
       event.outcome == Outcome::ConnectFailed && decisions_.subset.isConnected(endpoint, context.now);
   updateSubset(request, attempt, finished, hasOtherConnection, context);
   const double typicalLatency = decisions_.latency.typicalLatency(request.requestClass);
   if (event.report) {
     decisions_.loadReports.learn(endpoint, *event.report);
-    // Guards against overload that an endpoint reports before answers are slow.
+    // An endpoint may report overload before its answers become slow.
     if (event.report->busyRequests && decisions_.loadReports.isOverloaded(request, endpoint, *event.report))
       backOff(endpoint, typicalLatency, context);
   }
@@ -233,8 +236,8 @@
     finishProbe(id, decisions_.healthCheck.judge(event, requests_.at(id)), context);
 }
 
-// The pick stands if the endpoint is still ready and has capacity; else another is picked, or the request
-// gives way.
+// Sends to the picked endpoint if it is still ready and has capacity; otherwise picks another, or answers the
+// request.
 void RequestLifecycle::finishProbe(RequestId id, HealthCheck::Verdict verdict, const EventContext& context) {
   decisions_.healthCheck.stopWaiting(id);
   Request& request = requests_.at(id);
@@ -263,12 +266,12 @@
       return;
     }
     case Wake::Kind::Hold:
-      // Guards against holding what can no longer be served in time: better the client hears at once.
+      // The request can no longer be served in time, so the client gets its answer at once.
       if (!request.isFinished && request.pendingAttempts == 0 && request.holdUntil <= context.now)
         sendAsLastResort(wake.request, request, context);
       return;
     case Wake::Kind::Deadline:
-      // Guards the last answer: nothing of a request that has not begun to stream outlives its deadline.
+      // The final answer is due: only a streaming request outlives its deadline.
       if (!request.isFinished && !request.isStreaming && request.deadline <= context.now)
         answer(wake.request, request, context);
       return;
--- a/src/balancer/request_lifecycle.h
+++ b/src/balancer/request_lifecycle.h
@@ -12,40 +12,42 @@
 
 namespace ivypost::balancer::internal {
 
-/// The way of every request from its arrival to its final answer: sent, held, probed for, sent again,
-/// answered.
+/// Takes every request from its arrival to its final answer: sends, holds, probes, retries, answers.
 ///
-/// Invariant: a request that was taken gets one final answer by its deadline, unless its client has left or
-/// an answer has begun to stream. Deadlines are by this sidecar's clock.
+/// Invariant: an accepted request gets one final answer by its deadline, unless its client has disconnected
+/// or an answer has begun to stream. Deadlines are by this sidecar's clock.
 class RequestLifecycle {
  public:
-  /// `decisions` must outlive it.
+  /// `decisions` must outlive the object.
   explicit RequestLifecycle(Decisions& decisions) : decisions_(decisions) {}
 
-  /// @throws std::invalid_argument for an event that names what the settings or the open requests do not have
+  /// @throws std::invalid_argument for a class or tenant outside the settings, or a request id that is
+  /// already open
   void validate(const NewRequest& event) const;
-  /// @throws std::invalid_argument for an attempt that was never sent, of a request that is still known
+  /// @throws std::invalid_argument for an attempt that was never sent of a request that is still in the table
   void validate(const AttemptOutcome& event) const;
 
-  /// Takes a request that validate() has accepted: it is sent, probed for, held or answered at once.
+  /// Accepts a request that has passed validate(): it is sent, probed for, held or answered at once.
   void on(const NewRequest& event, const EventContext& context);
-  /// Lets every part learn from the outcome, then sends the request again or closes it. An outcome that was
-  /// reported before, or of a request that is gone, has no effect.
+  /// Passes the outcome to every component, then retries or finishes the request. A repeated outcome, or one
+  /// of a request that is no longer in the table, has no effect.
   void on(const AttemptOutcome& event, const EventContext& context);
-  /// The answer has begun to stream to the client: no attempt follows, and the others are
-  /// cancelled where the settings allow it.
+  /// An answer has begun to stream to the client: no further attempt is sent, and the other attempts are
+  /// cancelled if the settings permit it.
   /// @throws std::invalid_argument for an attempt that was never sent
   void on(const AttemptStarted& event, const EventContext& context);
-  /// The client has left: no answer is owed; attempts in flight are cancelled where the settings allow it.
+  /// The client has disconnected: no answer is needed; attempts in flight are cancelled if the settings
+  /// permit it.
   void on(const Withdrawn& event, const EventContext& context);
-  /// Ends the wait of every request that waits for a probe of this endpoint: each is sent, held or answered.
+  /// Continues every request that waits for a probe of this endpoint: each is sent, probed for, held or
+  /// answered.
   void on(const ProbeResult& event, const EventContext& context);
 
-  /// Timers of a request: an overdue probe, the end of its hold, and its deadline. Ignored where the request
-  /// is gone or the moment has moved.
+  /// Handles the timers of a request: a probe time-out, the end of its hold, and its deadline. Ignored if the
+  /// request is finished or that time has been moved.
   void onDeadline(const Wake& wake, const EventContext& context);
 
-  /// Tries held requests again, the greatest weight first, for as long as somebody is ready for one of them.
+  /// Retries held requests, the greatest weight first, while an endpoint is ready for one of them.
   void serveHeld(const EventContext& context);
 
   /// Requests without a final answer.
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -8,11 +8,11 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// The retry budget where none is stated: so many repeats, and so many for each request taken, in this span.
+// The default retry budget: retries without any request, and retries for each request, in this window.
 constexpr double kRetryFloor = 10;
 constexpr double kRetryRatio = 0.2;
 constexpr Micros kDefaultRetryBudgetWindow = 5'000'000;
-// Far above any sensible budget.
+// Upper bound of a configured floor or ratio, far above any useful value.
 constexpr double kMaxBudget = 1e6;
 
 }  // namespace
@@ -56,18 +56,18 @@
   } else if (cls.semantics == Semantics::Unsafe) {
     allowed.maySend = false;
   } else {
-    // Strictly inside the window, one step of the clock early: the endpoint's clock starts with our send.
+    // Strictly within the window, by a margin of one clock step: the endpoint's window starts with our send.
     const bool inWindow = now + settings_.resolution < first->sentAt + cls.retryWindow;
     allowed.maySend = allowed.maySend && inWindow;
     allowed.anchor = &*first;
-    // A rejection invites the client to send again to any endpoint, so it needs the widest group, and time.
+    // After a rejection the client may retry at any endpoint, so the group must be All and the window open.
     allowed.mayReject = cls.group == RetryGroup::All && inWindow;
   }
   return allowed;
 }
 
-// Whether its next attempt draws on the budget: a stated one counts every attempt beyond the first, our own
-// lets those go freely that follow attempts which never ran, since rejections cost little.
+// Whether the next attempt is charged to the budget: a configured budget counts every attempt beyond the
+// first; the default one doesn't count retries after attempts that never ran, since rejections cost little.
 bool RetryPolicy::isCharged(const Request& request) const {
   return budget_.isConfigured() ? !request.attempts.empty()
                                 : std::any_of(request.attempts.begin(), request.attempts.end(),
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -16,76 +16,76 @@
   return outcome == Outcome::Full || outcome == Outcome::ConnectFailed || outcome == Outcome::Moot;
 }
 
-/// The retry budget: an exact sliding window over requests taken and further attempts. It looks back from
-/// each further attempt, which counts the oldest moment for attempts but not for requests.
+/// The retry budget: an exact sliding window over requests and retries, evaluated at each retry. The oldest
+/// instant of the window is included for retries but excluded for requests.
 ///
 /// Grows with the requests of the last Settings::retryBudgetWindow.
 class RetryBudget {
  public:
-  /// Where the settings state no budget (retryBudgetWindow 0) it is one of the module's own.
+  /// Uses a default budget if the settings have none (retryBudgetWindow 0).
   explicit RetryBudget(const Settings& settings);
 
-  /// Whether the settings state it. A stated one counts every attempt beyond a request's first.
+  /// Whether the settings have a budget. Such a budget counts every attempt beyond a request's first.
   [[nodiscard]] bool isConfigured() const { return isConfigured_; }
-  /// A request was taken.
+  /// Records the arrival of a request.
   void countRequest(Micros now);
-  /// A further attempt was sent.
+  /// Records that a retry is sent.
   void countRetry(Micros now) { retriesAt_.push_back(now); }
-  /// Whether a further attempt may be sent now.
+  /// Whether a retry may be sent now.
   bool allowsRetry(Micros now);
 
  private:
   void dropExpiredRequests(Micros now);
 
   bool isConfigured_;
-  Micros window_;             // microseconds, above 0
-  double minRetries_;         // attempts that are always allowed in a window
-  double retriesPerRequest_;  // and so many for each request taken in it
-  std::deque<Micros> requestsAt_, retriesAt_;
+  Micros window_;                              // microseconds, above 0
+  double minRetries_;                          // retries allowed in a window without any request
+  double retriesPerRequest_;                   // further retries for each request in the window
+  std::deque<Micros> requestsAt_, retriesAt_;  // times, oldest first
 };
 
-/// What the rules still allow for a request.
+/// What the rules still permit for a request.
 struct Permission {
   bool maySend = false;             ///< another attempt may be sent now
-  const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's repeat group
-  bool mayReject = false;           ///< it may be rejected: for the client to send it again is harmless
-  bool mayFail = false;             ///< it may be failed; false once it has its answer or is streaming
+  const Attempt* anchor = nullptr;  ///< if set, only endpoints of this attempt's retry group
+  bool mayReject = false;           ///< it may be rejected: the client can safely retry it
+  bool mayFail = false;             ///< it may be failed; false once it is finished or streaming
 };
 
-/// The rules on attempts and final answers. Every Send, Reject and Fail asks here first: the rules have the
-/// last word against every other part of the module.
+/// The rules on attempts and final answers. Every Send, Reject and Fail is checked against them; they take
+/// precedence over every other component.
 ///
-/// Invariant: no effect twice. An unsafe request is sent again or rejected only when every earlier attempt is
-/// known never to have run; a keyed one that may have run only within its group and window, counted by this
-/// sidecar's clock from the first attempt that may have run.
+/// Invariant: no request takes effect twice. An Unsafe request is retried or rejected only if every earlier
+/// attempt is known never to have run; a Keyed request that may have run only within its group and window,
+/// which starts, by this sidecar's clock, with the first attempt that may have run.
 class RetryPolicy {
  public:
-  /// Both must outlive it.
+  /// Both arguments must outlive the object.
   RetryPolicy(const Settings& settings, const SlowStart& slowStart)
       : settings_(settings), slowStart_(slowStart), budget_(settings) {}
 
-  /// What may be done with the request at `now`, in microseconds. Its `anchor` points into the request and is
-  /// valid until the request's attempts change.
+  /// What is permitted for the request at `now`, in microseconds. The result's `anchor` points into the
+  /// request and is valid until the request's attempts change.
   Permission permission(const Request& request, const ReducedService& reduced, Micros now);
 
-  /// The rules on where it may go: no draining or gone endpoint, none that is warming up beyond its credit,
-  /// no other repeat group.
+  /// The rules on an attempt's endpoint: it must be listed and serving, not warming up without a credit, and
+  /// in the retry group.
   [[nodiscard]] bool mayGoTo(EndpointId id, const Endpoint& endpoint, const Request& request,
                              const Permission& allowed, Micros now) const {
     return allowed.maySend && endpoint.isListed && slowStart_.hasCredit(endpoint, now) &&
            isInGroup(id, endpoint, request, allowed);
   }
 
-  /// The last of them alone: whether the endpoint is in the repeat group that the request is bound to.
+  /// Whether the endpoint is in the retry group to which the request is bound.
   [[nodiscard]] bool isInGroup(EndpointId id, const Endpoint& endpoint, const Request& request,
                                const Permission& allowed) const {
     return allowed.anchor == nullptr ||
            inGroup(settings_.classes[request.requestClass].group, *allowed.anchor, endpoint, id);
   }
 
-  /// A request was taken.
+  /// Records the arrival of a request in the budget.
   void countRequest(Micros now) { budget_.countRequest(now); }
-  /// The request's next attempt is about to be sent.
+  /// Charges the budget for the request's next attempt, if that counts; to be called before it is sent.
   void countAttempt(const Request& request, Micros now) {
     if (isCharged(request)) budget_.countRetry(now);
   }
--- a/src/balancer/send_rate.h
+++ b/src/balancer/send_rate.h
@@ -7,47 +7,49 @@
 
 namespace ivypost::balancer::internal {
 
-/// How many attempts this sidecar has lately sent, faded exponentially over the time for which an idle
-/// connection is kept (Settings::idleTimeout; kDefaultIdleTime where that is unknown).
+/// The rate at which this sidecar sends attempts: a count that decays exponentially, with the time for which
+/// an idle connection is kept as its time constant (Settings::idleTimeout; kDefaultIdleTime if that is
+/// unknown).
 class SendRate {
  public:
-  /// `startedAt`: when the balancer began, in microseconds; until idleTime() has
-  /// passed since then, what was counted is scaled up to it.
+  /// `startedAt`: when the balancer was constructed, in microseconds; the count is scaled up for the part of
+  /// the time constant that has not passed since then.
   SendRate(const Settings& settings, Micros startedAt)
       : resolution_(settings.resolution),
         idleTime_(settings.idleTimeout > 0 ? static_cast<double>(settings.idleTimeout) : kDefaultIdleTime),
         startedAt_(startedAt),
         sendsAt_(startedAt) {}
 
-  /// An attempt is sent at `now`, in microseconds; earlier ones fade by the time since the last call.
+  /// Counts an attempt sent at `now`, in microseconds; the earlier count decays by the time since the last
+  /// call.
   void count(Micros now) {
     sends_ = 1 + sends_ * retainedFraction(sendsAt_, idleTime_, now);
     sendsAt_ = now;
   }
 
-  /// How many sends this sidecar makes in the time that an idle connection is kept. What was seen since the
-  /// start is scaled up to the whole of that time.
+  /// Sends in the time for which an idle connection is kept, extrapolated while less than that has passed
+  /// since the start.
   [[nodiscard]] double sendsInIdleTime(Micros now) const {
     const double seen = 1 - std::exp(-static_cast<double>(now - startedAt_ + resolution_) / idleTime_);
     return sends_ * retainedFraction(sendsAt_, idleTime_, now) / seen;
   }
 
-  /// How many requests this sidecar has in flight when answers take `latency` microseconds (Little's law).
+  /// Requests that this sidecar has in flight when answers take `latency` microseconds (Little's law).
   [[nodiscard]] double typicalInFlight(double latency, Micros now) const {
     return sendsInIdleTime(now) * latency / idleTime_;
   }
 
-  /// In microseconds, above 0.
+  /// The time constant in microseconds, above 0.
   [[nodiscard]] double idleTime() const { return idleTime_; }
 
  private:
-  /// Microseconds: long enough for a steady figure at a few requests a second.
+  /// In microseconds; long enough for a stable rate at a few requests per second.
   static constexpr double kDefaultIdleTime = 5e6;
 
   Micros resolution_;
   double idleTime_;
   Micros startedAt_;
-  double sends_ = 0;  // lately, faded over idleTime_
+  double sends_ = 0;  // recent sends, decayed over idleTime_
   Micros sendsAt_;
 };
 
--- a/src/balancer/sidecar_limit.cpp
+++ b/src/balancer/sidecar_limit.cpp
@@ -10,17 +10,18 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// So many attempts in a row that meet overload (a rejection, a time-out, or an answer that took more than
-// this part of its latency objective), at whatever endpoints, are chance; more make the whole sidecar back
-// off.
+// Up to this many consecutive overloaded outcomes at any endpoints may be chance; more put the whole sidecar
+// in backoff. Overloaded outcomes are a rejection, a time-out, or an answer that took more than
+// kOverloadedObjectiveFraction of its latency objective.
 constexpr int kOverloadsBeforeBackoff = 2;
 constexpr double kOverloadedObjectiveFraction = 0.3;
-// Such a sidecar has so many times what it usually has in flight in calm times, and so many more, out at the
-// most: room for chance alone. What all have beyond that waits at the endpoints and slows them down for long.
+// The limit is at most kTypicalMultiple of the attempts that the sidecar usually has in flight under low
+// load, plus kAttemptHeadroom, which allows only for random variation: more attempts from all sidecars would
+// queue at the endpoints and slow them down for a long time.
 constexpr double kTypicalMultiple = 3;
 constexpr double kAttemptHeadroom = 2;
-// The first backoff lasts a quarter of the usual time to an answer (one doubling of an eighth); each further
-// overloaded outcome doubles it, up to so many doublings in all.
+// The first backoff lasts a quarter of the overall latency (one doubling of an eighth); each further
+// overloaded outcome doubles it, up to kMaxBackoffDoublings in all.
 constexpr int kMaxBackoffDoublings = kMaxEjectionDoublings + 2;
 constexpr int kFirstBackoffHalvings = 3;
 
@@ -52,7 +53,7 @@
   return backoffStart_ + static_cast<Micros>(backoffDuration_ / (2 * priority_.relativeWeight(request)));
 }
 
-// What is out at silent endpoints tells nothing of the others.
+// Attempts at silent endpoints don't count: they say nothing about the load of the others.
 bool SidecarLimit::isAtLimit(const EventContext& context) const {
   if (!context.lacksLoadInformation || inFlight_ + 1 <= limit_) return false;
   double working = inFlight_;
--- a/src/balancer/sidecar_limit.h
+++ b/src/balancer/sidecar_limit.h
@@ -13,12 +13,12 @@
 
 namespace ivypost::balancer::internal {
 
-/// A limit and backoff of the whole sidecar, which bind it while it is without load information. Guards
-/// against storms when everybody is full: backoff and limits of single endpoints do not bind such a sidecar,
-/// which always finds another.
+/// A concurrency limit and a backoff of the whole sidecar, in effect while it lacks load information. They
+/// prevent retry storms when all endpoints are full: the limits and backoffs of single endpoints don't slow
+/// such a sidecar down, since it always finds another endpoint.
 class SidecarLimit {
  public:
-  /// All must outlive it.
+  /// All arguments must outlive the object.
   SidecarLimit(const EndpointRegistry& endpoints, const EndpointReadiness& readiness,
                const LatencyStatistics& latency, const SendRate& sendRate, const Priority& priority)
       : endpoints_(endpoints),
@@ -27,28 +27,27 @@
         sendRate_(sendRate),
         priority_(priority) {}
 
-  /// An attempt went out.
+  /// To be called when an attempt is sent.
   void countSend() { ++inFlight_; }
-  /// An attempt is no longer in flight.
+  /// To be called when an attempt is no longer in flight.
   void countEnd() { --inFlight_; }
-  /// How many are.
+  /// The number of attempts in flight.
   [[nodiscard]] double inFlight() const { return inFlight_; }
 
-  /// Takes an outcome (after `latency` microseconds) into the limit.
-  /// @return whether the whole sidecar is in backoff from now on
+  /// Updates the limit by an outcome after `latency` microseconds.
+  /// @return whether the outcome has started a backoff of the whole sidecar
   bool backOffIfOverloaded(const Request& request, Outcome outcome, Micros latency,
                            const EventContext& context);
 
-  /// Until when a backoff of the sidecar lasts for the request: the less it weighs against the greatest
-  /// weight, the longer.
+  /// When the sidecar's backoff ends for the request: the lower its relative weight, the later.
   [[nodiscard]] Micros backoffEnd(const Request& request) const;
 
-  /// Whether no endpoint would get the request now, however many are ready.
+  /// Whether the request must not be sent now, however many endpoints are ready.
   [[nodiscard]] bool mustWait(const Request& request, const EventContext& context) const {
     return (backoffDuration_ > 0 && context.now < backoffEnd(request)) || isAtLimit(context);
   }
 
-  /// Whether a sidecar without load information has all out that it may.
+  /// Whether the sidecar lacks load information and has as many attempts in flight as its limit permits.
   [[nodiscard]] bool isAtLimit(const EventContext& context) const;
 
  private:
@@ -57,11 +56,11 @@
   const LatencyStatistics& latency_;
   const SendRate& sendRate_;
   const Priority& priority_;
-  double limit_ = 1;              // of inFlight_
-  double inFlight_ = 0;           // attempts without an outcome
-  int consecutiveOverloads_ = 0;  // outcomes that tell of overload, of any endpoints
-  Micros backoffStart_ = 0;       // the whole sidecar is in backoff ...
-  double backoffDuration_ = 0;    // ... for this long, in microseconds, a request of half the greatest weight
+  double limit_ = 1;              // upper bound of inFlight_
+  double inFlight_ = 0;           // attempts in flight
+  int consecutiveOverloads_ = 0;  // overloaded outcomes in a row, at any endpoints
+  Micros backoffStart_ = 0;       // start of the sidecar's last backoff
+  double backoffDuration_ = 0;    // its duration in microseconds for a relative weight of 0.5; 0: none yet
 };
 
 }  // namespace ivypost::balancer::internal
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -4,19 +4,20 @@
 namespace ivypost::balancer::internal {
 namespace {
 
-// Unspent slow-start credit kept at most, in attempts: every sidecar may hold as much.
+// Upper bound of an endpoint's unspent credit, in attempts. Low, since every sidecar may have as much.
 constexpr double kMaxCredit = 1;
-// An endpoint that is warming up may get so many times the load that a warm one has while all are warm.
+// Upper bound of the load of an endpoint that is warming up, relative to its capacity, as a multiple of the
+// load that a warm endpoint has while all are warm.
 constexpr double kMaxLoadShare = 1.5;
-// And at most this part of Settings::fallMultiple of it. What all clients ask may exceed what all warm
-// ones can do; this leaves room for an overload of 1 / 0.6, so 1.67 times, before the endpoint's load
+// The same bound as a fraction of Settings::fallMultiple. The clients' demand may exceed the capacity of all
+// warm endpoints; this leaves room for an overload of 1 / 0.6, so 1.67 times, before the endpoint's load
 // reaches the multiple.
 constexpr double kMaxFallMultipleFraction = 0.6;
 
 }  // namespace
 
-// What is rejected loads nobody, so only requests that may go out earn. One in backoff earns nothing: it
-// would come all at once.
+// Called only for requests that may be sent, since rejected requests load no endpoint. An endpoint in backoff
+// or ejected earns nothing: all sidecars would spend the saved credit at once when that ends.
 void SlowStart::earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const {
   if (request.hasEarnedCredit) return;
   request.hasEarnedCredit = true;
@@ -27,7 +28,7 @@
     present += endpoint.size * capacityFraction(endpoint, now);
     total += endpoint.size;
   }
-  if (present == total) return;  // the usual case: all are warm
+  if (present == total) return;  // common case: all endpoints are warm
   const double maxLoadShare = std::min(kMaxLoadShare, kMaxFallMultipleFraction * settings_.fallMultiple);
   const double share = std::min(1 / present, maxLoadShare / total);
   for (const EndpointId id : endpoints.listed()) {
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -10,20 +10,21 @@
 
 namespace ivypost::balancer::internal {
 
-/// Keeps an endpoint that is warming up, one that was launched less than Settings::slowStartWindow ago, from
-/// being pushed over by all sidecars together.
+/// Limits the load that all sidecars together put on an endpoint that is warming up (launched less than
+/// Settings::slowStartWindow ago), which would collapse under a warm one's load.
 ///
-/// Invariant: an attempt goes to an endpoint that is warming up only for a credit of one. With every request
-/// that may go out it earns its part of what all listed ones can do now, so if all sidecars do so it is
-/// loaded like a warm one for what it can do. Times by this sidecar's clock and the endpoint's launchedAt; a
-/// sidecar that hears nothing of a restart sends as to a warm one.
+/// Invariant: an attempt is sent to an endpoint that is warming up only for a credit of one. With every
+/// request that may be sent, the endpoint earns its fraction of the present capacity of all listed endpoints;
+/// if all sidecars do so, its load relative to its capacity is that of a warm one. Times are by this
+/// sidecar's clock and the endpoint's launchedAt; a sidecar that has not received a restart's list treats the
+/// endpoint as warm.
 class SlowStart {
  public:
-  /// `settings` must outlive it.
+  /// `settings` must outlive the object.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-  /// The part of its capacity that an endpoint surely has, from Settings::startCapacity to 1 (warm): it grows
-  /// no slower than evenly over slowStartWindow.
+  /// The fraction of its capacity that an endpoint has at least, from Settings::startCapacity to 1 (warm). It
+  /// grows linearly over slowStartWindow; the real capacity grows no slower.
   [[nodiscard]] double capacityFraction(const Endpoint& endpoint, Micros now) const {
     if (settings_.fallMultiple <= 0 || settings_.slowStartWindow <= 0 || endpoint.launchedAt <= 0) return 1;
     const Micros age = std::max<Micros>(0, now - endpoint.launchedAt);
@@ -32,16 +33,16 @@
     return settings_.startCapacity + (1 - settings_.startCapacity) * part;
   }
 
-  /// Whether it is warm or has a credit for an attempt.
+  /// Whether the endpoint is warm or has a credit for an attempt.
   [[nodiscard]] bool hasCredit(const Endpoint& endpoint, Micros now) const {
     return capacityFraction(endpoint, now) >= 1 || endpoint.slowStartCredit >= 1;
   }
 
-  /// Gives the listed ones that are warming up their credit for a request, once.
+  /// Adds credit for the request, once, to the listed endpoints that are warming up.
   void earnCredit(Request& request, EndpointRegistry& endpoints, Micros now) const;
 
-  /// An attempt goes to the endpoint: each, retries too, costs one that is warming up a credit, or more if it
-  /// is heavy.
+  /// Charges the endpoint for an attempt, retries included: one credit while it is warming up, or more if the
+  /// request is heavy.
   void spendCredit(Endpoint& endpoint, const Request& request, Micros now) const {
     if (capacityFraction(endpoint, now) < 1) endpoint.slowStartCredit -= std::max(1.0, request.relativeWork);
   }
